--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -96,7 +96,7 @@
             running: u32::try_from(self.calls.len()).unwrap_or(u32::MAX),
             limit: self.spec.limit,
             held: self.held,
-            tombs: self.tombs.len(),
+            tombs: self.tombstones.len(),
             attempts: self.attempts.len() + self.kept.len(),
         }
     }
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -22,11 +22,11 @@
 //!
 //! # Trade-offs
 //!
-//! Tombstones are dropped after [`TOMB_KEEP`]. What they protected stays true
+//! Tombstones are dropped after [`TOMBSTONE_TTL`]. What they protected stays true
 //! by two marks for each entry's life: the highest number forgotten, below
 //! which nothing starts any more, and the highest number forgotten that had
 //! started, below which an unknown attempt is reported as lost rather than
-//! sealed. The price is that an attempt older than [`TOMB_KEEP`] may be
+//! sealed. The price is that an attempt older than [`TOMBSTONE_TTL`] may be
 //! refused, and that "unknown" is said where "not run" would have been true.
 //! Marks of entries are never dropped: 64 bytes each, at 230 restarts a day
 //! five megabytes a year.
@@ -38,13 +38,13 @@
 mod spec;
 mod systems;
 mod table;
-mod tomb;
+mod tombstone;
 
 pub use self::{
     fence::{Fences, OrderRefusal},
     spec::{
         Admission, Ask, Chunk, Frame, GateLoad, GateSpec, Head, Header, LINK_SILENCE, Run,
-        Standing, Step, TOMB_KEEP,
+        Standing, Step, TOMBSTONE_TTL,
     },
     table::Gate,
 };
--- a/src/gate/spec.rs
+++ b/src/gate/spec.rs
@@ -20,10 +20,9 @@
 
 /// How long the tombstone of an attempt is kept.
 ///
-/// A frame is late by at most the silence after which its link is given up,
-/// and what waits in the hand-over and the sockets; a minute is far above
-/// both. After it the marks of the entry stand in, which are coarser.
-pub const TOMB_KEEP: Duration = Duration::from_mins(1);
+/// Longer than a frame can be delayed by a silent link and by queues. Afterwards
+/// the coarser watermarks of the entry apply.
+pub const TOMBSTONE_TTL: Duration = Duration::from_mins(1);
 
 /// What bounds a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/src/gate/systems.rs
+++ b/src/gate/systems.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Frame, Gate, LINK_SILENCE, LinkKey, Step, attempt::Body, tomb::Tomb},
+    gate::{Frame, Gate, LINK_SILENCE, LinkKey, Step, attempt::Body, tombstone::Tombstone},
     id::RequestId,
 };
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
         self.drop_viewers(now);
         self.end_late(now);
         self.drop_answers(now);
-        self.tombs.sweep(now);
+        self.tombstones.expire(now);
     }
 
     /// Says when [`Gate::tick`] has something to do at the latest.
@@ -37,7 +37,7 @@
             self.links.len(),
             self.attempts.len(),
             self.kept.len(),
-            self.tombs.len(),
+            self.tombstones.len(),
         ];
         let empty = tables.iter().all(|rows| *rows == 0);
         if empty {
@@ -100,7 +100,14 @@
         if let Some((since, id, body)) = kept {
             self.held -= body.held();
             let kind = ErrorKind::OutcomeUnknown;
-            self.tombs.add(since, id, Tomb { ran: true, kind });
+            self.tombstones.add(
+                since,
+                id,
+                Tombstone {
+                    started: true,
+                    kind,
+                },
+            );
         }
     }
 
@@ -117,8 +124,8 @@
         if let Some(row) = self.attempts.remove(&id) {
             self.held -= row.body.held();
             self.paused.remove(&id);
-            let ran = !kind.answer().not_run;
-            self.tombs.add(now, id, Tomb { ran, kind });
+            let started = !kind.answer().not_run;
+            self.tombstones.add(now, id, Tombstone { started, kind });
             self.resume_others();
         }
     }
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -7,7 +7,7 @@
         Admission, Ask, Fences, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
         attempt::{Attempt, Body, Viewer},
         kept::Kept,
-        tomb::{Tomb, Tombs},
+        tombstone::{Tombstone, Tombstones},
     },
     id::{Incarnation, RequestId},
 };
@@ -37,7 +37,7 @@
     pub(super) links: SlotMap<LinkKey, Link>,
     pub(super) attempts: BTreeMap<RequestId, Attempt>,
     pub(super) kept: Kept,
-    pub(super) tombs: Tombs,
+    pub(super) tombstones: Tombstones,
     /// Calls open at the endpoint, those being aborted included.
     pub(super) calls: BTreeSet<RequestId>,
     pub(super) paused: BTreeSet<RequestId>,
@@ -58,7 +58,7 @@
             links: SlotMap::with_key(),
             attempts: BTreeMap::new(),
             kept: Kept::default(),
-            tombs: Tombs::default(),
+            tombstones: Tombstones::default(),
             calls: BTreeSet::new(),
             paused: BTreeSet::new(),
             held: 0,
@@ -99,7 +99,7 @@
         };
         row.heard = now;
         if row.fresh.is_none() {
-            row.fresh = Some(self.tombs.raise(row.entry, row.epoch));
+            row.fresh = Some(self.tombstones.record_epoch(row.entry, row.epoch));
         }
         true
     }
@@ -234,10 +234,10 @@
         if self.kept.contains(id) {
             return Standing::Done;
         }
-        if let Some(tomb) = self.tombs.get(id) {
-            return tomb.standing();
+        if let Some(tombstone) = self.tombstones.get(id) {
+            return tombstone.standing();
         }
-        if self.tombs.may_have_run(id) {
+        if self.tombstones.may_have_run(id) {
             return Standing::Lost;
         }
         self.seal_as(now, id, ErrorKind::EndpointDown);
@@ -284,11 +284,20 @@
     }
 
     pub(super) fn seal_as(&mut self, now: Instant, id: RequestId, kind: ErrorKind) {
-        self.tombs.add(now, id, Tomb { ran: false, kind });
+        self.tombstones.add(
+            now,
+            id,
+            Tombstone {
+                started: false,
+                kind,
+            },
+        );
     }
 
     fn is_known(&self, id: RequestId) -> bool {
-        self.attempts.contains_key(&id) || self.kept.contains(id) || self.tombs.get(id).is_some()
+        self.attempts.contains_key(&id)
+            || self.kept.contains(id)
+            || self.tombstones.get(id).is_some()
     }
 
     /// Says whether an attempt's answer goes to this link already, so that a
@@ -300,11 +309,13 @@
 
     fn is_newest(&self, link: LinkKey) -> bool {
         let row = self.links.get(link);
-        row.is_some_and(|row| row.fresh == Some(true) && self.tombs.is_newest(row.entry, row.epoch))
+        row.is_some_and(|row| {
+            row.fresh == Some(true) && self.tombstones.is_newest_epoch(row.entry, row.epoch)
+        })
     }
 
     fn may_start(&self, now: Instant, link: LinkKey, ask: Ask) -> Result<(), ErrorKind> {
-        if self.tombs.may_have_run(ask.id) {
+        if self.tombstones.may_have_run(ask.id) {
             return Err(ErrorKind::OutcomeUnknown);
         }
         if self.leaving {
@@ -320,7 +331,7 @@
         if !self.is_newest(link) {
             return Err(ErrorKind::EndpointDown);
         }
-        if self.tombs.may_be_sealed(ask.id) || self.calls.len() >= self.spec.limit as usize {
+        if self.tombstones.may_be_sealed(ask.id) || self.calls.len() >= self.spec.limit as usize {
             return Err(ErrorKind::Saturated);
         }
         Ok(())
@@ -354,8 +365,8 @@
     /// Answers an entry that attaches to what is not running and not kept.
     fn answer_ended(&mut self, now: Instant, link: LinkKey, id: RequestId) {
         let standing = self.seal(now, id);
-        let frame = match self.tombs.get(id) {
-            Some(Tomb { kind, .. }) => Frame::Refused { id, kind },
+        let frame = match self.tombstones.get(id) {
+            Some(Tombstone { kind, .. }) => Frame::Refused { id, kind },
             None => Frame::Standing { id, standing },
         };
         self.send(link, frame);
