--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -40,8 +40,8 @@
             return;
         };
         row.done = true;
-        row.since = now;
-        let runs = row.body.set_end(runs);
+        row.retained_since = now;
+        let runs = row.body.set_runs(runs);
         let length = row.body.length();
         self.tell(id, &Frame::End { id, length, runs });
         self.settle(now, id);
@@ -83,8 +83,9 @@
     #[must_use]
     pub fn is_idle(&self, now: Instant) -> bool {
         let served = |row: &Attempt| {
-            let linked = row.viewers.iter().all(|viewer| viewer.link.is_some());
-            row.viewers.is_empty() || (row.done && linked && row.since + LINK_SILENCE <= now)
+            let linked = row.readers.iter().all(|reader| reader.link.is_some());
+            row.readers.is_empty()
+                || (row.done && linked && row.retained_since + LINK_SILENCE <= now)
         };
         self.calls.is_empty() && self.attempts.values().all(served)
     }
@@ -97,7 +98,7 @@
             limit: self.spec.limit,
             held: self.held,
             tombs: self.tombstones.len(),
-            attempts: self.attempts.len() + self.kept.len(),
+            attempts: self.attempts.len() + self.retained.len(),
         }
     }
 }
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -34,7 +34,7 @@
 mod attempt;
 mod endpoint;
 mod fence;
-mod kept;
+mod retained;
 mod spec;
 mod systems;
 mod table;
--- a/src/gate/systems.rs
+++ b/src/gate/systems.rs
@@ -24,7 +24,7 @@
         }
         self.swept = Some(now);
         self.close_silent(now);
-        self.drop_viewers(now);
+        self.expire_readers(now);
         self.end_late(now);
         self.drop_answers(now);
         self.tombstones.expire(now);
@@ -36,7 +36,7 @@
         let tables = [
             self.links.len(),
             self.attempts.len(),
-            self.kept.len(),
+            self.retained.len(),
             self.tombstones.len(),
         ];
         let empty = tables.iter().all(|rows| *rows == 0);
@@ -63,12 +63,12 @@
         let Some(row) = self.attempts.get(&id) else {
             return;
         };
-        let unread = row.viewers.is_empty();
-        if unread && row.once && row.done && row.whole {
+        let unread = row.readers.is_empty();
+        if unread && row.run_once && row.done && row.replayable {
             self.keep(now, id);
             return;
         }
-        if unread && (row.done || !row.once) {
+        if unread && (row.done || !row.run_once) {
             self.let_go(now, id);
             return;
         }
@@ -81,16 +81,16 @@
     fn keep(&mut self, now: Instant, id: RequestId) {
         if let Some(row) = self.attempts.remove(&id) {
             self.paused.remove(&id);
-            self.kept.insert(now, id, row.body);
+            self.retained.insert(now, id, row.body);
         }
-        if self.kept.len() > self.spec.kept {
+        if self.retained.len() > self.spec.kept {
             self.drop_oldest();
         }
     }
 
     /// Drops the oldest kept answer; returns false if there is none.
     fn drop_oldest(&mut self) -> bool {
-        let oldest = self.kept.pop();
+        let oldest = self.retained.pop_oldest();
         let found = oldest.is_some();
         self.drop_kept(oldest);
         found
@@ -98,7 +98,7 @@
 
     fn drop_kept(&mut self, kept: Option<(Instant, RequestId, Body)>) {
         if let Some((since, id, body)) = kept {
-            self.held -= body.held();
+            self.held -= body.buffered();
             let kind = ErrorKind::OutcomeUnknown;
             self.tombstones.add(
                 since,
@@ -122,7 +122,7 @@
     /// Replaces an attempt by its tombstone.
     pub(super) fn bury(&mut self, now: Instant, id: RequestId, kind: ErrorKind) {
         if let Some(row) = self.attempts.remove(&id) {
-            self.held -= row.body.held();
+            self.held -= row.body.buffered();
             self.paused.remove(&id);
             let started = !kind.answer().not_run;
             self.tombstones.add(now, id, Tombstone { started, kind });
@@ -135,12 +135,12 @@
         let Some(row) = self.attempts.get_mut(&id) else {
             return;
         };
-        row.whole &= row.body.held() <= self.spec.replay;
-        if row.whole {
+        row.replayable &= row.body.buffered() <= self.spec.replay;
+        if row.replayable {
             return;
         }
         let below = row.acked();
-        self.held -= row.body.trim(below);
+        self.held -= row.body.drop_below(below);
     }
 
     /// Makes room for an answer by dropping kept ones, the oldest first.
@@ -153,7 +153,7 @@
         while self.held > self.spec.buffer && self.drop_oldest() {}
         let over = self.held > self.spec.buffer;
         if let Some(row) = self.attempts.get_mut(&id).filter(|_| over) {
-            row.whole = false;
+            row.replayable = false;
             self.trim(id);
         }
     }
@@ -205,13 +205,13 @@
     }
 
     /// Gives up the entries that did not come back within the grace.
-    fn drop_viewers(&mut self, now: Instant) {
+    fn expire_readers(&mut self, now: Instant) {
         let mut changed = Vec::new();
         for (id, row) in &mut self.attempts {
-            let before = row.viewers.len();
-            row.viewers
-                .retain(|viewer| viewer.until.is_none_or(|until| until > now));
-            if row.viewers.len() < before {
+            let before = row.readers.len();
+            row.readers
+                .retain(|reader| reader.expires_at.is_none_or(|at| at > now));
+            if row.readers.len() < before {
                 changed.push(*id);
             }
         }
@@ -229,7 +229,7 @@
         for (id, row) in &mut self.attempts {
             let over = |deadline: &mut Instant| *deadline + DEADLINE_SLACK <= now;
             if row.deadline.take_if(over).is_some() {
-                late.push((*id, row.done, row.once));
+                late.push((*id, row.done, row.run_once));
             }
         }
         let kind = ErrorKind::TimedOut;
@@ -238,7 +238,7 @@
                 self.tell(id, &Frame::Refused { id, kind });
             }
             if done || once {
-                self.forget_viewers(now, id);
+                self.remove_readers(now, id);
             } else {
                 self.push(Step::Abort { id });
                 self.bury(now, id, kind);
@@ -246,9 +246,9 @@
         }
     }
 
-    fn forget_viewers(&mut self, now: Instant, id: RequestId) {
+    fn remove_readers(&mut self, now: Instant, id: RequestId) {
         if let Some(row) = self.attempts.get_mut(&id) {
-            row.viewers.clear();
+            row.readers.clear();
         }
         self.settle(now, id);
     }
@@ -257,7 +257,7 @@
     fn drop_answers(&mut self, now: Instant) {
         let keep = self.spec.keep;
         let done = self.attempts.iter().filter(|(_, row)| row.done);
-        let over = done.filter(|(_, row)| row.since + keep <= now);
+        let over = done.filter(|(_, row)| row.retained_since + keep <= now);
         let over: Vec<RequestId> = over.map(|(id, _)| *id).collect();
         for id in over {
             self.bury(now, id, ErrorKind::OutcomeUnknown);
@@ -265,7 +265,7 @@
         let Some(limit) = now.checked_sub(keep) else {
             return;
         };
-        while let Some(kept) = self.kept.pop_until(limit) {
+        while let Some(kept) = self.retained.pop_until(limit) {
             self.drop_kept(Some(kept));
         }
     }
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -5,8 +5,8 @@
     error::ErrorKind,
     gate::{
         Admission, Ask, Fences, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
-        attempt::{Attempt, Body, Viewer},
-        kept::Kept,
+        attempt::{Attempt, Body, Reader},
+        retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
     },
     id::{Incarnation, RequestId},
@@ -36,7 +36,7 @@
     pub(super) leaving: bool,
     pub(super) links: SlotMap<LinkKey, Link>,
     pub(super) attempts: BTreeMap<RequestId, Attempt>,
-    pub(super) kept: Kept,
+    pub(super) retained: RetainedAnswers,
     pub(super) tombstones: Tombstones,
     /// Calls open at the endpoint, those being aborted included.
     pub(super) calls: BTreeSet<RequestId>,
@@ -57,7 +57,7 @@
             leaving: false,
             links: SlotMap::with_key(),
             attempts: BTreeMap::new(),
-            kept: Kept::default(),
+            retained: RetainedAnswers::default(),
             tombstones: Tombstones::default(),
             calls: BTreeSet::new(),
             paused: BTreeSet::new(),
@@ -110,10 +110,10 @@
             return;
         }
         let until = now + self.spec.grace;
-        let viewers = self.attempts.values_mut().flat_map(|row| &mut row.viewers);
-        for viewer in viewers.filter(|viewer| viewer.link == Some(link)) {
-            viewer.link = None;
-            viewer.until = Some(until);
+        let readers = self.attempts.values_mut().flat_map(|row| &mut row.readers);
+        for reader in readers.filter(|reader| reader.link == Some(link)) {
+            reader.link = None;
+            reader.expires_at = Some(until);
         }
     }
 
@@ -137,17 +137,17 @@
             self.send(link, Frame::Refused { id: ask.id, kind });
             return Admission::Refused(kind);
         }
-        let once = ask.repeat == Repeat::Once;
+        let run_once = ask.repeat == Repeat::Once;
         let mut attempt = Attempt {
-            once,
+            run_once,
             done: false,
-            whole: once,
+            replayable: run_once,
             deadline: Some(ask.deadline),
-            since: now,
+            retained_since: now,
             body: Body::default(),
-            viewers: Vec::new(),
+            readers: Vec::new(),
         };
-        attempt.viewers.extend(self.viewer(link, 0));
+        attempt.readers.extend(self.reader(link, 0));
         self.attempts.insert(ask.id, attempt);
         self.calls.insert(ask.id);
         Admission::Run
@@ -160,7 +160,7 @@
     /// from a link that a newer one has replaced is dropped: it would draw the
     /// answer back to the connection that the entry has given up.
     pub fn attach(&mut self, now: Instant, link: LinkKey, id: RequestId, offset: u64) {
-        let Some(viewer) = self.viewer(link, offset) else {
+        let Some(reader) = self.reader(link, offset) else {
             return;
         };
         if !self.is_newest(link) {
@@ -171,14 +171,14 @@
             self.answer_ended(now, link, id);
             return;
         };
-        row.viewers.retain(|other| other.entry != viewer.entry);
-        if offset < row.body.base() || offset > row.body.length() {
+        row.readers.retain(|other| other.entry != reader.entry);
+        if offset < row.body.start() || offset > row.body.length() {
             let standing = Standing::Lost;
             self.send(link, Frame::Standing { id, standing });
             self.settle(now, id);
             return;
         }
-        row.viewers.push(viewer);
+        row.readers.push(reader);
         for frame in row.body.replay(id, offset) {
             self.steps.push_back(Step::Send { link, frame });
         }
@@ -193,13 +193,13 @@
         };
         let entry = from.entry;
         let offset = offset.min(row.body.length());
-        let mine = row.viewers.iter_mut().find(|viewer| viewer.entry == entry);
-        if let Some(viewer) = mine {
-            viewer.acked = viewer.acked.max(offset);
+        let mine = row.readers.iter_mut().find(|reader| reader.entry == entry);
+        if let Some(reader) = mine {
+            reader.acked = reader.acked.max(offset);
         }
         if done && row.done {
-            row.viewers.retain(|viewer| viewer.entry != entry);
-            row.since = now;
+            row.readers.retain(|reader| reader.entry != entry);
+            row.retained_since = now;
         }
         self.settle(now, id);
     }
@@ -217,7 +217,7 @@
             return;
         }
         if let Some(row) = self.attempts.get_mut(&id) {
-            row.viewers.retain(|viewer| viewer.entry != entry);
+            row.readers.retain(|reader| reader.entry != entry);
         }
         self.settle(now, id);
     }
@@ -231,7 +231,7 @@
                 Standing::Running
             };
         }
-        if self.kept.contains(id) {
+        if self.retained.contains(id) {
             return Standing::Done;
         }
         if let Some(tombstone) = self.tombstones.get(id) {
@@ -296,15 +296,15 @@
 
     fn is_known(&self, id: RequestId) -> bool {
         self.attempts.contains_key(&id)
-            || self.kept.contains(id)
+            || self.retained.contains(id)
             || self.tombstones.get(id).is_some()
     }
 
     /// Says whether an attempt's answer goes to this link already, so that a
     /// repeated Start needs nothing.
     fn is_reading(&self, link: LinkKey, id: RequestId) -> bool {
-        let viewers = self.attempts.get(&id).map(|row| &row.viewers);
-        viewers.is_some_and(|all| all.iter().any(|viewer| viewer.link == Some(link)))
+        let readers = self.attempts.get(&id).map(|row| &row.readers);
+        readers.is_some_and(|all| all.iter().any(|reader| reader.link == Some(link)))
     }
 
     fn is_newest(&self, link: LinkKey) -> bool {
@@ -337,26 +337,26 @@
         Ok(())
     }
 
-    fn viewer(&self, link: LinkKey, acked: u64) -> Option<Viewer> {
-        self.links.get(link).map(|row| Viewer {
+    fn reader(&self, link: LinkKey, acked: u64) -> Option<Reader> {
+        self.links.get(link).map(|row| Reader {
             entry: row.entry,
             link: Some(link),
             acked,
-            until: None,
+            expires_at: None,
         })
     }
 
     /// Makes a kept answer an attempt again, for an entry that reads it.
     fn wake(&mut self, now: Instant, id: RequestId) {
-        if let Some(body) = self.kept.take(id) {
+        if let Some(body) = self.retained.remove(id) {
             let attempt = Attempt {
-                once: true,
+                run_once: true,
                 done: true,
-                whole: true,
+                replayable: true,
                 deadline: None,
-                since: now,
+                retained_since: now,
                 body,
-                viewers: Vec::new(),
+                readers: Vec::new(),
             };
             self.attempts.insert(id, attempt);
         }
@@ -380,8 +380,8 @@
 
     /// Sends a frame to all entries that read an attempt's answer.
     pub(super) fn tell(&mut self, id: RequestId, frame: &Frame) {
-        let viewers = self.attempts.get(&id).map_or(&[][..], |row| &row.viewers);
-        let links = viewers.iter().filter_map(|viewer| viewer.link);
+        let readers = self.attempts.get(&id).map_or(&[][..], |row| &row.readers);
+        let links = readers.iter().filter_map(|reader| reader.link);
         self.steps.extend(links.map(|link| Step::Send {
             link,
             frame: frame.clone(),
