--- a/src/gate/fence.rs
+++ b/src/gate/fence.rs
@@ -1,24 +1,23 @@
-//! Fencing numbers of the duties whose holders give orders.
+//! Fencing tokens of the duties whose holders send orders to the engine.
 //!
-//! A holder that was paused past its lease still believes that it holds it.
-//! Its orders carry the number of that lease, which is lower than the number
-//! of the next holder. The side refuses them before the engine sees them, so
-//! that engines that ignore the numbers are covered as well.
+//! A holder that was paused past the end of its lease still believes that it
+//! holds it. Its orders carry the fencing token of that lease, which is lower
+//! than the next holder's. The sidecar refuses them, so that engines that ignore
+//! the tokens are protected as well.
 //!
-//! A fresh side has seen no number and can't tell an old one. It therefore
-//! passes no order of a duty before it has read the duty's lease row once,
-//! which holds the newest number. An entry's own word would not do: the paused
-//! holder would name its own number.
+//! A sidecar that has just started knows no token, so it refuses all orders of a
+//! duty until it has read the duty's lease row. It can't rely on the token of the
+//! first order instead, which may come from a paused holder.
 
 use crate::error::ErrorKind;
 use std::collections::BTreeMap;
 
-/// Why an order is not passed on.
+/// The reason why an order is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderRefusal {
-    /// The duty's number must be read from its lease row first.
+    /// The duty's fencing token has not been read from its lease row yet.
     Unlearned,
-    /// A holder with this higher number exists.
+    /// This higher fencing token is known for the duty.
     Fenced(u64),
     /// The order came over a link that a newer one has replaced.
     OldLink,
@@ -39,42 +38,43 @@
     }
 }
 
-/// The longest name of a duty, so that a broken frame can't fill the table.
-const LONGEST_DUTY: usize = 256;
+/// Bytes of the longest name of a duty that is accepted.
+const MAX_DUTY_BYTES: usize = 256;
 
-/// The highest fencing number known for each duty.
+/// The highest fencing token known for each duty.
 #[derive(Clone, Debug, Default)]
-pub struct Fences {
-    seen: BTreeMap<String, u64>,
+pub struct FencingTokens {
+    by_duty: BTreeMap<String, u64>,
 }
 
-impl Fences {
-    /// Notes the number that stands in a duty's lease row.
-    pub fn learn(&mut self, duty: &str, number: u64) {
-        let seen = self.seen.entry(duty.to_owned()).or_insert(number);
-        *seen = number.max(*seen);
+impl FencingTokens {
+    /// Records the fencing token in a duty's lease row.
+    pub fn record(&mut self, duty: &str, token: u64) {
+        let highest = self.by_duty.entry(duty.to_owned()).or_insert(token);
+        *highest = token.max(*highest);
     }
 
-    /// Decides whether an order may pass, and notes its number if so.
+    /// Checks the fencing token of an order, and records it if it is valid.
     ///
     /// # Errors
     ///
     /// Returns why the order must not reach the engine.
-    pub fn pass(&mut self, duty: &str, number: u64) -> Result<(), OrderRefusal> {
-        if duty.is_empty() || duty.len() > LONGEST_DUTY {
+    pub fn admit(&mut self, duty: &str, token: u64) -> Result<(), OrderRefusal> {
+        if duty.is_empty() || duty.len() > MAX_DUTY_BYTES {
             return Err(OrderRefusal::BadDuty);
         }
-        let seen = self.seen.get_mut(duty).ok_or(OrderRefusal::Unlearned)?;
-        if number < *seen {
-            return Err(OrderRefusal::Fenced(*seen));
+
+        let highest = self.by_duty.get_mut(duty).ok_or(OrderRefusal::Unlearned)?;
+        if token < *highest {
+            return Err(OrderRefusal::Fenced(*highest));
         }
-        *seen = number;
+        *highest = token;
         Ok(())
     }
 
-    /// Returns the highest number known of any duty, or 0.
+    /// Returns the highest token known for any duty, or 0.
     #[must_use]
     pub fn highest(&self) -> u64 {
-        self.seen.values().copied().max().unwrap_or(0)
+        self.by_duty.values().copied().max().unwrap_or(0)
     }
 }
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -41,7 +41,7 @@
 mod tombstone;
 
 pub use self::{
-    fence::{Fences, OrderRefusal},
+    fence::{FencingTokens, OrderRefusal},
     spec::{
         Admission, Ask, Chunk, Frame, GateLoad, GateSpec, Head, Header, LINK_SILENCE, Run,
         Standing, Step, TOMBSTONE_TTL,
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -4,7 +4,7 @@
     class::Repeat,
     error::ErrorKind,
     gate::{
-        Admission, Ask, Fences, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
+        Admission, Ask, FencingTokens, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
         attempt::{Attempt, Body, Reader},
         retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
@@ -44,7 +44,7 @@
     /// Bytes kept in all.
     pub(super) held: usize,
     pub(super) swept: Option<Instant>,
-    fences: Fences,
+    fencing_tokens: FencingTokens,
     steps: VecDeque<Step>,
 }
 
@@ -63,7 +63,7 @@
             paused: BTreeSet::new(),
             held: 0,
             swept: None,
-            fences: Fences::default(),
+            fencing_tokens: FencingTokens::default(),
             steps: VecDeque::new(),
         }
     }
@@ -256,22 +256,22 @@
     /// # Errors
     ///
     /// Returns why it must not; it surely had no effect then.
-    pub fn order(&mut self, link: LinkKey, duty: &str, number: u64) -> Result<(), OrderRefusal> {
+    pub fn order(&mut self, link: LinkKey, duty: &str, token: u64) -> Result<(), OrderRefusal> {
         if !self.is_newest(link) {
             return Err(OrderRefusal::OldLink);
         }
-        self.fences.pass(duty, number)
+        self.fencing_tokens.admit(duty, token)
     }
 
     /// Notes the fencing number that stands in a duty's lease row.
-    pub fn learn(&mut self, duty: &str, number: u64) {
-        self.fences.learn(duty, number);
+    pub fn learn(&mut self, duty: &str, token: u64) {
+        self.fencing_tokens.record(duty, token);
     }
 
     /// Returns the highest fencing number known.
     #[must_use]
     pub fn fence(&self) -> u64 {
-        self.fences.highest()
+        self.fencing_tokens.highest()
     }
 
     /// Takes out the next step, if there is one.
