--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -62,4 +62,4 @@
 /// A phone that was switched off overnight may repeat its request in the
 /// morning. After this time the key may be used for a new request, and the same
 /// request under it runs again.
-pub const RETENTION: Duration = Duration::from_hours(24);
+pub const CLAIM_TTL: Duration = Duration::from_hours(24);
--- a/src/claim/row.rs
+++ b/src/claim/row.rs
@@ -1,6 +1,6 @@
 //! The row that holds a claim.
 
-use crate::{claim::RETENTION, id::RequestId};
+use crate::{claim::CLAIM_TTL, id::RequestId};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 use xxhash_rust::xxh3::Xxh3;
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn is_over(&self, now: u64) -> bool {
         let age = Duration::from_millis(now.saturating_sub(self.created));
-        age > RETENTION
+        age > CLAIM_TTL
     }
 }
 
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint's part: its answers, its limit, and whether it takes work.
+//! Events of the endpoint: its answers, its concurrency limit and draining.
 
 use crate::{
     error::ErrorKind,
@@ -8,95 +8,94 @@
 use std::{sync::Arc, time::Instant};
 
 impl Gate {
-    /// Takes the status and headers that the endpoint answered.
+    /// Handles the status and headers of the endpoint's answer.
     pub fn head(&mut self, id: RequestId, head: Head) {
-        let Some(row) = self.attempts.get_mut(&id) else {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        let head = row.body.set_head(head);
-        self.tell(id, &Frame::Head { id, head });
+        let head = attempt.body.set_head(head);
+        self.send_to_readers(id, &Frame::Head { id, head });
     }
 
-    /// Takes bytes of the endpoint's answer.
+    /// Handles bytes of the endpoint's answer.
     pub fn bytes(&mut self, id: RequestId, data: Arc<[u8]>) {
-        let Some(row) = self.attempts.get_mut(&id) else {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         if data.is_empty() {
             return;
         }
-        self.held += data.len();
-        let chunk = row.body.push(data);
-        self.tell(id, &Frame::Chunk { id, chunk });
-        self.trim(id);
+        self.buffered += data.len();
+        let chunk = attempt.body.push(data);
+        self.send_to_readers(id, &Frame::Chunk { id, chunk });
+        self.drop_acked(id);
         self.make_room(id);
-        self.settle_flow(id);
+        self.update_flow(id);
     }
 
-    /// Notes that the endpoint's answer is whole.
+    /// Handles the end of the endpoint's answer.
     pub fn finish(&mut self, now: Instant, id: RequestId, runs: Vec<Run>) {
-        self.calls.remove(&id);
-        let Some(row) = self.attempts.get_mut(&id) else {
+        self.open_calls.remove(&id);
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        row.done = true;
-        row.retained_since = now;
-        let runs = row.body.set_runs(runs);
-        let length = row.body.length();
-        self.tell(id, &Frame::End { id, length, runs });
-        self.settle(now, id);
+        attempt.done = true;
+        attempt.retained_since = now;
+        let runs = attempt.body.set_runs(runs);
+        let length = attempt.body.length();
+        self.send_to_readers(id, &Frame::End { id, length, runs });
+        self.update_attempt(now, id);
     }
 
-    /// Notes that the call of an attempt ended without a whole answer.
+    /// Handles the failure of a call before its answer was complete.
     ///
-    /// A `kind` that says "not run" must be true: the side uses one only if it
-    /// sent the endpoint nothing.
+    /// `kind` may say "not run" only if nothing was sent to the endpoint.
     pub fn fail(&mut self, now: Instant, id: RequestId, kind: ErrorKind) {
-        self.calls.remove(&id);
+        self.open_calls.remove(&id);
         if self.attempts.contains_key(&id) {
-            self.tell(id, &Frame::Refused { id, kind });
-            self.bury(now, id, kind);
+            self.send_to_readers(id, &Frame::Refused { id, kind });
+            self.replace_by_tombstone(now, id, kind);
         }
     }
 
-    /// Sets how many requests the endpoint works on at once.
+    /// Sets the number of requests that the endpoint runs at once.
     pub fn set_limit(&mut self, limit: u32) {
-        self.spec.limit = limit;
+        self.spec.max_running = limit;
     }
 
-    /// Says whether new work is refused. What runs is not touched.
+    /// Sets whether new work is refused; attempts in flight continue.
     pub fn set_leaving(&mut self, leaving: bool) {
-        self.leaving = leaving;
+        self.draining = leaving;
     }
 
-    /// Says whether new work is refused.
+    /// Returns whether new work is refused.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
-        self.leaving
+        self.draining
     }
 
-    /// Says whether nothing runs and no entry waits for an answer.
+    /// Returns whether nothing is in flight and no entry waits for an answer.
     ///
-    /// An entry that doesn't acknowledge counts as served when its link has
-    /// outlived the answer by [`LINK_SILENCE`]: a link
-    /// that did not deliver would have been found silent.
+    /// A linked entry that doesn't acknowledge counts as served [`LINK_SILENCE`]
+    /// after the answer was complete: a link that does not deliver would have
+    /// been closed by then.
     #[must_use]
     pub fn is_idle(&self, now: Instant) -> bool {
-        let served = |row: &Attempt| {
-            let linked = row.readers.iter().all(|reader| reader.link.is_some());
-            row.readers.is_empty()
-                || (row.done && linked && row.retained_since + LINK_SILENCE <= now)
+        let is_served = |attempt: &Attempt| {
+            let linked = attempt.readers.iter().all(|reader| reader.link.is_some());
+            attempt.readers.is_empty()
+                || (attempt.done && linked && attempt.retained_since + LINK_SILENCE <= now)
         };
-        self.calls.is_empty() && self.attempts.values().all(served)
+        self.open_calls.is_empty() && self.attempts.values().all(is_served)
     }
 
-    /// Returns what the gate reports of itself.
+    /// Returns the gate's current load.
     #[must_use]
     pub fn load(&self) -> GateLoad {
         GateLoad {
-            running: u32::try_from(self.calls.len()).unwrap_or(u32::MAX),
-            limit: self.spec.limit,
-            held: self.held,
+            running: u32::try_from(self.open_calls.len()).unwrap_or(u32::MAX),
+            limit: self.spec.max_running,
+            held: self.buffered,
             tombs: self.tombstones.len(),
             attempts: self.attempts.len() + self.retained.len(),
         }
--- a/src/gate/table.rs
+++ b/src/gate/state.rs
@@ -1,4 +1,4 @@
-//! The tables of a gate and the events that change them.
+//! The state of a gate and the frames that change it.
 
 use crate::{
     class::Repeat,
@@ -22,107 +22,114 @@
 pub(super) struct Link {
     pub(super) entry: Incarnation,
     epoch: u64,
-    /// Whether its epoch was above those of all earlier links of its entry;
-    /// none before the first frame.
-    fresh: Option<bool>,
-    /// When the last frame came.
-    pub(super) heard: Instant,
+    /// Whether its epoch was higher than those of all earlier links of its
+    /// entry; none before the first frame.
+    raised_epoch: Option<bool>,
+    /// When the last frame arrived.
+    pub(super) last_frame: Instant,
 }
 
-/// Decides what starts at one endpoint, and keeps the answers.
+/// Decides which attempts start at one endpoint, and buffers the answers.
 #[derive(Debug)]
 pub struct Gate {
     pub(super) spec: GateSpec,
-    pub(super) leaving: bool,
+    /// Whether new work is refused.
+    pub(super) draining: bool,
     pub(super) links: SlotMap<LinkKey, Link>,
     pub(super) attempts: BTreeMap<RequestId, Attempt>,
     pub(super) retained: RetainedAnswers,
     pub(super) tombstones: Tombstones,
     /// Calls open at the endpoint, those being aborted included.
-    pub(super) calls: BTreeSet<RequestId>,
+    pub(super) open_calls: BTreeSet<RequestId>,
+    /// Attempts whose answers are not being read from the endpoint for now.
     pub(super) paused: BTreeSet<RequestId>,
-    /// Bytes kept in all.
-    pub(super) held: usize,
-    pub(super) swept: Option<Instant>,
+    /// Bytes of all attempts and retained answers.
+    pub(super) buffered: usize,
+    pub(super) last_tick: Option<Instant>,
     fencing_tokens: FencingTokens,
     steps: VecDeque<Step>,
 }
 
 impl Gate {
-    /// Creates an open gate that knows nothing.
+    /// Creates a gate that admits work and knows no attempts.
     #[must_use]
     pub fn new(spec: GateSpec) -> Self {
         Self {
             spec,
-            leaving: false,
+            draining: false,
             links: SlotMap::with_key(),
             attempts: BTreeMap::new(),
             retained: RetainedAnswers::default(),
             tombstones: Tombstones::default(),
-            calls: BTreeSet::new(),
+            open_calls: BTreeSet::new(),
             paused: BTreeSet::new(),
-            held: 0,
-            swept: None,
+            buffered: 0,
+            last_tick: None,
             fencing_tokens: FencingTokens::default(),
             steps: VecDeque::new(),
         }
     }
 
-    /// Takes in the link of an entry that said hello.
+    /// Adds the link of an entry that sent Hello.
     ///
-    /// Starts are taken only from the link with the entry's highest epoch: a
-    /// connection that an entry has given up may still deliver what was sent
-    /// on it, after the entry was told that the attempt is sealed. The epoch
-    /// counts from the first frame after Hello, which shows that the entry was
-    /// welcomed: one that gave up waiting for the welcome goes on with the older
-    /// link, and all its Starts would be refused.
+    /// Only the link with an entry's highest epoch may start attempts. A
+    /// connection that the entry has replaced may still deliver an old Start
+    /// after the entry was told that the attempt is sealed.
+    ///
+    /// The epoch takes effect with the first frame after Hello, which shows that
+    /// the entry received the welcome. An entry that timed out waiting for it
+    /// continues on the older link, whose Starts must be admitted.
     pub fn open(&mut self, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
         self.links.insert(Link {
             entry,
             epoch,
-            fresh: None,
-            heard: now,
+            raised_epoch: None,
+            last_frame: now,
         })
     }
 
-    /// Notes that any frame came over a link.
+    /// Records that a frame arrived on a link; returns false if the link is
+    /// closed.
     ///
-    /// Returns false if the link is closed. A process that was stopped finds
-    /// frames of any age in its sockets when it goes on; the silence it sees
-    /// then closes the link before the first of them is looked at.
+    /// Closes the link if it was silent for too long. A process that was
+    /// suspended finds frames of any age in its sockets when it resumes, and
+    /// must not act on them.
     pub fn heard(&mut self, now: Instant, link: LinkKey) -> bool {
         if self.is_silent(now, link) {
-            self.close(now, link);
+            self.close_link(now, link);
         }
-        let Some(row) = self.links.get_mut(link) else {
+        let Some(link) = self.links.get_mut(link) else {
             return false;
         };
-        row.heard = now;
-        if row.fresh.is_none() {
-            row.fresh = Some(self.tombstones.record_epoch(row.entry, row.epoch));
+        link.last_frame = now;
+        if link.raised_epoch.is_none() {
+            link.raised_epoch = Some(self.tombstones.record_epoch(link.entry, link.epoch));
         }
         true
     }
 
-    /// Notes that a link broke. What runs for its entry goes on for the grace.
+    /// Handles the loss of a link. Its entry may attach to its attempts again
+    /// for a limited time.
     pub fn lost(&mut self, now: Instant, link: LinkKey) {
         if self.links.remove(link).is_none() {
             return;
         }
-        let until = now + self.spec.grace;
-        let readers = self.attempts.values_mut().flat_map(|row| &mut row.readers);
+        let expires_at = now + self.spec.reattach_timeout;
+        let readers = self
+            .attempts
+            .values_mut()
+            .flat_map(|attempt| &mut attempt.readers);
         for reader in readers.filter(|reader| reader.link == Some(link)) {
             reader.link = None;
-            reader.expires_at = Some(until);
+            reader.expires_at = Some(expires_at);
         }
     }
 
     /// Decides whether an attempt starts.
     ///
-    /// Made for several entries that share one endpoint and each know the
-    /// others' load late: the limit keeps the endpoint from more than it works
-    /// on at once, and the refusal costs the entry one round trip, after which
-    /// it places the call elsewhere.
+    /// Several entries share the endpoint and know of each other's load only
+    /// late, so the limit is enforced here. A refusal costs the entry one round
+    /// trip, after which it places the call elsewhere.
     pub fn start(&mut self, now: Instant, link: LinkKey, ask: Ask) -> Admission {
         if self.is_known(ask.id) {
             if !self.is_reading(link, ask.id) {
@@ -130,9 +137,9 @@
             }
             return Admission::Known;
         }
-        if let Err(kind) = self.may_start(now, link, ask) {
+        if let Err(kind) = self.check_start(now, link, ask) {
             if kind.answer().not_run {
-                self.seal_as(now, ask.id, kind);
+                self.add_seal(now, ask.id, kind);
             }
             self.send(link, Frame::Refused { id: ask.id, kind });
             return Admission::Refused(kind);
@@ -147,85 +154,88 @@
             body: Body::default(),
             readers: Vec::new(),
         };
-        attempt.readers.extend(self.reader(link, 0));
+        attempt.readers.extend(self.reader_on(link, 0));
         self.attempts.insert(ask.id, attempt);
-        self.calls.insert(ask.id);
+        self.open_calls.insert(ask.id);
         Admission::Run
     }
 
-    /// Sends what is kept of an attempt from `offset` on, and what follows.
+    /// Sends the buffered answer of an attempt from `offset` on, and what
+    /// follows.
     ///
-    /// An unknown attempt is sealed: the frame that should have started it was
-    /// lost with its link, and the entry may place the call elsewhere. A frame
-    /// from a link that a newer one has replaced is dropped: it would draw the
-    /// answer back to the connection that the entry has given up.
+    /// An unknown attempt is sealed: its Start was lost with its link, and the
+    /// entry may place the call elsewhere. A frame from a link that a newer one
+    /// has replaced is ignored, since it would move the answer back to it.
     pub fn attach(&mut self, now: Instant, link: LinkKey, id: RequestId, offset: u64) {
-        let Some(reader) = self.reader(link, offset) else {
+        let Some(reader) = self.reader_on(link, offset) else {
             return;
         };
         if !self.is_newest(link) {
             return;
         }
-        self.wake(now, id);
-        let Some(row) = self.attempts.get_mut(&id) else {
-            self.answer_ended(now, link, id);
+        self.restore_retained(now, id);
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            self.report_ended(now, link, id);
             return;
         };
-        row.readers.retain(|other| other.entry != reader.entry);
-        if offset < row.body.start() || offset > row.body.length() {
+        attempt.readers.retain(|other| other.entry != reader.entry);
+        if offset < attempt.body.start() || offset > attempt.body.length() {
             let standing = Standing::Lost;
             self.send(link, Frame::Standing { id, standing });
-            self.settle(now, id);
+            self.update_attempt(now, id);
             return;
         }
-        row.readers.push(reader);
-        for frame in row.body.replay(id, offset) {
+        attempt.readers.push(reader);
+        for frame in attempt.body.replay(id, offset) {
             self.steps.push_back(Step::Send { link, frame });
         }
-        self.settle_flow(id);
+        self.update_flow(id);
     }
 
-    /// Notes that an entry has all bytes below `offset` and, if `done`, needs
-    /// the answer no longer.
+    /// Records that an entry has all bytes below `offset` and, if `done`, the
+    /// complete answer.
     pub fn ack(&mut self, now: Instant, link: LinkKey, id: RequestId, offset: u64, done: bool) {
-        let (Some(from), Some(row)) = (self.links.get(link), self.attempts.get_mut(&id)) else {
+        let (Some(link), Some(attempt)) = (self.links.get(link), self.attempts.get_mut(&id)) else {
             return;
         };
-        let entry = from.entry;
-        let offset = offset.min(row.body.length());
-        let mine = row.readers.iter_mut().find(|reader| reader.entry == entry);
-        if let Some(reader) = mine {
+        let entry = link.entry;
+        let offset = offset.min(attempt.body.length());
+        let reader = attempt
+            .readers
+            .iter_mut()
+            .find(|reader| reader.entry == entry);
+        if let Some(reader) = reader {
             reader.acked = reader.acked.max(offset);
         }
-        if done && row.done {
-            row.readers.retain(|reader| reader.entry != entry);
-            row.retained_since = now;
+        if done && attempt.done {
+            attempt.readers.retain(|reader| reader.entry != entry);
+            attempt.retained_since = now;
         }
-        self.settle(now, id);
+        self.update_attempt(now, id);
     }
 
-    /// Notes that an entry no longer wants an attempt.
+    /// Handles that an entry no longer wants an attempt.
     ///
-    /// One that may run only once runs on: a call that is cut off may have
-    /// taken effect, and the answer is what tells the caller who asks again.
+    /// One that may run only once continues: aborting the call would not undo
+    /// its effect, and its answer is retained for a repeat of the request.
     pub fn cancel(&mut self, now: Instant, link: LinkKey, id: RequestId) {
-        let Some(entry) = self.links.get(link).map(|row| row.entry) else {
+        let Some(entry) = self.links.get(link).map(|link| link.entry) else {
             return;
         };
         if !self.is_known(id) {
             self.seal(now, id);
             return;
         }
-        if let Some(row) = self.attempts.get_mut(&id) {
-            row.readers.retain(|reader| reader.entry != entry);
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.readers.retain(|reader| reader.entry != entry);
         }
-        self.settle(now, id);
+        self.update_attempt(now, id);
     }
 
-    /// Makes sure that an unknown attempt never starts, and says what is known.
+    /// Returns the state of an attempt; seals it if it is unknown.
     pub fn seal(&mut self, now: Instant, id: RequestId) -> Standing {
-        if let Some(row) = self.attempts.get(&id) {
-            return if row.done {
+        if let Some(attempt) = self.attempts.get(&id) {
+            return if attempt.done {
                 Standing::Done
             } else {
                 Standing::Running
@@ -240,12 +250,11 @@
         if self.tombstones.may_have_run(id) {
             return Standing::Lost;
         }
-        self.seal_as(now, id, ErrorKind::EndpointDown);
+        self.add_seal(now, id, ErrorKind::EndpointDown);
         Standing::Sealed
     }
 
-    /// Seals an attempt unless it is known, and tells the entry what became of
-    /// it.
+    /// Seals an attempt if it is unknown, and sends its state to the entry.
     pub fn ask(&mut self, now: Instant, link: LinkKey, id: RequestId) {
         let standing = self.seal(now, id);
         self.send(link, Frame::Standing { id, standing });
@@ -255,7 +264,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why it must not; it surely had no effect then.
+    /// Returns why the order is refused; it had no effect then.
     pub fn order(&mut self, link: LinkKey, duty: &str, token: u64) -> Result<(), OrderRefusal> {
         if !self.is_newest(link) {
             return Err(OrderRefusal::OldLink);
@@ -263,27 +272,28 @@
         self.fencing_tokens.admit(duty, token)
     }
 
-    /// Notes the fencing number that stands in a duty's lease row.
+    /// Records the fencing token in a duty's lease row.
     pub fn learn(&mut self, duty: &str, token: u64) {
         self.fencing_tokens.record(duty, token);
     }
 
-    /// Returns the highest fencing number known.
+    /// Returns the highest known fencing token of any duty, or 0.
     #[must_use]
     pub fn fence(&self) -> u64 {
         self.fencing_tokens.highest()
     }
 
-    /// Takes out the next step, if there is one.
+    /// Removes and returns the next step that the sidecar has to carry out.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    pub(super) fn push(&mut self, step: Step) {
+    pub(super) fn push_step(&mut self, step: Step) {
         self.steps.push_back(step);
     }
 
-    pub(super) fn seal_as(&mut self, now: Instant, id: RequestId, kind: ErrorKind) {
+    /// Adds the tombstone of an attempt that never starts.
+    pub(super) fn add_seal(&mut self, now: Instant, id: RequestId, kind: ErrorKind) {
         self.tombstones.add(
             now,
             id,
@@ -300,28 +310,28 @@
             || self.tombstones.get(id).is_some()
     }
 
-    /// Says whether an attempt's answer goes to this link already, so that a
-    /// repeated Start needs nothing.
+    /// Returns whether an attempt's answer is already sent on this link.
     fn is_reading(&self, link: LinkKey, id: RequestId) -> bool {
-        let readers = self.attempts.get(&id).map(|row| &row.readers);
-        readers.is_some_and(|all| all.iter().any(|reader| reader.link == Some(link)))
+        let readers = self.attempts.get(&id).map(|attempt| &attempt.readers);
+        readers.is_some_and(|readers| readers.iter().any(|reader| reader.link == Some(link)))
     }
 
     fn is_newest(&self, link: LinkKey) -> bool {
-        let row = self.links.get(link);
-        row.is_some_and(|row| {
-            row.fresh == Some(true) && self.tombstones.is_newest_epoch(row.entry, row.epoch)
+        let link = self.links.get(link);
+        link.is_some_and(|link| {
+            link.raised_epoch == Some(true)
+                && self.tombstones.is_newest_epoch(link.entry, link.epoch)
         })
     }
 
-    fn may_start(&self, now: Instant, link: LinkKey, ask: Ask) -> Result<(), ErrorKind> {
+    fn check_start(&self, now: Instant, link: LinkKey, ask: Ask) -> Result<(), ErrorKind> {
         if self.tombstones.may_have_run(ask.id) {
             return Err(ErrorKind::OutcomeUnknown);
         }
-        if self.leaving {
+        if self.draining {
             return Err(ErrorKind::Stopping);
         }
-        let origin = self.links.get(link).map(|row| row.entry);
+        let origin = self.links.get(link).map(|link| link.entry);
         if origin.is_some_and(|entry| entry != ask.id.origin) {
             return Err(ErrorKind::BadRequest);
         }
@@ -331,13 +341,16 @@
         if !self.is_newest(link) {
             return Err(ErrorKind::EndpointDown);
         }
-        if self.tombstones.may_be_sealed(ask.id) || self.calls.len() >= self.spec.limit as usize {
+        if self.tombstones.may_be_sealed(ask.id)
+            || self.open_calls.len() >= self.spec.max_running as usize
+        {
             return Err(ErrorKind::Saturated);
         }
         Ok(())
     }
 
-    fn reader(&self, link: LinkKey, acked: u64) -> Option<Reader> {
+    /// Returns a reader for the entry of a link; none if the link is closed.
+    fn reader_on(&self, link: LinkKey, acked: u64) -> Option<Reader> {
         self.links.get(link).map(|row| Reader {
             entry: row.entry,
             link: Some(link),
@@ -346,8 +359,8 @@
         })
     }
 
-    /// Makes a kept answer an attempt again, for an entry that reads it.
-    fn wake(&mut self, now: Instant, id: RequestId) {
+    /// Makes a retained answer an attempt again, so that an entry can read it.
+    fn restore_retained(&mut self, now: Instant, id: RequestId) {
         if let Some(body) = self.retained.remove(id) {
             let attempt = Attempt {
                 run_once: true,
@@ -362,8 +375,8 @@
         }
     }
 
-    /// Answers an entry that attaches to what is not running and not kept.
-    fn answer_ended(&mut self, now: Instant, link: LinkKey, id: RequestId) {
+    /// Sends the outcome of an attempt that has no buffered answer.
+    fn report_ended(&mut self, now: Instant, link: LinkKey, id: RequestId) {
         let standing = self.seal(now, id);
         let frame = match self.tombstones.get(id) {
             Some(Tombstone { kind, .. }) => Frame::Refused { id, kind },
@@ -374,13 +387,16 @@
 
     pub(super) fn send(&mut self, link: LinkKey, frame: Frame) {
         if self.links.contains_key(link) {
-            self.push(Step::Send { link, frame });
+            self.push_step(Step::Send { link, frame });
         }
     }
 
     /// Sends a frame to all entries that read an attempt's answer.
-    pub(super) fn tell(&mut self, id: RequestId, frame: &Frame) {
-        let readers = self.attempts.get(&id).map_or(&[][..], |row| &row.readers);
+    pub(super) fn send_to_readers(&mut self, id: RequestId, frame: &Frame) {
+        let readers = self
+            .attempts
+            .get(&id)
+            .map_or(&[][..], |attempt| &attempt.readers);
         let links = readers.iter().filter_map(|reader| reader.link);
         self.steps.extend(links.map(|link| Step::Send {
             link,
--- a/src/gate/spec.rs
+++ b/src/gate/types.rs
@@ -1,7 +1,7 @@
-//! What goes into a gate and what comes out.
+//! Limits, requests, decisions and frames of a gate.
 
 use crate::{
-    claim::RETENTION,
+    claim::CLAIM_TTL,
     class::Repeat,
     error::ErrorKind,
     gate::LinkKey,
@@ -12,10 +12,10 @@
     time::{Duration, Instant},
 };
 
-/// How long a link may be silent before it is given up.
+/// How long a link may be silent before it is closed.
 ///
-/// Three heartbeats of 250 ms, so that one lost turn of a busy host does not
-/// cut a link, and a dead one is found within a second.
+/// A little more than three heartbeats, so that one missed heartbeat does not
+/// close the link.
 pub const LINK_SILENCE: Duration = Duration::from_millis(800);
 
 /// How long the tombstone of an attempt is kept.
@@ -24,48 +24,46 @@
 /// the coarser watermarks of the entry apply.
 pub const TOMBSTONE_TTL: Duration = Duration::from_mins(1);
 
-/// What bounds a gate.
+/// Limits of a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct GateSpec {
-    /// Requests that the endpoint works on at once.
-    pub limit: u32,
-    /// Bytes of all answers kept at once.
-    pub buffer: usize,
+    /// Requests that the endpoint runs at once.
+    pub max_running: u32,
+    /// Bytes of all buffered answers.
+    pub max_buffered: usize,
     /// Unacknowledged bytes of one answer before its reading pauses.
-    pub window: usize,
-    /// Bytes up to which one answer is kept for replay.
-    pub replay: usize,
-    /// Answers that are kept for replay at once.
-    pub kept: usize,
+    pub max_unacked: usize,
+    /// Bytes of one answer that is retained for replay.
+    pub max_replay: usize,
+    /// Number of answers that are retained for replay.
+    pub max_retained: usize,
     /// How long an attempt waits for an entry that lost its link.
-    pub grace: Duration,
-    /// How long the answer of an attempt that runs only once is kept.
-    pub keep: Duration,
+    pub reattach_timeout: Duration,
+    /// How long the answer of an attempt that may run only once is retained.
+    pub retention: Duration,
 }
 
 impl GateSpec {
-    /// Creates bounds with the defaults.
+    /// Creates limits with default values.
     ///
-    /// A window of 256 KiB lets one answer fill a link of 1 Gbit/s with 2 ms
-    /// of latency. The grace of 5 s is longer than an entry needs to find a
-    /// silent link (1 s) and open another. Answers are kept for as long as the
-    /// claims that lead to them, but no more than 16,384, which take some 8 MB
-    /// besides their bytes.
+    /// The time to attach again is longer than an entry needs to notice a silent
+    /// link and open another. Answers are retained for as long as the claims that
+    /// lead to them, up to a fixed number that bounds the memory.
     #[must_use]
-    pub const fn new(limit: u32, buffer: usize) -> Self {
+    pub const fn new(max_running: u32, max_buffered: usize) -> Self {
         Self {
-            limit,
-            buffer,
-            window: 256 << 10,
-            replay: 256 << 10,
-            kept: 16_384,
-            grace: Duration::from_secs(5),
-            keep: RETENTION,
+            max_running,
+            max_buffered,
+            max_unacked: 256 << 10,
+            max_replay: 256 << 10,
+            max_retained: 16_384,
+            reattach_timeout: Duration::from_secs(5),
+            retention: CLAIM_TTL,
         }
     }
 }
 
-/// A request to start an attempt, as the gate sees it.
+/// A request to start an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ask {
     /// The attempt.
@@ -76,36 +74,36 @@
     pub repeat: Repeat,
 }
 
-/// What the gate decided about an [`Ask`].
+/// The gate's decision about an [`Ask`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The endpoint is to be called now, this once.
+    /// The sidecar has to call the endpoint, exactly once.
     Run,
-    /// The attempt is known; what is kept of it was sent.
+    /// The attempt is known; its buffered answer or its outcome was sent.
     Known,
-    /// The attempt is sealed and never runs.
+    /// The attempt does not start.
     Refused(ErrorKind),
 }
 
-/// What became of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
     /// Never started, and never will.
     Sealed,
-    /// The endpoint works on it.
+    /// In flight at the endpoint.
     Running,
-    /// The whole answer is kept.
+    /// The answer is complete and buffered.
     Done,
-    /// Started, and no whole answer is kept.
+    /// Started, but no complete answer is buffered.
     Lost,
 }
 
 /// One header of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// Its name.
+    /// The header's name.
     pub name: String,
-    /// Its value.
+    /// The header's value.
     pub value: String,
 }
 
@@ -114,7 +112,7 @@
 pub struct Head {
     /// HTTP status code.
     pub status: u16,
-    /// Headers, without those that concern one connection only.
+    /// Headers, without the hop-by-hop ones.
     pub headers: Vec<Header>,
 }
 
@@ -123,7 +121,7 @@
 pub struct Chunk {
     /// Offset of its first byte.
     pub offset: u64,
-    /// The bytes, shared between the buffer and what is on its way.
+    /// The bytes, shared between the buffer and the frames that carry them.
     pub data: Arc<[u8]>,
 }
 
@@ -132,11 +130,11 @@
 pub struct Run {
     /// The version that the engine reported with the token.
     pub version: String,
-    /// Number of the token, from 0.
+    /// Index of the token, from 0.
     pub first: u64,
 }
 
-/// What an entry is told about an attempt.
+/// A frame to an entry about an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     /// Status and headers.
@@ -153,57 +151,57 @@
         /// The part.
         chunk: Chunk,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// The attempt.
         id: RequestId,
         /// Bytes of the body.
         length: u64,
-        /// Weight versions that made it.
+        /// Weight versions that produced it.
         runs: Arc<[Run]>,
     },
     /// There is no answer, and there will be none.
     Refused {
         /// The attempt.
         id: RequestId,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
     },
-    /// What became of the attempt.
+    /// The state of the attempt.
     Standing {
         /// The attempt.
         id: RequestId,
-        /// What became of it.
+        /// Its state.
         standing: Standing,
     },
 }
 
-/// What the side has to do next.
+/// An action for the sidecar's I/O to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Send a frame to an entry.
     Send {
-        /// The link to it.
+        /// The link to the entry.
         link: LinkKey,
-        /// What to send.
+        /// The frame.
         frame: Frame,
     },
-    /// End the call of an attempt at the endpoint.
+    /// Abort an attempt's call to the endpoint.
     Abort {
         /// The attempt.
         id: RequestId,
     },
-    /// Stop reading the answer from the endpoint for now.
+    /// Pause reading the answer from the endpoint.
     Pause {
         /// The attempt.
         id: RequestId,
     },
-    /// Read the answer on.
+    /// Resume reading the answer from the endpoint.
     Resume {
         /// The attempt.
         id: RequestId,
     },
-    /// Close a link that is silent.
+    /// Close a silent link.
     Close {
         /// The link.
         link: LinkKey,
@@ -212,17 +210,17 @@
     },
 }
 
-/// What a gate reports of itself.
+/// The load of a gate.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GateLoad {
-    /// Calls at the endpoint, those being aborted included.
+    /// Calls open at the endpoint, those being aborted included.
     pub running: u32,
-    /// Calls that it may have at once.
+    /// Calls that the endpoint may run at once.
     pub limit: u32,
-    /// Bytes of answers that are kept.
+    /// Bytes of buffered answers.
     pub held: usize,
-    /// Tombstones that are kept.
+    /// Number of tombstones.
     pub tombs: usize,
-    /// Attempts that are running or done, kept answers included.
+    /// Attempts that are running or done, retained answers included.
     pub attempts: usize,
 }
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -18,13 +18,13 @@
 
 /// Small bounds, so that short histories reach them.
 pub const SPEC: GateSpec = GateSpec {
-    limit: 3,
-    buffer: 256,
-    window: 160,
-    replay: 96,
-    kept: 5,
-    grace: Duration::from_secs(5),
-    keep: Duration::from_mins(10),
+    max_running: 3,
+    max_buffered: 256,
+    max_unacked: 160,
+    max_replay: 96,
+    max_retained: 5,
+    reattach_timeout: Duration::from_secs(5),
+    retention: Duration::from_mins(10),
 };
 
 /// What an entry sends about an attempt.
@@ -442,14 +442,14 @@
 
     fn check(&self) {
         let load = self.gate.load();
-        let bound = SPEC.buffer + SPEC.limit as usize * usize::try_from(PIECE).unwrap();
+        let bound = SPEC.max_buffered + SPEC.max_running as usize * usize::try_from(PIECE).unwrap();
         assert!(load.held <= bound, "{} bytes are held", load.held);
-        assert!(load.running <= SPEC.limit, "{} calls", load.running);
+        assert!(load.running <= SPEC.max_running, "{} calls", load.running);
         let open = self.ran.values().filter(|truth| truth.open).count();
         assert_eq!(load.running as usize, open);
         let paused = self.ran.values().any(|truth| truth.paused && truth.open);
         assert!(
-            !paused || load.held > SPEC.window / 2,
+            !paused || load.held > SPEC.max_unacked / 2,
             "paused for no reason"
         );
     }
@@ -459,7 +459,7 @@
         while !self.links.is_empty() {
             self.apply(Op::Break { link: 0 });
         }
-        self.wait(SPEC.grace + Duration::from_secs(1), false);
+        self.wait(SPEC.reattach_timeout + Duration::from_secs(1), false);
         for (id, truth) in &self.ran {
             assert!(!(truth.open && truth.paused), "{id} is paused for nobody");
             assert!(
@@ -470,9 +470,9 @@
         while let Some(id) = self.call(0) {
             self.finish(id);
         }
-        self.wait(SPEC.keep + Duration::from_mins(1), false);
+        self.wait(SPEC.retention + Duration::from_mins(1), false);
         self.wait(Duration::from_mins(2), false);
-        let limit = SPEC.limit;
+        let limit = SPEC.max_running;
         assert_eq!(
             self.gate.load(),
             GateLoad {
