--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -1,10 +1,9 @@
-//! Single histories of the gate: those that random ones once failed on, and
-//! those that random ones reach too seldom.
+//! Regression cases of the gate, and histories that random ones reach too rarely.
 
-#[allow(dead_code, reason = "the random histories use the rest")]
+#[allow(dead_code, reason = "only gate_model uses the rest")]
 mod gate_world;
 
-use self::gate_world::{Op, PIECE, Sent, World};
+use self::gate_world::{EntryFrame, MAX_CHUNK_BYTES, Op, World};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
     gate::{Admission, Ask, Frame, Gate, GateSpec, LinkKey, OrderRefusal, Standing, Step},
@@ -12,22 +11,22 @@
 use std::time::{Duration, Instant};
 
 const ENTRY: Incarnation = Incarnation(1);
-const START: Sent = Sent::Start {
+const START: EntryFrame = EntryFrame::Start {
     once: false,
-    patience: 1_000,
+    timeout_ms: 1_000,
 };
 
-fn send(link: usize, seq: u64, sent: Sent) -> Op {
+fn send(link: usize, seq: u64, frame: EntryFrame) -> Op {
     let origin = 0;
     Op::Send {
         link,
         origin,
         seq,
-        sent,
+        frame,
     }
 }
 
-fn ask(now: Instant, seq: u64, repeat: Repeat) -> Ask {
+fn start_request(now: Instant, seq: u64, repeat: Repeat) -> Ask {
     let id = RequestId { origin: ENTRY, seq };
     let deadline = now + Duration::from_secs(9);
     Ask {
@@ -37,21 +36,21 @@
     }
 }
 
-/// Opens a link whose entry was welcomed.
-fn open(gate: &mut Gate, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
+/// Opens a link and delivers its first frame.
+fn open_link(gate: &mut Gate, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
     let link = gate.open(now, entry, epoch);
     assert!(gate.heard(now, link));
     link
 }
 
-fn steps(gate: &mut Gate) -> Vec<Step> {
+fn take_steps(gate: &mut Gate) -> Vec<Step> {
     std::iter::from_fn(|| gate.next_step()).collect()
 }
 
-/// An attempt ran, ended and was forgotten. A very late copy of its Start was
-/// refused as "not run", which was untrue. Found by the random histories.
+/// A late copy of the Start of an attempt that ran must not be refused as "not
+/// run" once the tombstone has expired.
 #[test]
-fn a_start_of_a_forgotten_attempt_is_unknown() {
+fn start_after_tombstone_expiry_is_outcome_unknown() {
     World::run(&[
         Op::Open { entry: 0 },
         send(0, 5, START),
@@ -60,34 +59,33 @@
         send(
             0,
             5,
-            Sent::Ack {
-                behind: 0,
+            EntryFrame::Ack {
+                unacked: 0,
                 done: true,
             },
         ),
         Op::Deliver { link: 0 },
         Op::Wait {
-            millis: 65_000,
-            beats: true,
+            duration_ms: 65_000,
+            heartbeats: true,
         },
         send(0, 5, START),
         Op::Deliver { link: 0 },
     ]);
 }
 
-/// The entry had acknowledged part of an answer when a copy of its Start came.
-/// It was answered as lost, though the answer went on. Found by the random
-/// histories.
+/// A copy of a Start must not report an answer as lost that its entry has
+/// partly acknowledged.
 #[test]
-fn a_repeated_start_disturbs_no_answer() {
+fn repeated_start_does_not_interrupt_answer() {
     World::run(&[
         Op::Open { entry: 0 },
         send(0, 0, START),
         send(
             0,
             0,
-            Sent::Ack {
-                behind: 0,
+            EntryFrame::Ack {
+                unacked: 0,
                 done: false,
             },
         ),
@@ -95,91 +93,96 @@
         Op::Deliver { link: 0 },
         Op::Bytes {
             call: 0,
-            pieces: 1,
+            chunks: 1,
             size: 0,
         },
         Op::Deliver { link: 0 },
         Op::Deliver { link: 0 },
         Op::Bytes {
             call: 0,
-            pieces: 1,
+            chunks: 1,
             size: 0,
         },
     ]);
 }
 
-/// The side is stopped by a signal for long. The entry gave its link up and had
-/// the attempt sealed by nobody. When the side goes on, the Start still waits
-/// in its socket: the silence it sees must close the link first.
+/// A sidecar that was suspended finds old frames in its sockets. The link must
+/// be closed before a Start of that time is handled.
 #[test]
-fn a_start_that_waited_out_a_pause_never_runs() {
+fn start_received_before_a_pause_is_refused() {
     let mut now = Instant::now();
     let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
-    let link = open(&mut gate, now, ENTRY, 1);
+    let link = open_link(&mut gate, now, ENTRY, 1);
     now += Duration::from_secs(20);
     assert!(!gate.heard(now, link));
-    assert_eq!(steps(&mut gate), [Step::Close { link, entry: ENTRY }]);
-    let late = gate.start(now, link, ask(now, 1, Repeat::Free));
+    assert_eq!(take_steps(&mut gate), [Step::Close { link, entry: ENTRY }]);
+    let late = gate.start(now, link, start_request(now, 1, Repeat::Free));
     assert_eq!(late, Admission::Refused(ErrorKind::EndpointDown));
 }
 
-/// The entry suspects its link and opens another, but gives up waiting for the
-/// welcome and goes on with the old one. Its calls must not be refused.
+/// An entry that opens a second link but never uses it must be able to start
+/// attempts on the first.
 #[test]
-fn a_link_that_was_never_used_replaces_none() {
+fn unused_link_does_not_supersede_older_link() {
     let now = Instant::now();
-    let mut gate = Gate::new(gate_world::SPEC);
-    let old = open(&mut gate, now, ENTRY, 1);
+    let mut gate = Gate::new(gate_world::LIMITS);
+    let old = open_link(&mut gate, now, ENTRY, 1);
     let unused = gate.open(now, ENTRY, 2);
     gate.lost(now, unused);
-    let call = ask(now, 1, Repeat::Free);
+    let call = start_request(now, 1, Repeat::Free);
     assert_eq!(gate.start(now, old, call), Admission::Run);
 }
 
-/// Answers kept for replay fill the buffer. A new answer, which a caller waits
-/// for, must flow on at once; the oldest kept one gives way and is then lost.
+/// Answers retained for replay must not pause an answer that a caller waits for;
+/// the oldest is evicted and reported as lost.
 #[test]
-fn kept_answers_give_way_to_those_that_callers_wait_for() {
+fn retained_answers_are_evicted_for_a_new_answer() {
     let now = Instant::now();
-    let mut gate = Gate::new(gate_world::SPEC);
-    let link = open(&mut gate, now, ENTRY, 1);
+    let mut gate = Gate::new(gate_world::LIMITS);
+    let link = open_link(&mut gate, now, ENTRY, 1);
     for seq in 0..3 {
-        keep_answer(&mut gate, now, link, seq);
+        retain_answer(&mut gate, now, link, seq);
     }
-    let new = ask(now, 9, Repeat::Free);
+    let new = start_request(now, 9, Repeat::Free);
     assert_eq!(gate.start(now, link, new), Admission::Run);
-    steps(&mut gate);
+    take_steps(&mut gate);
     gate.bytes(new.id, vec![0; 64].into());
-    let sent = steps(&mut gate);
+    let sent = take_steps(&mut gate);
     assert!(matches!(*sent, [Step::Send { .. }]), "{sent:?}");
-    assert_eq!(gate.seal(now, ask(now, 0, Repeat::Once).id), Standing::Lost);
-    assert_eq!(gate.seal(now, ask(now, 2, Repeat::Once).id), Standing::Done);
+    assert_eq!(
+        gate.seal(now, start_request(now, 0, Repeat::Once).id),
+        Standing::Lost
+    );
+    assert_eq!(
+        gate.seal(now, start_request(now, 2, Repeat::Once).id),
+        Standing::Done
+    );
 }
 
-fn keep_answer(gate: &mut Gate, now: Instant, link: LinkKey, seq: u64) {
+fn retain_answer(gate: &mut Gate, now: Instant, link: LinkKey, seq: u64) {
     let now = now + Duration::from_millis(seq);
-    let ask = ask(now, seq, Repeat::Once);
+    let ask = start_request(now, seq, Repeat::Once);
     assert_eq!(gate.start(now, link, ask), Admission::Run);
     gate.bytes(ask.id, vec![0; 80].into());
     gate.finish(now, ask.id, Vec::new());
     gate.ack(now, link, ask.id, 80, true);
 }
 
-/// A caller repeats a reservation through another entry, which finds the claim
-/// and asks the side. The kept answer is replayed; nothing runs again.
+/// A request that may run only once, repeated through another entry, must be
+/// answered with the retained answer.
 #[test]
-fn another_entry_gets_the_kept_answer() {
+fn another_entry_reads_retained_answer() {
     let now = Instant::now();
-    let mut gate = Gate::new(gate_world::SPEC);
-    let link = open(&mut gate, now, ENTRY, 1);
-    keep_answer(&mut gate, now, link, 1);
+    let mut gate = Gate::new(gate_world::LIMITS);
+    let link = open_link(&mut gate, now, ENTRY, 1);
+    retain_answer(&mut gate, now, link, 1);
     gate.lost(now, link);
-    let other = open(&mut gate, now, Incarnation(2), 1);
-    let id = ask(now, 1, Repeat::Once).id;
+    let other = open_link(&mut gate, now, Incarnation(2), 1);
+    let id = start_request(now, 1, Repeat::Once).id;
     assert_eq!(gate.seal(now, id), Standing::Done);
-    steps(&mut gate);
+    take_steps(&mut gate);
     gate.attach(now, other, id, 0);
-    let sent = steps(&mut gate);
+    let sent = take_steps(&mut gate);
     assert!(
         matches!(
             &*sent,
@@ -192,13 +195,13 @@
     );
 }
 
-/// A holder that was paused past its lease orders an old version. The next
-/// holder's number is known from the lease row, so the engine never sees it.
+/// Orders with a lower fencing token than the lease row's must not reach the
+/// engine.
 #[test]
-fn orders_of_an_old_holder_are_fenced() {
+fn orders_of_superseded_holder_are_fenced() {
     let now = Instant::now();
-    let mut gate = Gate::new(gate_world::SPEC);
-    let old = open(&mut gate, now, ENTRY, 1);
+    let mut gate = Gate::new(gate_world::LIMITS);
+    let old = open_link(&mut gate, now, ENTRY, 1);
     assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Unlearned));
     gate.learn("rollout", 8);
     assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Fenced(8)));
@@ -220,27 +223,27 @@
     }
 }
 
-/// A reading that is held back for one slow entry must not hold its piece back
-/// for an entry that reads on.
+/// An answer that is paused for a slow entry must not pause the answer of
+/// another.
 #[test]
-fn one_slow_reader_pauses_its_answer_only() {
+fn slow_reader_pauses_only_its_own_answer() {
     let now = Instant::now();
     let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
     let (slow, fast) = (
-        open(&mut gate, now, ENTRY, 1),
-        open(&mut gate, now, Incarnation(2), 1),
+        open_link(&mut gate, now, ENTRY, 1),
+        open_link(&mut gate, now, Incarnation(2), 1),
     );
-    let first = ask(now, 1, Repeat::Free);
+    let first = start_request(now, 1, Repeat::Free);
     let mut second = first;
     second.id.origin = Incarnation(2);
     assert_eq!(gate.start(now, slow, first), Admission::Run);
     assert_eq!(gate.start(now, fast, second), Admission::Run);
-    for _ in 0..=(256 << 10) / PIECE {
+    for _ in 0..=(256 << 10) / MAX_CHUNK_BYTES {
         gate.bytes(first.id, vec![0; 64].into());
         gate.bytes(second.id, vec![0; 64].into());
         gate.ack(now, fast, second.id, u64::MAX, false);
     }
-    let paused = steps(&mut gate);
+    let paused = take_steps(&mut gate);
     let paused = paused
         .iter()
         .filter(|step| matches!(step, Step::Pause { .. }));
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -1,8 +1,8 @@
-//! Entries, links and an endpoint around one gate, in virtual time.
+//! A model of entries, links and an endpoint around one gate, in virtual time.
 //!
-//! Frames of a link arrive in order, but each link has a pace of its own, so
-//! that what was sent on an old link may arrive after anything else. After each
-//! step the promises of the gate are checked against what really happened.
+//! Frames of one link arrive in order, but links have different delays, so that
+//! a frame on an old link may arrive after any other. After each operation the
+//! gate's answers are checked against what the endpoint did.
 
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
@@ -13,11 +13,11 @@
     time::{Duration, Instant},
 };
 
-/// Bytes in one piece of an answer at most.
-pub const PIECE: u64 = 64;
+/// Bytes of the largest chunk of an answer.
+pub const MAX_CHUNK_BYTES: u64 = 64;
 
-/// Small bounds, so that short histories reach them.
-pub const SPEC: GateSpec = GateSpec {
+/// Small limits, which short histories reach.
+pub const LIMITS: GateSpec = GateSpec {
     max_running: 3,
     max_buffered: 256,
     max_unacked: 160,
@@ -27,59 +27,47 @@
     retention: Duration::from_mins(10),
 };
 
-/// What an entry sends about an attempt.
+/// A frame from an entry about an attempt.
 #[derive(Clone, Copy, Debug)]
-pub enum Sent {
-    Start { once: bool, patience: u64 },
+pub enum EntryFrame {
+    Start { once: bool, timeout_ms: u64 },
     Seal,
     Attach { offset: u64 },
-    Ack { behind: u64, done: bool },
+    Ack { unacked: u64, done: bool },
     Cancel,
 }
 
-/// One step of a history. Numbers choose among what there is, modulo its size.
+/// One operation of a history. A number selects an existing item, modulo their
+/// count.
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
-    Open {
-        entry: usize,
-    },
+    /// An entry opens a link.
+    Open { entry: usize },
+    /// An entry sends a frame, which stays in transit.
     Send {
         link: usize,
         origin: usize,
         seq: u64,
-        sent: Sent,
-    },
-    Repeat {
-        link: usize,
-    },
-    Deliver {
-        link: usize,
-    },
-    Break {
-        link: usize,
-    },
-    Head {
-        call: usize,
-    },
-    Bytes {
-        call: usize,
-        pieces: u64,
-        size: u64,
-    },
-    Finish {
-        call: usize,
-    },
-    Fail {
-        call: usize,
-        down: bool,
-    },
-    Wait {
-        millis: u64,
-        beats: bool,
-    },
-    Leave {
-        leaving: bool,
+        frame: EntryFrame,
     },
+    /// The first frame in transit is duplicated.
+    Repeat { link: usize },
+    /// The first frame in transit arrives.
+    Deliver { link: usize },
+    /// A link breaks.
+    Break { link: usize },
+    /// The endpoint sends status and headers.
+    Head { call: usize },
+    /// The endpoint sends bytes of its answer.
+    Bytes { call: usize, chunks: u64, size: u64 },
+    /// The endpoint completes its answer.
+    Finish { call: usize },
+    /// A call fails.
+    Fail { call: usize, unreachable: bool },
+    /// Time passes, with or without heartbeats.
+    Wait { duration_ms: u64, heartbeats: bool },
+    /// The sidecar starts or stops refusing new work.
+    SetLeaving { leaving: bool },
 }
 
 #[derive(Debug)]
@@ -87,49 +75,46 @@
     key: LinkKey,
     entry: usize,
     epoch: u64,
-    wire: VecDeque<(RequestId, Sent)>,
-    /// The next offset that each answer must go on with.
-    next: BTreeMap<RequestId, u64>,
-    /// Attempts whose Start came, after which an answer may begin anew.
-    anew: BTreeSet<RequestId>,
+    in_transit: VecDeque<(RequestId, EntryFrame)>,
+    /// The expected offset of the next chunk of each answer.
+    next_offsets: BTreeMap<RequestId, u64>,
+    /// Attempts whose Start arrived, whose answer may begin at offset 0 again.
+    restartable: BTreeSet<RequestId>,
 }
 
-/// What really became of an attempt that the gate let start.
+/// A call to the endpoint, which the gate started.
 #[derive(Debug, Default)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "facts that go together freely"
-)]
-struct Truth {
+#[expect(clippy::struct_excessive_bools, reason = "independent facts")]
+struct Call {
     once: bool,
     open: bool,
     finished: bool,
-    /// The endpoint was never reached, so the attempt had no effect.
-    unreached: bool,
+    /// Whether the endpoint was not reached, so that the attempt had no effect.
+    not_reached: bool,
     paused: bool,
     aborted: bool,
     length: u64,
 }
 
-/// A gate and all that is around it.
+/// The gate under test and the model of its surroundings.
 pub struct World {
     pub gate: Gate,
     now: Instant,
     epochs: [u64; 2],
-    /// The highest epochs that a frame came over.
-    heard: [u64; 2],
+    /// The highest epoch of each entry on which a frame arrived.
+    newest_epochs: [u64; 2],
     links: Vec<Link>,
-    ran: BTreeMap<RequestId, Truth>,
-    not_run: BTreeSet<RequestId>,
-    leaving: bool,
+    calls: BTreeMap<RequestId, Call>,
+    reported_not_run: BTreeSet<RequestId>,
+    draining: bool,
 }
 
-fn origin(entry: usize) -> Incarnation {
+fn incarnation(entry: usize) -> Incarnation {
     Incarnation(entry as u64 + 1)
 }
 
 /// The bytes of an attempt's answer.
-fn original(id: RequestId, offset: u64, size: u64) -> Vec<u8> {
+fn answer_bytes(id: RequestId, offset: u64, size: u64) -> Vec<u8> {
     let seed = id.origin.0 * 31 + id.seq * 7;
     let bytes = (offset..offset + size).map(|at| (seed + at * 13) % 251);
     bytes.map(|byte| u8::try_from(byte).unwrap()).collect()
@@ -138,14 +123,14 @@
 impl World {
     pub fn new() -> Self {
         Self {
-            gate: Gate::new(SPEC),
+            gate: Gate::new(LIMITS),
             now: Instant::now(),
             epochs: [0; 2],
-            heard: [0; 2],
+            newest_epochs: [0; 2],
             links: Vec::new(),
-            ran: BTreeMap::new(),
-            not_run: BTreeSet::new(),
-            leaving: false,
+            calls: BTreeMap::new(),
+            reported_not_run: BTreeSet::new(),
+            draining: false,
         }
     }
 
@@ -155,7 +140,7 @@
             world.apply(*op);
             world.check();
         }
-        world.end();
+        world.finish_all();
     }
 
     pub fn apply(&mut self, op: Op) {
@@ -165,19 +150,19 @@
                 link,
                 origin: entry,
                 seq,
-                sent,
+                frame,
             } => {
                 let id = RequestId {
-                    origin: origin(entry % 2),
+                    origin: incarnation(entry % 2),
                     seq,
                 };
                 if let Some(link) = self.link(link) {
-                    link.wire.push_back((id, sent));
+                    link.in_transit.push_back((id, frame));
                 }
             }
             Op::Repeat { link } => {
                 if let Some(link) = self.link(link) {
-                    link.wire.extend(link.wire.front().copied());
+                    link.in_transit.extend(link.in_transit.front().copied());
                 }
             }
             Op::Deliver { link } => self.deliver(link),
@@ -187,53 +172,56 @@
                     status: 200,
                     headers: Vec::new(),
                 };
-                if let Some(id) = self.call(call) {
+                if let Some(id) = self.open_call(call) {
                     self.gate.head(id, head);
                 }
             }
-            Op::Bytes { call, pieces, size } => {
-                for _ in 0..pieces {
-                    self.bytes(call, size % PIECE + 1);
-                    self.carry_out();
+            Op::Bytes { call, chunks, size } => {
+                for _ in 0..chunks {
+                    self.send_bytes(call, size % MAX_CHUNK_BYTES + 1);
+                    self.run_steps();
                 }
             }
             Op::Finish { call } => {
-                if let Some(id) = self.call(call).filter(|id| !self.ran[id].paused) {
+                if let Some(id) = self.open_call(call).filter(|id| !self.calls[id].paused) {
                     self.finish(id);
                 }
             }
-            Op::Fail { call, down } => self.fail(call, down),
-            Op::Wait { millis, beats } => self.wait(Duration::from_millis(millis), beats),
-            Op::Leave { leaving } => {
-                self.leaving = leaving;
+            Op::Fail { call, unreachable } => self.fail(call, unreachable),
+            Op::Wait {
+                duration_ms,
+                heartbeats,
+            } => self.wait(Duration::from_millis(duration_ms), heartbeats),
+            Op::SetLeaving { leaving } => {
+                self.draining = leaving;
                 self.gate.set_leaving(leaving);
             }
         }
-        self.carry_out();
+        self.run_steps();
     }
 
     fn open(&mut self, entry: usize) {
         self.epochs[entry] += 1;
         let epoch = self.epochs[entry];
-        let key = self.gate.open(self.now, origin(entry), epoch);
+        let key = self.gate.open(self.now, incarnation(entry), epoch);
         self.links.push(Link {
             key,
             entry,
             epoch,
-            wire: VecDeque::new(),
-            next: BTreeMap::new(),
-            anew: BTreeSet::new(),
+            in_transit: VecDeque::new(),
+            next_offsets: BTreeMap::new(),
+            restartable: BTreeSet::new(),
         });
     }
 
-    fn link(&mut self, link: usize) -> Option<&mut Link> {
+    fn link(&mut self, index: usize) -> Option<&mut Link> {
         let count = self.links.len();
-        self.links.get_mut(link.checked_rem(count)?)
+        self.links.get_mut(index.checked_rem(count)?)
     }
 
-    fn call(&self, call: usize) -> Option<RequestId> {
-        let open: Vec<_> = self.ran.iter().filter(|(_, truth)| truth.open).collect();
-        let index = call.checked_rem(open.len())?;
+    fn open_call(&self, index: usize) -> Option<RequestId> {
+        let open: Vec<_> = self.calls.iter().filter(|(_, call)| call.open).collect();
+        let index = index.checked_rem(open.len())?;
         Some(*open[index].0)
     }
 
@@ -242,31 +230,31 @@
             return;
         };
         let (key, epoch, entry) = (link.key, link.epoch, link.entry);
-        let Some((id, sent)) = link.wire.pop_front() else {
+        let Some((id, frame)) = link.in_transit.pop_front() else {
             return;
         };
-        let open = self.gate.heard(self.now, key);
-        self.carry_out();
-        if !open {
+        let is_open = self.gate.heard(self.now, key);
+        self.run_steps();
+        if !is_open {
             return;
         }
-        self.heard[entry] = self.heard[entry].max(epoch);
-        let newest = self.heard[entry] == epoch;
-        match sent {
-            Sent::Start { once, patience } => self.start(key, newest, id, once, patience),
-            Sent::Seal => self.gate.ask(self.now, key, id),
-            Sent::Attach { offset } => self.attach(key, newest, id, offset),
-            Sent::Ack { behind, done } => {
-                let length = self.ran.get(&id).map_or(0, |truth| truth.length);
-                let offset = length.saturating_sub(behind);
+        self.newest_epochs[entry] = self.newest_epochs[entry].max(epoch);
+        let newest = self.newest_epochs[entry] == epoch;
+        match frame {
+            EntryFrame::Start { once, timeout_ms } => self.start(key, newest, id, once, timeout_ms),
+            EntryFrame::Seal => self.gate.ask(self.now, key, id),
+            EntryFrame::Attach { offset } => self.attach(key, newest, id, offset),
+            EntryFrame::Ack { unacked, done } => {
+                let length = self.calls.get(&id).map_or(0, |call| call.length);
+                let offset = length.saturating_sub(unacked);
                 self.gate.ack(self.now, key, id, offset, done);
             }
-            Sent::Cancel => self.gate.cancel(self.now, key, id),
+            EntryFrame::Cancel => self.gate.cancel(self.now, key, id),
         }
     }
 
-    fn start(&mut self, key: LinkKey, newest: bool, id: RequestId, once: bool, patience: u64) {
-        let deadline = self.now + Duration::from_millis(patience);
+    fn start(&mut self, key: LinkKey, newest: bool, id: RequestId, once: bool, timeout_ms: u64) {
+        let deadline = self.now + Duration::from_millis(timeout_ms);
         let repeat = if once { Repeat::Once } else { Repeat::Free };
         let ask = Ask {
             id,
@@ -274,40 +262,40 @@
             repeat,
         };
         if let Some(link) = self.links.iter_mut().find(|link| link.key == key && newest) {
-            link.next.entry(id).or_insert(0);
-            link.anew.insert(id);
+            link.next_offsets.entry(id).or_insert(0);
+            link.restartable.insert(id);
         }
         if self.gate.start(self.now, key, ask) != Admission::Run {
             return;
         }
         assert!(newest, "{id} started from an old link");
-        assert!(!self.leaving, "{id} started while leaving");
-        assert!(patience > 0, "{id} started past its deadline");
+        assert!(!self.draining, "{id} started while leaving");
+        assert!(timeout_ms > 0, "{id} started past its deadline");
         assert!(
-            !self.not_run.contains(&id),
+            !self.reported_not_run.contains(&id),
             "{id} started after \"not run\""
         );
-        let truth = Truth {
+        let call = Call {
             once,
             open: true,
-            ..Truth::default()
+            ..Call::default()
         };
-        assert!(self.ran.insert(id, truth).is_none(), "{id} ran twice");
+        assert!(self.calls.insert(id, call).is_none(), "{id} ran twice");
     }
 
     fn attach(&mut self, key: LinkKey, newest: bool, id: RequestId, offset: u64) {
-        let length = self.ran.get(&id).map_or(0, |truth| truth.length);
+        let length = self.calls.get(&id).map_or(0, |call| call.length);
         let offset = offset.min(length);
         if newest {
-            self.expect(key, id, offset);
+            self.expect_answer(key, id, offset);
         }
         self.gate.attach(self.now, key, id, offset);
     }
 
-    fn expect(&mut self, key: LinkKey, id: RequestId, offset: u64) {
+    fn expect_answer(&mut self, key: LinkKey, id: RequestId, offset: u64) {
         let mut links = self.links.iter_mut();
         if let Some(link) = links.find(|link| link.key == key) {
-            link.next.insert(id, offset);
+            link.next_offsets.insert(id, offset);
         }
     }
 
@@ -318,39 +306,39 @@
         }
     }
 
-    /// An endpoint that is held back sends nothing, as the I/O sees to.
-    fn bytes(&mut self, call: usize, size: u64) {
-        let Some(id) = self.call(call) else {
+    /// Sends bytes of an answer unless its reading is paused.
+    fn send_bytes(&mut self, index: usize, size: u64) {
+        let Some(id) = self.open_call(index) else {
             return;
         };
-        let truth = self.ran.get_mut(&id).unwrap();
-        if truth.paused || truth.aborted {
+        let call = self.calls.get_mut(&id).unwrap();
+        if call.paused || call.aborted {
             return;
         }
-        let data = original(id, truth.length, size);
-        truth.length += size;
+        let data = answer_bytes(id, call.length, size);
+        call.length += size;
         self.gate.bytes(id, data.into());
     }
 
     fn finish(&mut self, id: RequestId) {
-        let truth = self.ran.get_mut(&id).unwrap();
-        truth.open = false;
-        truth.finished = !truth.aborted;
-        if truth.aborted {
+        let call = self.calls.get_mut(&id).unwrap();
+        call.open = false;
+        call.finished = !call.aborted;
+        if call.aborted {
             self.gate.fail(self.now, id, ErrorKind::OutcomeUnknown);
         } else {
             self.gate.finish(self.now, id, Vec::new());
         }
     }
 
-    fn fail(&mut self, call: usize, down: bool) {
-        let Some(id) = self.call(call) else {
+    fn fail(&mut self, index: usize, unreachable: bool) {
+        let Some(id) = self.open_call(index) else {
             return;
         };
-        let truth = self.ran.get_mut(&id).unwrap();
-        truth.open = false;
-        truth.unreached = down && truth.length == 0 && !truth.aborted;
-        let kind = if truth.unreached {
+        let call = self.calls.get_mut(&id).unwrap();
+        call.open = false;
+        call.not_reached = unreachable && call.length == 0 && !call.aborted;
+        let kind = if call.not_reached {
             ErrorKind::EndpointDown
         } else {
             ErrorKind::EndpointBroken
@@ -358,121 +346,128 @@
         self.gate.fail(self.now, id, kind);
     }
 
-    fn wait(&mut self, time: Duration, beats: bool) {
-        let until = self.now + time;
+    fn wait(&mut self, duration: Duration, heartbeats: bool) {
+        let until = self.now + duration;
         while self.now < until {
-            let step = if beats {
+            let step = if heartbeats {
                 Duration::from_millis(400)
             } else {
-                time
+                duration
             };
             self.now = until.min(self.now + step);
-            if beats {
+            if heartbeats {
                 for link in &self.links {
                     if self.gate.heard(self.now, link.key) {
-                        let heard = &mut self.heard[link.entry];
-                        *heard = link.epoch.max(*heard);
+                        let newest = &mut self.newest_epochs[link.entry];
+                        *newest = link.epoch.max(*newest);
                     }
                 }
             }
             self.gate.tick(self.now);
-            self.carry_out();
+            self.run_steps();
         }
     }
 
-    fn carry_out(&mut self) {
+    fn run_steps(&mut self) {
         while let Some(step) = self.gate.next_step() {
             match step {
-                Step::Send { link, frame } => self.received(link, frame),
+                Step::Send { link, frame } => self.check_frame(link, frame),
                 Step::Abort { id } => {
-                    let truth = self.ran.get_mut(&id).unwrap();
-                    assert!(!truth.once, "{id} may run only once and was cut off");
-                    truth.aborted = true;
-                    truth.paused = false;
+                    let call = self.calls.get_mut(&id).unwrap();
+                    assert!(!call.once, "{id} may run only once and was cut off");
+                    call.aborted = true;
+                    call.paused = false;
                 }
-                Step::Pause { id } => self.ran.get_mut(&id).unwrap().paused = true,
-                Step::Resume { id } => self.ran.get_mut(&id).unwrap().paused = false,
+                Step::Pause { id } => self.calls.get_mut(&id).unwrap().paused = true,
+                Step::Resume { id } => self.calls.get_mut(&id).unwrap().paused = false,
                 Step::Close { link, .. } => self.links.retain(|row| row.key != link),
             }
         }
     }
 
-    fn received(&mut self, key: LinkKey, frame: Frame) {
+    fn check_frame(&mut self, key: LinkKey, frame: Frame) {
         let link = self.links.iter_mut().find(|link| link.key == key);
         let link = link.expect("a frame for a closed link");
         match frame {
-            Frame::Head { id, .. } => assert!(self.ran.contains_key(&id)),
+            Frame::Head { id, .. } => assert!(self.calls.contains_key(&id)),
             Frame::Chunk { id, chunk } => {
                 let size = chunk.data.len() as u64;
-                let next = link.next.get_mut(&id).expect("an answer nobody asked for");
-                if chunk.offset == 0 && link.anew.remove(&id) {
-                    *next = 0;
+                let next_offset = link
+                    .next_offsets
+                    .get_mut(&id)
+                    .expect("an answer nobody asked for");
+                if chunk.offset == 0 && link.restartable.remove(&id) {
+                    *next_offset = 0;
                 }
-                assert_eq!(chunk.offset, *next, "{id} has a gap or repeats bytes");
-                assert_eq!(*chunk.data, original(id, chunk.offset, size), "{id}");
-                *next += size;
+                assert_eq!(
+                    chunk.offset, *next_offset,
+                    "{id} has a gap or repeats bytes"
+                );
+                assert_eq!(*chunk.data, answer_bytes(id, chunk.offset, size), "{id}");
+                *next_offset += size;
             }
             Frame::End { id, length, .. } => {
-                assert!(self.ran[&id].finished, "{id} has not ended");
-                assert_eq!(length, self.ran[&id].length);
-                assert_eq!(link.next[&id], length, "{id} is short");
+                assert!(self.calls[&id].finished, "{id} has not ended");
+                assert_eq!(length, self.calls[&id].length);
+                assert_eq!(link.next_offsets[&id], length, "{id} is short");
             }
-            Frame::Refused { id, kind } if kind.answer().not_run => self.said_not_run(id),
+            Frame::Refused { id, kind } if kind.answer().not_run => self.check_not_run(id),
             Frame::Refused { .. } => {}
-            Frame::Standing { id, standing } => self.stands(id, standing),
+            Frame::Standing { id, standing } => self.check_standing(id, standing),
         }
     }
 
-    fn stands(&mut self, id: RequestId, standing: Standing) {
-        let truth = self.ran.get(&id);
+    fn check_standing(&mut self, id: RequestId, standing: Standing) {
+        let call = self.calls.get(&id);
         match standing {
-            Standing::Sealed => self.said_not_run(id),
-            Standing::Running => assert!(truth.is_some_and(|truth| truth.open)),
-            Standing::Done => assert!(truth.is_some_and(|truth| truth.finished)),
+            Standing::Sealed => self.check_not_run(id),
+            Standing::Running => assert!(call.is_some_and(|call| call.open)),
+            Standing::Done => assert!(call.is_some_and(|call| call.finished)),
             Standing::Lost => {}
         }
     }
 
-    fn said_not_run(&mut self, id: RequestId) {
-        let truth = self.ran.get(&id);
-        let ran = truth.is_some_and(|truth| !truth.unreached);
+    fn check_not_run(&mut self, id: RequestId) {
+        let call = self.calls.get(&id);
+        let ran = call.is_some_and(|call| !call.not_reached);
         assert!(!ran, "{id} is called \"not run\" and ran");
-        self.not_run.insert(id);
+        self.reported_not_run.insert(id);
     }
 
     fn check(&self) {
         let load = self.gate.load();
-        let bound = SPEC.max_buffered + SPEC.max_running as usize * usize::try_from(PIECE).unwrap();
-        assert!(load.held <= bound, "{} bytes are held", load.held);
-        assert!(load.running <= SPEC.max_running, "{} calls", load.running);
-        let open = self.ran.values().filter(|truth| truth.open).count();
-        assert_eq!(load.running as usize, open);
-        let paused = self.ran.values().any(|truth| truth.paused && truth.open);
+        let max_buffered = LIMITS.max_buffered
+            + LIMITS.max_running as usize * usize::try_from(MAX_CHUNK_BYTES).unwrap();
+        assert!(load.held <= max_buffered, "{} bytes are held", load.held);
+        assert!(load.running <= LIMITS.max_running, "{} calls", load.running);
+        let open_calls = self.calls.values().filter(|call| call.open).count();
+        assert_eq!(load.running as usize, open_calls);
+        let any_paused = self.calls.values().any(|call| call.paused && call.open);
         assert!(
-            !paused || load.held > SPEC.max_unacked / 2,
+            !any_paused || load.held > LIMITS.max_unacked / 2,
             "paused for no reason"
         );
     }
 
-    /// Lets everything end, and checks that nothing is left.
-    fn end(&mut self) {
+    /// Ends all calls and links, and checks that the gate's state is empty.
+    fn finish_all(&mut self) {
         while !self.links.is_empty() {
             self.apply(Op::Break { link: 0 });
         }
-        self.wait(SPEC.reattach_timeout + Duration::from_secs(1), false);
-        for (id, truth) in &self.ran {
-            assert!(!(truth.open && truth.paused), "{id} is paused for nobody");
+        self.wait(LIMITS.reattach_timeout + Duration::from_secs(1), false);
+        for (id, call) in &self.calls {
+            assert!(!(call.open && call.paused), "{id} is paused for nobody");
             assert!(
-                truth.once || !truth.open || truth.aborted,
+                call.once || !call.open || call.aborted,
                 "{id} runs on for nobody"
             );
         }
-        while let Some(id) = self.call(0) {
+        while let Some(id) = self.open_call(0) {
             self.finish(id);
         }
-        self.wait(SPEC.retention + Duration::from_mins(1), false);
+        self.wait(LIMITS.retention + Duration::from_mins(1), false);
         self.wait(Duration::from_mins(2), false);
-        let limit = SPEC.max_running;
+        let limit = LIMITS.max_running;
         assert_eq!(
             self.gate.load(),
             GateLoad {
