--- a/src/claim/batch.rs
+++ b/src/claim/batch.rs
@@ -1,6 +1,6 @@
 //! Writing many claims in one transaction.
 
-use crate::claim::{Claim, Seen};
+use crate::claim::{Claim, StoredClaim};
 use std::mem;
 
 /// One claim to be written.
@@ -14,47 +14,48 @@
     pub expect: Option<Vec<u8>>,
 }
 
-/// What the table said to a transaction.
+/// The table's answer to a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Said {
-    /// All was written.
+    /// Everything was written.
     Committed,
     /// Nothing was written; the rows that exist, by key.
     Conflict(Vec<(String, Vec<u8>)>),
-    /// Nobody knows whether it was written, or will be.
+    /// The transaction may have been written, or may be later.
     Unknown,
-    /// Nothing was written, and the table can't be asked.
+    /// Nothing was written, and the table can't be reached.
     Down,
 }
 
-/// What became of one claim.
+/// The outcome of one claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The row is the own claim.
+    /// The row is the request's own claim.
     Won,
-    /// The row is another's.
-    Held(Seen),
-    /// There is no row, where one was expected.
+    /// The row is another request's claim.
+    Held(StoredClaim),
+    /// There is no row, though one was expected.
     Free,
-    /// The table can't be asked. The row may turn out to be the own claim.
+    /// The table can't be reached. The row may still become the request's own
+    /// claim.
     Down,
 }
 
-/// Claims that are written together. No two have the same key.
+/// Claims that are written in one transaction. No two have the same key.
 #[derive(Debug, Default)]
 pub struct Batch {
     jobs: Vec<Job>,
 }
 
 impl Batch {
-    /// Creates a batch without claims.
+    /// Creates an empty batch.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a claim, or gives it back if the batch has one of the same key: a
-    /// transaction may write a row once only.
+    /// Adds a claim, or returns it if the batch has one with the same key,
+    /// because a transaction may write a row only once.
     #[must_use]
     pub fn add(&mut self, job: Job) -> Option<Job> {
         if self.jobs.iter().any(|other| other.key == job.key) {
@@ -64,38 +65,38 @@
         None
     }
 
-    /// Returns the claims that are not decided yet, to be written.
+    /// Returns the undecided claims, which have to be written.
     #[must_use]
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
     }
 
-    /// Takes in what the table said to a transaction with all [`Batch::jobs`],
-    /// and takes out the claims that it decides.
+    /// Applies the table's answer to a transaction with all [`Batch::jobs`];
+    /// removes and returns the claims that it decides.
     ///
-    /// What stays is to be written again. That is safe after
-    /// [`Said::Unknown`] too: if the first write took effect, or does so later,
-    /// the second finds the own claim.
+    /// The remaining ones have to be written again. That is safe after
+    /// [`Said::Unknown`] too: if the first write takes effect, the second one
+    /// finds the request's own claim.
     pub fn settle(&mut self, said: Said) -> Vec<(Job, Verdict)> {
         match said {
-            Said::Committed => self.all(&Verdict::Won),
-            Said::Down => self.all(&Verdict::Down),
+            Said::Committed => self.decide_all(&Verdict::Won),
+            Said::Down => self.decide_all(&Verdict::Down),
             Said::Unknown => Vec::new(),
-            Said::Conflict(rows) => self.conflict(rows),
+            Said::Conflict(rows) => self.apply_conflict(rows),
         }
     }
 
-    fn all(&mut self, verdict: &Verdict) -> Vec<(Job, Verdict)> {
+    fn decide_all(&mut self, verdict: &Verdict) -> Vec<(Job, Verdict)> {
         let jobs = mem::take(&mut self.jobs);
         jobs.into_iter().map(|j| (j, verdict.clone())).collect()
     }
 
-    fn conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(Job, Verdict)> {
+    fn apply_conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(Job, Verdict)> {
         let mut decided = Vec::new();
         for job in mem::take(&mut self.jobs) {
-            let found = rows.iter().position(|(key, _)| *key == job.key);
-            let row = found.map(|i| rows.swap_remove(i).1);
-            match judge(&job, row) {
+            let position = rows.iter().position(|(key, _)| *key == job.key);
+            let row = position.map(|i| rows.swap_remove(i).1);
+            match decide(&job, row) {
                 Some(verdict) => decided.push((job, verdict)),
                 None => self.jobs.push(job),
             }
@@ -105,16 +106,16 @@
 }
 
 /// Decides one claim by the row that exists; none if it can still be written.
-fn judge(job: &Job, row: Option<Vec<u8>>) -> Option<Verdict> {
+fn decide(job: &Job, row: Option<Vec<u8>>) -> Option<Verdict> {
     if row == job.expect {
         return None;
     }
     let Some(bytes) = row else {
         return Some(Verdict::Free);
     };
-    let seen = Seen::new(bytes);
-    if seen.is_of(job.claim.attempt) {
+    let stored = StoredClaim::new(bytes);
+    if stored.is_for(job.claim.attempt) {
         return Some(Verdict::Won);
     }
-    Some(Verdict::Held(seen))
+    Some(Verdict::Held(stored))
 }
--- a/src/claim/holder.rs
+++ b/src/claim/holder.rs
@@ -1,43 +1,44 @@
-//! One request's way to its single run.
+//! The state machine of one request with an idempotency key.
 
 use crate::{
-    claim::{Claim, Seen, Verdict},
+    claim::{Claim, StoredClaim, Verdict},
     error::ErrorKind,
     id::RequestId,
 };
 
-/// What the side says of an attempt that a claim names.
+/// What is known of an attempt that another request's claim names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fate {
     /// It never started, and never will.
     Sealed,
-    /// It runs, or its whole answer is kept.
+    /// It is running, or its complete answer is retained.
     Kept,
-    /// It started, and there is no whole answer.
+    /// It started, and there is no complete answer.
     Lost,
-    /// The side that knew is gone.
+    /// The incarnation of the sidecar that knew it has ended.
     Gone,
 }
 
-/// What the entry has to do next.
+/// The next action of the entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Write the own claim, if the row has this content, or is absent.
+    /// Write the request's own claim if the row has this content, or, for none,
+    /// is absent.
     Write(Claim, Option<Vec<u8>>),
-    /// Send the own attempt.
+    /// Send the request's own attempt.
     Run(Claim),
-    /// Have the side that the claim names seal its attempt, or say how it
-    /// stands.
+    /// Ask the sidecar that another's claim names to seal its attempt, or to
+    /// report its state.
     Ask(Claim),
-    /// Pass on the answer to the attempt that the claim names.
+    /// Forward the answer to the attempt that another's claim names.
     Follow(Claim),
-    /// Choose an endpoint, for a new attempt.
+    /// Choose an endpoint for a new attempt.
     Place,
-    /// Give the caller its final answer.
+    /// Answer the caller with this error.
     Refuse(ErrorKind),
 }
 
-/// Where a request stands.
+/// The progress of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
     /// It has no attempt.
@@ -46,60 +47,60 @@
     Writing(Claim),
     /// Its attempt was sent.
     Running(Claim),
-    /// Another's attempt is being asked for.
-    Asking(Seen, Claim),
-    /// Another's attempt is being followed.
+    /// The sidecar is being asked for the state of another's attempt.
+    Asking(StoredClaim, Claim),
+    /// The answer to another's attempt is being forwarded.
     Following,
 }
 
 /// One request with an idempotency key, at one entry.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    body: u64,
+    fingerprint: u64,
     phase: Phase,
-    /// The row that may be replaced: its attempt surely never runs.
-    expect: Option<Vec<u8>>,
+    /// The row that may be replaced, because its attempt never runs.
+    replaceable: Option<Vec<u8>>,
 }
 
 impl Holder {
-    /// Creates the way of a request with this fingerprint.
+    /// Creates the state of a request with this fingerprint.
     #[must_use]
-    pub const fn new(body: u64) -> Self {
+    pub const fn new(fingerprint: u64) -> Self {
         Self {
-            body,
+            fingerprint,
             phase: Phase::Idle,
-            expect: None,
+            replaceable: None,
         }
     }
 
-    /// Returns the content of a row that stands for nothing any more: its
-    /// attempt surely never runs, and this request puts none in its place.
+    /// Returns the content of a row that may be removed: its attempt never runs,
+    /// and this request does not replace it.
     #[must_use]
     pub fn stale(self) -> Option<Vec<u8>> {
         match self.phase {
-            Phase::Idle => self.expect,
+            Phase::Idle => self.replaceable,
             _ => None,
         }
     }
 
-    /// Notes that an endpoint was chosen for a new attempt.
+    /// Starts the claim of a new attempt for which an endpoint was selected.
     pub fn place(&mut self, claim: Claim) -> Action {
         self.phase = Phase::Writing(claim.clone());
-        Action::Write(claim, self.expect.clone())
+        Action::Write(claim, self.replaceable.clone())
     }
 
-    /// Notes that the chosen endpoint is out of the question; what was being
-    /// written for it is of no interest any more.
+    /// Discards the claim that is being written, because its endpoint is no
+    /// longer available.
     pub fn displace(&mut self) {
         if let Phase::Writing(_) = self.phase {
             self.phase = Phase::Idle;
         }
     }
 
-    /// Takes in what became of the claim of `attempt`; `now` is in
-    /// milliseconds since 1970.
+    /// Handles the outcome of the claim of `attempt`; `now` is in milliseconds
+    /// since 1970.
     ///
-    /// None if the request has moved on since.
+    /// Returns none if the claim was discarded or replaced by another one.
     pub fn written(&mut self, attempt: RequestId, verdict: Verdict, now: u64) -> Option<Action> {
         let Phase::Writing(own) = &self.phase else {
             return None;
@@ -114,45 +115,46 @@
                 Action::Run(own)
             }
             Verdict::Free => {
-                self.expect = None;
+                self.replaceable = None;
                 Action::Write(own, None)
             }
             Verdict::Down => {
                 self.phase = Phase::Idle;
                 Action::Refuse(ErrorKind::StoreDown)
             }
-            Verdict::Held(seen) => self.held(own, seen, now),
+            Verdict::Held(stored) => self.resolve_conflict(own, stored, now),
         })
     }
 
-    /// Decides about a row that another request wrote.
-    fn held(&mut self, own: Claim, seen: Seen, now: u64) -> Action {
-        let Some(claim) = seen.claim.clone() else {
-            // What it says can't be read, so nobody can be asked.
+    /// Decides what to do about a row that another request wrote.
+    fn resolve_conflict(&mut self, own: Claim, stored: StoredClaim, now: u64) -> Action {
+        let Some(claim) = stored.claim.clone() else {
+            // A claim that can't be decoded doesn't tell which sidecar to ask.
             self.phase = Phase::Idle;
             return Action::Refuse(ErrorKind::OutcomeUnknown);
         };
-        if claim.is_over(now) {
-            self.expect = Some(seen.bytes.clone());
-            return Action::Write(own, Some(seen.bytes));
+        if claim.is_expired(now) {
+            self.replaceable = Some(stored.bytes.clone());
+            return Action::Write(own, Some(stored.bytes));
         }
-        if claim.body != self.body {
+        if claim.body != self.fingerprint {
             self.phase = Phase::Idle;
             return Action::Refuse(ErrorKind::KeyReused);
         }
-        self.phase = Phase::Asking(seen, claim.clone());
+        self.phase = Phase::Asking(stored, claim.clone());
         Action::Ask(claim)
     }
 
-    /// Takes in what the side says of the attempt that was asked for.
+    /// Handles the state of the attempt that the sidecar was asked for; returns
+    /// none if it was not asked.
     pub fn fate(&mut self, fate: Fate) -> Option<Action> {
-        let Phase::Asking(seen, claim) = &self.phase else {
+        let Phase::Asking(stored, claim) = &self.phase else {
             return None;
         };
-        let (bytes, claim) = (seen.bytes.clone(), claim.clone());
+        let (bytes, claim) = (stored.bytes.clone(), claim.clone());
         Some(match fate {
             Fate::Sealed => {
-                self.expect = Some(bytes);
+                self.replaceable = Some(bytes);
                 self.phase = Phase::Idle;
                 Action::Place
             }
@@ -167,16 +169,16 @@
         })
     }
 
-    /// Notes that the own attempt surely never runs, so that its row may be
+    /// Handles that the request's own attempt never runs, so that its row may be
     /// replaced.
     pub fn not_run(&mut self) {
         if let Phase::Running(own) = &self.phase {
-            self.expect = Some(own.encode());
+            self.replaceable = Some(own.encode());
             self.phase = Phase::Idle;
         }
     }
 
-    /// Says whether another's attempt is being asked for or followed.
+    /// Returns whether another's attempt is being asked for or followed.
     #[must_use]
     pub const fn is_guest(&self) -> bool {
         matches!(self.phase, Phase::Asking(..) | Phase::Following)
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -1,37 +1,33 @@
-//! Claims: a request that may not run twice runs at most once.
+//! Claims, by which a request that may not run twice runs at most once.
 //!
 //! Before an entry sends such a request to an endpoint, it inserts a row into
-//! the platform's table under the service and the caller's idempotency key, if
-//! there is none. The row names the attempt, the side it goes to and that
-//! side's life. Whoever gets the same request again, at any entry, finds the
-//! row and asks that side: the side alone knows whether the attempt runs, ran,
-//! or never will, and can see to it that it never does.
+//! the platform's table under the service and the caller's idempotency key. The
+//! row names the attempt, the endpoint it goes to and the incarnation of the
+//! sidecar there. Any entry that receives the same request finds the row and
+//! asks that sidecar, which alone knows whether the attempt runs, ran, or never
+//! will, and can seal it so that it never does.
 //!
 //! # Design
 //!
-//! Two state machines without input and output. A [`Batch`] writes many claims
-//! in one transaction and says of each what became of it, whatever answers are
-//! lost. A [`Holder`] is one request's way from a chosen endpoint to its run,
-//! or to another's attempt.
+//! Two state machines without I/O: a [`Batch`] writes many claims in one
+//! transaction and determines the outcome of each, and a [`Holder`] takes one
+//! request from a chosen endpoint to its own attempt or to another's.
 //!
-//! An answer that is lost after the write took effect does no harm: the write
-//! is repeated, and the row that is found carries the own attempt's id, which
-//! nobody else can have written. One that takes effect after all has given up
-//! does none either: its attempt is never sent, and the next request under the
-//! key has the side seal it.
+//! A write whose answer was lost is repeated. If it had taken effect, the row
+//! carries the request's own attempt id, which no one else can have written. If
+//! it takes effect after the last try, its attempt is never sent, and the next
+//! request under the key has the sidecar seal it.
 //!
 //! # Trade-offs
 //!
-//! * A claim costs a write before the run, and needs the table. While the table
-//!   is down such requests are refused at once, and surely not run. Keeping the
-//!   claims at an owner among the entries would go on without the table, but
-//!   the owner's loss would make every one of its keys "unknown".
-//! * Claims are written together, up to [`BATCH`] in one transaction, since the
-//!   table takes several hundred writes a second and an entry thousands of
-//!   requests. One conflict fails the whole transaction; the others are
-//!   written again without the one. Conflicts are rare: they are repeats.
-//! * If the side's life is over, the outcome stays unknown, even where nothing
-//!   had been sent yet. Saying less than could be known is the safe side.
+//! * A claim costs a write before the run. While the table is down, such requests
+//!   are refused without running. An owner for each key among the entries would
+//!   not need the table, but the outcomes of its keys would be lost with it.
+//! * Up to [`BATCH`] claims share a transaction, since entries take more requests
+//!   than the table takes writes. One conflict fails the whole transaction, and
+//!   the other claims are written again. Only repeats cause conflicts.
+//! * If the sidecar's incarnation has ended, the outcome is unknown, even if
+//!   nothing had been sent to it.
 
 mod batch;
 mod holder;
@@ -40,26 +36,22 @@
 pub use self::{
     batch::{Batch, Job, Said, Verdict},
     holder::{Action, Fate, Holder},
-    row::{Claim, Seen, fingerprint, row_key},
+    row::{Claim, StoredClaim, fingerprint, row_key},
 };
 
 use std::time::Duration;
 
 /// Claims in one transaction.
 ///
-/// etcd takes 128 operations in a transaction as it is delivered; a claim is a
-/// condition and a write, and a read if it fails.
+/// A claim is a condition, a write, and a read if it fails; etcd allows 128
+/// operations in a transaction by default.
 pub const BATCH: usize = 64;
 
 /// How long the first claim of a batch waits for others.
-///
-/// Well under what a caller notices, and long enough to gather 10 claims at
-/// 5,000 a second.
 pub const GATHER: Duration = Duration::from_millis(2);
 
-/// How long a key stays taken.
+/// How long a claim holds its idempotency key.
 ///
-/// A phone that was switched off overnight may repeat its request in the
-/// morning. After this time the key may be used for a new request, and the same
-/// request under it runs again.
+/// A caller that was offline overnight may still repeat its request. Afterwards
+/// the key may be used for a new request, and the same request runs again.
 pub const CLAIM_TTL: Duration = Duration::from_hours(24);
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -360,7 +360,7 @@
     ];
     let decided = batch.settle(Said::Conflict(rows));
     assert_eq!(decided[0], (job(0), Verdict::Won));
-    assert!(matches!(&decided[1].1, Verdict::Held(seen) if seen.is_of(job(9).claim.attempt)));
+    assert!(matches!(&decided[1].1, Verdict::Held(seen) if seen.is_for(job(9).claim.attempt)));
     assert_eq!(batch.jobs(), [job(2)]);
     assert_eq!(batch.settle(Said::Committed), [(job(2), Verdict::Won)]);
 }
