--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,32 +1,33 @@
-//! One process's view of one duty.
+//! The lease of a duty, as one process sees it.
 
 use crate::lease::Terms;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// What the table holds of a duty.
+/// The table's row of a duty.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
     /// The name of the holding process, with its incarnation; empty if free.
     pub holder: String,
-    /// Counts up with each change of holder.
+    /// The fencing token, which increases with each change of holder.
     pub fence: u64,
-    /// Counts up with each renewal, so that every write changes the row.
+    /// Increases with each renewal, so that every write changes the row.
     pub renewals: u64,
 }
 
-/// One span in which a process held a duty without a break: the same process that
-/// takes the duty again holds it under another number.
+/// An uninterrupted period in which a process holds a duty.
+///
+/// A process that takes the duty again holds it under another fencing token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holding {
     /// The name of the holding process, with its incarnation.
     pub holder: String,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: u64,
 }
 
 impl Row {
-    /// Returns the holding that the row tells of.
+    /// Returns the holding that the row records.
     #[must_use]
     pub fn holding(&self) -> Holding {
         Holding {
@@ -36,13 +37,14 @@
     }
 }
 
-/// What to do next for a duty.
+/// The next action for a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Next {
     /// Read the row and report it by [`Lease::seen`].
     Read,
     /// Write the row if it still has this version (0: if it is absent), and
-    /// report by [`Lease::written`] or [`Lease::lost`].
+    /// report the result by [`Lease::written`], [`Lease::lost`] or
+    /// [`Lease::beaten`].
     Write {
         /// The version that the row must have.
         version: u64,
@@ -55,17 +57,17 @@
 
 #[derive(Clone, Debug)]
 enum State {
-    /// Nothing is known, or the last write's outcome isn't.
-    Blank,
-    /// Another holds it; its row was first seen so at this instant.
+    /// The row is unknown.
+    Unknown,
+    /// The row names a holder, and was first seen with this version at `since`.
     Watching {
         version: u64,
         row: Row,
         since: Instant,
     },
-    /// The row is absent or was given back.
+    /// The row is absent or was released.
     Free { version: u64, fence: u64 },
-    /// This process holds it, counted from before the last renewal was sent.
+    /// This process holds the duty, from before the last renewal was sent.
     Held {
         version: u64,
         row: Row,
@@ -73,54 +75,54 @@
     },
 }
 
-/// A write that may still take effect, and when it was sent first.
+/// A write that may still take effect, and when it was first sent.
 ///
-/// A repeat doesn't count anew: the first copy may have taken effect long
-/// before, and a candidate counts from then.
+/// A repetition does not change that time: the first copy may have taken effect
+/// long before, and a candidate measures from then.
 #[derive(Clone, Debug)]
-struct Sent {
+struct PendingWrite {
     version: u64,
     row: Row,
-    since: Instant,
+    first_sent: Instant,
 }
 
-/// One process's view of one duty.
+/// The lease of a duty, as one process sees it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     name: String,
     terms: Terms,
     state: State,
-    read: Option<Instant>,
-    sent: Option<Sent>,
-    /// A holding whose holder is taken to be gone before its time is over.
+    last_read: Option<Instant>,
+    pending: Option<PendingWrite>,
+    /// A holding that may be taken over before its lease expires.
     ///
-    /// Not the holder by its name: one that was suspected wrongly takes the duty again
-    /// some day, and if that were enough to take it from that holder at once, two
-    /// processes that had suspected each other would take it in turns for ever. Their
-    /// engines would be ordered twice or not at all.
-    suspect: Option<Holding>,
-    giving: bool,
+    /// It is identified by holder and fencing token. A suspicion of the holder's
+    /// name would last beyond this holding: two processes that once suspected
+    /// each other would take the duty from each other forever.
+    suspected: Option<Holding>,
+    releasing: bool,
 }
 
 impl Lease {
-    /// Creates the view of a process that knows nothing yet.
+    /// Creates the lease of a process that has not read the row.
     ///
-    /// `name` must differ between two lives of a process, since a new life
-    /// doesn't know what the old one ordered.
+    /// `name` must be different for each incarnation of a process, since a new
+    /// one doesn't know the orders of its predecessor.
     #[must_use]
     pub fn new(name: &str, terms: Terms) -> Self {
         Self {
             name: name.to_owned(),
             terms,
-            state: State::Blank,
-            read: None,
-            sent: None,
-            suspect: None,
-            giving: false,
+            state: State::Unknown,
+            last_read: None,
+            pending: None,
+            suspected: None,
+            releasing: false,
         }
     }
 
-    /// Returns the holding that the row told of last, if it is another process's.
+    /// Returns the holding in the row that was last read, if it is another
+    /// process's.
     #[must_use]
     pub fn other(&self) -> Option<Holding> {
         match &self.state {
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Returns the version of the row that this process wrote last, while it holds
-    /// the duty at `now`: the condition for writes that only a holder may do.
+    /// Returns the version of the row while this process holds the duty: the
+    /// condition for writes that only the holder may do.
     #[must_use]
     pub fn version(&self, now: Instant) -> Option<u64> {
         match &self.state {
@@ -139,65 +141,65 @@
         }
     }
 
-    /// Takes the holder of a holding to be gone, so that its duty may be taken before
-    /// its time is over. It may live and still believe that it holds the duty: only
-    /// for duties of which each act is written under the condition of the row's
-    /// version.
+    /// Allows the duty of a holding to be taken over before its lease expires.
+    ///
+    /// The holder may be alive and still believe that it holds the duty, so this
+    /// is only safe if each of its actions is written on the condition of the
+    /// row's version.
     pub fn suspect(&mut self, holding: Holding) {
-        self.suspect = Some(holding);
+        self.suspected = Some(holding);
     }
 
-    /// Returns the fencing number while this process holds the duty.
+    /// Returns the fencing token while this process holds the duty.
     #[must_use]
     pub fn fence(&self, now: Instant) -> Option<u64> {
         match &self.state {
-            State::Held { row, since, .. } if now < self.end(*since) => Some(row.fence),
+            State::Held { row, since, .. } if now < self.expires_at(*since) => Some(row.fence),
             _ => None,
         }
     }
 
-    /// Gives the duty back with the next write, so that another takes it at
-    /// once instead of after a span.
+    /// Releases the duty with the next write, so that another process need not
+    /// wait for the lease to expire.
     pub const fn give_back(&mut self) {
-        self.giving = true;
+        self.releasing = true;
     }
 
-    /// Says whether nothing is left to give back.
+    /// Returns whether a release is complete.
     #[must_use]
-    pub const fn is_given(&self) -> bool {
-        self.giving && !matches!(self.state, State::Held { .. }) && self.sent.is_none()
+    pub const fn is_released(&self) -> bool {
+        self.releasing && !matches!(self.state, State::Held { .. }) && self.pending.is_none()
     }
 
-    /// Decides what to do at `now`.
+    /// Decides the action at `now`.
     pub fn next(&mut self, now: Instant) -> Next {
         let next = match &self.state {
-            State::Blank => Next::Read,
-            State::Free { .. } if self.giving => Next::Sleep(now + self.terms.span),
+            State::Unknown => Next::Read,
+            State::Free { .. } if self.releasing => Next::Sleep(now + self.terms.ttl),
             State::Free { version, fence } => Next::Write {
                 version: *version,
-                row: self.claim(*fence + 1),
+                row: self.acquiring_row(*fence + 1),
             },
             State::Watching {
                 version,
                 row,
                 since,
             } => {
-                let look = self.read.unwrap_or(now) + self.terms.renewal;
-                // A holder that lost its time in an outage finds its own row: nobody
-                // has taken the duty since, and there is nobody to wait for. Without
-                // this nobody would hold it for a span after each outage.
-                let own = row.holder == self.name;
-                let gone = self.suspect == Some(row.holding());
-                let over = own || gone || now >= *since + self.terms.span;
-                if !self.giving && over && self.fresh(now) {
+                let next_read = self.last_read.unwrap_or(now) + self.terms.renewal_interval;
+                // A holder whose lease expired during an outage finds its own row
+                // and need not wait: no one has taken the duty since.
+                let is_own = row.holder == self.name;
+                let is_suspected = self.suspected == Some(row.holding());
+                let is_available = is_own || is_suspected || now >= *since + self.terms.ttl;
+                if !self.releasing && is_available && self.is_recently_read(now) {
                     Next::Write {
                         version: *version,
-                        row: self.claim(row.fence + 1),
+                        row: self.acquiring_row(row.fence + 1),
                     }
-                } else if now >= look {
+                } else if now >= next_read {
                     Next::Read
                 } else {
-                    Next::Sleep(look)
+                    Next::Sleep(next_read)
                 }
             }
             State::Held {
@@ -205,26 +207,26 @@
                 row,
                 since,
             } => {
-                let due = *since + self.terms.renewal;
-                if self.giving || now >= due {
+                let renewal_due = *since + self.terms.renewal_interval;
+                if self.releasing || now >= renewal_due {
                     Next::Write {
                         version: *version,
-                        row: self.renewed(row),
+                        row: self.renewed_row(row),
                     }
                 } else {
-                    Next::Sleep(due)
+                    Next::Sleep(renewal_due)
                 }
             }
         };
         if let Next::Write { version, row } = &next {
-            self.send(now, *version, row);
+            self.record_write(now, *version, row);
         }
         next
     }
 
-    /// Takes in what a read that ended at `now` found: version and row.
+    /// Handles the result of a read that ended at `now`: version and row.
     pub fn seen(&mut self, now: Instant, found: Option<(u64, Row)>) {
-        self.read = Some(now);
+        self.last_read = Some(now);
         let Some((version, row)) = found else {
             self.state = State::Free {
                 version: 0,
@@ -237,22 +239,22 @@
             self.state = State::Free { version, fence };
             return;
         }
-        if let Some(sent) = self.sent.take() {
-            // A write whose answer was lost did take effect.
-            if sent.row == row {
-                self.hold(version, sent);
+        if let Some(pending) = self.pending.take() {
+            // The write took effect, and its answer was lost.
+            if pending.row == row {
+                self.apply_write(version, pending);
                 return;
             }
-            // It may still be under way while the row is as it needs it.
-            if sent.version == version {
-                self.sent = Some(sent);
+            // The write may still take effect while the row has its version.
+            if pending.version == version {
+                self.pending = Some(pending);
             }
         }
-        let same = match &self.state {
+        let is_unchanged = match &self.state {
             State::Watching { version: v, .. } => *v == version,
             _ => false,
         };
-        if !same {
+        if !is_unchanged {
             self.state = State::Watching {
                 version,
                 row,
@@ -261,73 +263,73 @@
         }
     }
 
-    /// Notes that the last write took effect and made `version`.
+    /// Handles that the last write took effect and created `version`.
     pub fn written(&mut self, version: u64) {
-        if let Some(sent) = self.sent.take() {
-            self.hold(version, sent);
+        if let Some(pending) = self.pending.take() {
+            self.apply_write(version, pending);
         }
     }
 
-    /// Notes that a write failed, or that its answer was lost.
+    /// Handles that a write failed, or that its answer was lost.
     ///
-    /// A holder goes on believing until its time is over: the table may be down
-    /// for everybody, and then nobody can take over either. It reads the row
-    /// before it writes again.
+    /// The holder keeps the duty until its lease expires: while the table is
+    /// down, no one else can take over either. Afterwards it reads the row before
+    /// it writes again.
     pub fn lost(&mut self, now: Instant) {
         if self.fence(now).is_none() {
-            self.state = State::Blank;
+            self.state = State::Unknown;
         }
     }
 
-    /// Notes that the row has another version than the write asked for.
+    /// Handles that the row has another version than a write requires.
     ///
-    /// It may be its own doing: an earlier copy whose answer was lost. The read
-    /// that follows tells.
+    /// The version may come from an earlier copy of the write whose answer was
+    /// lost, so the row is read again.
     pub fn beaten(&mut self) {
-        self.state = State::Blank;
+        self.state = State::Unknown;
     }
 
-    fn send(&mut self, now: Instant, version: u64, row: &Row) {
-        let again = self
-            .sent
+    fn record_write(&mut self, now: Instant, version: u64, row: &Row) {
+        let is_repeated = self
+            .pending
             .as_ref()
-            .is_some_and(|sent| sent.version == version && sent.row == *row);
-        if !again {
-            self.sent = Some(Sent {
+            .is_some_and(|pending| pending.version == version && pending.row == *row);
+        if !is_repeated {
+            self.pending = Some(PendingWrite {
                 version,
                 row: row.clone(),
-                since: now,
+                first_sent: now,
             });
         }
     }
 
-    fn hold(&mut self, version: u64, sent: Sent) {
-        self.state = if sent.row.holder.is_empty() {
+    fn apply_write(&mut self, version: u64, write: PendingWrite) {
+        self.state = if write.row.holder.is_empty() {
             State::Free {
                 version,
-                fence: sent.row.fence,
+                fence: write.row.fence,
             }
         } else {
             State::Held {
                 version,
-                row: sent.row,
-                since: sent.since,
+                row: write.row,
+                since: write.first_sent,
             }
         };
     }
 
-    fn end(&self, since: Instant) -> Instant {
-        since + self.terms.span.saturating_sub(self.terms.margin)
+    fn expires_at(&self, since: Instant) -> Instant {
+        since + self.terms.ttl.saturating_sub(self.terms.clock_margin)
     }
 
-    /// Says whether the row was read lately enough to act on it: a candidate
-    /// that was paused may hold news of hours ago.
-    fn fresh(&self, now: Instant) -> bool {
-        let age = self.read.map_or(Duration::MAX, |read| now - read);
-        age < self.terms.renewal
+    /// Returns whether the row was read recently enough to act on it; not so in
+    /// a candidate that was paused since.
+    fn is_recently_read(&self, now: Instant) -> bool {
+        let age = self.last_read.map_or(Duration::MAX, |read| now - read);
+        age < self.terms.renewal_interval
     }
 
-    fn claim(&self, fence: u64) -> Row {
+    fn acquiring_row(&self, fence: u64) -> Row {
         Row {
             holder: self.name.clone(),
             fence,
@@ -335,9 +337,9 @@
         }
     }
 
-    fn renewed(&self, row: &Row) -> Row {
+    fn renewed_row(&self, row: &Row) -> Row {
         Row {
-            holder: if self.giving {
+            holder: if self.releasing {
                 String::new()
             } else {
                 row.holder.clone()
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,22 +1,19 @@
-//! Leased duties: one holder of a task that must not be done by two.
+//! Leased duties: tasks that only one process at a time may perform.
 //!
-//! A duty (the steps of one trainer, the weight rollout of one service) is a row
-//! in the platform's table. Its holder renews the row; whoever sees it unchanged
-//! for a whole [`Terms::span`] takes it over with the next fencing number. No
-//! clocks are compared: each process only counts, on its own boot clock, how
-//! long something lasted that it saw itself.
+//! A duty is a row in the platform's table. Its holder renews the row; a process
+//! that sees it unchanged for [`Terms::ttl`] takes the duty over with the next
+//! fencing token. Clocks of different processes are never compared: each measures
+//! on its own boot clock how long ago it saw something.
 //!
-//! * The holder counts from before it sent a renewal.
-//! * A candidate counts from after it read the row, which is later.
+//! * The holder measures from before it sent a renewal.
+//! * A candidate measures from after it read the row, which is later.
 //!
-//! So the holder stops believing before a candidate may take over, however long
-//! answers take, as long as clocks run at about the same rate; the margin
-//! [`Terms::margin`] is for the difference.
+//! So the holder stops before a candidate may take over, however long answers
+//! take. [`Terms::clock_margin`] allows for clocks that run at different rates.
 //!
-//! A holder can still be paused between looking at its lease and acting on it.
-//! No lease helps against that; the fencing number does. Every order and every
-//! write carries it, and the side's gate and the table refuse a lower one than
-//! they have seen.
+//! A holder can still be paused between checking its lease and acting on it, so
+//! every order and every write carries the fencing token. The sidecar's gate and
+//! the table refuse a token that is lower than one they have seen.
 //!
 //! # Example
 //!
