--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -1,14 +1,14 @@
-//! Processes that race for one duty, over a table whose answers get lost.
+//! Processes that compete for one duty, over a table whose answers get lost.
 //!
-//! Virtual time in steps of 100 ms. Each process does one thing at a time; its
-//! messages take time, are applied late, or get no answer; a process may stand
-//! still for up to 20 s, and doesn't know that it did.
+//! Virtual time advances in steps of 100 ms. Each process does one thing at a
+//! time; its messages are delayed or get no answer, and it may be paused for up
+//! to 20 s without noticing.
 
 use hibiscusroad::lease::{Lease, Next, Row, Terms};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
-const STEP: Duration = Duration::from_millis(100);
+const STEP_DURATION: Duration = Duration::from_millis(100);
 const CANDIDATES: usize = 4;
 
 #[derive(Default)]
@@ -18,8 +18,8 @@
 
 impl Table {
     fn write(&mut self, version: u64, row: Row) -> Option<u64> {
-        let now = self.row.as_ref().map_or(0, |(version, _)| *version);
-        if now != version {
+        let current = self.row.as_ref().map_or(0, |(version, _)| *version);
+        if current != version {
             return None;
         }
         self.row = Some((version + 1, row));
@@ -27,52 +27,58 @@
     }
 }
 
-/// A message under way: when the table takes it in, and when the answer is back
-/// if it is not lost.
+/// A message in transit to the table; its answer arrives at `answered_at` unless
+/// it is lost.
 struct Message {
-    arrives: u32,
-    answered: Option<u32>,
+    arrives_at: u32,
+    answered_at: Option<u32>,
     write: Option<(u64, Row)>,
 }
 
 enum Answer {
-    Seen(Option<(u64, Row)>),
+    Read(Option<(u64, Row)>),
     Written(Option<u64>),
 }
 
 struct Candidate {
     lease: Lease,
-    paused: u32,
+    pause_steps: u32,
     answer: Option<(u32, Answer)>,
-    gives_up: u32,
-    waits: bool,
-    writing: bool,
+    times_out_at: u32,
+    is_waiting: bool,
+    is_writing: bool,
 }
 
-/// What chance decides for one process at one step.
+/// Random faults of one process at one step.
 #[derive(Clone, Copy, Debug)]
-struct Luck {
-    there: u32,
-    back: u32,
-    lost: bool,
-    pause: u32,
+struct StepFaults {
+    request_delay: u32,
+    answer_delay: u32,
+    answer_lost: bool,
+    pause_steps: u32,
 }
 
-fn luck() -> impl Strategy<Value = Luck> {
-    let pause = prop_oneof![40 => Just(0_u32), 1 => 1_u32..200];
-    let there = prop_oneof![8 => Just(0_u32), 1 => 1_u32..60];
-    (there, 0_u32..5, prop::bool::weighted(0.2), pause).prop_map(|(there, back, lost, pause)| {
-        Luck {
-            there,
-            back,
-            lost,
-            pause,
-        }
-    })
+fn step_faults() -> impl Strategy<Value = StepFaults> {
+    let pause_steps = prop_oneof![40 => Just(0_u32), 1 => 1_u32..200];
+    let request_delay = prop_oneof![8 => Just(0_u32), 1 => 1_u32..60];
+    (
+        request_delay,
+        0_u32..5,
+        prop::bool::weighted(0.2),
+        pause_steps,
+    )
+        .prop_map(
+            |(request_delay, answer_delay, answer_lost, pause_steps)| StepFaults {
+                request_delay,
+                answer_delay,
+                answer_lost,
+                pause_steps,
+            },
+        )
 }
 
-/// How long a process waits for an answer, in steps, as the client does.
-const PATIENCE: u32 = 15;
+/// Steps after which a process stops waiting for an answer.
+const TIMEOUT_STEPS: u32 = 15;
 
 struct World {
     start: Instant,
@@ -86,11 +92,11 @@
     fn new() -> Self {
         let candidate = |n| Candidate {
             lease: Lease::new(&format!("entry-{n}"), Terms::new()),
-            paused: 0,
+            pause_steps: 0,
             answer: None,
-            gives_up: 0,
-            waits: false,
-            writing: false,
+            times_out_at: 0,
+            is_waiting: false,
+            is_writing: false,
         };
         Self {
             start: Instant::now(),
@@ -102,7 +108,7 @@
     }
 
     fn now(&self) -> Instant {
-        self.start + STEP * self.step
+        self.start + STEP_DURATION * self.step
     }
 
     fn holders(&self) -> Vec<u64> {
@@ -111,51 +117,51 @@
         fences.flatten().collect()
     }
 
-    fn turn(&mut self, luck: &[Luck]) {
+    fn advance(&mut self, faults: &[StepFaults]) {
         self.step += 1;
         self.deliver();
-        for (n, luck) in luck.iter().enumerate() {
-            self.candidates[n].paused = self.candidates[n].paused.max(luck.pause);
-            if self.candidates[n].paused > 0 {
-                self.candidates[n].paused -= 1;
+        for (n, faults) in faults.iter().enumerate() {
+            self.candidates[n].pause_steps = self.candidates[n].pause_steps.max(faults.pause_steps);
+            if self.candidates[n].pause_steps > 0 {
+                self.candidates[n].pause_steps -= 1;
                 continue;
             }
-            self.act(n, *luck);
+            self.act(n, *faults);
         }
     }
 
     fn deliver(&mut self) {
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
             .into_iter()
-            .partition(|(_, m)| m.arrives <= self.step);
+            .partition(|(_, m)| m.arrives_at <= self.step);
         self.messages = later;
         for (n, message) in due {
             let answer = match message.write {
                 Some((version, row)) => Answer::Written(self.table.write(version, row)),
-                None => Answer::Seen(self.table.row.clone()),
+                None => Answer::Read(self.table.row.clone()),
             };
-            if let Some(at) = message.answered {
+            if let Some(at) = message.answered_at {
                 self.candidates[n].answer = Some((at, answer));
             }
         }
     }
 
-    fn act(&mut self, n: usize, luck: Luck) {
+    fn act(&mut self, n: usize, faults: StepFaults) {
         let (now, step) = (self.now(), self.step);
         let candidate = &mut self.candidates[n];
-        if candidate.waits {
-            let ready = candidate.answer.as_ref().is_some_and(|(at, _)| *at <= step);
-            if ready {
+        if candidate.is_waiting {
+            let is_ready = candidate.answer.as_ref().is_some_and(|(at, _)| *at <= step);
+            if is_ready {
                 let (_, answer) = candidate.answer.take().unwrap();
-                candidate.waits = false;
+                candidate.is_waiting = false;
                 match answer {
-                    Answer::Seen(row) => candidate.lease.seen(now, row),
+                    Answer::Read(row) => candidate.lease.seen(now, row),
                     Answer::Written(Some(version)) => candidate.lease.written(version),
                     Answer::Written(None) => candidate.lease.beaten(),
                 }
-            } else if step >= candidate.gives_up {
-                candidate.waits = false;
-                if candidate.writing {
+            } else if step >= candidate.times_out_at {
+                candidate.is_waiting = false;
+                if candidate.is_writing {
                     candidate.lease.lost(now);
                 }
             }
@@ -166,19 +172,20 @@
             Next::Read => None,
             Next::Write { version, row } => Some((version, row)),
         };
-        candidate.waits = true;
-        candidate.writing = write.is_some();
+        candidate.is_waiting = true;
+        candidate.is_writing = write.is_some();
         candidate.answer = None;
-        candidate.gives_up = step + PATIENCE;
-        let arrives = step + 1 + luck.there;
-        let back = arrives + luck.back;
-        // The connection is gone once its user gave up.
-        let answered = (!luck.lost && back < candidate.gives_up).then_some(back);
+        candidate.times_out_at = step + TIMEOUT_STEPS;
+        let arrives_at = step + 1 + faults.request_delay;
+        let answer_at = arrives_at + faults.answer_delay;
+        // An answer after the timeout is lost, as the client has disconnected.
+        let answered_at =
+            (!faults.answer_lost && answer_at < candidate.times_out_at).then_some(answer_at);
         self.messages.push((
             n,
             Message {
-                arrives,
-                answered,
+                arrives_at,
+                answered_at,
                 write,
             },
         ));
@@ -188,39 +195,34 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1000))]
 
-    // Four entries want one duty for 60 s, with lost and late messages and
-    // pauses of up to 20 s. At no instant do two believe that they hold it, and
-    // the fencing number in the table never falls. When the trouble ends, one
-    // holds it within two spans.
+    // At no instant may two processes hold the duty, nor may the fencing token in
+    // the table decrease. Once the faults end, a process must acquire the duty.
     #[test]
-    fn no_two_hold_one_duty(all in prop::collection::vec(prop::collection::vec(luck(), CANDIDATES), 600)) {
+    fn duty_has_at_most_one_holder(steps in prop::collection::vec(prop::collection::vec(step_faults(), CANDIDATES), 600)) {
         let mut world = World::new();
         let mut fence = 0;
-        for luck in &all {
-            world.turn(luck);
+        for faults in &steps {
+            world.advance(faults);
             let holders = world.holders();
             prop_assert!(holders.len() <= 1, "{:?} hold at step {}", holders, world.step);
             let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fence);
             prop_assert!(seen >= fence, "the fencing number fell");
             fence = seen;
         }
-        let calm = [Luck { there: 0, back: 0, lost: false, pause: 0 }; CANDIDATES];
-        let worst = 200 + 60 + 2 * 60 + 20;
-        let held = (0..worst).any(|_| {
-            world.turn(&calm);
+        let no_faults = [StepFaults { request_delay: 0, answer_delay: 0, answer_lost: false, pause_steps: 0 }; CANDIDATES];
+        let max_steps = 200 + 60 + 2 * 60 + 20;
+        let held = (0..max_steps).any(|_| {
+            world.advance(&no_faults);
             world.step > 800 && world.holders().len() == 1
         });
         prop_assert!(held, "nobody holds the duty after the trouble");
     }
 }
 
-// entry-0's claim is slow on its way; its answer is lost, a read still finds no
-// row, and then the process is paused. The claim lands, entry-1 sees it at 2.1 s
-// and counts a span from there. When entry-0 goes on at 7 s it claims again and
-// finds "its" row: it must count from the first sending, or both would believe
-// from 8.1 s on.
+// A repeated write must not hold the duty from the time of the repetition: the
+// first copy may have taken effect earlier, and candidates measure from then.
 #[test]
-fn a_claim_that_landed_before_its_repeat_counts_from_the_first_sending() {
+fn repeated_first_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut first = Lease::new("entry-0", Terms::new());
@@ -246,7 +248,7 @@
 
     second.seen(at(8050), Some((1, row)));
     let Next::Write { version: 1, row } = second.next(at(8110)) else {
-        panic!("a span has passed");
+        panic!("the lease has expired");
     };
     second.written(2);
     assert_eq!(row.fence, 2);
@@ -254,12 +256,10 @@
     assert_eq!(first.fence(at(8120)), None);
 }
 
-// As above, but over the row of a dead holder. entry-0's claim of 6 s is held up
-// for 8 s and lands just after entry-0 looked once more; then entry-0 stands
-// still for 1.5 s and claims again. Counting from the repeat, it would believe
-// until 20.9 s, while entry-1 takes over at 20 s.
+// The same for the takeover of a dead holder's row, whose version the process
+// read repeatedly between the first copy and the repetition.
 #[test]
-fn a_claim_over_a_dead_holder_counts_from_the_first_sending() {
+fn repeated_takeover_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let dead = Row {
@@ -273,7 +273,7 @@
     first.seen(at(0), Some((5, dead.clone())));
     first.seen(at(5900), Some((5, dead.clone())));
     let Next::Write { version: 5, row } = first.next(at(6000)) else {
-        panic!("a span has passed");
+        panic!("the lease has expired");
     };
     first.lost(at(7500));
     for ms in [8000, 9900, 11_900, 13_900] {
@@ -289,7 +289,7 @@
     first.seen(at(15_510), Some((6, row.clone())));
     second.seen(at(19_900), Some((6, row)));
     let Next::Write { version: 6, row } = second.next(at(20_000)) else {
-        panic!("a span has passed");
+        panic!("the lease has expired");
     };
     second.written(7);
     assert_eq!(row.fence, 6);
@@ -297,11 +297,10 @@
     assert_eq!(first.fence(at(20_010)), None);
 }
 
-// The store is down for longer than a lease lasts. The holder stops giving orders,
-// and when the store is back it finds its own row, as it left it: it takes the duty
-// again at once, under a new number. Others wait for a span as before.
+// After an outage longer than the lease, the previous holder must not wait for its
+// own row to expire, but acquire it at once with a new token. Others still wait.
 #[test]
-fn a_holder_takes_its_own_row_back_after_an_outage() {
+fn holder_reacquires_its_own_row_after_an_outage() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut holder = Lease::new("a/1", Terms::new().span(Duration::from_secs(3)));
@@ -330,15 +329,14 @@
     assert!(matches!(other.next(at(9_010)), Next::Sleep(_)));
 }
 
-/// The table as two processes see it that are both alive: each believes once that
-/// the other is gone, and its writes are answered late or not at all.
-struct Duel {
+/// Two live processes that suspect each other, and the table between them.
+struct Contenders {
     now: Instant,
     table: Table,
     leases: [Lease; 2],
 }
 
-impl Duel {
+impl Contenders {
     fn new() -> Self {
         let lease = |name| Lease::new(name, Terms::new());
         Self {
@@ -348,8 +346,8 @@
         }
     }
 
-    /// Has one process do what it wants to do now; without `answered` it never hears
-    /// what became of its write.
+    /// Performs the next action of one process; unless `answered`, the answer to its
+    /// write is lost.
     fn act(&mut self, n: usize, answered: bool) {
         let lease = &mut self.leases[n];
         match lease.next(self.now) {
@@ -363,16 +361,16 @@
         }
     }
 
-    /// Plays a time with both awake; returns how often the duty changed hands.
-    fn play(&mut self, time: Duration) -> u64 {
-        let before = self.fence();
-        let end = self.now + time;
+    /// Lets both processes run for `duration`; returns how often the holder changed.
+    fn advance(&mut self, duration: Duration) -> u64 {
+        let initial_fence = self.fence();
+        let end = self.now + duration;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_DURATION;
             self.act(0, true);
             self.act(1, true);
         }
-        self.fence() - before
+        self.fence() - initial_fence
     }
 
     fn fence(&self) -> u64 {
@@ -380,40 +378,39 @@
     }
 }
 
-// a holds the duty, and b takes it to be gone, wrongly; then a sees b's row, and its
-// signs of life lag, so a takes b to be gone, too. Both live on. Trainers would see
-// weights ordered twice or not at all if each took the duty from the other whenever
-// it saw its row. A suspicion is of one holding: the duty changes hands once for each.
+// Two live processes that suspect each other must not take the duty from each other
+// repeatedly: each suspicion may change the holder once.
 #[test]
-fn a_suspicion_ends_with_the_holding_that_it_was_of() {
-    let mut duel = Duel::new();
-    duel.play(Duration::from_secs(4));
-    let holder = |duel: &Duel| usize::from(duel.leases[1].fence(duel.now).is_some());
+fn suspicion_ends_with_its_holding() {
+    let mut contenders = Contenders::new();
+    contenders.advance(Duration::from_secs(4));
+    let holder =
+        |contenders: &Contenders| usize::from(contenders.leases[1].fence(contenders.now).is_some());
     for suspicions in 1..=2 {
-        let (old, new) = (holder(&duel), 1 - holder(&duel));
-        let held = duel.leases[new].other().unwrap();
+        let (old, new) = (holder(&contenders), 1 - holder(&contenders));
+        let held = contenders.leases[new].other().unwrap();
         assert_eq!(held.holder, ["a/1", "b/1"][old]);
-        duel.leases[new].suspect(held);
-        let changes = duel.play(Duration::from_secs(10));
+        contenders.leases[new].suspect(held);
+        let changes = contenders.advance(Duration::from_secs(10));
         assert_eq!(changes, 1, "after {suspicions} suspicions");
-        assert_eq!(holder(&duel), new);
+        assert_eq!(holder(&contenders), new);
     }
-    assert_eq!(duel.play(Duration::from_mins(1)), 0);
+    assert_eq!(contenders.advance(Duration::from_mins(1)), 0);
 }
 
-// The same, but the answer of the write that takes the duty is lost: it is read again
-// and found to be its own. That is no new suspicion, and no new change.
+// The same if the answer to the write that takes the duty is lost and the process
+// finds its own row by a read.
 #[test]
-fn a_duel_with_lost_answers_comes_to_rest() {
-    let mut duel = Duel::new();
-    duel.play(Duration::from_secs(4));
+fn mutual_suspicion_with_lost_answers_settles() {
+    let mut contenders = Contenders::new();
+    contenders.advance(Duration::from_secs(4));
     for n in [1, 0, 1] {
-        let before = duel.fence();
-        let held = duel.leases[n].other().unwrap();
-        duel.leases[n].suspect(held);
-        duel.act(n, false);
-        duel.play(Duration::from_secs(10));
-        assert_eq!(duel.fence(), before + 1);
+        let before = contenders.fence();
+        let held = contenders.leases[n].other().unwrap();
+        contenders.leases[n].suspect(held);
+        contenders.act(n, false);
+        contenders.advance(Duration::from_secs(10));
+        assert_eq!(contenders.fence(), before + 1);
     }
-    assert_eq!(duel.play(Duration::from_mins(1)), 0);
+    assert_eq!(contenders.advance(Duration::from_mins(1)), 0);
 }
