--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -346,12 +346,12 @@
 // own row, found after a lost answer, counts as won.
 #[test]
 fn batch_decides_each_claim_by_its_own_row() {
-    let job = |seq: u64| Job {
-        key: seq.to_string(),
+    let job = |index: u64| Job {
+        key: index.to_string(),
         claim: Claim {
             attempt: RequestId {
                 origin: Incarnation(1),
-                seq,
+                seq: index,
             },
             side: "0".to_owned(),
             incarnation: 1,
@@ -362,8 +362,8 @@
         expect: None,
     };
     let mut batch = Batch::new();
-    for seq in 0..3 {
-        assert_eq!(batch.add(job(seq)), None);
+    for index in 0..3 {
+        assert_eq!(batch.add(job(index)), None);
     }
     assert_eq!(batch.add(job(1)), Some(job(1)));
     assert_eq!(batch.settle(Said::Unknown), []);
