--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -96,7 +96,7 @@
             running: u32::try_from(self.open_calls.len()).unwrap_or(u32::MAX),
             limit: self.spec.max_running,
             held: self.buffered,
-            tombs: self.tombstones.len(),
+            tombstones: self.tombstones.len(),
             attempts: self.attempts.len() + self.retained.len(),
         }
     }
--- a/src/gate/fence.rs
+++ b/src/gate/fence.rs
@@ -20,9 +20,9 @@
     /// This higher fencing token is known for the duty.
     Fenced(u64),
     /// The order came over a link that a newer one has replaced.
-    OldLink,
+    SupersededLink,
     /// The duty's name is empty or too long.
-    BadDuty,
+    InvalidDuty,
 }
 
 impl OrderRefusal {
@@ -32,8 +32,8 @@
         match self {
             Self::Unlearned => ErrorKind::StoreDown,
             Self::Fenced(_) => ErrorKind::Fenced,
-            Self::OldLink => ErrorKind::Expired,
-            Self::BadDuty => ErrorKind::BadRequest,
+            Self::SupersededLink => ErrorKind::Expired,
+            Self::InvalidDuty => ErrorKind::BadRequest,
         }
     }
 }
@@ -61,7 +61,7 @@
     /// Returns why the order must not reach the engine.
     pub fn admit(&mut self, duty: &str, token: u64) -> Result<(), OrderRefusal> {
         if duty.is_empty() || duty.len() > MAX_DUTY_BYTES {
-            return Err(OrderRefusal::BadDuty);
+            return Err(OrderRefusal::InvalidDuty);
         }
 
         let highest = self.by_duty.get_mut(duty).ok_or(OrderRefusal::Unlearned)?;
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -267,7 +267,7 @@
     /// Returns why the order is refused; it had no effect then.
     pub fn order(&mut self, link: LinkKey, duty: &str, token: u64) -> Result<(), OrderRefusal> {
         if !self.is_newest(link) {
-            return Err(OrderRefusal::OldLink);
+            return Err(OrderRefusal::SupersededLink);
         }
         self.fencing_tokens.admit(duty, token)
     }
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -220,7 +220,7 @@
     /// Bytes of buffered answers.
     pub held: usize,
     /// Number of tombstones.
-    pub tombs: usize,
+    pub tombstones: usize,
     /// Attempts that are running or done, retained answers included.
     pub attempts: usize,
 }
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -212,12 +212,15 @@
     let new = gate.open(now, ENTRY, 2);
     assert_eq!(gate.order(old, "rollout", 9), Ok(()));
     gate.heard(now, new);
-    assert_eq!(gate.order(old, "rollout", 9), Err(OrderRefusal::OldLink));
+    assert_eq!(
+        gate.order(old, "rollout", 9),
+        Err(OrderRefusal::SupersededLink)
+    );
     assert_eq!(gate.order(new, "rollout", 9), Ok(()));
     for refusal in [
         OrderRefusal::Unlearned,
         OrderRefusal::Fenced(1),
-        OrderRefusal::OldLink,
+        OrderRefusal::SupersededLink,
     ] {
         assert!(refusal.kind().answer().not_run);
     }
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -206,7 +206,7 @@
             let holders = world.holders();
             prop_assert!(holders.len() <= 1, "{:?} hold at step {}", holders, world.step);
             let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fence);
-            prop_assert!(seen >= fence, "the fencing number fell");
+            prop_assert!(seen >= fence, "the fencing token decreased");
             fence = seen;
         }
         let no_faults = [StepFaults { request_delay: 0, answer_delay: 0, answer_lost: false, pause_steps: 0 }; CANDIDATES];
