--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Handles that a write failed, or that its answer was lost.
+    /// Handles that a read or a write failed, or that its answer was lost.
     ///
     /// The holder keeps the duty until its lease expires: while the table is
     /// down, no one else can take over either. Afterwards it reads the row before
