--- a/hibiscusroad-wire/examples/generate.rs
+++ b/hibiscusroad-wire/examples/generate.rs
@@ -1,4 +1,4 @@
-//! Writes the committed Rust code of the frames anew.
+//! Generates the committed Rust code from the `.proto` files.
 //!
 //! Usage: `cargo run -p hibiscusroad-wire --example generate [DIRECTORY]`
 
--- a/hibiscusroad-wire/src/lib.rs
+++ b/hibiscusroad-wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! Frames between the processes of hibiscusroad.
+//! Protocol Buffers messages and gRPC services of hibiscusroad's processes.
 //!
-//! Frames between an entry and a side are described in `proto/link.proto`, the
-//! calls of one gateway to another ([`peer`]) in `proto/peer.proto`. The Rust code
-//! for them is generated and committed, so that building needs no generator.
-//! After a change of a description, `cargo run -p hibiscusroad-wire --example
-//! generate` writes it anew, and a test compares the two.
+//! `proto/link.proto` defines the stream between an entry and a sidecar, and
+//! `proto/peer.proto` the calls between gateways ([`peer`]). The generated Rust code is
+//! committed, so that builds need no code generator. After a change to a `.proto` file,
+//! regenerate it with `cargo run -p hibiscusroad-wire --example generate`; a test checks
+//! that it is up to date.
 //!
 //! # Example
 //!
@@ -31,7 +31,7 @@
 
 pub use generated::*;
 
-/// Calls of one gateway to another.
+/// Calls between gateways.
 #[rustfmt::skip]
 #[allow(
     clippy::all,
@@ -46,10 +46,10 @@
     include!("generated/hibiscusroad.peer.v1.rs");
 }
 
-/// The version of the frames that this build speaks.
+/// Protocol version of the stream between an entry and a sidecar.
 ///
-/// Hello and Welcome carry it. A process that meets another version closes the
-/// link with the error kind `wire-version` instead of guessing.
+/// `Hello` and `Welcome` carry it. A process that receives another version closes the
+/// stream with the error kind `wire-version`.
 pub const VERSION: u32 = 1;
 
 impl From<to_side::Frame> for ToSide {
--- a/hibiscusroad-wire/tests/generated.rs
+++ b/hibiscusroad-wire/tests/generated.rs
@@ -1,9 +1,9 @@
-//! The committed code must be what the description gives.
+//! The committed code must match the code generated from the `.proto` files.
 
 use std::{fs, path::Path};
 
 #[test]
-fn committed_code_matches_description() {
+fn committed_code_is_up_to_date() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let out = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let files = protox::compile(["link.proto", "peer.proto"], [root.join("proto")]).unwrap();
@@ -12,10 +12,10 @@
         .compile_fds(files)
         .unwrap();
     for name in ["hibiscusroad.link.v1.rs", "hibiscusroad.peer.v1.rs"] {
-        let fresh = fs::read_to_string(out.join(name)).unwrap();
+        let generated = fs::read_to_string(out.join(name)).unwrap();
         let committed = fs::read_to_string(root.join("src/generated").join(name)).unwrap();
         assert_eq!(
-            fresh, committed,
+            generated, committed,
             "run: cargo run -p hibiscusroad-wire --example generate"
         );
     }
