--- a/hibiscusroad-daemon/src/headers.rs
+++ b/hibiscusroad-daemon/src/headers.rs
@@ -1,7 +1,7 @@
-//! Headers that all roles treat alike.
+//! HTTP header handling shared by all roles.
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and `Host` and
-/// `Expect`, which a client library sets for its own connection.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and `Host` and `Expect`, which the HTTP
+/// client sets for each connection.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "expect",
@@ -16,7 +16,7 @@
     "upgrade",
 ];
 
-/// Says whether a header concerns one connection only, by its name.
+/// Returns whether a header must not be forwarded to the next connection.
 #[must_use]
 pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop))
