--- a/hibiscusroad-daemon/src/lib.rs
+++ b/hibiscusroad-daemon/src/lib.rs
@@ -1,15 +1,15 @@
-//! The daemon of hibiscusroad, in the roles entry and side.
+//! The hibiscusroad daemon, in the roles entry, side (sidecar) and gateway.
 //!
-//! An entry takes callers' requests over HTTP, decides with the crate
-//! `hibiscusroad` where each runs, and sends it to the side beside that
-//! endpoint. A side is the only way to its endpoint: it admits, runs, buffers
-//! and resumes requests.
+//! An entry accepts callers' requests over HTTP, uses the crate `hibiscusroad` to choose
+//! an endpoint for each, and sends it to the sidecar of that endpoint. A sidecar is the
+//! only path to its endpoint: it admits, runs, buffers and resumes requests. A gateway
+//! sends requests to endpoints directly.
 //!
 //! # Threads
 //!
-//! One thread owns all tables and runs the stakker actor of the role. Other
-//! threads (HTTP, tonic's runtime, the platform's client) hold no state; they
-//! hand typed events over through one bounded channel. See [`turn`].
+//! In an entry and a sidecar, one thread owns all state and runs the stakker actor of the
+//! role. Other threads (HTTP, tonic's runtime, the platform's client) hold no state and
+//! send typed events to it through one bounded channel. See [`turn`].
 
 pub mod entry;
 pub mod gateway;
