--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -1,43 +1,43 @@
-//! The rows of leased duties.
+//! Leases of duties in the table service.
 
 use crate::platform::{Fault, Table};
 use hibiscusroad::lease::Row;
 
 const PREFIX: &str = "lease/";
 
-/// Returns the key of a duty's row.
+/// Returns the key of the row with the lease of `duty`.
 #[must_use]
 pub fn key(duty: &str) -> String {
     format!("{PREFIX}{duty}")
 }
 
-/// Reads the rows of all duties.
+/// Reads the leases of all duties.
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table gave no usable answer.
+/// Returns a [`Fault`] if the table service can't be reached or a row is invalid.
 pub fn all(table: &Table) -> Result<Vec<(String, Row)>, Fault> {
-    let found = table.list(PREFIX, 0)?;
-    let rows = found.iter().map(|found| {
-        let duty = found.key.strip_prefix(PREFIX).unwrap_or(&found.key);
-        Ok((duty.to_owned(), parse(&found.value)?))
+    let rows = table.list(PREFIX, 0)?;
+    let leases = rows.iter().map(|row| {
+        let duty = row.key.strip_prefix(PREFIX).unwrap_or(&row.key);
+        Ok((duty.to_owned(), parse(&row.value)?))
     });
-    rows.collect()
+    leases.collect()
 }
 
-/// Reads the highest fencing number given out for a duty; 0 if there was none.
+/// Reads the latest fencing token of a duty; 0 if its lease was never held.
 ///
-/// A side that has just started knows no number and would take any order, also
-/// one of a holder that was replaced long ago. It reads this first.
+/// A sidecar reads it at startup, because without a token it would accept orders of an
+/// earlier lease holder.
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table gave no usable answer.
-pub fn fence(table: &Table, duty: &str) -> Result<u64, Fault> {
-    let Some(found) = table.get(&key(duty))? else {
+/// Returns a [`Fault`] if the table service can't be reached or the row is invalid.
+pub fn fencing_token(table: &Table, duty: &str) -> Result<u64, Fault> {
+    let Some(row) = table.get(&key(duty))? else {
         return Ok(0);
     };
-    Ok(parse(&found.value)?.fence)
+    Ok(parse(&row.value)?.fence)
 }
 
 fn parse(value: &[u8]) -> Result<Row, Fault> {
