--- a/hibiscusroad-daemon/src/metrics.rs
+++ b/hibiscusroad-daemon/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics of a process, as statsd lines by UDP.
+//! Metrics of a process, sent as statsd lines over UDP.
 //!
-//! Sending never blocks and never fails a request: a line that the socket does
-//! not take is lost. Lines are gathered into datagrams, so that 5,000 requests
-//! a second cost a few hundred system calls and not 5,000; the owner calls
-//! [`Metrics::flush`] about once a second, so that a quiet process is seen too.
+//! Sending never blocks and never fails a request: lines that the socket doesn't accept
+//! are dropped. Lines are buffered into datagrams to save system calls. The owner calls
+//! [`Metrics::flush`] about once a second, so that lines of a mostly idle process aren't
+//! delayed.
 //!
 //! # Example
 //!
@@ -24,49 +24,47 @@
     time::Duration,
 };
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 pub const PREFIX: &str = "hibiscusroad";
 
-/// Counter: requests that entered an entry's tables. Tags `service`, `class`.
+/// Counter: requests accepted by an entry. Tags `service`, `class`.
 pub const REQUESTS: &str = "requests";
-/// Counter: requests that got their whole answer. Tags `service`, `class`.
+/// Counter: requests with a complete response. Tags `service`, `class`.
 pub const ANSWERED: &str = "answered";
-/// Counter: requests that got a problem. Tag `problem`, and `service` and `class`
-/// where they are known.
+/// Counter: requests answered with a problem. Tag `problem`, and `service` and `class`
+/// where known.
 pub const REFUSED: &str = "refused";
-/// Counter: requests whose caller went away or fell too far behind. Tags `service`,
+/// Counter: requests whose caller disconnected or read too slowly. Tags `service`,
 /// `class`.
 pub const LEFT: &str = "left";
-/// Counter: attempts sent to sides. Tag `service`.
+/// Counter: attempts sent to sidecars. Tag `service`.
 pub const ATTEMPTS: &str = "attempts";
-/// Counter: attempts after a request's first, hedges too. Tag `service`.
+/// Counter: attempts after the first of a request, including hedges. Tag `service`.
 pub const RETRIES: &str = "retries";
-/// Counter: verdicts on claims. Tag `verdict`.
+/// Counter: outcomes of claims. Tag `verdict`.
 pub const CLAIMS: &str = "claims";
-/// Timer: milliseconds from a request's arrival in the tables to the end of its answer.
-/// Tags `service`, `class`.
+/// Timer: milliseconds from the acceptance of a request to the end of its response. Tags `service`, `class`.
 pub const LATENCY: &str = "latency";
-/// Gauge: requests that wait for an endpoint. Tags `service`, `class`.
+/// Gauge: requests waiting for an endpoint. Tags `service`, `class`.
 pub const QUEUED: &str = "queued";
-/// Gauge: requests at endpoints, of this entry. Tags `service`, `class`.
+/// Gauge: requests of this entry in flight at endpoints. Tags `service`, `class`.
 pub const RUNNING: &str = "running";
-/// Gauge: links that are up.
+/// Gauge: open streams between entries and sidecars.
 pub const LINKS: &str = "links";
-/// Counter: links that broke or went silent.
+/// Counter: streams that broke or timed out.
 pub const LINKS_LOST: &str = "links_lost";
 /// Gauge: version of the configuration in force.
 pub const CONFIG_VERSION: &str = "config_version";
-/// Gauge: requests that a side's gate runs. Tag `service`.
+/// Gauge: requests in flight at a sidecar's gate. Tag `service`.
 pub const GATE_RUNNING: &str = "gate_running";
-/// Counter: requests that a side's gate refused. Tags `service`, `problem`.
+/// Counter: requests refused by a sidecar's gate. Tags `service`, `problem`.
 pub const GATE_REFUSED: &str = "gate_refused";
-/// Gauge: bytes of answers that a side keeps until they are acknowledged. Tag
-/// `service`.
+/// Gauge: bytes of unacknowledged responses in a sidecar. Tag `service`.
 pub const BUFFERED: &str = "buffered";
-/// Counter: requests to the platform that failed. Tag `part`.
+/// Counter: failed requests to the platform. Tag `part`.
 pub const PLATFORM_FAILED: &str = "platform_failed";
 
-/// All names, with what each is.
+/// All metrics with their types.
 pub const NAMES: &[(&str, &str)] = &[
     (REQUESTS, "counter"),
     (ANSWERED, "counter"),
@@ -87,68 +85,68 @@
     (PLATFORM_FAILED, "counter"),
 ];
 
-/// Time between two readings of gauges, each followed by a flush.
+/// Time between two reports of gauges, each followed by a flush.
 pub const EVERY: Duration = Duration::from_secs(1);
 
-/// A tag's key and value.
+/// Key and value of a tag.
 pub type Tag<'a> = (&'a str, &'a str);
 
-/// Where a process sends its metrics. Clones share one socket.
+/// Client for sending metrics. Clones share one socket.
 ///
-/// Without a target a line costs one comparison: it is not even written.
+/// Without a target, lines aren't formatted.
 #[derive(Clone, Default)]
 pub struct Metrics {
     client: Option<Arc<StatsdClient>>,
 }
 
 impl Metrics {
-    /// Creates metrics that are sent nowhere.
+    /// Creates a client that discards all metrics.
     #[must_use]
     pub fn off() -> Self {
         Self::default()
     }
 
-    /// Says whether lines are sent anywhere.
+    /// Returns whether metrics are sent.
     #[must_use]
     pub const fn is_on(&self) -> bool {
         self.client.is_some()
     }
 
-    /// Creates metrics as the settings say: off without a target.
+    /// Creates a client for the target in the settings; it discards all metrics if there
+    /// is none.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if no UDP socket can be had.
+    /// Returns an error if the UDP socket can't be created.
     pub fn open(settings: &settings::Metrics) -> io::Result<Self> {
         let Some(target) = settings.target else {
             return Ok(Self::off());
         };
-        let any = match target {
+        let local = match target {
             SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
             SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
         };
-        let socket = UdpSocket::bind(any)?;
+        let socket = UdpSocket::bind(local)?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(target, socket).map_err(io::Error::other)?;
-        // A lost line is not worth a record in the log; the default handler
-        // of cadence drops it.
+        // The default error handler of cadence ignores lines that can't be sent.
         Ok(Self {
             client: Some(Arc::new(StatsdClient::from_sink(PREFIX, sink))),
         })
     }
 
-    /// Adds 1 to a counter.
+    /// Increments a counter by 1.
     pub fn count(&self, name: &str, tags: &[Tag<'_>]) {
         self.add(name, 1, tags);
     }
 
-    /// Adds to a counter.
-    pub fn add(&self, name: &str, by: u64, tags: &[Tag<'_>]) {
+    /// Increments a counter by `n`.
+    pub fn add(&self, name: &str, n: u64, tags: &[Tag<'_>]) {
         let Some(client) = &self.client else {
             return;
         };
-        let by = i64::try_from(by).unwrap_or(i64::MAX);
-        let mut line = client.count_with_tags(name, by);
+        let n = i64::try_from(n).unwrap_or(i64::MAX);
+        let mut line = client.count_with_tags(name, n);
         for (key, value) in tags {
             line = line.with_tag(key, value);
         }
@@ -167,22 +165,22 @@
         line.send();
     }
 
-    /// Records how long something took, in whole milliseconds.
-    pub fn time(&self, name: &str, took: Duration, tags: &[Tag<'_>]) {
+    /// Records a duration, in whole milliseconds.
+    pub fn time(&self, name: &str, elapsed: Duration, tags: &[Tag<'_>]) {
         let Some(client) = &self.client else {
             return;
         };
-        let mut line = client.time_with_tags(name, took);
+        let mut line = client.time_with_tags(name, elapsed);
         for (key, value) in tags {
             line = line.with_tag(key, value);
         }
         line.send();
     }
 
-    /// Sends what has been gathered.
+    /// Sends the buffered lines.
     pub fn flush(&self) {
         if let Some(client) = &self.client {
-            // Lost like any other line.
+            // Lines that can't be sent are dropped.
             drop(client.flush());
         }
     }
