--- a/hibiscusroad-daemon/src/stop.rs
+++ b/hibiscusroad-daemon/src/stop.rs
@@ -1,8 +1,7 @@
-//! Signals that stop a process.
+//! Shutdown signals.
 //!
-//! The first SIGTERM or SIGINT asks for a graceful shutdown: no new work, work
-//! in flight completes. A second one ends the process at once, for an operator
-//! who can't wait.
+//! The first SIGTERM or SIGINT starts a graceful shutdown: the process accepts no new work
+//! and completes work in flight. A second signal ends the process immediately.
 
 use signal_hook::{
     consts::{SIGINT, SIGTERM},
@@ -10,43 +9,46 @@
 };
 use std::{io, process, thread};
 
-/// Exit code of a process that a second signal ended.
+/// Exit code after a second signal.
 pub const EXIT_FORCED: i32 = 3;
 
-/// Signals that are caught, and kept until someone takes them.
+/// Handler of shutdown signals.
 ///
-/// A process catches them before it listens. One that only listened would end
-/// uncleanly by a signal that comes before it watches, and cut off the callers
-/// that it serves already; a caught signal waits and stops it gracefully.
+/// A process installs the handler before it starts to listen and calls [`watch`] later. A
+/// signal that arrives in between stays pending; without a handler it would kill the
+/// process and disconnect its callers.
+///
+/// [`watch`]: Self::watch
 #[derive(Debug)]
 pub struct Caught {
     signals: Signals,
 }
 
 impl Caught {
-    /// Catches signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the signals can't be caught.
+    /// Returns an error if the handlers can't be installed.
     pub fn new() -> io::Result<Self> {
         let signals = Signals::new([SIGINT, SIGTERM])?;
         Ok(Self { signals })
     }
 
-    /// Calls `first` on the first signal and ends the process on the second.
+    /// Spawns a thread that calls `on_first` on the first signal and ends the process on
+    /// the second.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if no thread can be had.
-    pub fn watch(mut self, first: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    /// Returns an error if the thread can't be spawned.
+    pub fn watch(mut self, on_first: impl FnOnce() + Send + 'static) -> io::Result<()> {
         thread::Builder::new()
             .name("signals".to_owned())
             .spawn(move || {
-                let mut first = Some(first);
+                let mut on_first = Some(on_first);
                 for _ in self.signals.forever() {
-                    match first.take() {
-                        Some(first) => first(),
+                    match on_first.take() {
+                        Some(on_first) => on_first(),
                         None => process::exit(EXIT_FORCED),
                     }
                 }
