--- a/hibiscusroad-daemon/src/turn.rs
+++ b/hibiscusroad-daemon/src/turn.rs
@@ -1,28 +1,26 @@
-//! The loop that joins the threads of a process to its tables.
+//! Event loop of the thread that owns the state of a process.
 //!
-//! One bounded channel leads to the thread that owns the tables. A thread that
-//! serves a caller never waits on it: a full channel is a refusal of the kind
-//! `handover-full`, because a caller who waits in front of a full queue only
-//! gets a late answer. A task that reads a link waits instead, which stops the
-//! reading of that link and so the sender: frames must not be lost.
+//! All other threads send their events through one bounded channel. A thread that serves a
+//! caller never blocks on it: if the channel is full, the request is refused with the kind
+//! `handover-full`. A task that reads a stream waits instead, which applies backpressure
+//! to the sender, because no frame of a stream may be lost.
 
 use flume::{Receiver, RecvTimeoutError};
 use stakker::Stakker;
 use std::time::{Duration, Instant};
 
-/// Events taken in one turn before timers run again.
+/// Maximum number of events delivered after the first before timers run again.
 ///
-/// Large enough that a burst costs one pass over the tables, small enough that
-/// a timer is late by no more than a millisecond or two.
-const BATCH: usize = 256;
+/// A larger limit needs fewer calls of `settle` in a burst, but delays timers.
+const MAX_BATCH: usize = 256;
 
-/// The longest sleep, so that a missed timer can't stop a process for good.
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+/// Maximum time to wait for an event. It bounds the delay that a missed timer causes.
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
-/// Runs a process until its actor asks for shutdown.
+/// Runs the event loop until the actor requests shutdown or all senders are dropped.
 ///
-/// `deliver` hands one event to the actor. `settle` is called once a turn,
-/// after the events, with the present instant.
+/// `deliver` passes one event to the actor. `settle` is called once per iteration, after
+/// the events, with the current time.
 pub fn run<E>(
     stakker: &mut Stakker,
     events: &Receiver<E>,
@@ -31,11 +29,11 @@
 ) {
     let mut idle = false;
     while stakker.not_shutdown() {
-        let wait = stakker.next_wait_max(Instant::now(), LONGEST_SLEEP, idle);
+        let wait = stakker.next_wait_max(Instant::now(), MAX_WAIT, idle);
         match events.recv_timeout(wait) {
             Ok(event) => {
                 deliver(stakker, event);
-                for event in events.try_iter().take(BATCH) {
+                for event in events.try_iter().take(MAX_BATCH) {
                     deliver(stakker, event);
                 }
             }
