--- a/hibiscusroad-daemon/src/logs/budget.rs
+++ b/hibiscusroad-daemon/src/logs/budget.rs
@@ -1,114 +1,118 @@
-//! How many lines a process writes, and which are left out.
+//! Rate limit and sampling of log lines.
 //!
-//! Load: a burst of requests, each with several lines, or a failure that repeats
-//! itself thousands of times a second. Harm: logs cost more than the work they tell
-//! of, and what reads them falls behind. So lines have a budget a second.
+//! A burst of requests, or a failure that repeats thousands of times a second, must not
+//! make logging more expensive than the work itself. So the number of lines per second is
+//! limited.
 //!
-//! What is left out is chosen by request, not by line: the hash of a request's id
-//! says whether it is kept, alike in all processes, so a kept request's story is
-//! whole from its entry to its end. The share that is kept follows the load of the
-//! second before. Failures are kept while there is any room, and twice the budget
-//! is the bound of everything.
+//! Requests are sampled by the hash of their ID, so that a sampled request has all its lines
+//! and processes with the same sampling rate select the same requests. The sampling rate
+//! adapts to the load of the previous second. Failures aren't sampled, and are admitted up
+//! to twice the limit of other lines.
 
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Lines are counted by seconds.
+/// Time over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Bytes that lines of the budget may have on average. Lines of the heaviest day
-/// measured had 236 (30 KB in 126 lines of one process in a second).
+/// Average length of a line for which the budget has room, in bytes.
 const LINE_BYTES: usize = 512;
-/// The least share of requests that is kept: one in sixty-four tells what happens.
-const LEAST: f64 = 1.0 / 64.0;
-/// The share grows by no more than this from one second to the next.
-const GROWTH: f64 = 2.0;
+/// Minimum share of requests that is sampled.
+const MIN_SHARE: f64 = 1.0 / 64.0;
+/// Maximum factor by which the share grows from one second to the next.
+const MAX_GROWTH: f64 = 2.0;
 
-/// What a line tells.
+/// Class of a log line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rank {
-    /// That something failed or was refused.
+    /// Reports a failure or a refusal.
     Failure,
-    /// Anything else.
-    Usual,
+    /// Any other line.
+    Normal,
 }
 
-/// Lines of one process, second by second.
+/// Log budget of one process.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// Lines a second.
-    most: usize,
-    /// The begin of the present second.
-    begin: Option<Instant>,
+    /// Maximum number of lines per second.
+    max_lines: usize,
+    /// Start of the current second.
+    start: Option<Instant>,
+    /// Lines admitted in this second.
     lines: usize,
+    /// Bytes written in this second.
     bytes: usize,
-    /// Lines of requests that were wanted in this second.
-    wanted: usize,
-    /// Lines in this second that belong to no request, or tell of a failure.
-    fixed: usize,
-    /// The share of requests that is kept.
+    /// Sampled lines requested in this second, whether admitted or not.
+    sampled: usize,
+    /// Lines requested in this second that aren't sampled: failures, and lines without a
+    /// request ID.
+    unsampled: usize,
+    /// Share of requests whose lines are written.
     share: f64,
 }
 
 impl Budget {
-    /// Creates a budget of so many lines a second.
+    /// Creates a budget of `max_lines` per second.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(max_lines: usize) -> Self {
         Self {
-            most,
-            begin: None,
+            max_lines,
+            start: None,
             lines: 0,
             bytes: 0,
-            wanted: 0,
-            fixed: 0,
+            sampled: 0,
+            unsampled: 0,
             share: 1.0,
         }
     }
 
-    /// Says whether a line is written; `request` is what its story goes by.
+    /// Returns whether a line may be written.
+    ///
+    /// Lines with the same `request` ID are sampled together.
     pub fn admit(&mut self, now: Instant, rank: Rank, request: Option<&str>) -> bool {
-        self.turn(now);
-        let usual = request.filter(|_| rank == Rank::Usual);
-        match usual {
-            Some(_) => self.wanted += 1,
-            None => self.fixed += 1,
+        self.advance(now);
+        let sampled_id = request.filter(|_| rank == Rank::Normal);
+        match sampled_id {
+            Some(_) => self.sampled += 1,
+            None => self.unsampled += 1,
         }
-        let bound = match rank {
-            Rank::Failure => 2 * self.most,
-            Rank::Usual => self.most,
+        let limit = match rank {
+            Rank::Failure => 2 * self.max_lines,
+            Rank::Normal => self.max_lines,
         };
-        let full = self.lines >= bound || self.bytes >= bound * LINE_BYTES;
-        let admitted = !full && usual.is_none_or(|id| self.keeps(id));
+        let full = self.lines >= limit || self.bytes >= limit * LINE_BYTES;
+        let admitted = !full && sampled_id.is_none_or(|id| self.is_in_sample(id));
         self.lines += usize::from(admitted);
         admitted
     }
 
-    /// Notes how long a line became that was admitted.
-    pub const fn spent(&mut self, bytes: usize) {
+    /// Records the length of an admitted line.
+    pub const fn record_bytes(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
 
-    fn keeps(&self, request: &str) -> bool {
-        let place = xxh3_64(request.as_bytes()) as f64 / u64::MAX as f64;
-        place <= self.share
+    fn is_in_sample(&self, request: &str) -> bool {
+        let position = xxh3_64(request.as_bytes()) as f64 / u64::MAX as f64;
+        position <= self.share
     }
 
-    /// Begins the next second, with a share by what the last one wanted.
-    fn turn(&mut self, now: Instant) {
-        let begin = *self.begin.get_or_insert(now);
-        let passed = now.saturating_duration_since(begin);
-        if passed < WINDOW {
+    /// Starts a new second if the current one is over, and adapts the share to the lines
+    /// requested in it.
+    fn advance(&mut self, now: Instant) {
+        let start = *self.start.get_or_insert(now);
+        let elapsed = now.saturating_duration_since(start);
+        if elapsed < WINDOW {
             return;
         }
-        let room = self.most.saturating_sub(self.fixed) as f64;
-        let wanted = self.wanted.max(1) as f64;
-        // Nothing was wanted in seconds that passed without a line.
-        let quiet = passed >= 2 * WINDOW;
-        let fit = if quiet { 1.0 } else { room / wanted };
-        self.share = fit.min(self.share * GROWTH).clamp(LEAST, 1.0);
-        self.begin = Some(now);
+        let available = self.max_lines.saturating_sub(self.unsampled) as f64;
+        let sampled = self.sampled.max(1) as f64;
+        // At least one second passed without any line.
+        let was_idle = elapsed >= 2 * WINDOW;
+        let fitting = if was_idle { 1.0 } else { available / sampled };
+        self.share = fitting.min(self.share * MAX_GROWTH).clamp(MIN_SHARE, 1.0);
+        self.start = Some(now);
         self.lines = 0;
         self.bytes = 0;
-        self.wanted = 0;
-        self.fixed = 0;
+        self.sampled = 0;
+        self.unsampled = 0;
     }
 }
--- a/hibiscusroad-daemon/src/logs/mod.rs
+++ b/hibiscusroad-daemon/src/logs/mod.rs
@@ -1,14 +1,12 @@
-//! Logs of a process.
+//! Logging.
 //!
-//! One record is one short sentence on stderr. Its log target is the prefix of
-//! the part that speaks, from the list below, so that an operator can follow
-//! one part by a plain search. Records of libraries carry their own module path
-//! and are cut at warnings, because at `debug` they would bury the parts.
+//! Each record is one short sentence. Its log target names the component that wrote it, from
+//! the list below, so that operators can search for one component. Records of libraries have
+//! their module path as the target and are limited to warnings and errors.
 //!
-//! Writing to stderr may block when its reader does. That is accepted: a line
-//! is written for an event of a link, an endpoint or the platform, never for
-//! each request. A gateway writes a line for each decision, to standard output,
-//! within a [`Budget`] and without waiting.
+//! Entries and sidecars write to stderr, which may block. That is acceptable because they
+//! write no lines per request. A gateway writes a line for each decision to standard output,
+//! without blocking and within a [`Budget`].
 
 mod budget;
 mod output;
@@ -30,42 +28,42 @@
     time::{Instant, SystemTime},
 };
 
-/// Start and end of a process.
+/// Start and end of the process.
 pub const PROCESS: &str = "process";
-/// An entry's callers.
+/// Connections of callers to an entry.
 pub const CALLERS: &str = "callers";
-/// Batches of trainers.
+/// Trainers' batches.
 pub const BATCHES: &str = "batches";
-/// Requests on their way through an entry.
+/// Requests.
 pub const CALLS: &str = "calls";
-/// Claims of requests that may not run twice.
+/// Claims of non-idempotent requests.
 pub const CLAIMS: &str = "claims";
-/// The configuration and its versions.
+/// Configuration versions.
 pub const CONFIG: &str = "config";
-/// The host list.
+/// Host list.
 pub const HOSTS: &str = "hosts";
-/// An entry's links to sides.
+/// Streams from an entry to sidecars.
 pub const LINK: &str = "link";
-/// An entry's operators.
+/// Operators' requests to an entry.
 pub const OPERATORS: &str = "operators";
-/// The platform's store, as a gateway reaches it.
+/// A gateway's requests to the store.
 pub const STORE: &str = "store";
-/// Who acts for all gateways.
+/// Leases of the gateways' duties.
 pub const DUTY: &str = "duty";
-/// What client accounts used.
+/// Usage of client accounts.
 pub const USAGE: &str = "usage";
-/// Weights of model engines and who orders them.
+/// Weight versions of model engines.
 pub const WEIGHTS: &str = "weights";
-/// The role side: its links, its gate and its endpoint.
+/// Sidecar: its streams, gate and endpoint.
 pub const SIDE: &str = "side";
 
-/// All prefixes of the project's own parts.
-pub const PARTS: &[&str] = &[
+/// Log targets of all components.
+pub const TARGETS: &[&str] = &[
     PROCESS, BATCHES, CALLERS, CALLS, CLAIMS, CONFIG, DUTY, HOSTS, LINK, OPERATORS, SIDE, STORE,
     USAGE, WEIGHTS,
 ];
 
-/// Libraries whose records below a warning are of no use to operators.
+/// Libraries whose records are limited to warnings and errors.
 const LIBRARIES: &[&str] = &[
     "h2",
     "hyper",
@@ -79,24 +77,24 @@
     "ureq_proto",
 ];
 
-/// Logs could not be started.
+/// Logging can't be initialised.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The level is none of the five.
+    /// The level is unknown.
     #[error("log.level is {0:?}; allowed are error, warn, info, debug, trace")]
     Level(String),
-    /// The format is neither of the two.
+    /// The format is unknown.
     #[error("log.format is {0:?}; allowed are text, json")]
     Format(String),
-    /// Logs were started before in this process.
+    /// A logger is already set.
     #[error(transparent)]
-    Started(#[from] log::SetLoggerError),
+    AlreadyStarted(#[from] log::SetLoggerError),
 }
 
-/// Starts the logs of a gateway: structured lines on standard output.
+/// Initialises the logging of a gateway: JSON lines on standard output.
 ///
-/// Lines are kept in a [`Buffer`] and written by [`flush`], so that a reader of
-/// standard output that stops reading never holds up a request.
+/// Lines are buffered and written by [`flush`], so that a blocked standard output doesn't
+/// block requests.
 ///
 /// # Errors
 ///
@@ -106,8 +104,8 @@
         format: "json".to_owned(),
         ..log.clone()
     };
-    // Logs start once; a second start fails below.
-    let _first = BUDGET.set(Mutex::new(Budget::new(log.lines_s))).is_ok();
+    // If logging is initialised twice, `apply` fails below.
+    let _was_unset = BUDGET.set(Mutex::new(Budget::new(log.lines_s))).is_ok();
     let writer: Box<dyn io::Write + Send> = Box::new(output::Writer);
     dispatch(&log)?
         .chain(fern::Output::writer(writer, "\n"))
@@ -115,7 +113,7 @@
     Ok(())
 }
 
-/// Starts the logs of this process.
+/// Initialises the logging of an entry or a sidecar: lines on stderr.
 ///
 /// # Errors
 ///
@@ -126,7 +124,7 @@
     Ok(())
 }
 
-/// Builds what formats and filters records, without an output.
+/// Creates the dispatch that formats and filters records, without an output.
 ///
 /// # Errors
 ///
@@ -156,14 +154,14 @@
         humantime::format_rfc3339_millis(SystemTime::now()),
         record.level(),
         record.target(),
-        Inputs(record),
+        FieldList(record),
     ));
 }
 
-/// What decided, behind a line's sentence.
-struct Inputs<'a>(&'a Record<'a>);
+/// Formats the fields of a record as ` name=value` pairs.
+struct FieldList<'a>(&'a Record<'a>);
 
-impl fmt::Display for Inputs<'_> {
+impl fmt::Display for FieldList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, value) in fields(self.0) {
             write!(f, " {name}={value}")?;
@@ -182,33 +180,40 @@
     fields: Map<String, Value>,
 }
 
-/// The budget of this process, if it has one.
+/// Log budget of this process, if it has one.
 static BUDGET: OnceLock<Mutex<Budget>> = OnceLock::new();
 
-fn with_budget<T>(act: impl FnOnce(&mut Budget) -> T) -> Option<T> {
+fn with_budget<T>(f: impl FnOnce(&mut Budget) -> T) -> Option<T> {
     let budget = BUDGET.get()?;
     let mut budget = budget.lock().unwrap_or_else(PoisonError::into_inner);
-    Some(act(&mut budget))
+    Some(f(&mut budget))
 }
 
-/// Says whether a line has room. One without is counted, and not formatted.
+/// Returns whether the budget has room for a line. Counts lines without room.
 fn admit(record: &Record<'_>, fields: &Map<String, Value>) -> bool {
-    let failure =
-        record.level() <= Level::Warn || FAILURES.iter().any(|name| fields.contains_key(*name));
-    let rank = if failure { Rank::Failure } else { Rank::Usual };
-    let request = STORIES.iter().find_map(|name| fields.get(*name)?.as_str());
+    let is_failure = record.level() <= Level::Warn
+        || FAILURE_FIELDS.iter().any(|name| fields.contains_key(*name));
+    let rank = if is_failure {
+        Rank::Failure
+    } else {
+        Rank::Normal
+    };
+    let request = SAMPLING_FIELDS
+        .iter()
+        .find_map(|name| fields.get(*name)?.as_str());
     let admitted = with_budget(|budget| budget.admit(Instant::now(), rank, request));
     let admitted = admitted.unwrap_or(true);
     if !admitted {
-        output::left_out();
+        output::count_over_budget();
     }
     admitted
 }
 
-/// Fields that only lines of failures have.
-const FAILURES: &[&str] = &["error", "kind"];
-/// Fields that a request's story goes by; a batch's is told whole.
-const STORIES: &[&str] = &["batch", "id"];
+/// Fields that occur only in lines about failures.
+const FAILURE_FIELDS: &[&str] = &["error", "kind"];
+/// Fields by which lines are sampled, the first that a line has. Lines of one batch are
+/// sampled together.
+const SAMPLING_FIELDS: &[&str] = &["batch", "id"];
 
 fn json(out: FormatCallback<'_>, message: &fmt::Arguments<'_>, record: &Record<'_>) {
     let fields = fields(record);
@@ -224,7 +229,7 @@
     };
     match serde_json::to_string(&line) {
         Ok(line) => {
-            let _bounded = with_budget(|budget| budget.spent(line.len())).is_some();
+            let _has_budget = with_budget(|budget| budget.record_bytes(line.len())).is_some();
             out.finish(format_args!("{line}"));
         }
         Err(error) => out.finish(format_args!("{{\"text\":\"{error}\"}}")),
@@ -233,10 +238,10 @@
 
 /// Returns a record's fields by name.
 fn fields(record: &Record<'_>) -> Map<String, Value> {
-    let mut found = Fields(Map::new());
+    let mut fields = Fields(Map::new());
     // The visitor below never fails.
-    let _whole = record.key_values().visit(&mut found).is_ok();
-    found.0
+    let _is_complete = record.key_values().visit(&mut fields).is_ok();
+    fields.0
 }
 
 struct Fields(Map<String, Value>);
--- a/hibiscusroad-daemon/src/logs/output.rs
+++ b/hibiscusroad-daemon/src/logs/output.rs
@@ -1,9 +1,8 @@
-//! Lines on their way to standard output, bounded and never waited for.
+//! Bounded buffer of lines for standard output.
 //!
-//! A request only adds its line to memory. A task writes what has gathered, a
-//! few times a second at most, to a standard output that doesn't block. What a
-//! slow reader leaves no room for is dropped and counted, and the count is told
-//! as soon as there is room again.
+//! Logging a line only appends it to the buffer. A task writes the buffer to a non-blocking
+//! standard output, a few times a second at most. If the reader is too slow, lines are
+//! dropped and counted, and the count is logged once the buffer is empty again.
 
 use rustix::{
     fs::{OFlags, fcntl_getfl, fcntl_setfl},
@@ -19,35 +18,34 @@
 };
 use tokio::{sync::Notify, time::sleep};
 
-/// Lines kept for a reader that is slow: some seconds of a loaded process, and
-/// little beside its memory.
-const MOST: usize = 256 << 10;
-/// Lines are gathered for so long before they are written together.
-const GATHER: Duration = Duration::from_millis(150);
-/// A reader that takes nothing is tried again after this time.
-const FULL: Duration = Duration::from_millis(500);
+/// Maximum size of the buffer in bytes: a few seconds of lines.
+const MAX_BUFFER_BYTES: usize = 256 << 10;
+/// How long lines are collected before they are written together.
+const WRITE_DELAY: Duration = Duration::from_millis(150);
+/// Delay before another write to a full standard output.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-static LINES: Mutex<Vec<u8>> = Mutex::new(Vec::new());
+static BUFFER: Mutex<Vec<u8>> = Mutex::new(Vec::new());
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static OVER_BUDGET: AtomicU64 = AtomicU64::new(0);
-static DROPPED_IN_ALL: AtomicU64 = AtomicU64::new(0);
-static ADDED: Notify = Notify::const_new();
+static DROPPED_TOTAL: AtomicU64 = AtomicU64::new(0);
+static LINES_ADDED: Notify = Notify::const_new();
 
-/// Adds lines to what is written later.
+/// Appends lines to the buffer.
 #[derive(Debug)]
 pub(super) struct Writer;
 
 impl io::Write for Writer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let mut lines = lines();
-        if lines.len() + buf.len() > MOST {
+        let mut buffer = lock_buffer();
+        if buffer.len() + buf.len() > MAX_BUFFER_BYTES {
             DROPPED.fetch_add(1, Ordering::Relaxed);
-            DROPPED_IN_ALL.fetch_add(1, Ordering::Relaxed);
+            DROPPED_TOTAL.fetch_add(1, Ordering::Relaxed);
         } else {
-            lines.extend_from_slice(buf);
+            buffer.extend_from_slice(buf);
         }
-        drop(lines);
-        ADDED.notify_one();
+        drop(buffer);
+        LINES_ADDED.notify_one();
         Ok(buf.len())
     }
 
@@ -56,67 +54,67 @@
     }
 }
 
-fn lines() -> MutexGuard<'static, Vec<u8>> {
-    LINES.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_buffer() -> MutexGuard<'static, Vec<u8>> {
+    BUFFER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a line that the budget has no room for.
-pub(super) fn left_out() {
+/// Counts a line that exceeds the budget.
+pub(super) fn count_over_budget() {
     OVER_BUDGET.fetch_add(1, Ordering::Relaxed);
-    DROPPED_IN_ALL.fetch_add(1, Ordering::Relaxed);
+    DROPPED_TOTAL.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Returns how many lines were left out so far.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped() -> u64 {
-    DROPPED_IN_ALL.load(Ordering::Relaxed)
+    DROPPED_TOTAL.load(Ordering::Relaxed)
 }
 
-/// Writes lines for as long as the process runs.
+/// Writes buffered lines in an endless loop.
 pub async fn flush() {
     if let Err(error) =
         fcntl_getfl(stdout()).and_then(|flags| fcntl_setfl(stdout(), flags | OFlags::NONBLOCK))
     {
         log::warn!(target: super::PROCESS, error = error.to_string().as_str();
-            "Standard output may block.");
+            "Standard output can't be made non-blocking.");
     }
     loop {
-        ADDED.notified().await;
-        sleep(GATHER).await;
+        LINES_ADDED.notified().await;
+        sleep(WRITE_DELAY).await;
         while !flush_now() {
-            sleep(FULL).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Writes what has gathered; `false` if the reader takes no more now.
+/// Writes the buffered lines. Returns `false` if standard output is full.
 pub fn flush_now() -> bool {
-    let mut lines = lines();
+    let mut buffer = lock_buffer();
     let mut written = 0;
-    while written < lines.len() {
-        match write(stdout(), &lines[written..]) {
+    while written < buffer.len() {
+        match write(stdout(), &buffer[written..]) {
             Ok(n) => written += n,
             Err(Errno::INTR) => {}
             Err(Errno::AGAIN) => break,
-            // Nobody reads any more; there is nobody to tell.
-            Err(_) => written = lines.len(),
+            // Standard output is closed: the lines are discarded.
+            Err(_) => written = buffer.len(),
         }
     }
-    lines.drain(..written);
-    let whole = lines.is_empty();
-    drop(lines);
-    let dropped = if whole {
+    buffer.drain(..written);
+    let is_empty = buffer.is_empty();
+    drop(buffer);
+    let dropped = if is_empty {
         DROPPED.swap(0, Ordering::Relaxed)
     } else {
         0
     };
     if dropped > 0 {
         log::warn!(target: super::PROCESS, lines = dropped;
-            "Lines were left out: standard output was not read.");
+            "Lines were dropped: standard output was not read fast enough.");
     }
-    let over = OVER_BUDGET.swap(0, Ordering::Relaxed);
-    if over > 0 {
-        log::warn!(target: super::PROCESS, lines = over;
-            "Lines were left out: more came than the budget of a second holds.");
+    let over_budget = OVER_BUDGET.swap(0, Ordering::Relaxed);
+    if over_budget > 0 {
+        log::warn!(target: super::PROCESS, lines = over_budget;
+            "Lines were dropped: they exceeded the budget of lines per second.");
     }
-    whole
+    is_empty
 }
--- a/hibiscusroad-daemon/tests/logs.rs
+++ b/hibiscusroad-daemon/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What a log record and a metric look like outside.
+//! Format of log lines and metrics.
 
 use hibiscusroad_daemon::{
     logs,
@@ -8,7 +8,7 @@
 use log::{Level, Record};
 use std::{collections::BTreeSet, fmt, fs, net::UdpSocket, path::Path, sync::mpsc, time::Duration};
 
-fn written(format: &str, level: &str, records: &[(&str, Level, &str)]) -> Vec<String> {
+fn format_records(format: &str, level: &str, records: &[(&str, Level, &str)]) -> Vec<String> {
     let (tx, rx) = mpsc::channel();
     let settings = Log {
         level: level.to_owned(),
@@ -17,13 +17,13 @@
     };
     let (_, logger) = logs::dispatch(&settings).unwrap().chain(tx).into_log();
     for (target, level, text) in records {
-        log_one(&*logger, target, *level, format_args!("{text}"));
+        log_record(&*logger, target, *level, format_args!("{text}"));
     }
     drop(logger);
     rx.iter().collect()
 }
 
-fn log_one(logger: &dyn log::Log, target: &str, level: Level, args: fmt::Arguments<'_>) {
+fn log_record(logger: &dyn log::Log, target: &str, level: Level, args: fmt::Arguments<'_>) {
     logger.log(
         &Record::builder()
             .target(target)
@@ -34,16 +34,16 @@
 }
 
 #[test]
-fn text_has_time_level_prefix_and_sentence() {
-    let lines = written("text", "info", &[(logs::LINK, Level::Info, "link is up")]);
+fn text_has_time_level_target_and_message() {
+    let lines = format_records("text", "info", &[(logs::LINK, Level::Info, "link is up")]);
     let (time, rest) = lines[0].split_once(' ').unwrap();
     assert!(time.ends_with('Z') && time.len() == 24, "{time}");
     assert_eq!(rest, "INFO  link: link is up\n");
 }
 
 #[test]
-fn json_escapes_the_sentence() {
-    let lines = written("json", "info", &[(logs::SIDE, Level::Warn, "a \"b\"\nc")]);
+fn json_escapes_the_message() {
+    let lines = format_records("json", "info", &[(logs::SIDE, Level::Warn, "a \"b\"\nc")]);
     let line: serde_json::Value = serde_json::from_str(&lines[0]).unwrap();
     assert_eq!(line["level"], "WARN");
     assert_eq!(line["part"], "side");
@@ -51,20 +51,20 @@
 }
 
 #[test]
-fn level_cuts_parts_and_libraries() {
+fn level_filters_components_and_libraries() {
     let records = [
         (logs::CALLS, Level::Debug, "kept"),
         (logs::CALLS, Level::Trace, "cut"),
         ("h2::codec", Level::Debug, "cut"),
         ("h2::codec", Level::Warn, "kept"),
     ];
-    let lines = written("text", "debug", &records);
+    let lines = format_records("text", "debug", &records);
     assert_eq!(lines.len(), 2);
     assert!(lines.iter().all(|line| line.ends_with("kept\n")));
 }
 
 #[test]
-fn wrong_words_are_refused() {
+fn unknown_levels_and_formats_are_rejected() {
     for (level, format) in [("loud", "text"), ("off", "text"), ("info", "xml")] {
         let log = Log {
             level: level.to_owned(),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn metrics_arrive_as_statsd_lines_on_flush() {
+fn metrics_are_sent_as_statsd_lines_on_flush() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -87,9 +87,9 @@
     metrics.gauge(metrics::LINKS, 15, &[]);
     metrics.time(metrics::LATENCY, Duration::from_millis(7), &[]);
     metrics.flush();
-    let mut buffer = [0; 1500];
-    let n = socket.recv(&mut buffer).unwrap();
-    let text = String::from_utf8_lossy(&buffer[..n]);
+    let mut buf = [0; 1500];
+    let n = socket.recv(&mut buf).unwrap();
+    let text = String::from_utf8_lossy(&buf[..n]);
     let lines: Vec<&str> = text.lines().collect();
     let expected = [
         "hibiscusroad.requests:1|c|#service:hut-desk",
@@ -112,10 +112,9 @@
     Metrics::off().count(metrics::REQUESTS, &[]);
 }
 
-// An operator follows a part by its prefix; one that the list and so the docs
-// lack is never looked for.
+// Operators search by the log targets that are listed.
 #[test]
-fn every_prefix_in_use_is_listed() {
+fn every_log_target_in_use_is_listed() {
     let mut files = vec![Path::new(env!("CARGO_MANIFEST_DIR")).join("src")];
     let mut used = BTreeSet::new();
     while let Some(path) = files.pop() {
@@ -132,17 +131,17 @@
     assert!(!used.is_empty());
     let unlisted: Vec<_> = used
         .iter()
-        .filter(|name| !logs::PARTS.contains(&name.as_str()))
+        .filter(|name| !logs::TARGETS.contains(&name.as_str()))
         .collect();
     assert!(unlisted.is_empty(), "{unlisted:?}");
 }
 
 #[test]
-fn operations_page_lists_prefixes_and_metrics() {
+fn operations_page_lists_log_targets_and_metrics() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).unwrap();
     let metrics = metrics::NAMES.iter().map(|(name, _)| name);
-    for name in logs::PARTS.iter().chain(metrics) {
+    for name in logs::TARGETS.iter().chain(metrics) {
         assert!(page.contains(&format!("| `{name}` |")), "{name}");
     }
 }
