--- a/hibiscusroad-daemon/src/settings/check.rs
+++ b/hibiscusroad-daemon/src/settings/check.rs
@@ -1,17 +1,17 @@
-//! One pass over a settings file that gathers every fault.
+//! Validation of a settings file, which reports all problems at once.
 
-use super::schema::{Field, Rule, TABLES, Table, address, clash};
+use super::schema::{Field, Rule, TABLES, Table, address, conflicts};
 use std::{fmt, net::SocketAddr};
 use toml::{
     Spanned,
     de::{DeTable, DeValue},
 };
 
-/// Names farther off than this are no likely slip of the hand.
-const NEAR: usize = 3;
+/// Edit distance from which a known name isn't suggested for an unknown key.
+const SUGGESTION_DISTANCE: usize = 3;
 
-/// Pairs of listeners that must not share an address.
-const APART: &[(&str, &str, &str)] = &[
+/// Pairs of listeners that must not share an address: table and two keys.
+const DISTINCT_ADDRESSES: &[(&str, &str, &str)] = &[
     ("entry", "callers", "operators"),
     ("side", "links", "address"),
     ("gateway", "callers", "ready"),
@@ -22,19 +22,19 @@
     ("gateway", "metrics", "peers"),
 ];
 
-/// Tables of which a file has exactly one.
+/// Tables of the roles; a file must have exactly one.
 const ROLES: &[&str] = &["entry", "side", "gateway"];
 
-/// One fault of a settings file.
+/// One problem in a settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The key, dotted; empty for a fault of the whole file.
+    /// Dotted key; empty if the problem concerns the whole file.
     pub key: String,
-    /// What was found.
+    /// Description of the value found.
     pub found: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -51,35 +51,41 @@
     }
 }
 
-/// Returns all faults of the file `text`, in the order of its lines.
+/// Returns all problems in the settings file `text`, ordered by line.
 #[must_use]
 pub fn problems(text: &str) -> Vec<Problem> {
-    let mut check = Check {
+    let mut checker = Checker {
         text,
         problems: Vec::new(),
     };
     let (root, errors) = DeTable::parse_recoverable(text);
     if errors.is_empty() {
-        check.table("", &root);
-        check.roles(root.get_ref());
-        check.apart(root.get_ref());
+        checker.check_table("", &root);
+        checker.check_roles(root.get_ref());
+        checker.check_addresses(root.get_ref());
     }
     for error in errors {
-        let at = error.span().map_or(0, |span| span.start);
-        check.report(at, "", error.message().to_owned(), "TOML 1.0".to_owned());
+        let offset = error.span().map_or(0, |span| span.start);
+        checker.report(
+            offset,
+            "",
+            error.message().to_owned(),
+            "TOML 1.0".to_owned(),
+        );
     }
-    check.problems.sort_by_key(|problem| problem.line);
-    check.problems
+    checker.problems.sort_by_key(|problem| problem.line);
+    checker.problems
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     text: &'a str,
     problems: Vec<Problem>,
 }
 
-impl Check<'_> {
-    fn report(&mut self, at: usize, key: &str, found: String, allowed: String) {
-        let before = self.text.as_bytes().iter().take(at);
+impl Checker<'_> {
+    /// Adds a problem at a byte offset of the file.
+    fn report(&mut self, offset: usize, key: &str, found: String, allowed: String) {
+        let before = self.text.as_bytes().iter().take(offset);
         self.problems.push(Problem {
             line: before.filter(|byte| **byte == b'\n').count() + 1,
             key: key.to_owned(),
@@ -88,20 +94,20 @@
         });
     }
 
-    fn table(&mut self, path: &str, table: &Spanned<DeTable<'_>>) {
+    fn check_table(&mut self, path: &str, table: &Spanned<DeTable<'_>>) {
         for (key, value) in table.get_ref() {
             let name = join(path, key.get_ref());
-            match (field(path, key.get_ref()), child(&name)) {
-                (Some(field), _) => self.field(&name, field.rule, value),
-                (None, Some(_)) => self.child(&name, value),
-                (None, None) => self.unknown(path, &name, key.get_ref(), key.span().start),
+            match (find_field(path, key.get_ref()), find_table(&name)) {
+                (Some(field), _) => self.check_field(&name, field.rule, value),
+                (None, Some(_)) => self.check_child(&name, value),
+                (None, None) => self.report_unknown(path, &name, key.get_ref(), key.span().start),
             }
         }
-        let fields = child(path).map_or(&[] as &[Field], |table| table.fields);
-        let missing = |key: &str| !table.get_ref().contains_key(key);
+        let fields = find_table(path).map_or(&[] as &[Field], |table| table.fields);
+        let is_missing = |key: &str| !table.get_ref().contains_key(key);
         for field in fields
             .iter()
-            .filter(|field| field.needed && missing(field.key))
+            .filter(|field| field.required && is_missing(field.key))
         {
             let name = join(path, field.key);
             self.report(
@@ -112,10 +118,10 @@
             );
         }
         if path.is_empty() {
-            let needed = TABLES
+            let required = TABLES
                 .iter()
-                .filter(|table| table.needed && !table.path.is_empty());
-            for table in needed.filter(|table| missing(table.path)) {
+                .filter(|table| table.required && !table.path.is_empty());
+            for table in required.filter(|table| is_missing(table.path)) {
                 self.report(
                     0,
                     table.path,
@@ -126,17 +132,17 @@
         }
     }
 
-    fn field(&mut self, name: &str, rule: Rule, value: &Spanned<DeValue<'_>>) {
-        if !rule.fits(value.get_ref()) {
-            let found = rule.found(value.get_ref());
+    fn check_field(&mut self, name: &str, rule: Rule, value: &Spanned<DeValue<'_>>) {
+        if !rule.accepts(value.get_ref()) {
+            let found = rule.describe(value.get_ref());
             self.report(value.span().start, name, found, rule.allowed());
         }
     }
 
-    fn child(&mut self, name: &str, value: &Spanned<DeValue<'_>>) {
+    fn check_child(&mut self, name: &str, value: &Spanned<DeValue<'_>>) {
         match value.get_ref() {
             DeValue::Table(table) => {
-                self.table(name, &Spanned::new(value.span(), table.clone()));
+                self.check_table(name, &Spanned::new(value.span(), table.clone()));
             }
             other => {
                 let found = other.type_str().to_owned();
@@ -145,56 +151,65 @@
         }
     }
 
-    fn unknown(&mut self, path: &str, name: &str, key: &str, at: usize) {
-        let known = known(path);
-        let near = nearest(key, &known).map(|near| format!("; the nearest is {near}"));
-        let allowed = format!("{}{}", known.join(", "), near.unwrap_or_default());
-        self.report(at, name, "an unknown key".into(), allowed);
+    fn report_unknown(&mut self, path: &str, name: &str, key: &str, offset: usize) {
+        let known = known_names(path);
+        let suggestion = closest(key, &known).map(|closest| format!("; the nearest is {closest}"));
+        let allowed = format!("{}{}", known.join(", "), suggestion.unwrap_or_default());
+        self.report(offset, name, "an unknown key".into(), allowed);
     }
 
-    fn roles(&mut self, root: &DeTable<'_>) {
-        // A gateway names its store itself and asks nothing else.
+    fn check_roles(&mut self, root: &DeTable<'_>) {
+        // A gateway needs no platform: its own table has the address of the store.
         if !root.contains_key("gateway") && !root.contains_key("platform") {
             let allowed = "a table [platform]".to_owned();
             self.report(0, "platform", "nothing".into(), allowed);
         }
         let roles = ROLES.iter().filter_map(|role| root.get(*role));
-        let starts: Vec<usize> = roles.map(|table| table.span().start).collect();
+        let offsets: Vec<usize> = roles.map(|table| table.span().start).collect();
         let allowed = "exactly one of the tables [entry], [side] and [gateway]";
-        match starts.as_slice() {
+        match offsets.as_slice() {
             [] => self.report(0, "", "no role".into(), allowed.into()),
             [_] => {}
             [.., last] => self.report(*last, "", "several roles".into(), allowed.into()),
         }
     }
 
-    fn apart(&mut self, root: &DeTable<'_>) {
-        for (table, one, other) in APART {
-            let at = |key: &str| -> Option<(SocketAddr, usize)> {
+    fn check_addresses(&mut self, root: &DeTable<'_>) {
+        for (table, first_key, second_key) in DISTINCT_ADDRESSES {
+            let address_of = |key: &str| -> Option<(SocketAddr, usize)> {
                 let value = root.get(*table)?.get_ref().as_table()?.get(key)?;
                 Some((address(value.get_ref().as_str()?)?, value.span().start))
             };
-            if let (Some((first, _)), Some((second, start))) = (at(one), at(other))
-                && clash(first, second)
+            if let (Some((first, _)), Some((second, offset))) =
+                (address_of(first_key), address_of(second_key))
+                && conflicts(first, second)
             {
-                let allowed = format!("an address other than that of {table}.{one}, {first}");
-                self.report(start, &join(table, other), second.to_string(), allowed);
+                let allowed = format!("an address other than that of {table}.{first_key}, {first}");
+                self.report(
+                    offset,
+                    &join(table, second_key),
+                    second.to_string(),
+                    allowed,
+                );
             }
         }
     }
 }
 
-fn child(path: &str) -> Option<&'static Table> {
+fn find_table(path: &str) -> Option<&'static Table> {
     TABLES.iter().find(|table| table.path == path)
 }
 
-fn field(path: &str, key: &str) -> Option<&'static Field> {
-    child(path)?.fields.iter().find(|field| field.key == key)
+fn find_field(path: &str, key: &str) -> Option<&'static Field> {
+    find_table(path)?
+        .fields
+        .iter()
+        .find(|field| field.key == key)
 }
 
-/// Returns the names that may stand in the table at `path`.
-fn known(path: &str) -> Vec<&'static str> {
-    let fields = child(path).map_or(&[] as &[Field], |table| table.fields);
+/// Returns the names of all keys and tables allowed in the table at `path`.
+fn known_names(path: &str) -> Vec<&'static str> {
+    let fields = find_table(path).map_or(&[] as &[Field], |table| table.fields);
     let tables = TABLES
         .iter()
         .filter_map(|table| match table.path.rsplit_once('.') {
@@ -212,25 +227,26 @@
     }
 }
 
-fn nearest<'a>(key: &str, known: &[&'a str]) -> Option<&'a str> {
+/// Returns the known name with the smallest edit distance to `key`, if it is similar.
+fn closest<'a>(key: &str, known: &[&'a str]) -> Option<&'a str> {
     known
         .iter()
         .map(|name| (distance(key, name), *name))
-        .filter(|(far, name)| *far < NEAR.min(name.len()))
+        .filter(|(distance, name)| *distance < SUGGESTION_DISTANCE.min(name.len()))
         .min()
         .map(|(_, name)| name)
 }
 
-/// Returns the edit distance of two words (Levenshtein).
-fn distance(one: &str, other: &str) -> usize {
-    let mut row: Vec<usize> = (0..=other.chars().count()).collect();
-    for (i, a) in one.chars().enumerate() {
+/// Returns the Levenshtein distance of two words.
+fn distance(first: &str, second: &str) -> usize {
+    let mut row: Vec<usize> = (0..=second.chars().count()).collect();
+    for (i, a) in first.chars().enumerate() {
         let mut diagonal = row[0];
         row[0] = i + 1;
-        for (j, b) in other.chars().enumerate() {
-            let change = diagonal + usize::from(a != b);
+        for (j, b) in second.chars().enumerate() {
+            let substitution = diagonal + usize::from(a != b);
             diagonal = row[j + 1];
-            row[j + 1] = change.min(row[j] + 1).min(diagonal + 1);
+            row[j + 1] = substitution.min(row[j] + 1).min(diagonal + 1);
         }
     }
     row.last().copied().unwrap_or(0)
--- a/hibiscusroad-daemon/src/settings/mod.rs
+++ b/hibiscusroad-daemon/src/settings/mod.rs
@@ -1,12 +1,9 @@
-//! The settings of a process, read from one TOML file when it starts.
+//! Settings of a process, read from a TOML file at startup.
 //!
-//! What may change while the system runs is not here but in the configuration
-//! document that the entries spread; a process learns from its settings only
-//! who and where it is, and whom to ask.
+//! They hold the identity, location and addresses of the process. What may change at run
+//! time is in the configuration document instead.
 //!
-//! A file is checked whole before it is used, and all faults are told at once:
-//! an operator who installs fifteen hosts should not have to start each of them
-//! once for every slip.
+//! A file is validated as a whole, and all problems are reported at once.
 //!
 //! # Example
 //!
@@ -53,20 +50,20 @@
 /// A settings file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file can't be read.
+    /// Reading the file failed.
     #[error("{}: can't be read: {source}", .file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// I/O error.
         source: io::Error,
     },
-    /// The file has faults, of which there is at least one.
+    /// The content of the file is invalid.
     #[error("{}", list(.file, .problems))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// All its faults, in the order of its lines.
+        /// All problems, at least one, ordered by line.
         problems: Vec<Problem>,
     },
 }
@@ -78,44 +75,44 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// All settings of one process. Exactly one of the roles is given.
+/// Settings of one process. Exactly one of `entry`, `side` and `gateway` is set.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The process's name, unique in the deployment.
+    /// Name of the process, unique in the deployment.
     pub name: String,
-    /// The host that it runs on.
+    /// Host on which the process runs.
     pub host: String,
-    /// The place (data centre) of the host.
+    /// Data centre of the host.
     pub place: String,
-    /// The region of the place.
+    /// Region of the data centre.
     pub region: String,
-    /// Where the platform's services are; a gateway has none.
+    /// URLs of the platform's services; empty for a gateway.
     #[serde(default)]
     pub platform: Platform,
     /// Settings of the role entry.
     pub entry: Option<Entry>,
-    /// Settings of the role side.
+    /// Settings of the role side (sidecar).
     pub side: Option<Side>,
     /// Settings of the role gateway.
     pub gateway: Option<Gateway>,
-    /// Logs.
+    /// Settings of logging.
     #[serde(default)]
     pub log: Log,
-    /// Metrics.
+    /// Settings of metrics.
     #[serde(default)]
     pub metrics: Metrics,
-    /// Stopping.
+    /// Settings of graceful shutdown.
     #[serde(default)]
     pub stop: Stop,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be read, or all its faults.
+    /// Returns an error if the file can't be read or is invalid.
     pub fn load(file: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(file).map_err(|source| Error::Unreadable {
             file: file.to_owned(),
@@ -127,11 +124,11 @@
         })
     }
 
-    /// Checks the content of a file.
+    /// Parses and validates the content of a file.
     ///
     /// # Errors
     ///
-    /// Returns all faults, in the order of the lines.
+    /// Returns all problems, ordered by line.
     pub fn parse(text: &str) -> Result<Self, Vec<Problem>> {
         let problems = check::problems(text);
         if !problems.is_empty() {
@@ -148,32 +145,32 @@
     }
 }
 
-/// Where the platform's services are, as URLs without a path.
+/// URLs of the platform's services, without a path.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The table service, etcd's JSON gateway.
+    /// Table service: etcd's JSON gateway.
     pub table: String,
-    /// The host list, in the form of HTTP service discovery.
+    /// Host list, in the format of HTTP service discovery.
     pub hosts: String,
-    /// The object store.
+    /// Object store.
     pub objects: Option<String>,
-    /// The weight store.
+    /// Weight store.
     pub weights: Option<String>,
 }
 
-/// Settings of logs.
+/// Settings of logging.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_level")]
     pub level: String,
-    /// `text` or `json`.
+    /// Format: `text` or `json`.
     #[serde(default = "default_format")]
     pub format: String,
-    /// Lines that a gateway writes in a second at most.
-    #[serde(default = "default_lines")]
+    /// Maximum number of lines that a gateway writes per second.
+    #[serde(default = "default_lines_s")]
     pub lines_s: usize,
 }
 
@@ -182,7 +179,7 @@
         Self {
             level: default_level(),
             format: default_format(),
-            lines_s: default_lines(),
+            lines_s: default_lines_s(),
         }
     }
 }
@@ -191,23 +188,23 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Metrics {
-    /// Where statsd lines are sent by UDP; none are, without it.
+    /// UDP address to which statsd lines are sent; `None` disables metrics.
     pub target: Option<SocketAddr>,
 }
 
-/// Settings of a planned stop.
+/// Settings of graceful shutdown.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
-    /// Seconds that work in flight may take before the process ends anyway.
-    #[serde(default = "default_stop")]
+    /// Time limit for work in flight, in seconds, after which the process exits.
+    #[serde(default = "default_deadline_s")]
     pub deadline_s: u64,
 }
 
 impl Default for Stop {
     fn default() -> Self {
         Self {
-            deadline_s: default_stop(),
+            deadline_s: default_deadline_s(),
         }
     }
 }
@@ -216,8 +213,7 @@
     "info".to_owned()
 }
 
-/// Half as much again as a process wrote in the busiest second that was measured.
-const fn default_lines() -> usize {
+const fn default_lines_s() -> usize {
     200
 }
 
@@ -225,6 +221,6 @@
     "text".to_owned()
 }
 
-fn default_stop() -> u64 {
+fn default_deadline_s() -> u64 {
     30
 }
--- a/hibiscusroad-daemon/src/settings/roles.rs
+++ b/hibiscusroad-daemon/src/settings/roles.rs
@@ -1,4 +1,4 @@
-//! What the settings of an entry and of a side hold.
+//! Settings of the roles entry, side (sidecar) and gateway.
 
 use hibiscusroad::{
     config::Kind,
@@ -11,34 +11,33 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect; apart from callers, so that a rush of them
-    /// can't lock operators out.
+    /// Listening address for operators, separate so that callers can't exhaust it.
     pub operators: SocketAddr,
-    /// Requests worked on at once: threads that read and answer.
+    /// Number of worker threads, each of which serves one request at a time.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// Bytes that a request's body may have.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body")]
     pub body: usize,
-    /// Events that may wait for the thread that owns the tables.
+    /// Capacity of the event channel to the thread that owns the state.
     #[serde(default = "default_handover")]
     pub handover: usize,
-    /// Milliseconds a caller waits who names no deadline.
-    #[serde(default = "default_deadline")]
+    /// Deadline of requests that specify none, in milliseconds.
+    #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Sides of each service that this entry keeps a link to.
+    /// Number of sidecars per service to which this entry keeps a stream.
     #[serde(default = "default_subset")]
     pub subset: usize,
-    /// Tokens of those who may ask and act.
+    /// Operators' tokens.
     #[serde(default)]
     pub tokens: Tokens,
 }
 
 impl Entry {
-    /// Creates the settings of an entry that serves callers and operators at
-    /// these addresses, with everything else as the defaults have it.
+    /// Creates settings with these listening addresses and the defaults for everything
+    /// else.
     ///
     /// # Example
     ///
@@ -60,48 +59,48 @@
             workers: default_workers(),
             body: default_body(),
             handover: default_handover(),
-            deadline_ms: default_deadline(),
+            deadline_ms: default_deadline_ms(),
             subset: default_subset(),
             tokens: Tokens::default(),
         }
     }
 
-    /// Sets how many requests are worked on at once.
+    /// Sets the number of worker threads.
     #[must_use]
     pub const fn workers(mut self, workers: usize) -> Self {
         self.workers = workers;
         self
     }
 
-    /// Sets how many bytes a request's body may have.
+    /// Sets the maximum size of a request body, in bytes.
     #[must_use]
     pub const fn body(mut self, body: usize) -> Self {
         self.body = body;
         self
     }
 
-    /// Sets how many events may wait for the tables.
+    /// Sets the capacity of the event channel.
     #[must_use]
     pub const fn handover(mut self, handover: usize) -> Self {
         self.handover = handover;
         self
     }
 
-    /// Sets how many milliseconds a caller waits who names no deadline.
+    /// Sets the deadline of requests that specify none, in milliseconds.
     #[must_use]
     pub const fn deadline_ms(mut self, deadline_ms: u64) -> Self {
         self.deadline_ms = deadline_ms;
         self
     }
 
-    /// Sets how many sides of each service are linked.
+    /// Sets the number of sidecars per service to which a stream is kept.
     #[must_use]
     pub const fn subset(mut self, subset: usize) -> Self {
         self.subset = subset;
         self
     }
 
-    /// Sets who may ask and act.
+    /// Sets the operators' tokens.
     #[must_use]
     pub fn tokens(mut self, tokens: Tokens) -> Self {
         self.tokens = tokens;
@@ -109,20 +108,20 @@
     }
 }
 
-/// Tokens that operators show.
+/// Tokens that authenticate operators.
 #[derive(Clone, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Tokens {
-    /// May ask what is running.
+    /// Tokens that allow queries.
     #[serde(default)]
     pub ask: Vec<String>,
-    /// May also change the configuration.
+    /// Tokens that allow queries and changes.
     #[serde(default)]
     pub act: Vec<String>,
 }
 
 impl fmt::Debug for Tokens {
-    // Tokens must never reach a log.
+    // Prints only the number of tokens, so that none reaches a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Tokens")
             .field("ask", &self.ask.len())
@@ -131,37 +130,36 @@
     }
 }
 
-/// Settings of a side.
+/// Settings of a sidecar.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Side {
-    /// Where entries open links.
+    /// Listening address for streams from entries.
     pub links: SocketAddr,
-    /// The service of its endpoint.
+    /// Service of the endpoint.
     pub service: String,
-    /// The endpoint's name, unique in the service.
+    /// Name of the endpoint, unique in the service.
     pub endpoint: String,
-    /// The endpoint's address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// What the endpoint is.
+    /// Kind of the endpoint.
     pub kind: Kind,
-    /// Requests that the endpoint works on at once.
+    /// Concurrency limit of the endpoint.
     #[serde(default = "default_limit")]
     pub limit: u32,
-    /// Bytes of answers kept for entries that have not acknowledged them.
+    /// Maximum size of unacknowledged responses, in bytes.
     #[serde(default = "default_buffer")]
     pub buffer: usize,
-    /// Events that may wait for the thread that owns the tables.
+    /// Capacity of the event channel to the thread that owns the state.
     #[serde(default = "default_handover")]
     pub handover: usize,
-    /// Whether the endpoint itself refuses an order with an old number.
+    /// Whether the endpoint itself refuses orders with an outdated fencing token.
     #[serde(default)]
     pub fences: bool,
 }
 
 impl Side {
-    /// Creates the settings of a side that takes links at `links`, with
-    /// everything else as the defaults have it.
+    /// Creates settings with these values and the defaults for everything else.
     #[must_use]
     pub fn new(
         links: SocketAddr,
@@ -183,28 +181,28 @@
         }
     }
 
-    /// Sets how many requests the endpoint works on at once.
+    /// Sets the concurrency limit of the endpoint.
     #[must_use]
     pub const fn limit(mut self, limit: u32) -> Self {
         self.limit = limit;
         self
     }
 
-    /// Sets how many bytes of answers are kept.
+    /// Sets the maximum size of unacknowledged responses, in bytes.
     #[must_use]
     pub const fn buffer(mut self, buffer: usize) -> Self {
         self.buffer = buffer;
         self
     }
 
-    /// Sets how many events may wait for the tables.
+    /// Sets the capacity of the event channel.
     #[must_use]
     pub const fn handover(mut self, handover: usize) -> Self {
         self.handover = handover;
         self
     }
 
-    /// Sets whether the endpoint itself refuses an order with an old number.
+    /// Sets whether the endpoint itself refuses orders with an outdated fencing token.
     #[must_use]
     pub const fn fences(mut self, fences: bool) -> Self {
         self.fences = fences;
@@ -216,57 +214,58 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this process takes callers.
+    /// Listening address for readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// The table service.
+    /// Address of the table service.
     pub store: SocketAddr,
-    /// Where metrics are served; they aren't, without it.
+    /// Listening address for metrics; `None` disables them.
     pub metrics: Option<SocketAddr>,
-    /// Where calls of peers to the store are carried; none are, without it.
+    /// Listening address for peers, whose requests to the store are forwarded; `None`
+    /// disables it.
     pub peers: Option<SocketAddr>,
-    /// Milliseconds that a lease lasts.
-    #[serde(default = "default_lease")]
+    /// Duration of leases, in milliseconds.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Bytes that a row of the store holds.
-    #[serde(default = "default_row")]
+    /// Maximum size of a row in the store, in bytes.
+    #[serde(default = "default_row_bytes")]
     pub row_bytes: usize,
-    /// Seconds for which a batch can be read after its submission.
-    #[serde(default = "default_keep")]
+    /// How long a batch can be read after its submission, in seconds.
+    #[serde(default = "default_keep_s")]
     pub keep_s: u64,
-    /// Whether endpoints refuse an order with an old fencing number.
+    /// Whether endpoints refuse orders with an outdated fencing token.
     #[serde(default)]
     pub fences: bool,
-    /// Milliseconds for which keys are taken without a word of the store; for ever,
-    /// without it.
+    /// How long API keys are accepted without contact to the store, in milliseconds; `None`
+    /// for no limit.
     pub trust_ms: Option<u64>,
-    /// Reports of what accounts used; there are none, without it.
+    /// Usage reports; `None` disables them.
     pub usage: Option<Usage>,
-    /// Megabytes that this process may use.
-    #[serde(default = "default_memory")]
+    /// Memory limit of the process, in megabytes.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
-    /// Endpoints that may end under a request before it is in quarantine.
+    /// Number of endpoint crashes after which a request is quarantined.
     #[serde(default = "default_crash_limit")]
     pub crash_limit: usize,
-    /// Seconds for which the end of an endpoint counts against a request.
-    #[serde(default = "default_quarantine")]
+    /// How long an endpoint crash counts against a request, in seconds.
+    #[serde(default = "default_quarantine_s")]
     pub quarantine_s: u64,
 }
 
-/// Settings of the reports of usage.
+/// Settings of usage reports.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Usage {
-    /// Who takes the reports.
+    /// Address to which reports are sent.
     pub address: SocketAddr,
-    /// Seconds of a window, of which each is reported by itself.
+    /// Length of the window that one report covers, in seconds.
     pub window_s: u64,
-    /// Seconds after a window's end within which its report is due.
+    /// Time after the end of a window by which its report is due, in seconds.
     pub late_s: u64,
 }
 
-fn default_memory() -> u32 {
+fn default_memory_mb() -> u32 {
     256
 }
 
@@ -274,19 +273,19 @@
     LIMIT
 }
 
-fn default_quarantine() -> u64 {
+fn default_quarantine_s() -> u64 {
     KEEP.as_secs()
 }
 
-fn default_lease() -> u64 {
+fn default_lease_ms() -> u64 {
     3_000
 }
 
-fn default_keep() -> u64 {
+fn default_keep_s() -> u64 {
     120
 }
 
-fn default_row() -> usize {
+fn default_row_bytes() -> usize {
     64 << 10
 }
 
@@ -302,7 +301,7 @@
     8192
 }
 
-fn default_deadline() -> u64 {
+fn default_deadline_ms() -> u64 {
     10_000
 }
 
--- a/hibiscusroad-daemon/src/settings/schema.rs
+++ b/hibiscusroad-daemon/src/settings/schema.rs
@@ -1,43 +1,43 @@
-//! The list of all keys and what each may hold.
+//! Schema of the settings file.
 //!
-//! It stands beside the structs that serde fills, and repeats their names, so
-//! that one pass over the file finds all faults: serde alone stops at the
-//! first. A test loads a file with every key, and so fails if the two differ.
+//! It repeats the fields of the deserialised structs because serde stops at the first
+//! error, whereas the schema finds all of them. Tests load files that set most keys, so
+//! they fail if the two differ in these.
 
 use std::net::{IpAddr, SocketAddr};
 use toml::de::DeValue;
 use ureq::http::Uri;
 
-const LONGEST_NAME: usize = 64;
-/// Short tokens can be guessed over a network in days.
-const SHORTEST_TOKEN: usize = 16;
-const MILLIS_AN_HOUR: u64 = 3_600_000;
-const SECONDS_AN_HOUR: u64 = 3_600;
-const SECONDS_A_DAY: u64 = 24 * SECONDS_AN_HOUR;
-const SECONDS: Rule = Rule::Integer {
-    low: 1,
-    high: SECONDS_AN_HOUR,
+const MAX_NAME_LEN: usize = 64;
+/// Minimum length of a token; shorter ones could be guessed.
+const MIN_TOKEN_LEN: usize = 16;
+const MILLIS_PER_HOUR: u64 = 3_600_000;
+const SECONDS_PER_HOUR: u64 = 3_600;
+const SECONDS_PER_DAY: u64 = 24 * SECONDS_PER_HOUR;
+const WINDOW_SECONDS: Rule = Rule::Integer {
+    min: 1,
+    max: SECONDS_PER_HOUR,
 };
 
-/// What a key may hold.
+/// Type and constraints of a value.
 #[derive(Clone, Copy, Debug)]
 pub enum Rule {
-    /// An IP address and a port that is not 0.
+    /// An IP address and a port other than 0.
     Address,
     /// `true` or `false`.
     Flag,
-    /// A whole number from `low` to `high`.
+    /// An integer from `min` to `max`.
     Integer {
-        /// The least.
-        low: u64,
-        /// The greatest.
-        high: u64,
+        /// Minimum.
+        min: u64,
+        /// Maximum.
+        max: u64,
     },
-    /// A name of a process, host, place, region, service or endpoint.
+    /// A name of a process, host, data centre, region, service or endpoint.
     Name,
     /// One of these words.
     OneOf(&'static [&'static str]),
-    /// A list of secrets, whose content never reaches a message.
+    /// A list of secrets, which are never included in messages.
     Tokens,
     /// An `http` URL without a path.
     Url,
@@ -46,29 +46,29 @@
 /// One key of a table.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Its name.
+    /// Name of the key.
     pub key: &'static str,
-    /// Whether the table must have it.
-    pub needed: bool,
-    /// What it may hold.
+    /// Whether the table must contain the key.
+    pub required: bool,
+    /// Allowed values.
     pub rule: Rule,
 }
 
 /// One table of the file.
 #[derive(Clone, Copy, Debug)]
 pub struct Table {
-    /// Its path, dotted; empty for the whole file.
+    /// Dotted path; empty for the root of the file.
     pub path: &'static str,
-    /// Whether the file must have it.
-    pub needed: bool,
-    /// Its keys.
+    /// Whether the file must contain the table.
+    pub required: bool,
+    /// Keys of the table.
     pub fields: &'static [Field],
 }
 
-const fn needed(key: &'static str, rule: Rule) -> Field {
+const fn required(key: &'static str, rule: Rule) -> Field {
     Field {
         key,
-        needed: true,
+        required: true,
         rule,
     }
 }
@@ -76,65 +76,65 @@
 const fn optional(key: &'static str, rule: Rule) -> Field {
     Field {
         key,
-        needed: false,
+        required: false,
         rule,
     }
 }
 
-const fn integer(key: &'static str, low: u64, high: u64) -> Field {
-    optional(key, Rule::Integer { low, high })
+const fn integer(key: &'static str, min: u64, max: u64) -> Field {
+    optional(key, Rule::Integer { min, max })
 }
 
 /// All tables of a settings file.
 pub const TABLES: &[Table] = &[
     Table {
         path: "",
-        needed: true,
+        required: true,
         fields: &[
-            needed("name", Rule::Name),
-            needed("host", Rule::Name),
-            needed("place", Rule::Name),
-            needed("region", Rule::Name),
+            required("name", Rule::Name),
+            required("host", Rule::Name),
+            required("place", Rule::Name),
+            required("region", Rule::Name),
         ],
     },
     Table {
         path: "platform",
-        // Only entries and sides need it; see `Check::roles`.
-        needed: false,
+        // Required for entries and sidecars only; see `Checker::check_roles`.
+        required: false,
         fields: &[
-            needed("table", Rule::Url),
-            needed("hosts", Rule::Url),
+            required("table", Rule::Url),
+            required("hosts", Rule::Url),
             optional("objects", Rule::Url),
             optional("weights", Rule::Url),
         ],
     },
     Table {
         path: "entry",
-        needed: false,
+        required: false,
         fields: &[
-            needed("callers", Rule::Address),
-            needed("operators", Rule::Address),
+            required("callers", Rule::Address),
+            required("operators", Rule::Address),
             integer("workers", 1, 4096),
             integer("body", 1, 64 << 20),
             integer("handover", 1, 1 << 20),
-            integer("deadline_ms", 1, MILLIS_AN_HOUR),
+            integer("deadline_ms", 1, MILLIS_PER_HOUR),
             integer("subset", 1, 4096),
         ],
     },
     Table {
         path: "entry.tokens",
-        needed: false,
+        required: false,
         fields: &[optional("ask", Rule::Tokens), optional("act", Rule::Tokens)],
     },
     Table {
         path: "side",
-        needed: false,
+        required: false,
         fields: &[
-            needed("links", Rule::Address),
-            needed("service", Rule::Name),
-            needed("endpoint", Rule::Name),
-            needed("address", Rule::Address),
-            needed("kind", Rule::OneOf(&["model", "plain"])),
+            required("links", Rule::Address),
+            required("service", Rule::Name),
+            required("endpoint", Rule::Name),
+            required("address", Rule::Address),
+            required("kind", Rule::OneOf(&["model", "plain"])),
             integer("limit", 1, 4096),
             integer("buffer", 1024, 4 << 30),
             integer("handover", 1, 1 << 20),
@@ -143,35 +143,35 @@
     },
     Table {
         path: "gateway",
-        needed: false,
+        required: false,
         fields: &[
-            needed("callers", Rule::Address),
-            needed("ready", Rule::Address),
-            needed("store", Rule::Address),
+            required("callers", Rule::Address),
+            required("ready", Rule::Address),
+            required("store", Rule::Address),
             optional("metrics", Rule::Address),
             optional("peers", Rule::Address),
-            integer("lease_ms", 100, MILLIS_AN_HOUR),
+            integer("lease_ms", 100, MILLIS_PER_HOUR),
             integer("row_bytes", 1024, 16 << 20),
-            integer("keep_s", 1, SECONDS_AN_HOUR),
+            integer("keep_s", 1, SECONDS_PER_HOUR),
             optional("fences", Rule::Flag),
             integer("memory_mb", 1, 1 << 20),
-            integer("trust_ms", 100, MILLIS_AN_HOUR),
+            integer("trust_ms", 100, MILLIS_PER_HOUR),
             integer("crash_limit", 1, 100),
-            integer("quarantine_s", 1, SECONDS_A_DAY),
+            integer("quarantine_s", 1, SECONDS_PER_DAY),
         ],
     },
     Table {
         path: "gateway.usage",
-        needed: false,
+        required: false,
         fields: &[
-            needed("address", Rule::Address),
-            needed("window_s", SECONDS),
-            needed("late_s", SECONDS),
+            required("address", Rule::Address),
+            required("window_s", WINDOW_SECONDS),
+            required("late_s", WINDOW_SECONDS),
         ],
     },
     Table {
         path: "log",
-        needed: false,
+        required: false,
         fields: &[
             optional(
                 "level",
@@ -183,42 +183,42 @@
     },
     Table {
         path: "metrics",
-        needed: false,
+        required: false,
         fields: &[optional("target", Rule::Address)],
     },
     Table {
         path: "stop",
-        needed: false,
-        fields: &[integer("deadline_s", 1, SECONDS_AN_HOUR)],
+        required: false,
+        fields: &[integer("deadline_s", 1, SECONDS_PER_HOUR)],
     },
 ];
 
 impl Rule {
-    /// Returns what is allowed, to end the sentence "allowed: ...".
+    /// Describes the allowed values, for messages.
     #[must_use]
     pub fn allowed(self) -> String {
         match self {
             Self::Address => "IP:PORT with a port from 1 to 65535, such as 127.0.0.1:8080".into(),
             Self::Flag => "true or false".into(),
-            Self::Integer { low, high } => format!("a whole number from {low} to {high}"),
+            Self::Integer { min, max } => format!("a whole number from {min} to {max}"),
             Self::Name => {
-                format!("1 to {LONGEST_NAME} lower-case letters, digits, '-', '_' or '.'")
+                format!("1 to {MAX_NAME_LEN} lower-case letters, digits, '-', '_' or '.'")
             }
             Self::OneOf(words) => words.join(", "),
             Self::Tokens => {
-                format!("a list of strings of at least {SHORTEST_TOKEN} visible ASCII characters")
+                format!("a list of strings of at least {MIN_TOKEN_LEN} visible ASCII characters")
             }
             Self::Url => "http://HOST or http://HOST:PORT, without a path".into(),
         }
     }
 
-    /// Returns whether `value` keeps the rule.
+    /// Returns whether `value` is allowed.
     #[must_use]
-    pub fn fits(self, value: &DeValue<'_>) -> bool {
+    pub fn accepts(self, value: &DeValue<'_>) -> bool {
         match self {
             Self::Flag => value.is_bool(),
-            Self::Integer { low, high } => {
-                integer_of(value).is_some_and(|n| (low..=high).contains(&n))
+            Self::Integer { min, max } => {
+                parse_integer(value).is_some_and(|n| (min..=max).contains(&n))
             }
             Self::Tokens => value
                 .as_array()
@@ -230,9 +230,9 @@
         }
     }
 
-    /// Returns what was found, without secrets.
+    /// Describes `value` for messages, without revealing secrets.
     #[must_use]
-    pub fn found(self, value: &DeValue<'_>) -> String {
+    pub fn describe(self, value: &DeValue<'_>) -> String {
         match (self, value) {
             (Self::Tokens, value) => format!("{} (not shown)", value.type_str()),
             (_, DeValue::String(text)) => format!("{text:?}"),
@@ -244,32 +244,35 @@
     }
 }
 
-/// Reads an address that a process can listen on or reach.
+/// Parses an address with a port other than 0.
 #[must_use]
 pub fn address(text: &str) -> Option<SocketAddr> {
-    text.parse().ok().filter(|at: &SocketAddr| at.port() != 0)
+    text.parse()
+        .ok()
+        .filter(|address: &SocketAddr| address.port() != 0)
 }
 
-/// Returns whether two listeners on these addresses get in each other's way.
+/// Returns whether two listeners can't be bound to these addresses at the same time.
 #[must_use]
-pub fn clash(one: SocketAddr, other: SocketAddr) -> bool {
-    let all = |ip: IpAddr| ip.is_unspecified();
-    one.port() == other.port() && (one.ip() == other.ip() || all(one.ip()) || all(other.ip()))
+pub fn conflicts(first: SocketAddr, second: SocketAddr) -> bool {
+    let is_any = |ip: IpAddr| ip.is_unspecified();
+    first.port() == second.port()
+        && (first.ip() == second.ip() || is_any(first.ip()) || is_any(second.ip()))
 }
 
-fn integer_of(value: &DeValue<'_>) -> Option<u64> {
+fn parse_integer(value: &DeValue<'_>) -> Option<u64> {
     let n = value.as_integer()?;
     u64::from_str_radix(n.as_str(), n.radix()).ok()
 }
 
 fn is_name(text: &str) -> bool {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-    (1..=LONGEST_NAME).contains(&text.len()) && text.chars().all(plain)
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
+    (1..=MAX_NAME_LEN).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
 fn is_token(value: &DeValue<'_>) -> bool {
     value.as_str().is_some_and(|token| {
-        token.len() >= SHORTEST_TOKEN && token.chars().all(|c| c.is_ascii_graphic())
+        token.len() >= MIN_TOKEN_LEN && token.chars().all(|c| c.is_ascii_graphic())
     })
 }
 
@@ -281,7 +284,7 @@
         && uri.query().is_none()
         && uri.path() == "/"
         && !text.ends_with('/')
-        && uri
-            .authority()
-            .is_some_and(|at| !at.as_str().contains('@') && !at.host().is_empty())
+        && uri.authority().is_some_and(|authority| {
+            !authority.as_str().contains('@') && !authority.host().is_empty()
+        })
 }
--- a/hibiscusroad-daemon/tests/settings.rs
+++ b/hibiscusroad-daemon/tests/settings.rs
@@ -1,13 +1,12 @@
-//! Settings files and the faults that each must show, all at once.
+//! Problems reported for settings files.
 //!
-//! `NAME.toml` is loaded; `NAME.errors` beside it lists the expected faults as
-//! the daemon prints them, without the file's name. It is empty for a file
-//! without faults.
+//! For each `NAME.toml`, `NAME.errors` lists the expected problems as the daemon prints
+//! them, without the file name. It is empty for a valid file.
 
 use hibiscusroad_daemon::settings::Settings;
 use std::{fs, path::Path};
 
-fn faults(file: &Path) -> datatest_stable::Result<()> {
+fn problems(file: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(file)?;
     let expected = fs::read_to_string(file.with_extension("errors"))?;
     let found = match Settings::parse(&text) {
@@ -19,5 +18,5 @@
 }
 
 datatest_stable::harness! {
-    { test = faults, root = "tests/data/settings", pattern = r"\.toml$" },
+    { test = problems, root = "tests/data/settings", pattern = r"\.toml$" },
 }
