--- a/hibiscusroad-daemon/src/platform/backoff.rs
+++ b/hibiscusroad-daemon/src/platform/backoff.rs
@@ -1,42 +1,40 @@
-//! Waits between tries.
+//! Delays between retries.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Waits that double up to a limit, each drawn between nothing and the full
-/// wait.
+/// Exponential backoff with full jitter.
 ///
-/// Without the draw, all processes that saw one outage begin would come back in
-/// the same instant, and again after each wait: the service would meet its
-/// worst load the moment it recovers.
+/// The jitter keeps processes that noticed the same outage from retrying at the same time,
+/// which would overload the service just as it recovers.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    limit: Duration,
-    tries: u32,
+    initial: Duration,
+    max: Duration,
+    attempts: u32,
 }
 
 impl Backoff {
-    /// Creates waits that begin at `first` and grow up to `limit`.
+    /// Creates a backoff whose delays before jitter double from `initial` up to `max`.
     #[must_use]
-    pub const fn new(first: Duration, limit: Duration) -> Self {
+    pub const fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            limit,
-            tries: 0,
+            initial,
+            max,
+            attempts: 0,
         }
     }
 
-    /// Begins again, after a success.
+    /// Restarts with the initial delay, after a success.
     pub const fn reset(&mut self) {
-        self.tries = 0;
+        self.attempts = 0;
     }
 
-    /// Draws the next wait.
+    /// Returns the next delay.
     pub fn next_wait(&mut self, rng: &mut impl Rng) -> Duration {
-        let factor = 1_u32.checked_shl(self.tries).unwrap_or(u32::MAX);
-        let full = self.first.saturating_mul(factor).min(self.limit);
-        self.tries = (self.tries + 1).min(u32::BITS - 1);
-        full.mul_f64(rng.random())
+        let factor = 1_u32.checked_shl(self.attempts).unwrap_or(u32::MAX);
+        let delay = self.initial.saturating_mul(factor).min(self.max);
+        self.attempts = (self.attempts + 1).min(u32::BITS - 1);
+        delay.mul_f64(rng.random())
     }
 }
