--- a/hibiscusroad-daemon/src/platform/budget.rs
+++ b/hibiscusroad-daemon/src/platform/budget.rs
@@ -1,38 +1,35 @@
-//! A process's share of what the table service holds.
+//! Rate limits for requests to the table service.
 
 use std::{
     sync::{Mutex, PoisonError},
     time::{Duration, Instant},
 };
 
-/// Writes a second that all processes together may make.
+/// Writes per second allowed for all processes together.
 ///
-/// The users' service holds several hundred a second; others of theirs use it
-/// too.
-const WRITES_IN_ALL: f64 = 288.0;
+/// The service is shared with other applications, so this is less than its capacity.
+const TOTAL_WRITE_RATE: f64 = 288.0;
 
-/// Reads a second that all processes together may make, of about two thousand.
-const READS_IN_ALL: f64 = 1000.0;
+/// Reads per second allowed for all processes together.
+const TOTAL_READ_RATE: f64 = 1000.0;
 
-/// Seconds of the share that may be used at once, so that a lone command
-/// doesn't wait for its turn.
-const BURST: f64 = 4.0;
+/// Size of a bucket, as the number of seconds in which it fills.
+const BURST_SECONDS: f64 = 4.0;
 
-/// The least burst: one command's read, write and read-back.
-const LEAST_BURST: f64 = 3.0;
+/// Minimum size of a bucket: enough for one command, which reads, writes and reads back.
+const MIN_BURST: f64 = 3.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: f64,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-/// Token buckets for reads and writes.
+/// Token buckets for the reads and writes of one process.
 ///
-/// The share is the whole divided by the live entries, which every entry knows
-/// from the host list. No process has to agree with another: a list that lags
-/// by seconds makes the sum a little more or less for as long.
+/// The total rate is divided by the number of entries in the host list. Processes don't
+/// coordinate: while their lists differ, the sum of their rates may briefly be off.
 #[derive(Debug)]
 pub struct Budget {
     reads: Mutex<Bucket>,
@@ -40,38 +37,38 @@
 }
 
 impl Budget {
-    /// Creates the budget of a process that knows of no other yet.
+    /// Creates a budget with the total rates.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            reads: Mutex::new(Bucket::new(READS_IN_ALL, now)),
-            writes: Mutex::new(Bucket::new(WRITES_IN_ALL, now)),
+            reads: Mutex::new(Bucket::new(TOTAL_READ_RATE, now)),
+            writes: Mutex::new(Bucket::new(TOTAL_WRITE_RATE, now)),
         }
     }
 
-    /// Sets how many processes share the service.
+    /// Sets the number of processes that share the total rates.
     pub fn share(&self, processes: usize) {
         let n = processes.max(1) as f64;
-        lock(&self.reads).rate = READS_IN_ALL / n;
-        lock(&self.writes).rate = WRITES_IN_ALL / n;
+        lock(&self.reads).rate = TOTAL_READ_RATE / n;
+        lock(&self.writes).rate = TOTAL_WRITE_RATE / n;
     }
 
-    /// Takes one read, or says how long to wait for it.
+    /// Takes a token for one read.
     ///
     /// # Errors
     ///
-    /// Returns the wait after which there is one.
-    pub fn read(&self, now: Instant) -> Result<(), Duration> {
-        lock(&self.reads).take(now)
+    /// Returns the time until a token is available.
+    pub fn take_read(&self, now: Instant) -> Result<(), Duration> {
+        lock(&self.reads).take_token(now)
     }
 
-    /// Takes one write, or says how long to wait for it.
+    /// Takes a token for one write.
     ///
     /// # Errors
     ///
-    /// Returns the wait after which there is one.
-    pub fn write(&self, now: Instant) -> Result<(), Duration> {
-        lock(&self.writes).take(now)
+    /// Returns the time until a token is available.
+    pub fn take_write(&self, now: Instant) -> Result<(), Duration> {
+        lock(&self.writes).take_token(now)
     }
 }
 
@@ -79,16 +76,16 @@
     fn new(rate: f64, now: Instant) -> Self {
         Self {
             rate,
-            tokens: (rate * BURST).max(LEAST_BURST),
-            filled: now,
+            tokens: (rate * BURST_SECONDS).max(MIN_BURST),
+            refilled: now,
         }
     }
 
-    fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.filled);
-        let most = (self.rate * BURST).max(LEAST_BURST);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.rate).min(most);
-        self.filled = self.filled.max(now);
+    fn take_token(&mut self, now: Instant) -> Result<(), Duration> {
+        let elapsed = now.saturating_duration_since(self.refilled);
+        let capacity = (self.rate * BURST_SECONDS).max(MIN_BURST);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * self.rate).min(capacity);
+        self.refilled = self.refilled.max(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -98,6 +95,6 @@
 }
 
 fn lock(bucket: &Mutex<Bucket>) -> std::sync::MutexGuard<'_, Bucket> {
-    // A bucket is whole after every step, so a panic elsewhere can't spoil it.
+    // A panic can't leave a bucket in an inconsistent state.
     bucket.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's host list.
+//! Client of the platform's host list.
 
 use crate::{
     metrics::{self, Metrics},
@@ -10,32 +10,32 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Whether the platform wants to take a host away.
+/// State of a host in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It stays.
+    /// The host is in service.
     Live,
-    /// It will be taken away soon.
+    /// The platform will remove the host soon.
     Leaving,
 }
 
-/// One process that the list names.
+/// One process in the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Host {
-    /// The host's name.
+    /// Name of the host.
     pub name: String,
-    /// Its place.
+    /// Data centre of the host.
     pub place: String,
-    /// The role of the process: `entry` or `side`.
+    /// Role of the process: `entry` or `side`.
     pub role: String,
-    /// The service of a side's endpoint; empty for an entry.
+    /// Service of a sidecar's endpoint; empty for an entry.
     pub service: String,
-    /// The name of a side's endpoint, or of the entry.
+    /// Name of a sidecar's endpoint, or of the entry.
     pub endpoint: String,
-    /// Where the process takes links (side) or operators (entry).
+    /// Listening address for streams (sidecar) or operators (entry).
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// State of the host.
     pub state: State,
 }
 
@@ -49,8 +49,8 @@
 struct Labels {
     #[serde(default)]
     host: String,
-    #[serde(default)]
-    place: String,
+    #[serde(default, rename = "place")]
+    data_centre: String,
     role: String,
     #[serde(default)]
     service: String,
@@ -59,56 +59,55 @@
     state: State,
 }
 
-/// A client of the host list.
+/// Client of the host list.
 ///
-/// The list lags. What it says is news, never proof: a host that it still calls
-/// live may be gone, and one that it doesn't name yet may be serving.
+/// The list may be outdated: a host listed as live may be gone, and one that isn't listed
+/// yet may be serving.
 ///
-/// At 960 processes the list has a quarter of a megabyte, and it seldom changes.
-/// A client therefore names the version that it has (`If-None-Match`, RFC 9110),
-/// and a service that knows versions answers 304 without a body. One that
-/// doesn't sends the whole list, as ever.
+/// The list is large and rarely changes, so the client sends the entity tag of its copy
+/// (`If-None-Match`, RFC 9110). A service without support for entity tags returns the
+/// whole list each time.
 #[derive(Clone, Debug)]
 pub struct HostList {
     agent: ureq::Agent,
     url: String,
     metrics: Metrics,
-    kept: Arc<Mutex<Option<Kept>>>,
+    cached: Arc<Mutex<Option<CachedList>>>,
 }
 
-/// The last list, with the version that the service gave it.
+/// The last list and its entity tag.
 #[derive(Clone, Debug)]
-struct Kept {
-    tag: String,
+struct CachedList {
+    etag: String,
     hosts: Vec<Host>,
 }
 
 impl HostList {
-    /// Creates a client of the list at `url`.
+    /// Creates a client of the service at `url`.
     #[must_use]
     pub fn new(url: &str) -> Self {
         Self {
             agent: agent(),
             url: format!("{}/hosts", url.trim_end_matches('/')),
             metrics: Metrics::off(),
-            kept: Arc::default(),
+            cached: Arc::default(),
         }
     }
 
-    /// Counts the calls that fail.
+    /// Sets the client for metrics, which counts failed requests.
     #[must_use]
     pub fn metrics(mut self, metrics: Metrics) -> Self {
         self.metrics = metrics;
         self
     }
 
-    /// Fetches the list as it is now.
+    /// Fetches the current list.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the list gave no usable answer.
+    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
     pub fn fetch(&self) -> Result<Vec<Host>, Fault> {
-        let hosts = self.read();
+        let hosts = self.fetch_cached();
         if hosts.is_err() {
             let part = [("part", "hosts")];
             self.metrics.count(metrics::PLATFORM_FAILED, &part);
@@ -116,40 +115,40 @@
         hosts
     }
 
-    fn read(&self) -> Result<Vec<Host>, Fault> {
-        let kept = self.kept().clone();
+    fn fetch_cached(&self) -> Result<Vec<Host>, Fault> {
+        let cached = self.lock_cache().clone();
         let mut request = self.agent.get(&self.url);
-        if let Some(kept) = &kept {
-            request = request.header("If-None-Match", &kept.tag);
+        if let Some(cached) = &cached {
+            request = request.header("If-None-Match", &cached.etag);
         }
         let response = request
             .call()
             .map_err(|e| Fault::Unreachable(e.to_string()))?;
-        if let Some(kept) = kept.filter(|_| response.status() == 304) {
-            return Ok(kept.hosts);
+        if let Some(cached) = cached.filter(|_| response.status() == 304) {
+            return Ok(cached.hosts);
         }
-        let tag = response.headers().get("etag");
-        let tag = tag.and_then(|tag| tag.to_str().ok()).map(str::to_owned);
+        let etag = response.headers().get("etag");
+        let etag = etag.and_then(|etag| etag.to_str().ok()).map(str::to_owned);
         let groups: Vec<Group> = parse(response)?;
-        let hosts: Vec<Host> = groups.into_iter().flat_map(hosts).collect();
-        *self.kept() = tag.map(|tag| Kept {
-            tag,
+        let hosts: Vec<Host> = groups.into_iter().flat_map(group_hosts).collect();
+        *self.lock_cache() = etag.map(|etag| CachedList {
+            etag,
             hosts: hosts.clone(),
         });
         Ok(hosts)
     }
 
-    fn kept(&self) -> MutexGuard<'_, Option<Kept>> {
-        // It is replaced whole, so a panic elsewhere can't leave half of it.
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_cache(&self) -> MutexGuard<'_, Option<CachedList>> {
+        // The value is only replaced as a whole, so a panic can't leave it inconsistent.
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn hosts(group: Group) -> impl Iterator<Item = Host> {
+fn group_hosts(group: Group) -> impl Iterator<Item = Host> {
     let labels = group.labels;
     group.targets.into_iter().map(move |address| Host {
         name: labels.host.clone(),
-        place: labels.place.clone(),
+        place: labels.data_centre.clone(),
         role: labels.role.clone(),
         service: labels.service.clone(),
         endpoint: labels.endpoint.clone(),
--- a/hibiscusroad-daemon/src/platform/mod.rs
+++ b/hibiscusroad-daemon/src/platform/mod.rs
@@ -1,15 +1,12 @@
-//! The platform, behind a narrow client of plain functions.
+//! Clients of the platform's table service and host list, for entries and sidecars.
 //!
-//! What must last lives in the platform's table service; this module is all
-//! that knows its wire form, so that another platform is another few files.
-//! Calls block; they run on threads of their own, never on the thread that owns
-//! the tables.
+//! Only this module knows the wire format of these services. Calls block, so they run on
+//! threads of their own, never on the thread that owns the state.
 //!
-//! Three things go wrong with such a service, and each has its place here. It
-//! may be down or slow: every call has a time limit and [`Backoff`] spreads the
-//! tries. An answer may be lost after the write took effect: [`Outcome`] has a
-//! case for it that callers can't overlook. And hundreds of processes may ask
-//! at once: a [`Budget`] keeps them together under what the service holds.
+//! - Every call has a timeout, and [`Backoff`] spaces out retries.
+//! - The response to a write may be lost although the write took effect. [`Outcome`] has a
+//!   variant for this case.
+//! - A [`Budget`] limits the rate at which all processes together send requests.
 
 mod backoff;
 mod budget;
@@ -29,25 +26,24 @@
 use std::time::Duration;
 use ureq::{Body, http::Response};
 
-/// How long one call may take before its outcome counts as unknown.
+/// Timeout of a call, after which its outcome is unknown.
 ///
-/// Long enough for a slow but working service, short enough that a caller with
-/// an ordinary deadline of seconds still gets its refusal in time.
-pub const CALL_LIMIT: Duration = Duration::from_millis(1500);
+/// It is shorter than usual deadlines, so that callers are still refused in time.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long opening a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
-        .timeout_connect(Some(CONNECT_LIMIT))
-        .timeout_global(Some(CALL_LIMIT))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
+        .timeout_global(Some(CALL_TIMEOUT))
         .http_status_as_error(false)
         .build()
         .into()
 }
 
-/// Reads the JSON body of an answer that says that all is well.
+/// Decodes the JSON body of a response with the status 200.
 fn parse<T: DeserializeOwned>(mut response: Response<Body>) -> Result<T, Fault> {
     if response.status() != 200 {
         return Err(Fault::Odd(format!("status {}", response.status())));
--- a/hibiscusroad-daemon/src/platform/table.rs
+++ b/hibiscusroad-daemon/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The client of the table service.
+//! Client of the table service.
 
 use crate::{
     metrics::{self, Metrics},
@@ -17,26 +17,26 @@
     time::{Duration, Instant},
 };
 
-/// The longest wait for a turn in the budget before a call counts as not sent.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Maximum time to wait for a token of the budget.
+const MAX_BUDGET_WAIT: Duration = Duration::from_secs(1);
 
-/// One row.
+/// A row of the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// Its key.
+    /// Key.
     pub key: String,
-    /// Its value.
+    /// Value.
     pub value: Vec<u8>,
-    /// How often it was written since it was created; from 1.
+    /// Number of writes since the row was created, starting at 1.
     pub version: u64,
-    /// The table's revision that wrote it.
+    /// Revision of the table at which the row was last written.
     pub revision: u64,
 }
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Cond {
-    /// The row was written this often; 0 is "it is absent".
+    /// The row has this version; 0 if it must not exist.
     Version(String, u64),
     /// The row has this value.
     Value(String, Vec<u8>),
@@ -47,11 +47,11 @@
 pub enum Op {
     /// Writes a row.
     Put(String, Vec<u8>),
-    /// Removes a row.
+    /// Deletes a row.
     Delete(String),
 }
 
-/// Writes that take effect together, or not at all.
+/// A transaction: operations that take effect atomically if all conditions hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
     conds: Vec<Cond>,
@@ -60,7 +60,7 @@
 }
 
 impl Transaction {
-    /// Creates an empty one.
+    /// Creates an empty transaction.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -80,7 +80,7 @@
         self
     }
 
-    /// Adds a row to be read, in the same step, if the conditions don't hold.
+    /// Adds a row to be read atomically if a condition doesn't hold.
     #[must_use]
     pub fn or_read(mut self, key: &str) -> Self {
         self.reads.push(key.to_owned());
@@ -88,39 +88,39 @@
     }
 }
 
-/// Why a call gave nothing.
+/// Why a call to a service of the platform failed.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 pub enum Fault {
-    /// The process has used up its share of the service.
-    #[error("the share of the table service is used up")]
+    /// The process exceeded its rate limit.
+    #[error("the request budget of the table service is used up")]
     Budget,
-    /// The service could not be reached.
-    #[error("the table service can't be reached: {0}")]
+    /// No connection could be opened; the request wasn't sent.
+    #[error("can't connect to the platform: {0}")]
     Unreachable(String),
-    /// The connection broke or the time limit passed after sending.
-    #[error("the table service gave no answer: {0}")]
+    /// The connection failed or the call timed out after the request may have been sent.
+    #[error("no response from the platform: {0}")]
     Silent(String),
-    /// The service answered, but with an error or what can't be understood.
-    #[error("the table service answered oddly: {0}")]
+    /// The response has an unexpected status or an invalid body.
+    #[error("unexpected response from the platform: {0}")]
     Odd(String),
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[must_use]
 pub enum Outcome {
-    /// It took effect, at this revision of the table.
+    /// The transaction took effect, at this revision of the table.
     Committed(u64),
-    /// A condition didn't hold; these are the rows that were to be read.
+    /// A condition didn't hold. Contains the rows added by [`Transaction::or_read`].
     Conflict(Vec<Row>),
-    /// It may have taken effect, or may still do so: read back before saying
-    /// anything to anybody.
+    /// The transaction may have taken effect, or may still do so. The caller must read the
+    /// rows before it reports a result.
     Unknown(Fault),
-    /// It surely took no effect.
+    /// The transaction had no effect.
     NotSent(Fault),
 }
 
-/// A client of the table service; cheap to clone.
+/// Client of the table service; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Table {
     agent: ureq::Agent,
@@ -130,7 +130,7 @@
 }
 
 impl Table {
-    /// Creates a client of the service at `url`, such as `http://10.0.0.1:2379`.
+    /// Creates a client of the service at `url`, for example `http://10.0.0.1:2379`.
     #[must_use]
     pub fn new(url: &str, budget: Arc<Budget>) -> Self {
         Self {
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Counts the calls that fail.
+    /// Sets the client for metrics, which counts failed requests.
     #[must_use]
     pub fn metrics(mut self, metrics: Metrics) -> Self {
         self.metrics = metrics;
         self
     }
 
-    /// Returns the budget that the calls draw on.
+    /// Returns the budget for calls.
     #[must_use]
     pub fn budget(&self) -> &Budget {
         &self.budget
@@ -158,42 +158,42 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service gave no usable answer.
+    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
     pub fn get(&self, key: &str) -> Result<Option<Row>, Fault> {
-        Ok(self.range(&one(key))?.pop())
+        Ok(self.range(&point_request(key))?.pop())
     }
 
-    /// Reads one row if it was written at `revision` or later.
+    /// Reads one row if it was last written at `revision` or later.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service gave no usable answer.
+    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
     pub fn get_since(&self, key: &str, revision: u64) -> Result<Option<Row>, Fault> {
-        let mut request = one(key);
-        request.since = revision;
+        let mut request = point_request(key);
+        request.min_revision = revision;
         let rows = self.range(&request)?;
         Ok(rows.into_iter().find(|row| row.revision >= revision))
     }
 
-    /// Reads the rows whose keys begin with `prefix`, at most `limit`; 0 is all.
+    /// Reads the rows whose keys start with `prefix`, at most `limit`; 0 for no limit.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service gave no usable answer.
+    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
     pub fn list(&self, prefix: &str, limit: u64) -> Result<Vec<Row>, Fault> {
-        let mut request = one(prefix);
+        let mut request = point_request(prefix);
         request.range_end = Some(encode(&prefix_end(prefix.as_bytes())));
         request.limit = limit;
         self.range(&request)
     }
 
-    /// Reads several rows in one step; absent ones are left out.
+    /// Reads several rows atomically; rows that don't exist are omitted.
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service gave no usable answer.
+    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
     pub fn read(&self, keys: &[&str]) -> Result<Vec<Row>, Fault> {
-        wait(|now| self.budget.read(now))?;
+        acquire(|now| self.budget.take_read(now))?;
         let request = TxnRequest {
             compare: Vec::new(),
             success: keys.iter().map(|key| read_op(key)).collect(),
@@ -203,9 +203,9 @@
         read_rows(response)
     }
 
-    /// Writes what the transaction says, if its conditions hold.
+    /// Executes a transaction.
     pub fn transact(&self, transaction: &Transaction) -> Outcome {
-        if let Err(fault) = wait(|now| self.budget.write(now)) {
+        if let Err(fault) = acquire(|now| self.budget.take_write(now)) {
             return Outcome::NotSent(fault);
         }
         let request = TxnRequest {
@@ -228,35 +228,35 @@
     }
 
     fn range(&self, request: &RangeRequest) -> Result<Vec<Row>, Fault> {
-        wait(|now| self.budget.read(now))?;
+        acquire(|now| self.budget.take_read(now))?;
         let response: RangeResponse = self.post("/v3/kv/range", request)?;
-        response.kvs.into_iter().map(row).collect()
+        response.kvs.into_iter().map(decode_row).collect()
     }
 
     fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Fault> {
-        let answer = self.send(path, body);
-        if answer.is_err() {
+        let response = self.send(path, body);
+        if response.is_err() {
             let part = [("part", "table")];
             self.metrics.count(metrics::PLATFORM_FAILED, &part);
         }
-        answer
+        response
     }
 
     fn send<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Fault> {
         let body = serde_json::to_vec(body).map_err(|e| Fault::Odd(e.to_string()))?;
         let url = format!("{}{path}", self.url);
         let request = self.agent.post(&url).content_type("application/json");
-        let response = request.send(&body).map_err(|e| fault(&e))?;
+        let response = request.send(&body).map_err(|e| classify(&e))?;
         parse(response)
     }
 }
 
-/// Waits for a turn in the budget, but not for long: a caller behind it has
-/// a deadline, and a prompt refusal is worth more than a late write.
-fn wait(take: impl Fn(Instant) -> Result<(), Duration>) -> Result<(), Fault> {
+/// Waits for a token of the budget, for at most [`MAX_BUDGET_WAIT`] because callers have
+/// deadlines.
+fn acquire(take_token: impl Fn(Instant) -> Result<(), Duration>) -> Result<(), Fault> {
     let start = Instant::now();
-    while let Err(wait) = take(Instant::now()) {
-        if start.elapsed() + wait > PATIENCE {
+    while let Err(wait) = take_token(Instant::now()) {
+        if start.elapsed() + wait > MAX_BUDGET_WAIT {
             return Err(Fault::Budget);
         }
         thread::sleep(wait);
@@ -264,11 +264,11 @@
     Ok(())
 }
 
-/// Sorts an error by whether the request can have been sent.
+/// Classifies an error by whether the request may have taken effect.
 ///
-/// Only what fails before a connection stands surely took no effect. A reset
-/// may also come after the write, so it counts as silence.
-fn fault(error: &ureq::Error) -> Fault {
+/// Only errors before the connection is established guarantee that it had no effect. A
+/// connection may also be reset after the write.
+fn classify(error: &ureq::Error) -> Fault {
     let text = error.to_string();
     match error {
         ureq::Error::ConnectionFailed
@@ -283,17 +283,18 @@
     }
 }
 
-fn one(key: &str) -> RangeRequest {
+/// Creates a request that reads the row with this key.
+fn point_request(key: &str) -> RangeRequest {
     RangeRequest {
         key: encode(key.as_bytes()),
         range_end: None,
         limit: 0,
-        since: 0,
+        min_revision: 0,
     }
 }
 
 fn read_op(key: &str) -> RequestOp {
-    RequestOp::Range(one(key))
+    RequestOp::Range(point_request(key))
 }
 
 fn write_op(op: &Op) -> RequestOp {
@@ -327,15 +328,15 @@
         .responses
         .into_iter()
         .filter_map(|op| op.response_range);
-    ranges.flat_map(|range| range.kvs).map(row).collect()
+    ranges.flat_map(|range| range.kvs).map(decode_row).collect()
 }
 
-fn row(from: KeyValue) -> Result<Row, Fault> {
-    let key = String::from_utf8(from.key).map_err(|e| Fault::Odd(e.to_string()))?;
+fn decode_row(kv: KeyValue) -> Result<Row, Fault> {
+    let key = String::from_utf8(kv.key).map_err(|e| Fault::Odd(e.to_string()))?;
     Ok(Row {
         key,
-        value: from.value,
-        version: from.version,
-        revision: from.mod_revision,
+        value: kv.value,
+        version: kv.version,
+        revision: kv.mod_revision,
     })
 }
--- a/hibiscusroad-daemon/src/platform/wire.rs
+++ b/hibiscusroad-daemon/src/platform/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON forms of etcd's gateway that the table client uses.
+//! Messages of etcd's JSON gateway.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, de::Error as _};
@@ -11,7 +11,7 @@
     #[serde(skip_serializing_if = "is_zero")]
     pub(super) limit: u64,
     #[serde(rename = "min_mod_revision", skip_serializing_if = "is_zero")]
-    pub(super) since: u64,
+    pub(super) min_revision: u64,
 }
 
 #[derive(Debug, Serialize)]
@@ -86,7 +86,7 @@
 pub(super) struct TxnResponse {
     #[serde(default)]
     pub(super) header: Header,
-    // The gateway leaves out fields that have their default.
+    // The gateway omits fields with default values.
     #[serde(default)]
     pub(super) succeeded: bool,
     #[serde(default)]
@@ -97,7 +97,7 @@
     STANDARD.encode(bytes)
 }
 
-/// Returns the key after all that begin with `prefix`.
+/// Returns the first key after all keys that start with `prefix`.
 pub(super) fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -117,21 +117,22 @@
     *n == 0
 }
 
-/// Reads a 64-bit number, which the gateway writes as a string.
-fn number<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+/// Deserialises a 64-bit number, which the gateway encodes as a string.
+fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Form {
+    enum NumberOrText {
         Number(u64),
         Text(String),
     }
-    match Form::deserialize(from)? {
-        Form::Number(n) => Ok(n),
-        Form::Text(text) => text.parse().map_err(D::Error::custom),
+    match NumberOrText::deserialize(deserializer)? {
+        NumberOrText::Number(n) => Ok(n),
+        NumberOrText::Text(text) => text.parse().map_err(D::Error::custom),
     }
 }
 
-fn bytes<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
-    let text = String::deserialize(from)?;
+/// Deserialises bytes, which the gateway encodes in base64.
+fn bytes<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+    let text = String::deserialize(deserializer)?;
     STANDARD.decode(text).map_err(D::Error::custom)
 }
