--- a/hibiscusroad-daemon/tests/deploy.rs
+++ b/hibiscusroad-daemon/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The settings of both deployments.
+//! The settings of both deployments, and the template of a gateway's settings.
 
 use hibiscusroad_daemon::settings::{Kind, Settings};
 use std::{
@@ -14,7 +14,10 @@
         .join(deployment);
     let files = fs::read_dir(root).unwrap().map(|file| file.unwrap().path());
     files
-        .filter(|file| file.extension().is_some_and(|end| end == "toml"))
+        .filter(|file| {
+            file.extension()
+                .is_some_and(|extension| extension == "toml")
+        })
         .map(|file| Settings::load(&file).unwrap_or_else(|error| panic!("{error}")))
         .collect()
 }
@@ -25,80 +28,86 @@
     entry.chain(side).collect()
 }
 
-fn is_sound(all: &[Settings], places: &[&str], region: &str) {
+fn assert_consistent(all: &[Settings], data_centres: &[&str], region: &str) {
     let names: BTreeSet<&str> = all.iter().map(|s| s.name.as_str()).collect();
     assert_eq!(names.len(), all.len());
-    let at: Vec<SocketAddr> = all.iter().flat_map(addresses).collect();
-    assert_eq!(at.iter().collect::<BTreeSet<_>>().len(), at.len());
+    let addresses: Vec<SocketAddr> = all.iter().flat_map(addresses).collect();
+    let distinct: BTreeSet<_> = addresses.iter().collect();
+    assert_eq!(distinct.len(), addresses.len());
     assert!(all.iter().all(|s| s.region == region));
     let found: BTreeSet<&str> = all.iter().map(|s| s.place.as_str()).collect();
-    assert_eq!(found, places.iter().copied().collect());
+    assert_eq!(found, data_centres.iter().copied().collect());
     assert_eq!(all.iter().filter(|s| s.entry.is_some()).count(), 3);
 }
 
-/// Counts the endpoints by service, kind and place.
-fn endpoints(all: &[Settings]) -> BTreeMap<(String, bool, String), usize> {
+/// Counts the endpoints by service, whether they are models, and data centre.
+fn count_endpoints(all: &[Settings]) -> BTreeMap<(String, bool, String), usize> {
     let mut counts = BTreeMap::new();
     for settings in all {
         if let Some(side) = &settings.side {
-            let model = side.kind == Kind::Model;
-            let key = (side.service.clone(), model, settings.place.clone());
+            let is_model = side.kind == Kind::Model;
+            let key = (side.service.clone(), is_model, settings.place.clone());
             *counts.entry(key).or_default() += 1;
         }
     }
     counts
 }
 
-fn expected(
+fn expected_counts(
     services: [(&str, bool, usize); 2],
-    places: &[&str],
+    data_centres: &[&str],
 ) -> BTreeMap<(String, bool, String), usize> {
     let mut counts = BTreeMap::new();
-    for (service, model, count) in services {
-        for place in places {
-            let key = (service.to_owned(), model, (*place).to_owned());
-            counts.insert(key, count / places.len());
+    for (service, is_model, count) in services {
+        for data_centre in data_centres {
+            let key = (service.to_owned(), is_model, (*data_centre).to_owned());
+            counts.insert(key, count / data_centres.len());
         }
     }
     counts
 }
 
 #[test]
-fn pobrezie_has_its_places_and_servers() {
-    let places = ["senec", "trnava", "piestany"];
+fn pobrezie_has_its_data_centres_and_endpoints() {
+    let data_centres = ["senec", "trnava", "piestany"];
     let all = load("pobrezie");
-    is_sound(&all, &places, "zapad");
+    assert_consistent(&all, &data_centres, "zapad");
     let services = [("guide-lm", true, 9), ("hut-desk", false, 6)];
-    assert_eq!(endpoints(&all), expected(services, &places));
+    assert_eq!(
+        count_endpoints(&all),
+        expected_counts(services, &data_centres)
+    );
 }
 
 #[test]
-fn lakeshore_has_its_places_and_servers() {
-    let places = ["erie-hall", "huron-hall", "superior-hall"];
+fn lakeshore_has_its_data_centres_and_endpoints() {
+    let data_centres = ["erie-hall", "huron-hall", "superior-hall"];
     let all = load("lakeshore");
-    is_sound(&all, &places, "great-lakes");
+    assert_consistent(&all, &data_centres, "great-lakes");
     let services = [("map-trainers", true, 9), ("map-lookup", false, 6)];
-    assert_eq!(endpoints(&all), expected(services, &places));
+    assert_eq!(
+        count_endpoints(&all),
+        expected_counts(services, &data_centres)
+    );
 }
 
-/// Keeps the sections whose value is there, and drops the others.
-fn sections(mut text: String, values: &[(&str, &str)]) -> String {
+/// Removes the template sections whose value is missing, empty or false.
+fn render_sections(mut text: String, values: &[(&str, &str)]) -> String {
     while let Some(start) = text.find("{{#") {
         let (name, rest) = text[start + 3..].split_once("}}").unwrap();
         let (body, after) = rest.split_once(&format!("{{{{/{name}}}}}")).unwrap();
-        let value = values.iter().find(|(known, _)| *known == name);
-        let kept = value.is_some_and(|(_, value)| !value.is_empty() && *value != "false");
-        let body = if kept { body } else { "" };
+        let value = values.iter().find(|(key, _)| *key == name);
+        let is_kept = value.is_some_and(|(_, value)| !value.is_empty() && *value != "false");
+        let body = if is_kept { body } else { "" };
         text = format!("{}{body}{after}", &text[..start]);
     }
     text
 }
 
-/// Fills the template of a gateway's settings as the platform does, with these
-/// values for its placeholders.
-fn filled(values: &[(&str, &str)]) -> String {
+/// Renders the template of a gateway's settings as the platform does.
+fn render_template(values: &[(&str, &str)]) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/gateway.toml");
-    let mut text = sections(fs::read_to_string(file).unwrap(), values);
+    let mut text = render_sections(fs::read_to_string(file).unwrap(), values);
     for (name, value) in values {
         text = text.replace(&format!("{{{{{name}}}}}"), value);
     }
@@ -124,8 +133,8 @@
 ];
 
 #[test]
-fn template_gives_whole_settings() {
-    let text = filled(VALUES);
+fn template_renders_valid_settings() {
+    let text = render_template(VALUES);
     assert!(!text.contains("{{"), "{text}");
     let settings = Settings::parse(&text).unwrap();
     let gateway = settings.gateway.unwrap();
@@ -140,28 +149,27 @@
     assert_eq!(gateway.usage, None);
 }
 
-// Where keys have to stop working everywhere, also at gateways that nobody reaches, the
-// operator's limit is in the settings.
+// Revoked API keys must also expire at gateways that can't reach the store.
 #[test]
-fn template_limits_the_trust_in_keys_where_operators_ask_for_it() {
-    let more = [
+fn template_limits_the_trust_in_api_keys_if_requested() {
+    let options = [
         ("bounds.revokeEverywhere", "true"),
         ("bounds.revokeMs", "5000"),
     ];
-    let text = filled(&[VALUES, &more].concat());
+    let text = render_template(&[VALUES, &options].concat());
     assert!(!text.contains("{{"), "{text}");
     let gateway = Settings::parse(&text).unwrap().gateway.unwrap();
     assert_eq!(gateway.trust_ms, Some(5000));
 }
 
 #[test]
-fn template_reports_usage_where_operators_ask_for_it() {
-    let more = [
+fn template_enables_usage_reports_if_requested() {
+    let options = [
         ("bounds.reportWindowS", "5"),
         ("bounds.usageLateS", "10"),
         ("cloud.address", "10.200.0.168:8265"),
     ];
-    let text = filled(&[VALUES, &more].concat());
+    let text = render_template(&[VALUES, &options].concat());
     assert!(!text.contains("{{"), "{text}");
     let gateway = Settings::parse(&text).unwrap().gateway.unwrap();
     let usage = gateway.usage.unwrap();
@@ -169,12 +177,11 @@
     assert_eq!(usage.address, "10.200.0.168:8265".parse().unwrap());
 }
 
-// A value that the platform doesn't have is filled in as nothing. All such
-// faults are told at once, with their lines.
+// Missing values are rendered as empty strings, and all resulting problems are reported.
 #[test]
-fn template_without_values_tells_all_faults() {
+fn template_without_values_reports_all_problems() {
     let empty: Vec<(&str, &str)> = VALUES.iter().map(|(name, _)| (*name, "")).collect();
-    let text = filled(&empty).replace("= \n", "= 0\n");
+    let text = render_template(&empty).replace("= \n", "= 0\n");
     let problems = Settings::parse(&text).unwrap_err();
     let keys: Vec<&str> = problems
         .iter()
