--- a/hibiscusroad-daemon/tests/host_list.rs
+++ b/hibiscusroad-daemon/tests/host_list.rs
@@ -1,4 +1,4 @@
-//! The client of the host list.
+//! Client of the host list.
 
 use hibiscusroad_daemon::platform::HostList;
 use hibiscusroad_standins::platform::{Platform, Settings, hosts::Target};
@@ -13,10 +13,10 @@
     }
 }
 
-// The list is asked for again and again and changes once. A list that was not
-// sent again reads as before, and a change is seen with the next question.
+// A list that wasn't sent again is read from the cache; a change is seen with the next
+// request.
 #[test]
-fn a_list_that_did_not_change_reads_as_before() {
+fn unchanged_list_is_read_from_the_cache() {
     let platform = Platform::start(&Settings::default()).unwrap();
     let list = HostList::new(&platform.url());
     assert_eq!(list.fetch().unwrap(), []);
