--- a/hibiscusroad-daemon/tests/metrics.rs
+++ b/hibiscusroad-daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What entries and sides count, as a listener for statsd lines gets it.
+//! Metrics that entries and sidecars send.
 
 mod entry_support;
 #[path = "side_support/mod.rs"]
@@ -13,11 +13,11 @@
     time::{Duration, Instant},
 };
 
-/// Gauges come once a second.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time limit for metrics to arrive; gauges are sent once a second.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longer than the time between two gauges.
-const WORK: Duration = Duration::from_millis(1500);
+/// Duration of a request, longer than the time between two reports of gauges.
+const REQUEST_DURATION: Duration = Duration::from_millis(1500);
 
 struct Listener {
     socket: UdpSocket,
@@ -27,8 +27,8 @@
 impl Listener {
     fn start() -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let limit = Some(Duration::from_millis(100));
-        socket.set_read_timeout(limit).unwrap();
+        let timeout = Some(Duration::from_millis(100));
+        socket.set_read_timeout(timeout).unwrap();
         let lines = Vec::new();
         Self { socket, lines }
     }
@@ -38,12 +38,12 @@
         format!("[metrics]\ntarget = \"{target}\"")
     }
 
-    /// Waits until all these lines have come.
+    /// Waits until a line with each of these prefixes was received.
     fn expect(&mut self, lines: &[&str]) {
         let start = Instant::now();
         let mut datagram = [0; 2048];
         while !lines.iter().all(|line| self.count(line) > 0) {
-            assert!(start.elapsed() < PATIENCE, "{lines:?} in {:#?}", self.lines);
+            assert!(start.elapsed() < TIMEOUT, "{lines:?} in {:#?}", self.lines);
             if let Ok(n) = self.socket.recv(&mut datagram) {
                 let text = std::str::from_utf8(&datagram[..n]).unwrap();
                 self.lines.extend(text.lines().map(str::to_owned));
@@ -51,16 +51,18 @@
         }
     }
 
-    fn count(&self, line: &str) -> usize {
-        let name = format!("hibiscusroad.{line}");
-        self.lines.iter().filter(|l| l.starts_with(&name)).count()
+    /// Counts the received lines with this prefix.
+    fn count(&self, prefix: &str) -> usize {
+        let prefix = format!("hibiscusroad.{prefix}");
+        let lines = self.lines.iter();
+        lines.filter(|line| line.starts_with(&prefix)).count()
     }
 }
 
-// Each request shows once with its outcome: one is answered, one is refused by
-// its side, one names a service that doesn't exist. The made-up name is no tag.
+// One request is answered, one is refused by its sidecar, one names an unknown service.
+// Unknown names must not become tags.
 #[test]
-fn requests_show_once_with_their_outcome() {
+fn requests_are_counted_once_by_outcome() {
     let side = Side::start("hut-desk", |_, out, frame| {
         let Frame::Start(start) = frame else { return };
         if start.path == "/full" {
@@ -102,9 +104,9 @@
     assert!(!listener.lines.iter().any(|line| line.contains("made-up")));
 }
 
-// A link breaks, and the table and the claims behind it can't be had.
+// A stream breaks, and the table service can't be reached.
 #[test]
-fn losses_and_claims_show() {
+fn lost_streams_and_claims_are_counted() {
     let side = Side::start("hut-desk", |_, out, frame| {
         if let Frame::Start(start) = frame
             && start.path == "/cut"
@@ -129,11 +131,11 @@
     ]);
 }
 
-// The endpoint works on one request; a second one is refused by the gate.
+// The endpoint runs one request; the gate refuses a second one.
 #[test]
-fn gate_and_its_refusals_show() {
+fn gate_and_its_refusals_are_counted() {
     let endpoint = Endpoint::start(|_, stream| {
-        thread::sleep(WORK);
+        thread::sleep(REQUEST_DURATION);
         side_support::answer(stream, "whole");
     });
     let mut listener = Listener::start();
