--- a/hibiscusroad-daemon/tests/world/mod.rs
+++ b/hibiscusroad-daemon/tests/world/mod.rs
@@ -1,7 +1,6 @@
-//! Real entries and sides before stand-ins of the platform and of a plain
-//! service, with the operators' port.
+//! Entries and sidecars with stand-ins for the platform and for a plain service.
 
-#![allow(dead_code, reason = "each test uses its part")]
+#![allow(dead_code, reason = "not every test uses all of it")]
 
 use hibiscusroad_daemon::{
     entry::{self, Running},
@@ -20,13 +19,13 @@
     time::{Duration, Instant},
 };
 
-/// Longer than anything here takes on a busy host.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time limit for conditions to become true, long enough for a busy host.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One row of an answer.
+/// A row of an operator's query result.
 pub type Row = Map<String, Value>;
 
-/// An answer to an operator.
+/// Response to an operator's query.
 #[derive(Debug)]
 pub struct Shown {
     pub status: u16,
@@ -35,7 +34,7 @@
     pub body: Value,
 }
 
-/// Two endpoints of the service `desk`, in two places, and entries.
+/// Two endpoints of the service `desk` in two data centres, and entries.
 pub struct World {
     pub platform: Platform,
     pub desks: Vec<Plain>,
@@ -44,7 +43,7 @@
 }
 
 impl World {
-    /// Starts an entry for each of `entries`, with that added to its settings.
+    /// Starts an entry for each element of `entries`, which is appended to its settings.
     pub fn start(entries: &[&str]) -> Self {
         let mut world = Self {
             platform: Platform::start(&platform::Settings::default()).unwrap(),
@@ -57,58 +56,64 @@
             world.sides.push(world.start_side(i, desk.addr()));
             world.desks.push(desk);
         }
-        for (i, more) in entries.iter().enumerate() {
-            let part = format!(
-                "[entry]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n{more}\n"
+        for (i, extra) in entries.iter().enumerate() {
+            let role_table = format!(
+                "[entry]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n{extra}\n"
             );
-            let settings = world.settings(&format!("entry-{i}"), &part);
+            let settings = world.settings(&format!("entry-{i}"), &role_table);
             world.entries.push(entry::start(&settings).unwrap());
         }
         world.list(&[]);
         world
     }
 
-    fn settings(&self, name: &str, part: &str) -> Settings {
+    fn settings(&self, name: &str, role_table: &str) -> Settings {
         let url = self.platform.url();
         let text = format!(
             "name = \"{name}\"\nhost = \"host-{name}\"\nplace = \"senec\"\nregion = \"zapad\"\n\
-             [platform]\ntable = \"{url}\"\nhosts = \"{url}\"\n[stop]\ndeadline_s = 5\n{part}"
+             [platform]\ntable = \"{url}\"\nhosts = \"{url}\"\n[stop]\ndeadline_s = 5\n{role_table}"
         );
         toml::from_str(&text).unwrap()
     }
 
     fn start_side(&self, i: usize, address: SocketAddr) -> Handle {
-        let part = format!(
+        let role_table = format!(
             "[side]\nlinks = \"127.0.0.1:0\"\nservice = \"desk\"\nendpoint = \"desk-{i}\"\n\
              address = \"{address}\"\nkind = \"plain\"\n"
         );
-        let settings = self.settings(&format!("side-{i}"), &part);
-        let (sender, handles) = flume::bounded(1);
+        let settings = self.settings(&format!("side-{i}"), &role_table);
+        let (tx, rx) = flume::bounded(1);
         thread::spawn(move || {
-            let lease = Arc::new(|_: &str| None);
-            side::serve(&settings, lease, |handle| sender.send(handle).unwrap()).unwrap();
+            let fencing_token = Arc::new(|_: &str| None);
+            side::serve(&settings, fencing_token, |handle| tx.send(handle).unwrap()).unwrap();
         });
-        handles.recv_timeout(PATIENCE).unwrap()
+        rx.recv_timeout(TIMEOUT).unwrap()
     }
 
-    /// Puts all on the host list, and more entries that may not exist.
-    pub fn list(&self, more: &[(&str, SocketAddr)]) {
+    /// Sets the host list to all processes and `extra` entries, which may not exist.
+    pub fn list(&self, extra: &[(&str, SocketAddr)]) {
         let sides = self.sides.iter().enumerate();
         let sides = sides.map(|(i, side)| {
-            let place = ["senec", "trnava"][i];
-            target("side", "desk", &format!("desk-{i}"), place, side.links)
+            let data_centre = ["senec", "trnava"][i];
+            target(
+                "side",
+                "desk",
+                &format!("desk-{i}"),
+                data_centre,
+                side.links,
+            )
         });
         let entries = self.entries.iter().enumerate();
         let entries = entries
             .map(|(i, e)| target("entry", "", &format!("entry-{i}"), "senec", e.operators()));
-        let more = more
+        let extra = extra
             .iter()
             .map(|(name, address)| target("entry", "", name, "senec", *address));
         self.platform
-            .set_hosts(sides.chain(entries).chain(more).collect());
+            .set_hosts(sides.chain(entries).chain(extra).collect());
     }
 
-    /// Asks an entry what is at `path`, below `/v1/`.
+    /// Sends a query for `path`, below `/v1/`, to an entry.
     pub fn ask(&self, entry: usize, path: &str) -> Shown {
         self.ask_with(entry, path, "none")
     }
@@ -122,9 +127,9 @@
         let request = agent
             .get(url)
             .header("authorization", format!("Bearer {token}"));
-        let mut answer = request.call().unwrap();
+        let mut response = request.call().unwrap();
         let body: Value =
-            serde_json::from_str(&answer.body_mut().read_to_string().unwrap()).unwrap();
+            serde_json::from_str(&response.body_mut().read_to_string().unwrap()).unwrap();
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let rows = list("rows")
             .into_iter()
@@ -133,41 +138,47 @@
             .into_iter()
             .map(|name| name.as_str().unwrap().to_owned());
         Shown {
-            status: answer.status().as_u16(),
+            status: response.status().as_u16(),
             rows: rows.collect(),
             lacks: lacks.collect(),
             body,
         }
     }
 
-    /// Asks until `is` holds for the answer.
-    pub fn wait(&self, entry: usize, path: &str, is: impl Fn(&Shown) -> bool) -> Shown {
+    /// Repeats a query until `condition` holds for the response.
+    pub fn wait(&self, entry: usize, path: &str, condition: impl Fn(&Shown) -> bool) -> Shown {
         let start = Instant::now();
         loop {
             let shown = self.ask(entry, path);
-            if is(&shown) {
+            if condition(&shown) {
                 return shown;
             }
-            assert!(start.elapsed() < PATIENCE, "{path}: {shown:#?}");
+            assert!(start.elapsed() < TIMEOUT, "{path}: {shown:#?}");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Changes the configuration that has version `base`.
+    /// Changes the configuration, whose current version must be `base`.
     pub fn change(&self, base: u64, change: &Value) {
         let url = format!("http://{}/v1/change", self.entries[0].operators());
         let command =
             json!({ "id": format!("c{base}"), "base": base, "who": "jana", "change": change });
-        let mut answer = ureq::post(url).send(command.to_string()).unwrap();
-        let said = answer.body_mut().read_to_string().unwrap();
-        assert!(said.contains("\"done\""), "{said}");
+        let mut response = ureq::post(url).send(command.to_string()).unwrap();
+        let body = response.body_mut().read_to_string().unwrap();
+        assert!(body.contains("\"done\""), "{body}");
     }
 }
 
-fn target(role: &str, service: &str, endpoint: &str, place: &str, address: SocketAddr) -> Target {
+fn target(
+    role: &str,
+    service: &str,
+    endpoint: &str,
+    data_centre: &str,
+    address: SocketAddr,
+) -> Target {
     let labels = [
         ("host", format!("host-{endpoint}")),
-        ("place", place.to_owned()),
+        ("place", data_centre.to_owned()),
         ("role", role.to_owned()),
         ("service", service.to_owned()),
         ("endpoint", endpoint.to_owned()),
@@ -179,12 +190,12 @@
     }
 }
 
-/// Returns a text of a row; empty if there is none.
+/// Returns a string column of a row; empty if it is missing.
 pub fn text<'a>(row: &'a Row, column: &str) -> &'a str {
     row.get(column).and_then(Value::as_str).unwrap_or_default()
 }
 
-/// Returns a column of all rows, in order.
+/// Returns a column of all rows, sorted.
 pub fn column(shown: &Shown, column: &str) -> Vec<String> {
     let mut column: Vec<_> = shown
         .rows
