--- a/hibiscusroad-daemon/tests/deploy.rs
+++ b/hibiscusroad-daemon/tests/deploy.rs
@@ -32,8 +32,10 @@
     let names: BTreeSet<&str> = all.iter().map(|s| s.name.as_str()).collect();
     assert_eq!(names.len(), all.len());
     let addresses: Vec<SocketAddr> = all.iter().flat_map(addresses).collect();
-    let distinct: BTreeSet<_> = addresses.iter().collect();
-    assert_eq!(distinct.len(), addresses.len());
+    assert_eq!(
+        addresses.iter().collect::<BTreeSet<_>>().len(),
+        addresses.len()
+    );
     assert!(all.iter().all(|s| s.region == region));
     let found: BTreeSet<&str> = all.iter().map(|s| s.place.as_str()).collect();
     assert_eq!(found, data_centres.iter().copied().collect());
--- a/hibiscusroad-daemon/tests/metrics.rs
+++ b/hibiscusroad-daemon/tests/metrics.rs
@@ -54,8 +54,10 @@
     /// Counts the received lines with this prefix.
     fn count(&self, prefix: &str) -> usize {
         let prefix = format!("hibiscusroad.{prefix}");
-        let lines = self.lines.iter();
-        lines.filter(|line| line.starts_with(&prefix)).count()
+        self.lines
+            .iter()
+            .filter(|line| line.starts_with(&prefix))
+            .count()
     }
 }
 
