--- a/hibiscusroad-daemon/src/main.rs
+++ b/hibiscusroad-daemon/src/main.rs
@@ -23,21 +23,21 @@
 const EXIT_USAGE: u8 = 2;
 
 const HELP: &str = "\
-hibiscusroadd: the hibiscusroad daemon
+hibiscusroadd: one process of hibiscusroad, its role by its settings
 
 Usage: hibiscusroadd [--check] FILE
 
-  FILE       TOML file of settings; its table [entry], [side] or [gateway]
-             selects the role
+  FILE       settings, in TOML; a table [entry], [side] or [gateway]
+             chooses the role
   --check    check the settings and exit
-  --help     print this help and exit
+  --help     print this and exit
   --version  print the version and exit
 
-On SIGTERM or SIGINT the process accepts no new work, completes work in flight
-and exits. A second signal ends it immediately.
+SIGTERM or SIGINT: no new work is taken, work in flight completes, then the
+process exits. A second one ends it at once.
 
-Exit codes: 0 success, 1 failure while running, 2 invalid usage or settings,
-3 forced exit by a second signal.";
+Exit codes: 0 fine, 1 failure while running, 2 usage or settings, 3 ended by a
+second signal.";
 
 enum Command {
     Help,
