--- a/hibiscusroad-daemon/src/metrics.rs
+++ b/hibiscusroad-daemon/src/metrics.rs
@@ -43,7 +43,8 @@
 pub const RETRIES: &str = "retries";
 /// Counter: outcomes of claims. Tag `verdict`.
 pub const CLAIMS: &str = "claims";
-/// Timer: milliseconds from the acceptance of a request to the end of its response. Tags `service`, `class`.
+/// Timer: milliseconds from the acceptance of a request to the end of its response. Tags
+/// `service`, `class`.
 pub const LATENCY: &str = "latency";
 /// Gauge: requests waiting for an endpoint. Tags `service`, `class`.
 pub const QUEUED: &str = "queued";
