--- a/src/quarantine/contact.rs
+++ b/src/quarantine/contact.rs
@@ -1,39 +1,40 @@
-//! For how long news of endpoints has come without a gap.
+//! How long updates about endpoints have arrived without a gap.
 
 use std::time::{Duration, Instant};
 
-/// A longer silence is a gap: the store answers a wait every two seconds.
-const GAP: Duration = Duration::from_secs(5);
+/// Longest pause that is no gap: the store answers a waiting read every two seconds.
+const MAX_PAUSE: Duration = Duration::from_secs(5);
 
-/// When the store told of endpoints.
+/// Tracks since when the store has reported endpoints without a gap.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contact {
-    /// Since when there was no gap, and when it told last.
-    heard: Option<(Instant, Instant)>,
+    /// The first and the last update since the last gap.
+    updates: Option<(Instant, Instant)>,
 }
 
 impl Contact {
-    /// Creates a contact that has heard nothing.
+    /// Creates a contact without any update.
     #[must_use]
     pub const fn new() -> Self {
-        Self { heard: None }
+        Self { updates: None }
     }
 
-    /// Notes an answer of the store.
+    /// Records an update from the store.
     pub fn hear(&mut self, now: Instant) {
-        let since = self.since(now).unwrap_or(now);
-        self.heard = Some((since, now));
+        let first = self.first_update(now).unwrap_or(now);
+        self.updates = Some((first, now));
     }
 
-    /// Says whether there was no gap for so long.
+    /// Returns whether updates have arrived without a gap for at least `duration`.
     #[must_use]
-    pub fn is_steady(&self, now: Instant, time: Duration) -> bool {
-        let since = self.since(now);
-        since.is_some_and(|since| now.saturating_duration_since(since) >= time)
+    pub fn is_steady(&self, now: Instant, duration: Duration) -> bool {
+        let first = self.first_update(now);
+        first.is_some_and(|first| now.saturating_duration_since(first) >= duration)
     }
 
-    fn since(&self, now: Instant) -> Option<Instant> {
-        let (since, last) = self.heard?;
-        (now.saturating_duration_since(last) <= GAP).then_some(since)
+    /// Returns the first update since the last gap, or `None` during a gap.
+    fn first_update(&self, now: Instant) -> Option<Instant> {
+        let (first, last) = self.updates?;
+        (now.saturating_duration_since(last) <= MAX_PAUSE).then_some(first)
     }
 }
