--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,31 +1,31 @@
-//! What makes two requests the same.
+//! Digests by which repeats of a request are recognised.
 
 use sha2::{Digest, Sha256};
 use std::{fmt, str::FromStr};
 
-/// Bytes of the digest that are kept: enough that no two requests share them by chance.
+/// Bytes of the SHA-256 digest that are kept; collisions remain negligible.
 const LENGTH: usize = 16;
 
-/// What identifies a request across its repeats.
+/// The properties that all repeats of a request share.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
     /// The method in upper case.
     pub method: &'a str,
-    /// The host that its route is found by.
+    /// The host by which the route is found.
     pub host: &'a str,
-    /// The path with the query.
+    /// The path and query.
     pub path: &'a str,
-    /// The account that it counts for.
+    /// The client account that sent the request, if known.
     pub account: Option<&'a str>,
-    /// Its content, or as much of the beginning as is known.
+    /// The body, or its known beginning.
     pub body: &'a [u8],
-    /// Bytes of its whole content, if that is known.
+    /// Bytes of the whole body, if known.
     pub length: Option<u64>,
 }
 
 /// A digest of a request's [`Identity`].
 ///
-/// Headers are left out: each repeat has an id and a deadline of its own.
+/// Headers are left out because ids and deadlines differ between repeats.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint([u8; LENGTH]);
 
@@ -37,16 +37,16 @@
         let account = identity.account.unwrap_or_default();
         let texts = [identity.method, identity.host, identity.path, account];
         for text in texts {
-            // With its length, no text runs into the next.
+            // The length prefix keeps adjacent texts apart.
             digest.update((text.len() as u64).to_be_bytes());
             digest.update(text);
         }
         digest.update([u8::from(identity.account.is_some())]);
         digest.update(identity.length.unwrap_or(u64::MAX).to_be_bytes());
         digest.update(identity.body);
-        let mut kept = [0; LENGTH];
-        kept.copy_from_slice(&digest.finalize()[..LENGTH]);
-        Self(kept)
+        let mut bytes = [0; LENGTH];
+        bytes.copy_from_slice(&digest.finalize()[..LENGTH]);
+        Self(bytes)
     }
 }
 
@@ -56,23 +56,23 @@
     }
 }
 
-/// The text is no fingerprint.
+/// An error for text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, Eq, thiserror::Error, PartialEq)]
-#[error("a fingerprint is {} hexadecimal digits", 2 * LENGTH)]
-pub struct NotFingerprint;
+#[error("a fingerprint has {} hexadecimal digits", 2 * LENGTH)]
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = NotFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, NotFingerprint> {
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         if text.len() != 2 * LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(NotFingerprint);
+            return Err(ParseFingerprintError);
         }
-        let mut kept = [0; LENGTH];
-        for (n, byte) in kept.iter_mut().enumerate() {
-            let digits = &text[2 * n..2 * n + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_odd| NotFingerprint)?;
+        let mut bytes = [0; LENGTH];
+        for (i, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[2 * i..2 * i + 2];
+            *byte = u8::from_str_radix(digits, 16).map_err(|_error| ParseFingerprintError)?;
         }
-        Ok(Self(kept))
+        Ok(Self(bytes))
     }
 }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -36,7 +36,7 @@
 
 pub use self::{
     contact::Contact,
-    fingerprint::{Fingerprint, Identity, NotFingerprint},
+    fingerprint::{Fingerprint, Identity, ParseFingerprintError},
     ledger::{Ledger, Verdict},
     open::OpenAttempts,
     row::{CRASHES, Crash, Life, NotCrash},
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use hibiscusroad::{
     quarantine::{
         AMBIGUOUS, CRASHES, Contact, Crash, Fingerprint, Identity, KEEP, LAPSED, LIMIT, Ledger,
-        Life, NotCrash, NotFingerprint, OPEN, OpenAttempts, Verdict,
+        Life, NotCrash, OPEN, OpenAttempts, ParseFingerprintError, Verdict,
     },
     table::{Row, RowId},
 };
@@ -71,7 +71,11 @@
     let fingerprint = Fingerprint::of(&REQUEST);
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     for odd in ["", "12", &"g".repeat(32), &"é".repeat(16)] {
-        assert_eq!(odd.parse::<Fingerprint>(), Err(NotFingerprint), "{odd}");
+        assert_eq!(
+            odd.parse::<Fingerprint>(),
+            Err(ParseFingerprintError),
+            "{odd}"
+        );
     }
 }
 
