--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -1,4 +1,4 @@
-//! Crashes that were recorded, and what they say of a request.
+//! Recorded crashes, and the verdicts on requests that follow from them.
 
 use super::{AMBIGUOUS, Crash, Fingerprint, LAPSED, Life};
 use crate::table::RowId;
@@ -8,190 +8,205 @@
     time::Duration,
 };
 
-/// Crashes that are held at most. A failing data centre adds one for each request that was
-/// in flight there; repeats of a cause come within seconds.
-const MOST: usize = 8_192;
-/// Crashes that are looked at for one to drop.
-const SCAN: usize = 64;
+/// Most crashes that are kept. A failing data centre adds one for each request in flight
+/// there.
+const MAX_CRASHES: usize = 8_192;
+/// Most crashes that are examined to choose one for eviction.
+const MAX_EVICTION_SCAN: usize = 64;
 
 new_key_type! {
     struct CrashKey;
 }
 
-/// What the recorded crashes say of a request.
+/// The verdict on a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It was in flight at no crash.
+    /// It was in flight at none of the recorded crashes.
     Clear,
     /// It may have crashed an endpoint.
     Suspect,
-    /// It crashes endpoints and must not reach any for so long.
+    /// It crashes endpoints and must not be sent to any for this time.
     Quarantined(Duration),
 }
 
-/// Crashes by request and by life.
+/// The recorded crashes, indexed by request and by incarnation.
 #[derive(Debug)]
 pub struct Ledger {
-    limit: usize,
-    keep: Duration,
+    crash_limit: usize,
+    crash_ttl: Duration,
     crashes: SlotMap<CrashKey, Crash>,
-    requests: HashMap<Fingerprint, Vec<CrashKey>>,
-    lives: HashMap<Life, Vec<CrashKey>>,
-    index: HashMap<RowId, CrashKey>,
-    /// Crashes by their time.
-    order: BTreeSet<(Duration, CrashKey)>,
+    by_request: HashMap<Fingerprint, Vec<CrashKey>>,
+    by_incarnation: HashMap<Life, Vec<CrashKey>>,
+    by_row: HashMap<RowId, CrashKey>,
+    by_time: BTreeSet<(Duration, CrashKey)>,
 }
 
 impl Ledger {
     /// Creates an empty ledger.
     ///
-    /// A request is in quarantine after `limit` crashes, each of which counts for `keep`.
+    /// A request is quarantined after `crash_limit` crashes, each of which counts for
+    /// `crash_ttl`.
     #[must_use]
-    pub fn new(limit: usize, keep: Duration) -> Self {
+    pub fn new(crash_limit: usize, crash_ttl: Duration) -> Self {
         Self {
-            limit,
-            keep,
+            crash_limit,
+            crash_ttl,
             crashes: SlotMap::with_key(),
-            requests: HashMap::new(),
-            lives: HashMap::new(),
-            index: HashMap::new(),
-            order: BTreeSet::new(),
+            by_request: HashMap::new(),
+            by_incarnation: HashMap::new(),
+            by_row: HashMap::new(),
+            by_time: BTreeSet::new(),
         }
     }
 
-    /// Says whether no crash is recorded.
+    /// Returns whether no crash is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// Returns the requests that were in flight at crashes.
+    /// Returns all requests that were in flight at a crash.
     pub fn requests(&self) -> impl Iterator<Item = Fingerprint> {
-        self.requests.keys().copied()
+        self.by_request.keys().copied()
     }
 
     /// Returns the crashes at which a request was in flight.
     pub fn crashes_of(&self, request: Fingerprint) -> impl Iterator<Item = &Crash> {
-        let keys = self.requests.get(&request).into_iter().flatten();
+        let keys = self.by_request.get(&request).into_iter().flatten();
         keys.map(|key| &self.crashes[*key])
     }
 
     /// Removes all crashes.
     pub fn clear(&mut self) {
-        *self = Self::new(self.limit, self.keep);
+        *self = Self::new(self.crash_limit, self.crash_ttl);
     }
 
-    /// Adds a crash; `false` if it is known.
+    /// Adds a crash; returns `false` if it is recorded already.
     pub fn add(&mut self, crash: Crash) -> bool {
         let row = crash.row();
-        if self.index.contains_key(&row) {
+        if self.by_row.contains_key(&row) {
             return false;
         }
-        if self.crashes.len() >= MOST {
-            self.drop_oldest();
+        if self.crashes.len() >= MAX_CRASHES {
+            self.evict();
         }
-        let (request, life, at) = (crash.request, crash.life.clone(), crash.at);
+        let (request, incarnation, at) = (crash.request, crash.life.clone(), crash.at);
         let key = self.crashes.insert(crash);
-        self.requests.entry(request).or_default().push(key);
-        self.lives.entry(life).or_default().push(key);
-        self.index.insert(row, key);
-        self.order.insert((at, key));
+        self.by_request.entry(request).or_default().push(key);
+        self.by_incarnation
+            .entry(incarnation)
+            .or_default()
+            .push(key);
+        self.by_row.insert(row, key);
+        self.by_time.insert((at, key));
         true
     }
 
     /// Removes the crash of a row.
     pub fn remove(&mut self, row: &RowId) {
-        if let Some(key) = self.index.get(row).copied() {
-            self.take(key);
+        if let Some(key) = self.by_row.get(row).copied() {
+            self.remove_key(key);
         }
     }
 
     /// Removes all crashes at which a request was in flight, and returns their rows.
     pub fn forget(&mut self, request: Fingerprint) -> Vec<RowId> {
-        let keys = self.requests.get(&request).cloned().unwrap_or_default();
-        keys.into_iter().filter_map(|key| self.take(key)).collect()
+        let keys = self.by_request.get(&request).cloned().unwrap_or_default();
+        keys.into_iter()
+            .filter_map(|key| self.remove_key(key))
+            .collect()
     }
 
-    /// Says whether a crash is too old to count.
+    /// Returns whether a crash is too old to count.
     #[must_use]
     pub fn is_over(&self, now: Duration, crash: &Crash) -> bool {
-        now.saturating_sub(crash.at) >= self.keep
+        now.saturating_sub(crash.at) >= self.crash_ttl
     }
 
-    /// Removes crashes that count no more, and returns their rows: those that are too
-    /// old, and those of lives that go on, as `lives` says.
-    pub fn expire(&mut self, now: Duration, lives: impl Fn(&Life) -> bool) -> Vec<RowId> {
-        let over = |crash: &Crash| {
-            let lapsed = now.saturating_sub(crash.at) >= LAPSED;
-            self.is_over(now, crash) || (lapsed && lives(&crash.life))
+    /// Removes the crashes that no longer count, and returns their rows: those that are too
+    /// old, and those older than [`LAPSED`] whose endpoint is live according to `is_live`.
+    pub fn expire(&mut self, now: Duration, is_live: impl Fn(&Life) -> bool) -> Vec<RowId> {
+        let is_void = |crash: &Crash| {
+            let refutable = now.saturating_sub(crash.at) >= LAPSED;
+            self.is_over(now, crash) || (refutable && is_live(&crash.life))
         };
-        let found = self.crashes.iter().filter(|(_, crash)| over(crash));
-        let keys: Vec<CrashKey> = found.map(|(key, _)| key).collect();
-        keys.into_iter().filter_map(|key| self.take(key)).collect()
+        let void = self.crashes.iter().filter(|(_, crash)| is_void(crash));
+        let keys: Vec<CrashKey> = void.map(|(key, _)| key).collect();
+        keys.into_iter()
+            .filter_map(|key| self.remove_key(key))
+            .collect()
     }
 
-    /// Says what the recorded crashes say of a request.
+    /// Returns the verdict on a request.
     #[must_use]
     pub fn verdict(&self, now: Duration, request: Fingerprint) -> Verdict {
-        let Some(keys) = self.requests.get(&request) else {
+        let Some(keys) = self.by_request.get(&request) else {
             return Verdict::Clear;
         };
-        // Most requests are far from a quarantine, and there may be many.
-        if keys.len() < self.limit {
+        // Skips the comparison with other requests in the common case.
+        if keys.len() < self.crash_limit {
             return Verdict::Suspect;
         }
-        let (mut attributed, mut alone) = (0, 0);
+        let (mut attributed, mut undisputed) = (0, 0);
         for key in keys {
-            let rival = self.rival(*key);
-            attributed += usize::from(keys.len() >= rival);
-            alone += usize::from(keys.len() > rival);
+            let rival_count = self.max_rival_count(*key);
+            attributed += usize::from(keys.len() >= rival_count);
+            undisputed += usize::from(keys.len() > rival_count);
         }
-        let clear_cut = attributed >= self.limit && alone > 0;
-        if !clear_cut && keys.len() < self.limit + AMBIGUOUS {
+        let unambiguous = attributed >= self.crash_limit && undisputed > 0;
+        if !unambiguous && keys.len() < self.crash_limit + AMBIGUOUS {
             return Verdict::Suspect;
         }
-        let first = keys.iter().map(|key| self.crashes[*key].at).min();
-        let until = first.unwrap_or_default() + self.keep;
+        let oldest = keys.iter().map(|key| self.crashes[*key].at).min();
+        let until = oldest.unwrap_or_default() + self.crash_ttl;
         Verdict::Quarantined(until.saturating_sub(now))
     }
 
-    /// Returns the highest number of crashes of any other request that was in flight at a
+    /// Returns the highest crash count among the other requests that were in flight at a
     /// crash.
-    fn rival(&self, key: CrashKey) -> usize {
+    fn max_rival_count(&self, key: CrashKey) -> usize {
         let crash = &self.crashes[key];
-        let there = self.lives.get(&crash.life).into_iter().flatten();
-        let others = there.map(|key| self.crashes[*key].request);
+        let keys = self.by_incarnation.get(&crash.life).into_iter().flatten();
+        let others = keys.map(|key| self.crashes[*key].request);
         let others = others.filter(|request| *request != crash.request);
-        let counts = others.map(|request| self.requests.get(&request).map_or(0, Vec::len));
+        let counts = others.map(|request| self.by_request.get(&request).map_or(0, Vec::len));
         counts.max().unwrap_or(0)
     }
 
-    fn take(&mut self, key: CrashKey) -> Option<RowId> {
+    fn remove_key(&mut self, key: CrashKey) -> Option<RowId> {
         let crash = self.crashes.remove(key)?;
         let row = crash.row();
-        drop_key(&mut self.requests, &crash.request, key);
-        drop_key(&mut self.lives, &crash.life, key);
-        self.index.remove(&row);
-        self.order.remove(&(crash.at, key));
+        remove_from_index(&mut self.by_request, &crash.request, key);
+        remove_from_index(&mut self.by_incarnation, &crash.life, key);
+        self.by_row.remove(&row);
+        self.by_time.remove(&(crash.at, key));
         Some(row)
     }
 
-    /// Drops an old crash, if possible of a request that is far from a quarantine.
-    fn drop_oldest(&mut self) {
-        let count = |key: CrashKey| self.requests[&self.crashes[key].request].len();
-        let mut oldest = self.order.iter().map(|(_, key)| *key).take(SCAN);
-        let spare = oldest.clone().find(|key| count(*key) < self.limit);
-        if let Some(key) = spare.or_else(|| oldest.next()) {
-            self.take(key);
+    /// Removes one of the oldest crashes, preferably of a request below the limit.
+    fn evict(&mut self) {
+        let count = |key: CrashKey| self.by_request[&self.crashes[key].request].len();
+        let mut oldest = self
+            .by_time
+            .iter()
+            .map(|(_, key)| *key)
+            .take(MAX_EVICTION_SCAN);
+        let preferred = oldest.clone().find(|key| count(*key) < self.crash_limit);
+        if let Some(key) = preferred.or_else(|| oldest.next()) {
+            self.remove_key(key);
         }
     }
 }
 
-fn drop_key<K: Eq + std::hash::Hash>(index: &mut HashMap<K, Vec<CrashKey>>, at: &K, key: CrashKey) {
-    if let Some(keys) = index.get_mut(at) {
-        keys.retain(|known| *known != key);
+fn remove_from_index<K: Eq + std::hash::Hash>(
+    index: &mut HashMap<K, Vec<CrashKey>>,
+    index_key: &K,
+    key: CrashKey,
+) {
+    if let Some(keys) = index.get_mut(index_key) {
+        keys.retain(|other| *other != key);
         if keys.is_empty() {
-            index.remove(at);
+            index.remove(index_key);
         }
     }
 }
