--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -56,4 +56,4 @@
 /// the store was away meanwhile.
 pub const LAPSED: Duration = Duration::from_secs(20);
 /// How long an attempt without an answer stays open: an entry lapses within this.
-pub const OPEN: Duration = Duration::from_secs(10);
+pub const UNRESOLVED_TTL: Duration = Duration::from_secs(10);
--- a/src/quarantine/open.rs
+++ b/src/quarantine/open.rs
@@ -1,31 +1,30 @@
-//! Attempts of which nobody knows whether their endpoint ended.
+//! Failed attempts whose endpoint may or may not have ended.
 
-use super::{Fingerprint, Life, OPEN};
+use super::{Fingerprint, Life, UNRESOLVED_TTL};
 use std::{
     collections::{HashMap, VecDeque},
     time::Instant,
 };
 
-/// Attempts that are held at most. A gateway of a small host has a few hundred in flight.
-const MOST: usize = 4_096;
+/// Most attempts that are kept.
+const MAX_ATTEMPTS: usize = 4_096;
 
 #[derive(Debug)]
-struct Open {
+struct Attempt {
     request: Fingerprint,
-    life: Life,
-    /// The request's path.
+    incarnation: Life,
+    /// The path of the request.
     path: String,
-    /// When it ended.
-    at: Instant,
+    ended_at: Instant,
 }
 
-/// Attempts that ended without an answer and without a sign of a crash.
+/// Attempts that ended without an answer and without evidence of a crash.
 ///
-/// The end of their endpoint shows later: its entry lapses, or it refuses connections.
+/// If the endpoint ended, its entry expires or it refuses connections later.
 #[derive(Debug, Default)]
 pub struct OpenAttempts {
-    open: VecDeque<Open>,
-    /// Lives that ended, and when that was seen.
+    attempts: VecDeque<Attempt>,
+    /// Incarnations that ended, and when their end was detected.
     ended: HashMap<Life, Instant>,
 }
 
@@ -36,54 +35,69 @@
         Self::default()
     }
 
-    /// Says whether no attempt is open.
+    /// Returns whether no attempt is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.attempts.is_empty()
     }
 
-    /// Notes an attempt that ended without an answer; returns `true` if its endpoint is
-    /// known to have ended.
-    pub fn add(&mut self, now: Instant, request: Fingerprint, life: Life, path: String) -> bool {
+    /// Adds an attempt that ended without an answer.
+    ///
+    /// Returns `true`, and keeps nothing, if the endpoint is known to have ended.
+    pub fn add(
+        &mut self,
+        now: Instant,
+        request: Fingerprint,
+        incarnation: Life,
+        path: String,
+    ) -> bool {
         self.expire(now);
-        if self.ended.contains_key(&life) {
+        if self.ended.contains_key(&incarnation) {
             return true;
         }
-        if self.open.len() >= MOST {
-            self.open.pop_front();
+        if self.attempts.len() >= MAX_ATTEMPTS {
+            self.attempts.pop_front();
         }
-        self.open.push_back(Open {
+        self.attempts.push_back(Attempt {
             request,
-            life,
+            incarnation,
             path,
-            at: now,
+            ended_at: now,
         });
         false
     }
 
-    /// Notes that an endpoint has ended, and returns the requests that were in flight,
-    /// with their paths.
-    pub fn ended(&mut self, now: Instant, life: &Life) -> Vec<(Fingerprint, String)> {
+    /// Records that an incarnation has ended; removes its attempts and returns their requests
+    /// and paths.
+    pub fn ended(&mut self, now: Instant, incarnation: &Life) -> Vec<(Fingerprint, String)> {
         self.expire(now);
-        self.ended.insert(life.clone(), now);
-        let there = self.open.iter().filter(|open| open.life == *life);
-        let found = there
-            .map(|open| (open.request, open.path.clone()))
+        self.ended.insert(incarnation.clone(), now);
+        let affected = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.incarnation == *incarnation);
+        let found = affected
+            .map(|attempt| (attempt.request, attempt.path.clone()))
             .collect();
-        self.open.retain(|open| open.life != *life);
+        self.attempts
+            .retain(|attempt| attempt.incarnation != *incarnation);
         found
     }
 
-    /// Forgets a request that was answered.
+    /// Removes the attempts of a request that was answered.
     pub fn forget(&mut self, request: Fingerprint) {
-        self.open.retain(|open| open.request != request);
+        self.attempts.retain(|attempt| attempt.request != request);
     }
 
     fn expire(&mut self, now: Instant) {
-        let recent = |at: Instant| now.saturating_duration_since(at) < OPEN;
-        while self.open.front().is_some_and(|open| !recent(open.at)) {
-            self.open.pop_front();
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < UNRESOLVED_TTL;
+        while self
+            .attempts
+            .front()
+            .is_some_and(|attempt| !is_recent(attempt.ended_at))
+        {
+            self.attempts.pop_front();
         }
-        self.ended.retain(|_, at| recent(*at));
+        self.ended.retain(|_, at| is_recent(*at));
     }
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use hibiscusroad::{
     quarantine::{
         AMBIGUOUS, CRASHES, Contact, Crash, Fingerprint, Identity, KEEP, LAPSED, LIMIT, Ledger,
-        Life, NotCrash, OPEN, OpenAttempts, ParseFingerprintError, Verdict,
+        Life, NotCrash, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
     },
     table::{Row, RowId},
 };
@@ -339,7 +339,7 @@
     assert_eq!(open.ended(start + second, &life(1)), []);
     assert!(open.add(start + 2 * second, request(4), life(1), path()));
     assert!(!open.is_empty());
-    let late = start + OPEN + second;
+    let late = start + UNRESOLVED_TTL + second;
     assert_eq!(open.ended(late, &life(2)), []);
     assert!(open.is_empty());
 }
