--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -39,7 +39,7 @@
     fingerprint::{Fingerprint, Identity, ParseFingerprintError},
     ledger::{Ledger, Verdict},
     open::OpenAttempts,
-    row::{CRASHES, Crash, Life, NotCrash},
+    row::{CRASHES, Crash, DecodeCrashError, Life},
 };
 
 /// Crashes after which a request is in quarantine unless the settings say otherwise:
--- a/src/quarantine/row.rs
+++ b/src/quarantine/row.rs
@@ -1,8 +1,8 @@
-//! What the store keeps of crashes.
+//! The rows of crashes in the store.
 //!
-//! | table | part | key | holds | written under the condition |
+//! | table | part | key | value | condition of a write |
 //! |---|---|---|---|---|
-//! | `crashes` | | fingerprint/life | [`Crash`] | none: all writers of a key write the same |
+//! | `crashes` | empty | fingerprint/digest of the incarnation | [`Crash`] | none: all writers of a key write the same |
 
 use super::Fingerprint;
 use crate::table::{Row, RowId};
@@ -10,93 +10,93 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The table of crashes.
+/// The name of the table of crashes.
 pub const CRASHES: &str = "crashes";
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint, from the start of its process to its end.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Life {
-    /// The endpoint's id.
+    /// The id of the endpoint.
     pub endpoint: String,
-    /// When this life began, where the endpoint may start again under its id.
+    /// The start of the incarnation, if a restarted endpoint may have the same id.
     pub born: Option<u64>,
 }
 
 impl Life {
-    /// Names a life in keys, whatever the length of the endpoint's id.
+    /// Returns the digest of the incarnation for row keys, which have a bounded length.
     fn key(&self) -> String {
         let name = format!("{}/{}", self.endpoint, self.born.unwrap_or(0));
         format!("{:016x}", xxh3_64(name.as_bytes()))
     }
 }
 
-/// A request was in flight at an endpoint when that ended.
+/// The fact that a request was in flight at an endpoint that ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
-    /// The request.
+    /// The request that was in flight.
     pub request: Fingerprint,
-    /// The life that ended.
+    /// The incarnation that ended.
     pub life: Life,
-    /// The store's steady clock when that was seen.
+    /// The time by the store's steady clock when the end was detected.
     pub at: Duration,
-    /// The request's path, for operators.
+    /// The path of the request, shown to operators.
     pub path: String,
 }
 
-/// The row is no crash.
+/// An error for a row that holds no crash.
 #[derive(Debug, thiserror::Error)]
-pub enum NotCrash {
-    /// Its key names no request.
-    #[error("its key names no request")]
+pub enum DecodeCrashError {
+    /// The key does not begin with a fingerprint.
+    #[error("the key does not begin with a fingerprint")]
     Key,
-    /// Its value can't be read.
-    #[error("its value can't be read: {0}")]
+    /// The value is not a valid crash.
+    #[error("the value is not a valid crash: {0}")]
     Value(#[from] serde_json::Error),
 }
 
 #[derive(Deserialize, Serialize)]
 struct Value {
     #[serde(flatten)]
-    life: Life,
+    incarnation: Life,
     at_ms: u64,
     path: String,
 }
 
 impl Crash {
-    /// Names its row.
+    /// Returns the id of the row.
     #[must_use]
     pub fn row(&self) -> RowId {
         let key = format!("{}/{}", self.request, self.life.key());
         RowId::new(CRASHES, "", &key)
     }
 
-    /// Encodes its row's value.
+    /// Encodes the value of the row.
     ///
     /// # Panics
     ///
-    /// Never: texts and numbers always become JSON.
+    /// Never: the value always has a JSON form.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let value = Value {
-            life: self.life.clone(),
+            incarnation: self.life.clone(),
             at_ms: u64::try_from(self.at.as_millis()).unwrap_or(u64::MAX),
             path: self.path.clone(),
         };
-        serde_json::to_vec(&value).expect("texts and numbers become JSON")
+        serde_json::to_vec(&value).expect("a crash has a JSON form")
     }
 
-    /// Reads a row.
+    /// Decodes a row.
     ///
     /// # Errors
     ///
     /// Returns an error if the row was not written by [`Crash::encode`].
-    pub fn decode(row: &Row) -> Result<Self, NotCrash> {
-        let (request, _) = row.id.key.split_once('/').ok_or(NotCrash::Key)?;
-        let request = request.parse().map_err(|_odd| NotCrash::Key)?;
+    pub fn decode(row: &Row) -> Result<Self, DecodeCrashError> {
+        let (request, _) = row.id.key.split_once('/').ok_or(DecodeCrashError::Key)?;
+        let request = request.parse().map_err(|_error| DecodeCrashError::Key)?;
         let value: Value = serde_json::from_slice(&row.value)?;
         Ok(Self {
             request,
-            life: value.life,
+            life: value.incarnation,
             at: Duration::from_millis(value.at_ms),
             path: value.path,
         })
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,8 +2,8 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUOUS, CRASHES, Contact, Crash, Fingerprint, Identity, KEEP, LAPSED, LIMIT, Ledger,
-        Life, NotCrash, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
+        AMBIGUOUS, CRASHES, Contact, Crash, DecodeCrashError, Fingerprint, Identity, KEEP, LAPSED,
+        LIMIT, Ledger, Life, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
     },
     table::{Row, RowId},
 };
@@ -314,13 +314,19 @@
             value,
             ..row.clone()
         };
-        assert!(matches!(Crash::decode(&odd), Err(NotCrash::Key)), "{key}");
+        assert!(
+            matches!(Crash::decode(&odd), Err(DecodeCrashError::Key)),
+            "{key}"
+        );
     }
     let odd = Row {
         value: b"{}".to_vec(),
         ..row
     };
-    assert!(matches!(Crash::decode(&odd), Err(NotCrash::Value(_))));
+    assert!(matches!(
+        Crash::decode(&odd),
+        Err(DecodeCrashError::Value(_))
+    ));
 }
 
 // Guards against a cause that runs for ever at hosts that lose power without a word.
