--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -1,6 +1,6 @@
 //! Recorded crashes, and the verdicts on requests that follow from them.
 
-use super::{AMBIGUOUS, Crash, Fingerprint, LAPSED, Life};
+use super::{AMBIGUITY_MARGIN, Crash, Fingerprint, LAPSED, Life};
 use crate::table::RowId;
 use slotmap::{SlotMap, new_key_type};
 use std::{
@@ -154,7 +154,7 @@
             undisputed += usize::from(keys.len() > rival_count);
         }
         let unambiguous = attributed >= self.crash_limit && undisputed > 0;
-        if !unambiguous && keys.len() < self.crash_limit + AMBIGUOUS {
+        if !unambiguous && keys.len() < self.crash_limit + AMBIGUITY_MARGIN {
             return Verdict::Suspect;
         }
         let oldest = keys.iter().map(|key| self.crashes[*key].at).min();
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -47,7 +47,7 @@
 pub const LIMIT: usize = 3;
 /// Crashes beyond the limit after which a request is in quarantine even if others were
 /// in flight at each of them.
-pub const AMBIGUOUS: usize = 2;
+pub const AMBIGUITY_MARGIN: usize = 2;
 /// How long a crash counts unless the settings say otherwise. Each lapse costs up to
 /// [`LIMIT`] endpoints if the cause is still there.
 pub const KEEP: Duration = Duration::from_hours(1);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,8 +2,8 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUOUS, CRASHES, Contact, Crash, DecodeCrashError, Fingerprint, Identity, KEEP, LAPSED,
-        LIMIT, Ledger, Life, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
+        AMBIGUITY_MARGIN, CRASHES, Contact, Crash, DecodeCrashError, Fingerprint, Identity, KEEP,
+        LAPSED, LIMIT, Ledger, Life, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
     },
     table::{Row, RowId},
 };
@@ -169,7 +169,7 @@
 #[test]
 fn ambiguous_evidence_ends_in_a_quarantine() {
     let mut ledger = ledger();
-    for n in 0..LIMIT + AMBIGUOUS {
+    for n in 0..LIMIT + AMBIGUITY_MARGIN {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
         crash(&mut ledger, 1, n, &[1, 2]);
     }
@@ -192,7 +192,7 @@
                 counts[usize::from(*n)] += 1;
             }
         }
-        let most = LIMIT + AMBIGUOUS;
+        let most = LIMIT + AMBIGUITY_MARGIN;
         assert!(
             counts.iter().all(|count| *count <= most),
             "seed {seed}: {counts:?}"
@@ -358,7 +358,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut ledger = ledger();
         let mut counts = [0; 12];
-        for n in 0..LIMIT + AMBIGUOUS {
+        for n in 0..LIMIT + AMBIGUITY_MARGIN {
             let beside = (2..12_u8).filter(|_| rng.random_bool(0.4));
             let there: Vec<u8> = beside.chain([1]).collect();
             crash(&mut ledger, 1, n, &there);
--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -2,7 +2,7 @@
 //! time: how many endpoints end, and whom a quarantine meets.
 
 use hibiscusroad::quarantine::{
-    AMBIGUOUS, Crash, Fingerprint, Identity, KEEP, LIMIT, Ledger, Life, Verdict,
+    AMBIGUITY_MARGIN, Crash, Fingerprint, Identity, KEEP, LIMIT, Ledger, Life, Verdict,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -223,7 +223,7 @@
     for takes in [SHORT, LONG] {
         let attributed = play_all(&takes, by_attribution);
         // What is in flight when the evidence is complete ends as well.
-        let most = LIMIT + AMBIGUOUS + 2;
+        let most = LIMIT + AMBIGUITY_MARGIN + 2;
         assert!(
             attributed.ends <= usize::try_from(SEEDS).unwrap() * most,
             "{attributed:?}"
