--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,30 +1,29 @@
-//! Requests that crash the endpoints that run them, and are stopped.
+//! Detection and quarantine of requests that crash the endpoints that run them.
 //!
-//! Load: a request under which an endpoint's process ends, whichever endpoint runs it.
-//! Its caller repeats it, under new ids and at any gateway. Harm: attempts are limited
-//! for each repeat alone, so one request takes down a whole service, and with it every
-//! request that runs beside it.
+//! Limits on attempts bound each call alone. A client that repeats such a request under new
+//! ids, at any gateway, could end every endpoint of a service, and every request that runs
+//! beside it.
 //!
 //! # Design
 //!
-//! * [`Fingerprint`] tells whether two requests are the same.
-//! * A [`Crash`] is evidence: a request was in flight at an endpoint when that ended.
-//!   Each gateway writes its own to a table that all follow, so that a repeat meets the
-//!   same verdict anywhere, also at a gateway that has just started.
-//! * [`Ledger`] holds the evidence and decides. Of the requests that were in flight at a
-//!   crash, it is attributed to the one with most crashes, so those that only ran beside
-//!   the cause are not blamed for it. [`LIMIT`] crashes are a quarantine.
-//! * [`OpenAttempts`] holds attempts that ended without an answer and without a sign of
-//!   a crash, for a while: a host without power closes no connections, and a caller may
-//!   leave before anybody knows.
+//! * [`Fingerprint`] identifies the repeats of a request.
+//! * A [`Crash`] is evidence: a request was in flight at an endpoint that ended. Each gateway
+//!   writes its evidence to a table that all gateways follow, so they reach the same verdict,
+//!   also after a restart.
+//! * [`Ledger`] keeps the evidence and decides. A crash is attributed to the request in
+//!   flight with the most crashes, which clears requests that only ran beside the cause.
+//!   After [`LIMIT`] crashes a request is quarantined.
+//! * [`OpenAttempts`] keeps attempts that ended without an answer until the end of their
+//!   endpoint may be detected: a host without power closes no connections, and a client may
+//!   disconnect first.
 //!
-//! What clears a request: an answer to it, and an endpoint whose entry outlasts the
-//! crash that it is said to have had, while news of entries came without a gap
-//! ([`Contact`]). Connections break for other reasons, too.
+//! Connections also break for other reasons. So an answer clears the request, and a crash is
+//! void if its endpoint stays registered while updates about endpoints arrive without a gap
+//! ([`Contact`]).
 //!
-//! The trade-off: until the evidence tells the cause from its neighbours, requests that
-//! ran beside it are run again, as is the cause. Stopping at the first crash would spare
-//! two endpoints and refuse every neighbour.
+//! The trade-off: until the evidence separates the cause from its neighbours, all of them
+//! are run again. A quarantine after the first crash would save endpoints and refuse every
+//! neighbour.
 
 mod contact;
 mod fingerprint;
@@ -42,18 +41,18 @@
     row::{CRASHES, Crash, DecodeCrashError, Life},
 };
 
-/// Crashes after which a request is in quarantine unless the settings say otherwise:
-/// two may be chance, as when a request and its retry meet a failing data centre.
+/// Default number of crashes after which a request is quarantined. Two may be chance, as when
+/// a request and its retry meet a failing data centre.
 pub const LIMIT: usize = 3;
-/// Crashes beyond the limit after which a request is in quarantine even if others were
-/// in flight at each of them.
+/// Crashes beyond the limit after which a request is quarantined even if the evidence points
+/// at others as well.
 pub const AMBIGUITY_MARGIN: usize = 2;
-/// How long a crash counts unless the settings say otherwise. Each lapse costs up to
-/// [`LIMIT`] endpoints if the cause is still there.
+/// Default time for which a crash counts. A request that still crashes endpoints after it may
+/// end [`LIMIT`] more.
 pub const KEEP: Duration = Duration::from_hours(1);
-/// Age at which a crash is void if its endpoint's entry is still there: one that ended
-/// has missed several times the renewals after which its entry is removed, also where
-/// the store was away meanwhile.
+/// Age from which a crash is void if its endpoint is still registered. The entry of an
+/// endpoint that ended expires well before, also after an outage of the store.
 pub const LAPSED: Duration = Duration::from_secs(20);
-/// How long an attempt without an answer stays open: an entry lapses within this.
+/// How long an unresolved attempt is kept: the entry of an ended endpoint expires within
+/// this time.
 pub const UNRESOLVED_TTL: Duration = Duration::from_secs(10);
