--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests crash endpoints, decided from drawn and given evidence.
+//! Verdicts on requests, from fixed and random evidence of crashes.
 
 use hibiscusroad::{
     quarantine::{
@@ -21,7 +21,7 @@
 };
 
 #[test]
-fn fingerprint_differs_with_each_part_of_the_identity() {
+fn fingerprint_depends_on_each_field_of_the_identity() {
     let others = [
         Identity {
             method: "PUT",
@@ -58,28 +58,28 @@
             ..REQUEST
         },
     ];
-    let mut seen = vec![Fingerprint::of(&REQUEST)];
+    let mut known = vec![Fingerprint::of(&REQUEST)];
     for other in &others {
         let fingerprint = Fingerprint::of(other);
-        assert!(!seen.contains(&fingerprint), "{other:?}");
-        seen.push(fingerprint);
+        assert!(!known.contains(&fingerprint), "{other:?}");
+        known.push(fingerprint);
     }
 }
 
 #[test]
-fn fingerprint_is_read_back_from_its_text() {
+fn fingerprint_round_trips_through_text() {
     let fingerprint = Fingerprint::of(&REQUEST);
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
-    for odd in ["", "12", &"g".repeat(32), &"é".repeat(16)] {
+    for text in ["", "12", &"g".repeat(32), &"é".repeat(16)] {
         assert_eq!(
-            odd.parse::<Fingerprint>(),
+            text.parse::<Fingerprint>(),
             Err(ParseFingerprintError),
-            "{odd}"
+            "{text}"
         );
     }
 }
 
-/// A request that is told apart by a number.
+/// Returns the fingerprint of the nth request.
 fn request(n: u8) -> Fingerprint {
     Fingerprint::of(&Identity {
         body: &[n],
@@ -87,7 +87,7 @@
     })
 }
 
-fn life(n: usize) -> Life {
+fn incarnation(n: usize) -> Life {
     Life {
         endpoint: format!("e{n}"),
         born: None,
@@ -98,12 +98,12 @@
     Ledger::new(LIMIT, KEEP)
 }
 
-/// Notes that requests were in flight when an endpoint ended at this second.
-fn crash(ledger: &mut Ledger, second: u64, n: usize, requests: &[u8]) {
-    for request_n in requests {
+/// Records that requests were in flight when the nth incarnation ended.
+fn record_crash(ledger: &mut Ledger, second: u64, n: usize, requests: &[u8]) {
+    for request_id in requests {
         ledger.add(Crash {
-            request: request(*request_n),
-            life: life(n),
+            request: request(*request_id),
+            life: incarnation(n),
             at: Duration::from_secs(second),
             path: "/desk/x".to_owned(),
         });
@@ -116,67 +116,67 @@
 }
 
 #[test]
-fn three_crashes_are_a_quarantine() {
+fn request_is_quarantined_at_the_crash_limit() {
     let mut ledger = ledger();
     assert_eq!(ledger.verdict(KEEP, request(1)), Verdict::Clear);
     for n in 0..LIMIT {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
-        crash(&mut ledger, 50 + n as u64, n, &[1]);
+        record_crash(&mut ledger, 50 + n as u64, n, &[1]);
     }
     let verdict = ledger.verdict(Duration::from_mins(1), request(1));
-    let left = KEEP.saturating_sub(Duration::from_secs(10));
-    assert_eq!(verdict, Verdict::Quarantined(left));
+    let remaining = KEEP.saturating_sub(Duration::from_secs(10));
+    assert_eq!(verdict, Verdict::Quarantined(remaining));
     assert_eq!(ledger.verdict(KEEP, request(2)), Verdict::Clear);
 }
 
 #[test]
-fn one_life_ends_once() {
+fn repeated_crash_of_an_incarnation_counts_once() {
     let mut ledger = ledger();
     for second in 0..9 {
-        crash(&mut ledger, second, 0, &[1]);
+        record_crash(&mut ledger, second, 0, &[1]);
     }
     assert!(!is_quarantined(&ledger, 1));
 }
 
-// Guards against refusing requests that ran beside the cause at each of its crashes.
+// Guards against refusing requests that ran beside the cause.
 #[test]
 fn neighbours_of_the_cause_are_not_quarantined() {
     let mut ledger = ledger();
-    crash(&mut ledger, 1, 0, &[1, 2, 3, 4]);
-    crash(&mut ledger, 1, 1, &[1]);
-    crash(&mut ledger, 2, 2, &[1, 2, 5]);
-    crash(&mut ledger, 2, 3, &[1, 2, 6]);
+    record_crash(&mut ledger, 1, 0, &[1, 2, 3, 4]);
+    record_crash(&mut ledger, 1, 1, &[1]);
+    record_crash(&mut ledger, 2, 2, &[1, 2, 5]);
+    record_crash(&mut ledger, 2, 3, &[1, 2, 6]);
     assert!(is_quarantined(&ledger, 1));
     for n in 2..=6 {
         assert!(!is_quarantined(&ledger, n), "{n}");
     }
 }
 
-// Guards against refusing a neighbour that can't be told from the cause yet.
+// Guards against refusing a neighbour whose evidence is the same as the cause's.
 #[test]
-fn a_neighbour_at_every_crash_waits_for_clear_evidence() {
+fn neighbour_at_every_crash_is_not_quarantined_at_the_limit() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 1, n, &[1, 2]);
+        record_crash(&mut ledger, 1, n, &[1, 2]);
     }
     assert!(!is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
-    crash(&mut ledger, 2, LIMIT, &[1]);
+    record_crash(&mut ledger, 2, LIMIT, &[1]);
     assert!(is_quarantined(&ledger, 1));
     assert!(!is_quarantined(&ledger, 2));
 }
 
-// Guards against a cause that goes on for ever because others always run beside it.
+// Guards against a cause that is never quarantined because others always run beside it.
 #[test]
-fn ambiguous_evidence_ends_in_a_quarantine() {
+fn ambiguous_evidence_quarantines_after_the_margin() {
     let mut ledger = ledger();
     for n in 0..LIMIT + AMBIGUITY_MARGIN {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
-        crash(&mut ledger, 1, n, &[1, 2]);
+        record_crash(&mut ledger, 1, n, &[1, 2]);
     }
     assert!(is_quarantined(&ledger, 1));
 }
 
-// Guards against causes that hide behind each other's crashes.
+// Guards against causes that are never quarantined because they crash the same endpoints.
 #[test]
 fn several_causes_end_a_bounded_number_of_endpoints() {
     for seed in 0..500 {
@@ -185,42 +185,42 @@
         let mut counts = [0; 4];
         for n in 0..60 {
             let causes = 1..4_u8;
-            let free = causes.filter(|n| !is_quarantined(&ledger, *n));
-            let there: Vec<u8> = free.filter(|_| rng.random_bool(0.6)).collect();
-            crash(&mut ledger, 1, n, &there);
-            for n in &there {
+            let allowed = causes.filter(|n| !is_quarantined(&ledger, *n));
+            let in_flight: Vec<u8> = allowed.filter(|_| rng.random_bool(0.6)).collect();
+            record_crash(&mut ledger, 1, n, &in_flight);
+            for n in &in_flight {
                 counts[usize::from(*n)] += 1;
             }
         }
-        let most = LIMIT + AMBIGUITY_MARGIN;
+        let max_crashes = LIMIT + AMBIGUITY_MARGIN;
         assert!(
-            counts.iter().all(|count| *count <= most),
+            counts.iter().all(|count| *count <= max_crashes),
             "seed {seed}: {counts:?}"
         );
         assert!((1..4).all(|n| is_quarantined(&ledger, n)), "seed {seed}");
     }
 }
 
-// Guards against refusing a neighbour for good because the cause's evidence came late.
+// Guards against refusing a neighbour because the cause's evidence arrives late.
 #[test]
 fn late_evidence_against_the_cause_clears_its_neighbour() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 1, n, &[2]);
+        record_crash(&mut ledger, 1, n, &[2]);
     }
     assert!(is_quarantined(&ledger, 2));
     for n in 0..=LIMIT {
-        crash(&mut ledger, 1, n, &[1]);
+        record_crash(&mut ledger, 1, n, &[1]);
     }
     assert!(is_quarantined(&ledger, 1));
     assert!(!is_quarantined(&ledger, 2));
 }
 
 #[test]
-fn an_answer_clears_a_request() {
+fn removing_a_request_clears_it() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 1, n, &[1, 2]);
+        record_crash(&mut ledger, 1, n, &[1, 2]);
     }
     assert_eq!(ledger.forget(request(2)).len(), LIMIT);
     assert!(is_quarantined(&ledger, 1));
@@ -228,39 +228,39 @@
     assert_eq!(ledger.forget(request(2)), []);
 }
 
-// Guards against counting connections that broke at endpoints that live.
+// Guards against counting connections that broke at live endpoints.
 #[test]
-fn crashes_of_endpoints_that_go_on_are_void() {
+fn crashes_of_live_endpoints_are_void() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 1, n, &[1]);
+        record_crash(&mut ledger, 1, n, &[1]);
     }
-    let lives = |seen: &Life| *seen == life(0);
-    let early = LAPSED;
-    assert_eq!(ledger.expire(early, lives), []);
+    let is_live = |other: &Life| *other == incarnation(0);
+    let too_early = LAPSED;
+    assert_eq!(ledger.expire(too_early, is_live), []);
     assert!(is_quarantined(&ledger, 1));
     let late = LAPSED + Duration::from_secs(1);
-    assert_eq!(ledger.expire(late, lives).len(), 1);
+    assert_eq!(ledger.expire(late, is_live).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
 
 #[test]
-fn crashes_count_for_a_while() {
+fn crashes_expire_after_their_ttl() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 1 + n as u64, n, &[1]);
+        record_crash(&mut ledger, 1 + n as u64, n, &[1]);
     }
     assert_eq!(ledger.expire(KEEP, |_| false), []);
-    let over = KEEP + Duration::from_secs(1);
-    assert_eq!(ledger.expire(over, |_| false).len(), 1);
+    let after = KEEP + Duration::from_secs(1);
+    assert_eq!(ledger.expire(after, |_| false).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
 
 #[test]
-fn a_ledger_is_bounded_and_keeps_the_cause() {
+fn bounded_ledger_keeps_the_crashes_of_the_cause() {
     let mut ledger = ledger();
     for n in 0..LIMIT {
-        crash(&mut ledger, 0, n, &[1]);
+        record_crash(&mut ledger, 0, n, &[1]);
     }
     for n in 0..20_000_u32 {
         let body = n.to_be_bytes();
@@ -270,7 +270,7 @@
         };
         ledger.add(Crash {
             request: Fingerprint::of(&identity),
-            life: life(100),
+            life: incarnation(100),
             at: Duration::from_secs(5),
             path: String::new(),
         });
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_crash_is_read_back_from_its_row() {
+fn crash_round_trips_through_its_row() {
     let crash = Crash {
         request: request(1),
         life: Life {
@@ -297,86 +297,89 @@
     };
     assert!(row.id.key.len() <= 200);
     assert_eq!(Crash::decode(&row).unwrap(), crash);
-    let other = Life {
+    let restarted = Life {
         born: Some(18),
         ..crash.life.clone()
     };
-    let reborn = Crash {
-        life: other,
+    let next_crash = Crash {
+        life: restarted,
         ..crash
     };
-    assert_ne!(reborn.row(), row.id);
+    assert_ne!(next_crash.row(), row.id);
     for key in ["", "x", "x/y"] {
         let id = RowId::new(CRASHES, "", key);
         let value = row.value.clone();
-        let odd = Row {
+        let malformed = Row {
             id,
             value,
             ..row.clone()
         };
         assert!(
-            matches!(Crash::decode(&odd), Err(DecodeCrashError::Key)),
+            matches!(Crash::decode(&malformed), Err(DecodeCrashError::Key)),
             "{key}"
         );
     }
-    let odd = Row {
+    let malformed = Row {
         value: b"{}".to_vec(),
         ..row
     };
     assert!(matches!(
-        Crash::decode(&odd),
+        Crash::decode(&malformed),
         Err(DecodeCrashError::Value(_))
     ));
 }
 
-// Guards against a cause that runs for ever at hosts that lose power without a word.
+// Guards against missing crashes at hosts that lose power and close no connections.
 #[test]
-fn attempts_without_an_answer_count_once_their_endpoint_has_ended() {
+fn unresolved_attempts_count_once_their_endpoint_has_ended() {
     let start = Instant::now();
     let second = Duration::from_secs(1);
     let path = || "/desk/x".to_owned();
-    let mut open = OpenAttempts::new();
-    assert!(!open.add(start, request(1), life(1), path()));
-    assert!(!open.add(start, request(2), life(2), path()));
-    assert!(!open.add(start, request(3), life(1), path()));
-    open.forget(request(3));
-    let found = open.ended(start + second, &life(1));
+    let mut attempts = OpenAttempts::new();
+    assert!(!attempts.add(start, request(1), incarnation(1), path()));
+    assert!(!attempts.add(start, request(2), incarnation(2), path()));
+    assert!(!attempts.add(start, request(3), incarnation(1), path()));
+    attempts.forget(request(3));
+    let found = attempts.ended(start + second, &incarnation(1));
     assert_eq!(found, [(request(1), path())]);
-    assert_eq!(open.ended(start + second, &life(1)), []);
-    assert!(open.add(start + 2 * second, request(4), life(1), path()));
-    assert!(!open.is_empty());
+    assert_eq!(attempts.ended(start + second, &incarnation(1)), []);
+    assert!(attempts.add(start + 2 * second, request(4), incarnation(1), path()));
+    assert!(!attempts.is_empty());
     let late = start + UNRESOLVED_TTL + second;
-    assert_eq!(open.ended(late, &life(2)), []);
-    assert!(open.is_empty());
+    assert_eq!(attempts.ended(late, &incarnation(2)), []);
+    assert!(attempts.is_empty());
 }
 
-// Guards against a cause that escapes, and neighbours that are refused, whatever runs
-// beside what.
+// Guards, over random neighbours, against missing the cause and refusing requests with fewer
+// crashes.
 #[test]
-fn drawn_crashes_quarantine_the_cause_and_nobody_with_fewer() {
+fn random_crashes_quarantine_the_cause_and_no_request_with_fewer() {
     for seed in 0..500 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut ledger = ledger();
         let mut counts = [0; 12];
         for n in 0..LIMIT + AMBIGUITY_MARGIN {
-            let beside = (2..12_u8).filter(|_| rng.random_bool(0.4));
-            let there: Vec<u8> = beside.chain([1]).collect();
-            crash(&mut ledger, 1, n, &there);
-            for n in &there {
+            let neighbours = (2..12_u8).filter(|_| rng.random_bool(0.4));
+            let in_flight: Vec<u8> = neighbours.chain([1]).collect();
+            record_crash(&mut ledger, 1, n, &in_flight);
+            for n in &in_flight {
                 counts[usize::from(*n)] += 1;
             }
             for n in 2..12_u8 {
-                let fewer = counts[usize::from(n)] < counts[1];
-                assert!(!(fewer && is_quarantined(&ledger, n)), "seed {seed}: {n}");
+                let has_fewer = counts[usize::from(n)] < counts[1];
+                assert!(
+                    !(has_fewer && is_quarantined(&ledger, n)),
+                    "seed {seed}: {n}"
+                );
             }
         }
         assert!(is_quarantined(&ledger, 1), "seed {seed}");
     }
 }
 
-// Guards against taking endpoints for alive whose entries could not be heard of.
+// Guards against taking endpoints as live during a gap in updates.
 #[test]
-fn contact_is_steady_without_gaps_only() {
+fn contact_is_steady_only_without_gaps() {
     let start = Instant::now();
     let at = |second: u64| start + Duration::from_secs(second);
     let mut contact = Contact::new();
@@ -385,7 +388,10 @@
         contact.hear(at(second));
     }
     assert!(contact.is_steady(at(20), LAPSED));
-    assert!(!contact.is_steady(at(30), LAPSED), "it went silent");
+    assert!(!contact.is_steady(at(30), LAPSED), "updates stopped");
     contact.hear(at(31));
-    assert!(!contact.is_steady(at(32), LAPSED), "it has just come back");
+    assert!(
+        !contact.is_steady(at(32), LAPSED),
+        "updates have just resumed"
+    );
 }
