--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -1,5 +1,5 @@
-//! A request that crashes endpoints beside short requests that are run again, in virtual
-//! time: how many endpoints end, and whom a quarantine meets.
+//! A simulation, in virtual time, of a request that crashes endpoints beside requests that
+//! are retried: how many endpoints end, and which requests are refused.
 
 use hibiscusroad::quarantine::{
     AMBIGUITY_MARGIN, Crash, Fingerprint, Identity, KEEP, LIMIT, Ledger, Life, Verdict,
@@ -10,24 +10,28 @@
 
 const ENDPOINTS: usize = 6;
 const NEIGHBOURS: usize = 30;
-/// Milliseconds: of a step, of the whole, until a crash, until an endpoint is back, and
-/// until an interrupted neighbour starts again.
-const STEP: u64 = 5;
-const LENGTH: u64 = 20_000;
-const CRASH: u64 = 100;
-const DOWN: u64 = 2_300;
-const PAUSE: u64 = 80;
-/// Mean time between two repeats of the cause, and endpoints that each may run at.
-const REPEAT: f64 = 150.0;
-const TRIES: u32 = 2;
+const STEP_MS: u64 = 5;
+const SIMULATION_MS: u64 = 20_000;
+/// Time from the start of the cause to the crash.
+const CRASH_DELAY_MS: u64 = 100;
+const RESTART_DELAY_MS: u64 = 2_300;
+/// Longest delay before a neighbour starts, and the delay before an interrupted request is
+/// retried.
+const START_DELAY_MS: u64 = 80;
+/// Mean time between two calls with the cause.
+const CAUSE_INTERVAL_MS: f64 = 150.0;
+/// Attempts of each call with the cause.
+const MAX_ATTEMPTS: u32 = 2;
 const SEEDS: u64 = 80;
-/// Neighbours like lookups, and like generations.
-const SHORT: Range<u64> = 25..200;
-const LONG: Range<u64> = 800..4_000;
+/// Run times of neighbours that are lookups.
+const SHORT_RUN_MS: Range<u64> = 25..200;
+/// Run times of neighbours that are generations.
+const LONG_RUN_MS: Range<u64> = 800..4_000;
+/// The id of the request that crashes endpoints.
 const CAUSE: u64 = 0;
 
-/// Decides from the evidence whether a request may run.
-type Decide = fn(&Ledger, Fingerprint) -> bool;
+/// Decides whether a request may run.
+type Policy = fn(&Ledger, Fingerprint) -> bool;
 
 #[derive(Clone, Copy)]
 enum Phase {
@@ -39,29 +43,31 @@
 struct Run {
     request: u64,
     phase: Phase,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Found {
-    ends: usize,
-    /// Neighbours that were refused, and those that were answered.
+struct Totals {
+    crashes: usize,
+    /// Neighbours that were refused.
     refused: usize,
+    /// Neighbours that were answered.
     answered: usize,
 }
 
 struct World {
-    /// Milliseconds that neighbours run.
-    takes: Range<u64>,
+    /// Run times of neighbours.
+    run_ms: Range<u64>,
     rng: Pcg64,
     ledger: Ledger,
-    decide: Decide,
-    /// When each endpoint is up, and its life.
-    up: [u64; ENDPOINTS],
-    lives: [usize; ENDPOINTS],
+    policy: Policy,
+    /// When each endpoint is up.
+    up_at: [u64; ENDPOINTS],
+    /// How often each endpoint has restarted.
+    restarts: [usize; ENDPOINTS],
     runs: Vec<Run>,
-    next: u64,
-    found: Found,
+    next_id: u64,
+    totals: Totals,
 }
 
 fn fingerprint(request: u64) -> Fingerprint {
@@ -76,46 +82,46 @@
 }
 
 impl World {
-    fn play(seed: u64, takes: Range<u64>, decide: Decide) -> Found {
+    fn simulate(seed: u64, run_ms: Range<u64>, policy: Policy) -> Totals {
         let mut world = Self {
-            takes,
+            run_ms,
             rng: Pcg64::seed_from_u64(seed),
             ledger: Ledger::new(LIMIT, KEEP),
-            decide,
-            up: [0; ENDPOINTS],
-            lives: [0; ENDPOINTS],
+            policy,
+            up_at: [0; ENDPOINTS],
+            restarts: [0; ENDPOINTS],
             runs: Vec::new(),
-            next: CAUSE + 1,
-            found: Found::default(),
+            next_id: CAUSE + 1,
+            totals: Totals::default(),
         };
         for _ in 0..NEIGHBOURS {
             world.add_neighbour(0);
         }
-        for now in (0..LENGTH / STEP).map(|step| step * STEP) {
+        for now in (0..SIMULATION_MS / STEP_MS).map(|step| step * STEP_MS) {
             world.step(now);
         }
-        world.found
+        world.totals
     }
 
     fn add_neighbour(&mut self, at: u64) {
         self.runs.push(Run {
-            request: self.next,
-            phase: Phase::Waiting(at + self.rng.random_range(0..PAUSE)),
-            tries: 0,
+            request: self.next_id,
+            phase: Phase::Waiting(at + self.rng.random_range(0..START_DELAY_MS)),
+            attempts: 0,
         });
-        self.next += 1;
+        self.next_id += 1;
     }
 
     fn step(&mut self, now: u64) {
-        if self.rng.random_bool(STEP as f64 / REPEAT) {
+        if self.rng.random_bool(STEP_MS as f64 / CAUSE_INTERVAL_MS) {
             self.runs.push(Run {
                 request: CAUSE,
                 phase: Phase::Waiting(now),
-                tries: 0,
+                attempts: 0,
             });
         }
         for run in std::mem::take(&mut self.runs) {
-            self.go_on(now, run);
+            self.advance(now, run);
         }
         let crashed = self.runs.iter().filter_map(|run| match run.phase {
             Phase::Running(endpoint, end) if run.request == CAUSE && end <= now => Some(endpoint),
@@ -126,30 +132,30 @@
         }
     }
 
-    fn go_on(&mut self, now: u64, mut run: Run) {
+    fn advance(&mut self, now: u64, mut run: Run) {
         match run.phase {
             Phase::Waiting(at) if at <= now => {
-                if !(self.decide)(&self.ledger, fingerprint(run.request)) {
-                    return self.refused(now, run.request);
+                if !(self.policy)(&self.ledger, fingerprint(run.request)) {
+                    return self.record_refusal(now, run.request);
                 }
-                if run.request == CAUSE && run.tries >= TRIES {
+                if run.request == CAUSE && run.attempts >= MAX_ATTEMPTS {
                     return;
                 }
                 let endpoint = self.rng.random_range(0..ENDPOINTS);
-                if self.up[endpoint] > now {
-                    run.phase = Phase::Waiting(now + STEP);
+                if self.up_at[endpoint] > now {
+                    run.phase = Phase::Waiting(now + STEP_MS);
                 } else {
-                    let takes = match run.request {
-                        CAUSE => CRASH,
-                        _ => self.rng.random_range(self.takes.clone()),
+                    let duration = match run.request {
+                        CAUSE => CRASH_DELAY_MS,
+                        _ => self.rng.random_range(self.run_ms.clone()),
                     };
-                    run.phase = Phase::Running(endpoint, now + takes);
-                    run.tries += 1;
+                    run.phase = Phase::Running(endpoint, now + duration);
+                    run.attempts += 1;
                 }
             }
             Phase::Running(_, end) if end <= now && run.request != CAUSE => {
                 self.ledger.forget(fingerprint(run.request));
-                self.found.answered += 1;
+                self.totals.answered += 1;
                 return self.add_neighbour(now);
             }
             Phase::Waiting(_) | Phase::Running(..) => {}
@@ -157,90 +163,90 @@
         self.runs.push(run);
     }
 
-    fn refused(&mut self, now: u64, request: u64) {
+    fn record_refusal(&mut self, now: u64, request: u64) {
         if request != CAUSE {
-            self.found.refused += 1;
+            self.totals.refused += 1;
             self.add_neighbour(now);
         }
     }
 
     fn crash(&mut self, now: u64, endpoint: usize) {
-        if self.up[endpoint] > now {
+        if self.up_at[endpoint] > now {
             return;
         }
-        self.found.ends += 1;
-        let life = Life {
+        self.totals.crashes += 1;
+        let incarnation = Life {
             endpoint: format!("e{endpoint}"),
-            born: Some(self.lives[endpoint] as u64),
+            born: Some(self.restarts[endpoint] as u64),
         };
         for run in &mut self.runs {
-            let Phase::Running(there, _) = run.phase else {
+            let Phase::Running(running_at, _) = run.phase else {
                 continue;
             };
-            if there == endpoint {
-                run.phase = Phase::Waiting(now + PAUSE);
+            if running_at == endpoint {
+                run.phase = Phase::Waiting(now + START_DELAY_MS);
                 self.ledger.add(Crash {
                     request: fingerprint(run.request),
-                    life: life.clone(),
+                    life: incarnation.clone(),
                     at: std::time::Duration::from_millis(now),
                     path: String::new(),
                 });
             }
         }
-        self.up[endpoint] = now + DOWN;
-        self.lives[endpoint] += 1;
+        self.up_at[endpoint] = now + RESTART_DELAY_MS;
+        self.restarts[endpoint] += 1;
     }
 }
 
-fn by_attribution(ledger: &Ledger, request: Fingerprint) -> bool {
+fn allow_by_verdict(ledger: &Ledger, request: Fingerprint) -> bool {
     let now = std::time::Duration::ZERO;
     !matches!(ledger.verdict(now, request), Verdict::Quarantined(_))
 }
 
-fn by_count(ledger: &Ledger, request: Fingerprint) -> bool {
+fn allow_by_count(ledger: &Ledger, request: Fingerprint) -> bool {
     ledger.crashes_of(request).count() < LIMIT
 }
 
-fn never(_ledger: &Ledger, _request: Fingerprint) -> bool {
+fn allow_all(_ledger: &Ledger, _request: Fingerprint) -> bool {
     true
 }
 
-fn play_all(takes: &Range<u64>, decide: Decide) -> Found {
-    let mut sum = Found::default();
+fn simulate_all(run_ms: &Range<u64>, policy: Policy) -> Totals {
+    let mut sum = Totals::default();
     for seed in 0..SEEDS {
-        let found = World::play(seed, takes.clone(), decide);
-        sum.ends += found.ends;
-        sum.refused += found.refused;
-        sum.answered += found.answered;
+        let totals = World::simulate(seed, run_ms.clone(), policy);
+        sum.crashes += totals.crashes;
+        sum.refused += totals.refused;
+        sum.answered += totals.answered;
     }
-    println!("{takes:?} ms: {sum:?}");
+    println!("{run_ms:?} ms: {sum:?}");
     sum
 }
 
-// Guards against a quarantine that comes late, or meets those who ran beside the cause.
+// Guards against a late quarantine, and against refusing requests that ran beside the cause.
 #[test]
-fn the_cause_is_stopped_and_its_neighbours_go_on() {
-    for takes in [SHORT, LONG] {
-        let attributed = play_all(&takes, by_attribution);
-        // What is in flight when the evidence is complete ends as well.
-        let most = LIMIT + AMBIGUITY_MARGIN + 2;
+fn cause_is_quarantined_and_its_neighbours_are_not() {
+    for run_ms in [SHORT_RUN_MS, LONG_RUN_MS] {
+        let attributed = simulate_all(&run_ms, allow_by_verdict);
+        // Calls with the cause may be in flight when the limit is reached.
+        let max_crashes = LIMIT + AMBIGUITY_MARGIN + 2;
         assert!(
-            attributed.ends <= usize::try_from(SEEDS).unwrap() * most,
+            attributed.crashes <= usize::try_from(SEEDS).unwrap() * max_crashes,
             "{attributed:?}"
         );
         assert!(
             attributed.refused * 1_000 < attributed.answered,
             "{attributed:?}"
         );
-        let count = play_all(&takes, by_count);
+        let counted = simulate_all(&run_ms, allow_by_count);
         assert!(
-            attributed.refused < count.refused,
-            "{attributed:?} {count:?}"
+            attributed.refused < counted.refused,
+            "{attributed:?} {counted:?}"
         );
-        let without = play_all(&takes, never);
+        let unlimited = simulate_all(&run_ms, allow_all);
         assert!(
-            without.ends > attributed.ends * 3,
-            "{attributed:?} {without:?}"
+            unlimited.crashes > attributed.crashes * 3,
+            "{attributed:?} {unlimited:?}"
         );
     }
 }
