--- a/src/account.rs
+++ b/src/account.rs
@@ -1,14 +1,12 @@
-//! Client accounts and the keys by which callers prove them.
+//! Client accounts and the keys that authenticate them.
 //!
-//! An account is an immutable part of one version of the configuration, like routes:
-//! a request is judged by the version that it began under. A key's text is never
-//! kept. It becomes a [`Key`], its SHA-256 digest, when it is decoded, both from the
-//! configuration and from a caller. So it can't reach a log, a metric or an endpoint
-//! by mistake, and a lookup takes the same time for every wrong key: what a hash map
-//! compares early are digests, from which nothing of a key can be guessed.
+//! Accounts are an immutable part of one version of the configuration, like routes: a
+//! request is judged by the version under which it began. The text of a key is never
+//! kept: it is hashed to a [`Key`] when it is decoded, from the configuration or from a
+//! request. So it can't leak into a log, a metric or an endpoint. The time of a lookup
+//! reveals nothing either: it depends on digests, from which a key can't be guessed.
 //!
-//! The trade-off: operators can't be shown which key it was that a caller showed,
-//! only why it was refused.
+//! The trade-off: operators can't see which key a caller sent, only why it was refused.
 
 use crate::ErrorKind;
 use sha2::{Digest, Sha256};
@@ -19,16 +17,16 @@
 };
 
 new_key_type! {
-    /// An account of one version of the configuration.
-    pub struct AccountKey;
+    /// Identifies an account within one version of the configuration.
+    pub struct AccountId;
 }
 
-/// The digest of a key's text.
+/// The SHA-256 digest of a key's text.
 #[derive(Clone, Copy, Eq, Hash, PartialEq)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Takes in a key's text.
+    /// Hashes the text of a key.
     #[must_use]
     pub fn of(text: &[u8]) -> Self {
         Self(Sha256::digest(text).into())
@@ -36,43 +34,43 @@
 }
 
 impl fmt::Debug for Key {
-    // Digests of short keys can be searched for: not even they go into a log.
+    // A short key can be found from its digest by search, so digests stay out of logs, too.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
 }
 
-/// What a caller showed to prove its account.
+/// The credential that a caller sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     Missing,
-    /// Something that is no single key: another scheme, two headers, no text.
+    /// Not a single key: another scheme, two headers, or not text.
     Malformed,
-    /// A key, which may name nobody.
+    /// A key, which may be unknown.
     Key(Key),
 }
 
 /// One client account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
-    /// Its name, which endpoints are told.
+    /// The name, which is sent to endpoints.
     pub name: String,
-    /// Its rank, which goes before a route's; 0 is the highest.
+    /// The priority, which overrides that of the route; 0 is the highest.
     pub priority: Option<u8>,
 }
 
 /// All accounts of one version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
-    table: SlotMap<AccountKey, Account>,
-    keys: HashMap<Key, AccountKey>,
-    /// Keys that several accounts hold.
-    shared: HashSet<Key>,
+    table: SlotMap<AccountId, Account>,
+    ids: HashMap<Key, AccountId>,
+    /// Keys of several accounts, which authenticate none of them.
+    shared_keys: HashSet<Key>,
 }
 
 impl Accounts {
-    /// Creates a table without accounts.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -80,51 +78,51 @@
 
     /// Adds an account with its keys.
     ///
-    /// A key that another account holds as well proves neither from then on: whoever
-    /// shows it would act for, and be counted as, an account that may not be its own.
+    /// A key that another account also has authenticates neither of them: its callers could
+    /// act for, and be charged to, the wrong account.
     pub fn add(&mut self, account: Account, keys: impl IntoIterator<Item = Key>) {
-        let own = self.table.insert(account);
+        let id = self.table.insert(account);
         for key in keys {
-            let other = self.keys.get(&key).is_some_and(|holder| *holder != own);
-            if other || self.shared.contains(&key) {
-                self.keys.remove(&key);
-                self.shared.insert(key);
+            let has_other_owner = self.ids.get(&key).is_some_and(|owner| *owner != id);
+            if has_other_owner || self.shared_keys.contains(&key) {
+                self.ids.remove(&key);
+                self.shared_keys.insert(key);
             } else {
-                self.keys.insert(key, own);
+                self.ids.insert(key, id);
             }
         }
     }
 
-    /// Returns how many keys prove nobody because several accounts hold them.
+    /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
-    pub fn shared(&self) -> usize {
-        self.shared.len()
+    pub fn shared_keys(&self) -> usize {
+        self.shared_keys.len()
     }
 
-    /// Returns how many accounts there are.
+    /// Returns the number of accounts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Says whether there are no accounts.
+    /// Returns whether there are no accounts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Finds the account that a caller proves.
+    /// Returns the account that a credential authenticates.
     ///
     /// # Errors
     ///
-    /// Returns the kind of the refusal if it proves none.
-    pub fn authenticate(&self, shown: Credential) -> Result<&Account, ErrorKind> {
-        let key = match shown {
+    /// Returns the kind of the refusal if the credential authenticates no account.
+    pub fn authenticate(&self, credential: Credential) -> Result<&Account, ErrorKind> {
+        let key = match credential {
             Credential::Missing => return Err(ErrorKind::KeyMissing),
             Credential::Malformed => return Err(ErrorKind::KeyMalformed),
             Credential::Key(key) => key,
         };
-        let account = self.keys.get(&key).and_then(|key| self.table.get(*key));
+        let account = self.ids.get(&key).and_then(|id| self.table.get(*id));
         account.ok_or(ErrorKind::KeyUnknown)
     }
 }
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -177,7 +177,7 @@
     /// Returns how many keys prove nobody because several accounts hold them.
     #[must_use]
     pub fn shared_keys(&self) -> usize {
-        self.accounts.as_ref().map_or(0, Accounts::shared)
+        self.accounts.as_ref().map_or(0, Accounts::shared_keys)
     }
 
     /// Says whether callers show keys.
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! Which account a caller proves, and what becomes of one that proves none.
+//! Authentication of callers by keys, and the errors for those that fail it.
 
 use hibiscusroad::{
     ErrorKind,
@@ -13,7 +13,7 @@
     }
 }
 
-fn shown(text: &str) -> Credential {
+fn key_credential(text: &str) -> Credential {
     Credential::Key(Key::of(text.as_bytes()))
 }
 
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn each_key_of_an_account_proves_it() {
-    for key in ["first", "second"] {
-        let found = catalog();
-        let found = found.admit(false, shown(key)).unwrap().unwrap();
-        assert_eq!(found.name, "charity");
+fn each_key_of_an_account_authenticates_it() {
+    for text in ["first", "second"] {
+        let catalog = catalog();
+        let account = catalog.admit(false, key_credential(text)).unwrap().unwrap();
+        assert_eq!(account.name, "charity");
     }
 }
 
 #[test]
-fn what_proves_no_account_is_refused_by_its_cause() {
+fn invalid_credentials_are_refused_with_their_kind() {
     let cases = [
         (Credential::Missing, ErrorKind::KeyMissing),
         (Credential::Malformed, ErrorKind::KeyMalformed),
-        (shown("third"), ErrorKind::KeyUnknown),
-        (shown(""), ErrorKind::KeyUnknown),
-        (shown("First"), ErrorKind::KeyUnknown),
-        (shown("no-keys"), ErrorKind::KeyUnknown),
+        (key_credential("third"), ErrorKind::KeyUnknown),
+        (key_credential(""), ErrorKind::KeyUnknown),
+        (key_credential("First"), ErrorKind::KeyUnknown),
+        (key_credential("no-keys"), ErrorKind::KeyUnknown),
     ];
     for (credential, kind) in cases {
         assert_eq!(catalog().admit(false, credential), Err(kind));
@@ -50,60 +50,65 @@
 }
 
 #[test]
-fn public_routes_ask_for_no_key_and_hear_of_a_good_one() {
+fn public_routes_need_no_key_but_accept_a_valid_one() {
     let catalog = catalog();
     assert_eq!(catalog.admit(true, Credential::Missing), Ok(None));
     assert_eq!(catalog.admit(true, Credential::Malformed), Ok(None));
-    assert_eq!(catalog.admit(true, shown("third")), Ok(None));
-    let named = catalog.admit(true, shown("first")).unwrap();
-    assert_eq!(named.map(|account| account.name.as_str()), Some("charity"));
+    assert_eq!(catalog.admit(true, key_credential("third")), Ok(None));
+    let account = catalog.admit(true, key_credential("first")).unwrap();
+    assert_eq!(
+        account.map(|account| account.name.as_str()),
+        Some("charity")
+    );
 }
 
 #[test]
-fn callers_of_a_deployment_without_accounts_show_nothing() {
+fn deployment_without_accounts_ignores_credentials() {
     let catalog = Catalog::new(1, Vec::new(), Vec::new(), Limits::default());
     assert!(!catalog.has_accounts());
-    for credential in [Credential::Missing, Credential::Malformed, shown("any")] {
+    for credential in [
+        Credential::Missing,
+        Credential::Malformed,
+        key_credential("any"),
+    ] {
         assert_eq!(catalog.admit(false, credential), Ok(None));
     }
 }
 
-// Two accounts show the same key: a mistake of whoever hands keys out. If it proved
-// the one that was written last, the other's callers would act for it and be counted
-// as it. So it proves neither, in whatever order and however often it is written.
+// Guards against charging the callers of one account to another one with the same key.
 #[test]
-fn a_key_that_two_accounts_hold_proves_neither() {
-    for times in 2..5 {
+fn key_of_several_accounts_authenticates_none() {
+    for count in 2..5 {
         let mut accounts = Accounts::new();
-        for n in 0..times {
+        for n in 0..count {
             let keys = ["same".to_owned(), format!("own-{n}")];
             let keys = keys.map(|text| Key::of(text.as_bytes()));
             accounts.add(account(&format!("account-{n}")), keys);
         }
-        assert_eq!(accounts.shared(), 1);
+        assert_eq!(accounts.shared_keys(), 1);
         assert_eq!(
-            accounts.authenticate(shown("same")),
+            accounts.authenticate(key_credential("same")),
             Err(ErrorKind::KeyUnknown)
         );
-        let own = accounts.authenticate(shown("own-1")).unwrap();
-        assert_eq!(own.name, "account-1");
+        let account = accounts.authenticate(key_credential("own-1")).unwrap();
+        assert_eq!(account.name, "account-1");
     }
 }
 
 #[test]
-fn a_key_that_one_account_holds_twice_proves_it() {
+fn key_listed_twice_by_one_account_authenticates_it() {
     let mut accounts = Accounts::new();
     let keys = ["same", "same"].map(|text| Key::of(text.as_bytes()));
     accounts.add(account("charity"), keys);
     assert_eq!(
-        accounts.authenticate(shown("same")).unwrap().name,
+        accounts.authenticate(key_credential("same")).unwrap().name,
         "charity"
     );
-    assert_eq!(accounts.shared(), 0);
+    assert_eq!(accounts.shared_keys(), 0);
 }
 
 #[test]
-fn keys_print_nothing() {
+fn debug_output_hides_keys() {
     let key = Key::of(b"jy5rcpihhacruddedev3");
     assert_eq!(format!("{key:?}"), "Key(..)");
     let mut accounts = Accounts::new();
