--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -1,9 +1,9 @@
-//! Routes, services and limits that are in force.
+//! The routes, services and limits of one version of the configuration.
 //!
-//! A [`Catalog`] is immutable and replaced whole by the next version, so that a
-//! request sees one version from its start to its end. Routes are found by host
-//! and longest prefix: a map from host to its routes, longest prefix first. A
-//! host has tens of routes at most, for which a scan is faster than a tree.
+//! A [`Catalog`] is immutable and the next version replaces it as a whole, so a request
+//! sees one version from start to end. Routes are found by host and longest prefix, by
+//! a scan of the routes of the host: there are tens of them at most, for which a scan is
+//! faster than a tree.
 
 use crate::{
     ErrorKind,
@@ -11,118 +11,117 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// What may be done with requests of a route.
+/// How the requests of a route may be run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// May run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of its client.
+    /// A request runs at most once for each attempt of its client.
     Once,
-    /// Answered by a series of events.
+    /// A request is answered by a series of events.
     Stream {
-        /// Whether another endpoint may go on after the last event.
+        /// Whether another endpoint may continue after the last event received.
         resumable: bool,
     },
-    /// Takes batches of generations for a trainer.
+    /// The route takes batches of generations for a trainer.
     Rollout,
 }
 
-/// A service's part of a route.
+/// The share of a route's requests that one service runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Its weight among the route's services.
+    /// The weight among the services of the route.
     pub weight: f64,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name, for logs.
     pub name: String,
-    /// The host that its requests name.
+    /// The host that requests are sent to.
     pub host: String,
-    /// What their paths begin with.
+    /// The prefix of request paths.
     pub prefix: String,
-    /// What may be done with them.
+    /// How requests may be run.
     pub kind: Kind,
-    /// The longest that a request may be kept waiting.
+    /// The longest time that a request may wait for its answer.
     pub timeout: Option<Duration>,
-    /// The time within which an answer is worth most.
+    /// The target latency, within which an answer has its full value.
     pub target: Option<Duration>,
-    /// Rank among routes; 0 is the highest.
+    /// The priority among routes; 0 is the highest.
     pub priority: u8,
-    /// Services that run the requests.
+    /// The services that run the requests.
     pub shares: Vec<Share>,
-    /// Endpoints to which one request may be sent at most.
+    /// Most endpoints to which one request may be sent.
     pub attempts: u32,
-    /// Time after its first submission in which a batch is to be complete.
+    /// The time from the first submission within which a batch should be complete.
     pub due: Option<Duration>,
-    /// Time after its submission after which an item may be given up.
+    /// The time from its submission after which an item may be abandoned.
     pub ttl: Option<Duration>,
-    /// Whether all of a result's text has to come from one weight version.
+    /// Whether the whole text of a result must come from one weight version.
     pub single: bool,
     /// Whether callers need no key.
     pub public: bool,
 }
 
 impl Route {
-    /// Chooses a service by weight; `draw` in [0, 1) decides.
+    /// Chooses a service by weight, from a random `draw` in [0, 1).
     #[must_use]
     pub fn service(&self, draw: f64) -> Option<&str> {
         let total: f64 = self.shares.iter().map(|share| share.weight.max(0.0)).sum();
-        let mut left = draw * total;
-        let mut found = None;
+        let mut remaining = draw * total;
+        let mut chosen = None;
         for share in self.shares.iter().filter(|share| share.weight > 0.0) {
-            found = Some(share.service.as_str());
-            left -= share.weight;
-            if left < 0.0 {
+            chosen = Some(share.service.as_str());
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 break;
             }
         }
-        found.or_else(|| self.shares.first().map(|share| share.service.as_str()))
+        chosen.or_else(|| self.shares.first().map(|share| share.service.as_str()))
     }
 }
 
-/// What an engine's service tells of its engines.
+/// The properties that a service declares for its model engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that one works on at once.
+    /// Requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens that the memory of one holds.
+    /// Tokens that fit into the memory of one engine.
     pub memory: u64,
-    /// Models that it runs.
+    /// The models that the engines run.
     pub models: Vec<String>,
 }
 
 /// One service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Connections that each endpoint takes from all callers together.
+    /// Connections that each endpoint accepts from all callers together.
     pub connections: Option<u32>,
-    /// Set if its endpoints are model engines.
+    /// Set if the endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the size and duration of what clients send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's headers.
+    /// Most bytes of the headers of a request.
     pub headers: usize,
-    /// Bytes of a request's body.
+    /// Most bytes of the body of a request.
     pub body: usize,
-    /// Time to send the headers.
+    /// Longest time to receive the headers.
     pub reading: Duration,
-    /// Time that a connection may be idle.
+    /// Longest time that a connection may be idle.
     pub idle: Duration,
 }
 
 impl Default for Limits {
-    /// What is common among HTTP servers, until the operator says otherwise:
-    /// 16 KiB of headers, a body of 1 MiB, 10 s to read and 60 s idle.
+    /// Returns the limits that apply unless the configuration sets others.
     fn default() -> Self {
         Self {
             headers: 16 << 10,
@@ -136,18 +135,18 @@
 /// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Catalog {
-    /// Its version; versions grow in uneven steps.
+    /// The version; versions increase, with gaps.
     pub version: u64,
-    /// Limits towards clients.
+    /// The limits for clients.
     pub limits: Limits,
     routes: HashMap<String, Vec<Route>>,
     services: HashMap<String, Service>,
-    /// `None` where callers show no keys at all.
+    /// `None` if callers need no keys.
     accounts: Option<Accounts>,
 }
 
 impl Catalog {
-    /// Builds the catalog of a version.
+    /// Creates the catalog of a version.
     #[must_use]
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, limits: Limits) -> Self {
         let mut by_host: HashMap<String, Vec<Route>> = HashMap::new();
@@ -157,7 +156,9 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let services = services.into_iter().map(|s| (s.name.clone(), s));
+        let services = services
+            .into_iter()
+            .map(|service| (service.name.clone(), service));
         Self {
             version,
             limits,
@@ -167,72 +168,74 @@
         }
     }
 
-    /// Sets the accounts, without which callers show no keys.
+    /// Sets the accounts; without them, callers need no keys.
     #[must_use]
     pub fn accounts(mut self, accounts: Accounts) -> Self {
         self.accounts = Some(accounts);
         self
     }
 
-    /// Returns how many keys prove nobody because several accounts hold them.
+    /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
     pub fn shared_keys(&self) -> usize {
         self.accounts.as_ref().map_or(0, Accounts::shared_keys)
     }
 
-    /// Says whether callers show keys.
+    /// Returns whether callers are authenticated by keys.
     #[must_use]
     pub const fn has_accounts(&self) -> bool {
         self.accounts.is_some()
     }
 
-    /// Finds the account of a caller; `None` where callers show no keys.
+    /// Returns the account of a caller, or `None` if callers need no keys.
     ///
     /// # Errors
     ///
-    /// Returns the kind of the refusal if the caller proves no account.
-    fn authenticate(&self, shown: Credential) -> Result<Option<&Account>, ErrorKind> {
+    /// Returns the kind of the refusal if the credential authenticates no account.
+    fn authenticate(&self, credential: Credential) -> Result<Option<&Account>, ErrorKind> {
         let Some(accounts) = &self.accounts else {
             return Ok(None);
         };
-        accounts.authenticate(shown).map(Some)
+        accounts.authenticate(credential).map(Some)
     }
 
-    /// Finds for which account a caller asks for something, if for any.
+    /// Decides whether a caller is admitted, and returns its account if it has one.
     ///
-    /// For what is public no key is asked. One that is shown all the same still says
-    /// for whom the request is.
+    /// What is public needs no key, but a valid key still identifies the account.
     ///
     /// # Errors
     ///
-    /// Returns the kind of the refusal if it is not public and the caller proves no
-    /// account.
-    pub fn admit(&self, public: bool, shown: Credential) -> Result<Option<&Account>, ErrorKind> {
-        match self.authenticate(shown) {
+    /// Returns the kind of the refusal if authentication is needed and fails.
+    pub fn admit(
+        &self,
+        public: bool,
+        credential: Credential,
+    ) -> Result<Option<&Account>, ErrorKind> {
+        match self.authenticate(credential) {
             Err(_) if public => Ok(None),
-            found => found,
+            result => result,
         }
     }
 
-    /// Finds the route of a host with the longest prefix that begins `path`.
+    /// Returns the route of a host with the longest prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Finds a service.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns all services, in no order.
+    /// Returns all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Returns all routes, in no order.
+    /// Returns all routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().flatten()
     }
