--- a/src/class.rs
+++ b/src/class.rs
@@ -1,19 +1,19 @@
-//! What kind of caller a request comes from, and whether it may run twice.
+//! The class of a request, and whether it may run twice.
 
 use serde::{Deserialize, Serialize};
 
 /// The class of a request, most urgent first.
 ///
-/// Classes are ordered: a lower one yields to a higher one, down to a floor
-/// that the service's settings give it.
+/// Classes are ordered: less urgent ones yield to more urgent ones, down to the floor
+/// that each class has by the settings of the service.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A person or a device that waits: a parent, a guest, a vacuum.
+    /// A person or device that waits for the answer.
     Interactive,
-    /// A partner's system or a sync job that waits, but can wait longer.
+    /// A partner's system or a sync job, which can wait longer.
     Partner,
-    /// Generation for a trainer, which uses what the others leave.
+    /// Generation for a trainer, which uses the remaining capacity.
     Rollout,
 }
 
@@ -21,7 +21,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Interactive, Self::Partner, Self::Rollout];
 
-    /// Returns the name that operators see.
+    /// Returns the name shown to operators.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -42,8 +42,8 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// Idempotent: a second run does no harm.
+    /// The request is idempotent.
     Free,
-    /// Not idempotent: runs at most once, whatever becomes of the answer.
+    /// The request is not idempotent and runs at most once, even if its answer is lost.
     Once,
 }
