--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,11 @@
-//! The interface through which time enters.
+//! Sources of the current time.
 //!
-//! The decisions take `Instant` as an argument. The processes read it once a
-//! turn from a [`Clock`], so that a test can run the same turn in virtual time.
+//! Functions that decide take an `Instant` as an argument. A process reads it from a
+//! [`Clock`] once per iteration of its loop, so a test can run the same code in virtual
+//! time.
 //!
-//! `Instant` goes on while a process is stopped by a signal, but not while its
-//! machine is suspended. Leases therefore don't use it; they use the boot
-//! clock of the daemon.
+//! `Instant` advances while a process is stopped by a signal, but not while its host is
+//! suspended. Leases therefore use the boot clock of the daemon instead.
 
 use std::{
     sync::{
@@ -15,19 +15,19 @@
     time::{Duration, Instant},
 };
 
-/// Returns whole milliseconds, as rows of the store and log lines hold times.
+/// Returns a duration in whole milliseconds, as stored rows and log lines have it.
 #[must_use]
-pub fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A source of the present instant.
+/// A source of the current instant.
 pub trait Clock: Send + Sync {
-    /// Returns the present instant, which never goes back.
+    /// Returns the current instant, which never decreases.
     fn now(&self) -> Instant;
 }
 
-/// The clock of the machine.
+/// The monotonic clock of the host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A clock that goes on only when it is told to.
+/// A clock that advances only by [`ManualClock::advance`].
 ///
 /// # Example
 ///
@@ -53,23 +53,23 @@
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     base: Instant,
-    nanos: Arc<AtomicU64>,
+    elapsed_nanos: Arc<AtomicU64>,
 }
 
 impl ManualClock {
-    /// Creates a clock that stands at the present instant.
+    /// Creates a clock that is stopped at the current instant.
     #[must_use]
     pub fn new() -> Self {
         Self {
             base: Instant::now(),
-            nanos: Arc::default(),
+            elapsed_nanos: Arc::default(),
         }
     }
 
-    /// Moves the clock on. Steps of more than 584 years in all wrap.
-    pub fn advance(&self, by: Duration) {
-        let nanos = u64::try_from(by.as_nanos()).unwrap_or(u64::MAX);
-        self.nanos.fetch_add(nanos, Ordering::SeqCst);
+    /// Advances the clock, which wraps after 584 years in all.
+    pub fn advance(&self, duration: Duration) {
+        let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
+        self.elapsed_nanos.fetch_add(nanos, Ordering::SeqCst);
     }
 }
 
@@ -81,6 +81,6 @@
 
 impl Clock for ManualClock {
     fn now(&self) -> Instant {
-        self.base + Duration::from_nanos(self.nanos.load(Ordering::SeqCst))
+        self.base + Duration::from_nanos(self.elapsed_nanos.load(Ordering::SeqCst))
     }
 }
