--- a/tests/error_table.rs
+++ b/tests/error_table.rs
@@ -1,4 +1,4 @@
-//! What must hold for the table of answers as a whole.
+//! Properties of the table of answers as a whole.
 
 use hibiscusroad::{ErrorKind, Retry};
 use std::{collections::BTreeSet, fs, path::Path};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn problems_name_one_kind_each() {
+fn problem_names_are_unique() {
     for kind in ErrorKind::ALL {
         let problem = kind.answer().problem;
         assert_eq!(ErrorKind::from_problem(problem), Some(*kind), "{problem}");
@@ -26,23 +26,23 @@
     assert_eq!(ErrorKind::from_problem("no-such-problem"), None);
 }
 
-// A caller that hears "ask again later" sends the request anew, without a key
-// if it has none. If the first attempt may have run, a reservation is doubled.
+// Guards against running a request twice: a caller that is told to retry later may have no
+// idempotency key.
 #[test]
-fn ask_again_is_said_only_of_what_did_not_run() {
+fn retry_after_is_answered_only_if_the_request_did_not_run() {
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
-        let anew = answer.retry == Retry::After;
-        assert!(answer.not_run || !anew, "{kind:?}");
+        let may_retry = answer.retry == Retry::After;
+        assert!(answer.not_run || !may_retry, "{kind:?}");
     }
 }
 
 #[test]
-fn statuses_suit_who_is_at_fault() {
+fn statuses_match_the_party_at_fault() {
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
         assert!((400..600).contains(&answer.status), "{kind:?}");
-        let ours = answer.status >= 500;
-        assert!(ours || answer.retry != Retry::After, "{kind:?}");
+        let is_server_error = answer.status >= 500;
+        assert!(is_server_error || answer.retry != Retry::After, "{kind:?}");
     }
 }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,8 +1,7 @@
-//! The table of answers, row by row.
+//! The answer for each error kind.
 //!
-//! `tests/data/errors/PROBLEM.toml` holds what callers of that problem rely
-//! on. A row that changes by mistake fails here; one that changes on purpose
-//! is a change of the protocol and changes its file too.
+//! `tests/data/errors/PROBLEM.toml` holds the answer that callers rely on. A change of the
+//! protocol changes the file as well; any other difference fails here.
 
 use hibiscusroad::ErrorKind;
 use serde::Deserialize;
@@ -18,7 +17,7 @@
     retry: String,
 }
 
-fn row(file: &Path) -> datatest_stable::Result<()> {
+fn answer_matches_file(file: &Path) -> datatest_stable::Result<()> {
     let row: Row = toml::from_str(&fs::read_to_string(file)?)?;
     let problem = file
         .file_stem()
@@ -36,5 +35,5 @@
 }
 
 datatest_stable::harness! {
-    { test = row, root = "tests/data/errors", pattern = r"\.toml$" },
+    { test = answer_matches_file, root = "tests/data/errors", pattern = r"\.toml$" },
 }
