--- a/src/id.rs
+++ b/src/id.rs
@@ -1,22 +1,20 @@
-//! The small keys that name requests and processes.
+//! Identifiers of requests and processes.
 //!
-//! Hosts keep nothing, so a counter alone would repeat after a restart. Each
-//! process therefore draws an [`Incarnation`] at random when it starts, and a
-//! request is named by the incarnation of the entry that took it and a number
-//! that this entry counts up. 64 random bits collide among 230 restarts a day
-//! less than once in a hundred million years.
+//! Hosts have no persistent storage, so a counter alone would repeat after a restart.
+//! Each process therefore draws a random [`Incarnation`] when it starts, and a request is
+//! identified by the incarnation of its entry and a sequence number.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One life of one process, from its start to its end.
+/// Identifies one run of a process, from its start to its end.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Draws an incarnation for a process that starts.
+    /// Draws a random incarnation for a starting process.
     #[must_use]
     pub fn draw() -> Self {
         Self(rand::random())
@@ -29,17 +27,17 @@
     }
 }
 
-/// One attempt to run one request at one endpoint.
+/// Identifies one attempt to run a request at an endpoint.
 ///
-/// A retry is another attempt and has another id, so that what arrives late
-/// for the first can't be taken for the second.
+/// A retry has an id of its own, so a late answer to the first attempt can't be taken
+/// for an answer to the second.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct RequestId {
-    /// The life of the entry that took the request.
+    /// The incarnation of the entry that accepted the request.
     pub origin: Incarnation,
-    /// The number that this entry gave it.
+    /// The sequence number within the incarnation.
     pub seq: u64,
 }
 
