--- a/src/patience.rs
+++ b/src/patience.rs
@@ -1,49 +1,48 @@
-//! How long to wait for an answer of a service whose pace changes.
+//! A timeout that adapts to the latency of a service.
 //!
-//! A store answers within milliseconds, loses half of its answers for some
-//! seconds, or takes eighty times as long. With one time limit for all of this,
-//! either each lost answer costs seconds, or each slow one is given up, found to
-//! be unknown and sent again. So the limit follows what was seen: several times
-//! the last answers, doubled by each wait that was in vain.
+//! The latency of the store ranges from milliseconds to eighty times that, and at times it
+//! loses half of its answers. With a fixed timeout, either each lost answer costs seconds,
+//! or each slow answer is abandoned and its call sent again. So the timeout is a multiple
+//! of the last latencies, and doubles with each call that times out.
 
 use std::time::Duration;
 
-/// An answer that takes so many times the usual is taken to be lost.
-const TIMES: u32 = 8;
-/// The limit falls by no more than this with each answer, so that one quick
-/// answer among slow ones doesn't make the next one pass for lost.
-const FALL: f64 = 0.4;
+/// The ratio of the timeout to the last latency.
+const LATENCY_MULTIPLE: u32 = 8;
+/// The least ratio of the next timeout to the current one: a single quick answer among
+/// slow ones must not make the next slow one time out.
+const MIN_DECAY_RATIO: f64 = 0.4;
 
-/// A time limit that follows a service's pace.
+/// A timeout that adapts to the latency of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
     limit: Duration,
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
 }
 
 impl Patience {
-    /// Creates a limit between two bounds, which begins in the middle of them.
+    /// Creates a timeout between two bounds, which starts halfway between them.
     #[must_use]
-    pub fn new(least: Duration, most: Duration) -> Self {
-        let limit = (least + most) / 2;
-        Self { limit, least, most }
+    pub fn new(min: Duration, max: Duration) -> Self {
+        let limit = (min + max) / 2;
+        Self { limit, min, max }
     }
 
-    /// Returns how long to wait now.
+    /// Returns the timeout for the next call.
     #[must_use]
     pub const fn limit(&self) -> Duration {
         self.limit
     }
 
-    /// Notes an answer and how long it took.
-    pub fn answered(&mut self, took: Duration) {
-        let wanted = (took * TIMES).max(self.limit.mul_f64(FALL));
-        self.limit = wanted.clamp(self.least, self.most);
+    /// Records the latency of an answer.
+    pub fn answered(&mut self, latency: Duration) {
+        let limit = (latency * LATENCY_MULTIPLE).max(self.limit.mul_f64(MIN_DECAY_RATIO));
+        self.limit = limit.clamp(self.min, self.max);
     }
 
-    /// Notes that the limit was over before an answer came.
+    /// Records that a call timed out.
     pub fn expired(&mut self) {
-        self.limit = (self.limit * 2).min(self.most);
+        self.limit = (self.limit * 2).min(self.max);
     }
 }
