--- a/src/reach.rs
+++ b/src/reach.rs
@@ -1,60 +1,52 @@
-//! Which way a call to the store goes: straight, or carried by a peer.
+//! The path of calls to the store: direct, or relayed by a peer.
 //!
-//! Load: a store that turns some processes away (it refuses them, resets their
-//! connections, or a partition swallows what they send) and serves the others.
-//! Harm: such a process owns batches and duties that it can't write for. Until
-//! others suspect it and take over, whole steps stand still, though all its
-//! results are there: 2 to 3 s of the 7.5 s that a step has, as measured from
-//! the last text of a step to the end of its batch.
+//! A store may fail for some processes only: it refuses them, resets their connections, or
+//! is partitioned from them. Such a process owns batches and duties but can't write, and
+//! they stand still until other processes suspect it and take over.
 //!
-//! So calls of a process that the store turns away go to a peer, which carries
-//! them out once and tells the outcome. A peer that is turned away itself says
-//! so at once and passes nothing on, so a call takes two hops at most, and an
-//! outage of the whole store costs a few short questions a second: after
-//! [`VAIN`] peers in a row that can't help, none is asked for [`QUIET`].
+//! So a process that can't reach the store sends its calls to a peer, which tries each of
+//! them once and returns the outcome. A peer that can't reach the store either says so and
+//! relays nothing, so a call takes two hops at most. In an outage of the whole store,
+//! [`MAX_FAILURES`] peers fail in a row, and none is asked for [`PEER_SUSPENSION`].
 //!
-//! The way back is found by a probe of its own rather than by calls that matter:
-//! a write that is tried on a dead way has an unknown outcome.
+//! Probes find out when the direct path works again. Calls don't: a write that is tried on
+//! a broken path has an unknown outcome.
 
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
 };
 
-/// Pause before a peer that could not help is asked again: most outages of one
-/// process's way to the store last seconds.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Pause before a peer that didn't answer is asked again: its process is gone,
-/// or the way there.
-const GONE: Duration = Duration::from_secs(5);
-/// A store whose rate is used up refuses single calls of everybody. Only a process
-/// that got no answer at all for so long is taken to be turned away: otherwise each
-/// refusal would bring calls to peers and waits begun anew, which use up the rate
-/// all the more; 140 processes that start together stayed in that for minutes.
-const BUSY: Duration = Duration::from_secs(1);
-/// So many peers in a row that can't help mean that the store is away for all.
-const VAIN: u32 = 3;
-/// For how long no peer is asked then. A store that comes back is noticed by
-/// calls of this process itself, which go straight meanwhile.
-const QUIET: Duration = Duration::from_millis(1_500);
-/// First and longest pause between two probes of the straight way. The longest
-/// keeps 360 processes that are turned away at 240 reads a second together, an
-/// eighth of what the store takes.
-const PROBE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(1_500));
+/// Delay before a peer that can't reach the store is asked again.
+const AWAY_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay before a peer that didn't answer is asked again.
+const SILENT_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time without any answer after which a process that the store refuses for its rate
+/// treats the direct path as failing. A store at its rate limit refuses single calls of
+/// every process; relaying these would only add load.
+const RATE_LIMIT_TOLERANCE: Duration = Duration::from_secs(1);
+/// Peers that fail in a row before the store is considered unreachable for all.
+const MAX_FAILURES: u32 = 3;
+/// Time for which no peer is asked then; calls take the direct path meanwhile.
+const PEER_SUSPENSION: Duration = Duration::from_millis(1_500);
+/// Shortest and longest delay between two probes of the direct path. The longest bounds
+/// the load of all unreachable processes together.
+const PROBE_DELAYS: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_millis(1_500));
 
-/// The way of a call.
+/// The path of a call to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Way {
-    /// To the store itself.
+    /// Directly to the store.
     Straight,
-    /// To a peer that carries it.
+    /// To a peer that relays it.
     Peer(SocketAddr),
 }
 
-/// What became of a call that a peer was asked to carry.
+/// The outcome of a call that a peer was asked to relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Carried {
-    /// The store's answer came back.
+    /// The peer returned an answer from the store.
     Answered,
     /// The peer can't reach the store either.
     Away,
@@ -65,130 +57,133 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     address: SocketAddr,
-    /// Not asked before.
-    after: Option<Instant>,
+    /// Not asked before this instant.
+    retry_at: Option<Instant>,
 }
 
-/// How this process reaches the store.
+/// The state of this process's paths to the store.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
     peers: Vec<Peer>,
-    /// The peer that helped last.
-    good: Option<SocketAddr>,
-    /// Since when the straight way fails.
-    away: Option<Instant>,
-    /// Since when the store has refused calls for its rate alone.
-    busy: Option<Instant>,
-    /// Peers in a row that could not help.
-    vain: u32,
-    /// No peer is asked before.
-    quiet: Option<Instant>,
+    /// The last peer that returned an answer.
+    preferred: Option<SocketAddr>,
+    /// Since when the direct path fails.
+    away_since: Option<Instant>,
+    /// Since when the rate limit has refused calls and none was answered.
+    limited_since: Option<Instant>,
+    /// Peers that have failed in a row.
+    failures: u32,
+    /// No peer is asked before this instant.
+    suspended_until: Option<Instant>,
 }
 
 impl Reach {
-    /// Creates the view of a process that knows no peers.
+    /// Creates the state of a process without known peers.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the peers; what is known of those that stay is kept. Returns whether
-    /// there are others than before.
+    /// Sets the peers, and keeps the state of those known before. Returns whether the set of
+    /// peers changed.
     pub fn set_peers(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) -> bool {
         let known = std::mem::take(&mut self.peers);
-        let same = |peer: &Peer| known.iter().any(|known| known.address == peer.address);
+        let is_known = |peer: &Peer| known.iter().any(|other| other.address == peer.address);
         self.peers = addresses
             .into_iter()
             .map(|address| Peer {
                 address,
-                after: known
+                retry_at: known
                     .iter()
                     .find(|peer| peer.address == address)
-                    .and_then(|peer| peer.after),
+                    .and_then(|peer| peer.retry_at),
             })
             .collect();
-        self.peers.len() != known.len() || !self.peers.iter().all(same)
+        self.peers.len() != known.len() || !self.peers.iter().all(is_known)
     }
 
-    /// Says whether the straight way fails.
+    /// Returns whether the direct path fails.
     #[must_use]
     pub const fn is_away(&self) -> bool {
-        self.away.is_some()
+        self.away_since.is_some()
     }
 
-    /// Chooses the way of a call; `draw` chooses among peers that are alike.
+    /// Chooses the path of a call, with a random `draw` among eligible peers.
     #[must_use]
     pub fn way(&self, now: Instant, draw: u64) -> Way {
-        if self.away.is_none() || self.quiet.is_some_and(|until| now < until) {
+        if self.away_since.is_none() || self.suspended_until.is_some_and(|until| now < until) {
             return Way::Straight;
         }
-        let open = |peer: &&Peer| peer.after.is_none_or(|after| after <= now);
-        let open: Vec<SocketAddr> = self
+        let is_eligible = |peer: &&Peer| peer.retry_at.is_none_or(|retry_at| retry_at <= now);
+        let eligible: Vec<SocketAddr> = self
             .peers
             .iter()
-            .filter(open)
+            .filter(is_eligible)
             .map(|peer| peer.address)
             .collect();
-        // All calls through one peer, while it helps: one connection, not many.
-        let good = self.good.filter(|good| open.contains(good));
-        let drawn = || {
-            let n = u64::try_from(open.len()).ok().filter(|n| *n > 0)?;
-            open.get(usize::try_from(draw % n).ok()?).copied()
+        // One peer for all calls needs one connection only.
+        let preferred = self.preferred.filter(|peer| eligible.contains(peer));
+        let random = || {
+            let n = u64::try_from(eligible.len()).ok().filter(|n| *n > 0)?;
+            eligible.get(usize::try_from(draw % n).ok()?).copied()
         };
-        good.or_else(drawn).map_or(Way::Straight, Way::Peer)
+        preferred.or_else(random).map_or(Way::Straight, Way::Peer)
     }
 
-    /// Notes that the store refused a call because its rate is used up; `true` if
-    /// the straight way counts as failing from now on.
+    /// Records that the store refused a call by its rate limit.
+    ///
+    /// Returns `true` if the direct path fails from now on.
     pub fn busy(&mut self, now: Instant) -> bool {
-        let since = *self.busy.get_or_insert(now);
-        now.saturating_duration_since(since) > BUSY && self.straight(now, false)
+        let since = *self.limited_since.get_or_insert(now);
+        now.saturating_duration_since(since) > RATE_LIMIT_TOLERANCE && self.straight(now, false)
     }
 
-    /// Notes how a call on the straight way went; `true` if that changed it.
+    /// Records whether a call on the direct path was answered.
+    ///
+    /// Returns `true` if the state of the path changed.
     pub fn straight(&mut self, now: Instant, answered: bool) -> bool {
-        let was = self.away.is_some();
+        let was_away = self.away_since.is_some();
         if answered {
-            self.busy = None;
-            self.away = None;
-            self.vain = 0;
-            self.quiet = None;
-        } else if !was {
-            self.away = Some(now);
+            self.limited_since = None;
+            self.away_since = None;
+            self.failures = 0;
+            self.suspended_until = None;
+        } else if !was_away {
+            self.away_since = Some(now);
         }
-        was == answered
+        was_away == answered
     }
 
-    /// Notes what became of a call that a peer was asked to carry.
+    /// Records the outcome of a call that a peer was asked to relay.
     pub fn carried(&mut self, now: Instant, peer: SocketAddr, outcome: Carried) {
-        let pause = match outcome {
+        let delay = match outcome {
             Carried::Answered => {
-                self.good = Some(peer);
-                self.vain = 0;
+                self.preferred = Some(peer);
+                self.failures = 0;
                 return;
             }
-            Carried::Away => PAUSE,
-            Carried::Silent => GONE,
+            Carried::Away => AWAY_RETRY_DELAY,
+            Carried::Silent => SILENT_RETRY_DELAY,
         };
-        if self.good == Some(peer) {
-            self.good = None;
+        if self.preferred == Some(peer) {
+            self.preferred = None;
         }
         if let Some(known) = self.peers.iter_mut().find(|known| known.address == peer) {
-            known.after = Some(now + pause);
+            known.retry_at = Some(now + delay);
         }
-        self.vain += 1;
-        if self.vain >= VAIN {
-            self.vain = 0;
-            self.quiet = Some(now + QUIET);
+        self.failures += 1;
+        if self.failures >= MAX_FAILURES {
+            self.failures = 0;
+            self.suspended_until = Some(now + PEER_SUSPENSION);
         }
     }
 
-    /// Returns how long to wait before the straight way is probed again.
+    /// Returns the delay before the next probe of the direct path.
     #[must_use]
     pub fn probe_pause(&self, now: Instant) -> Duration {
-        let away = self
-            .away
+        let duration = self
+            .away_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        away.clamp(PROBE.0, PROBE.1)
+        duration.clamp(PROBE_DELAYS.0, PROBE_DELAYS.1)
     }
 }
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Which way a call to the store goes, in written-out schedules.
+//! The path of calls to the store, in fixed schedules.
 
 use hibiscusroad::reach::{Carried, Reach, Way};
 use std::{
@@ -10,7 +10,7 @@
     SocketAddr::from(([10, 0, 0, 1], n))
 }
 
-fn away(now: Instant, peers: u16) -> Reach {
+fn away_reach(now: Instant, peers: u16) -> Reach {
     let mut reach = Reach::new();
     reach.set_peers((1..=peers).map(peer));
     reach.straight(now, false);
@@ -18,26 +18,24 @@
 }
 
 #[test]
-fn calls_go_straight_while_the_store_answers() {
+fn path_is_direct_while_the_store_answers() {
     let now = Instant::now();
     let mut reach = Reach::new();
     reach.set_peers([peer(1)]);
     assert_eq!(reach.way(now, 0), Way::Straight);
     assert!(!reach.straight(now, true));
-    assert!(reach.straight(now, false), "the way has changed");
-    assert!(!reach.straight(now, false), "it was known to fail");
+    assert!(reach.straight(now, false), "the direct path has failed");
+    assert!(!reach.straight(now, false), "it had failed before");
     assert_eq!(reach.way(now, 0), Way::Peer(peer(1)));
     assert!(reach.straight(now, true));
     assert_eq!(reach.way(now, 0), Way::Straight);
 }
 
-// The store turns this process away. The peer that was asked first helps, and all
-// further calls go through it, whatever is drawn: one connection and not one to
-// every peer.
+// Guards against opening connections to every peer.
 #[test]
-fn a_peer_that_helps_is_kept() {
+fn peer_that_answered_is_preferred() {
     let now = Instant::now();
-    let mut reach = away(now, 5);
+    let mut reach = away_reach(now, 5);
     assert_eq!(reach.way(now, 3), Way::Peer(peer(4)));
     reach.carried(now, peer(4), Carried::Answered);
     for draw in 0..5 {
@@ -49,16 +47,14 @@
     }
 }
 
-// The store is away for all. Without a bound each call would ask peers first, and
-// each answer come later by that; so after three in vain calls go straight for a
-// while, and find the store themselves when it is back.
+// Guards against delaying each call by useless peers while the store is away for all.
 #[test]
-fn peers_are_left_alone_when_none_can_help() {
+fn peers_are_suspended_after_consecutive_failures() {
     let now = Instant::now();
-    let mut reach = away(now, 8);
-    for asked in 0..3 {
-        let Way::Peer(peer) = reach.way(now, asked) else {
-            panic!("peer {asked} isn't asked");
+    let mut reach = away_reach(now, 8);
+    for draw in 0..3 {
+        let Way::Peer(peer) = reach.way(now, draw) else {
+            panic!("call {draw} asked no peer");
         };
         reach.carried(now, peer, Carried::Away);
     }
@@ -68,35 +64,32 @@
 }
 
 #[test]
-fn a_peer_that_is_gone_is_asked_again_later() {
+fn silent_peer_is_asked_again_after_a_delay() {
     let now = Instant::now();
-    let mut reach = away(now, 1);
+    let mut reach = away_reach(now, 1);
     reach.carried(now, peer(1), Carried::Silent);
     assert_eq!(reach.way(now, 0), Way::Straight);
-    // What is known of a peer outlives a new list.
+    // The delay of a known peer outlives a new list.
     reach.set_peers([peer(1), peer(2)]);
     assert_eq!(reach.way(now, 0), Way::Peer(peer(2)));
     let later = now + Duration::from_secs(6);
     assert_eq!(reach.way(later, 0), Way::Peer(peer(1)));
 }
 
-// Many processes are turned away together for long: their probes of the store
-// become seldom, or they would be a load of their own when it is back.
+// Guards against overloading a store that recovers with the probes of many processes.
 #[test]
-fn probes_become_seldom() {
+fn delay_between_probes_grows_with_the_outage() {
     let now = Instant::now();
-    let reach = away(now, 0);
-    let pause = |ms| reach.probe_pause(now + Duration::from_millis(ms));
-    assert_eq!(pause(0), Duration::from_millis(250));
-    assert_eq!(pause(700), Duration::from_millis(700));
-    assert_eq!(pause(60_000), Duration::from_millis(1_500));
+    let reach = away_reach(now, 0);
+    let delay = |ms| reach.probe_pause(now + Duration::from_millis(ms));
+    assert_eq!(delay(0), Duration::from_millis(250));
+    assert_eq!(delay(700), Duration::from_millis(700));
+    assert_eq!(delay(60_000), Duration::from_millis(1_500));
 }
 
-// The store's rate is used up, and it refuses a call now and then. Calls that go to
-// peers, and waits that begin anew, would use up the rate all the more. A process that
-// gets no answer at all for longer is turned away after all.
+// Guards against relaying the calls that a store at its rate limit refuses, which adds load.
 #[test]
-fn a_rate_that_is_used_up_turns_nobody_away() {
+fn path_stays_direct_at_the_rate_limit_while_some_calls_are_answered() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut reach = Reach::new();
