--- a/src/roster.rs
+++ b/src/roster.rs
@@ -1,13 +1,10 @@
-//! Which endpoints there are, as they register themselves in the store.
+//! The endpoints that are registered in the store.
 //!
-//! An entry that goes away means that its endpoint left, and no request may
-//! reach it any more: it is dropped at once. There is one exception. While the
-//! store is away endpoints can't renew their entries, which then lapse although
-//! the endpoints serve; those that live are back about two seconds after the
-//! store. Dropping them at once would empty a whole service at the end of each
-//! outage: callers would be refused by a system in which nothing is broken. So
-//! what goes away within [`GRACE`] of an outage is kept for the rest of that
-//! time, and is gone if it has not come back.
+//! An endpoint whose entry is removed has left and is dropped at once, with one exception.
+//! During an outage of the store endpoints can't renew their entries, which then expire
+//! although the endpoints serve; live endpoints register again about two seconds after the
+//! outage. Dropping them at once would empty whole services. So an entry that goes missing
+//! within [`REREGISTRATION_GRACE`] of an outage is kept for the rest of that time.
 
 use std::{
     collections::HashMap,
@@ -15,54 +12,54 @@
     time::{Duration, Instant},
 };
 
-/// Time after an outage for which a lapsed entry is kept: the two seconds in
-/// which endpoints register again, and the time that a change takes to arrive.
-pub const GRACE: Duration = Duration::from_millis(2_300);
+/// Time after an outage for which a missing entry is kept: endpoints register again within
+/// two seconds, and the change takes time to arrive.
+pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Weights that an engine runs.
+/// The weights that an engine runs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Weights {
     /// The model.
     pub model: String,
-    /// Their version.
+    /// The version of the weights.
     pub version: u64,
 }
 
-/// One endpoint.
+/// A registered endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Endpoint {
-    /// Names it. One that starts again may have the same.
+    /// The id, which a restarted endpoint may keep.
     pub id: String,
-    /// When this life of it began, in milliseconds since 1970 by its own clock; all
-    /// that is known of an earlier one counts for nothing.
+    /// The start of this incarnation, in milliseconds since 1970 by the endpoint's clock.
+    /// State of an earlier incarnation is void.
     pub born: Option<u64>,
-    /// The service that it belongs to.
+    /// The service to which the endpoint belongs.
     pub service: String,
-    /// Where it is called.
+    /// The address for requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre.
     pub place: String,
-    /// Requests that it works on at once.
+    /// Requests that the endpoint runs at once.
     pub slots: u32,
-    /// Whether it says that it is about to leave.
+    /// Whether the endpoint has announced its shutdown.
     pub leaving: bool,
-    /// Whether it is still slow after its start.
+    /// Whether the endpoint is still slow after its start.
     pub cold: bool,
-    /// Weights that it runs, if it is a model engine.
+    /// The weights of a model engine.
     pub weights: Vec<Weights>,
 }
 
 /// A change of the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum News {
-    /// The endpoint is new, or something of it changed.
+    /// An endpoint is new or has changed.
     Seen(Endpoint),
-    /// The endpoint of this id is gone.
+    /// The endpoint with this id is gone.
     Gone(String),
 }
 
 impl News {
-    /// Returns the endpoint that is new or was changed.
+    /// Returns the endpoint that is new or has changed.
     #[must_use]
     pub const fn seen(&self) -> Option<&Endpoint> {
         match self {
@@ -84,16 +81,16 @@
 #[derive(Debug)]
 struct Row {
     endpoint: Endpoint,
-    /// Set while its entry is missing but may come back.
-    lapsed: Option<Instant>,
+    /// Set while the entry is missing: when the endpoint is dropped.
+    drop_at: Option<Instant>,
 }
 
-/// All endpoints that are known.
+/// All known endpoints.
 #[derive(Debug, Default)]
 pub struct Roster {
     rows: HashMap<String, Row>,
-    /// The end of the time after an outage.
-    shaky: Option<Instant>,
+    /// The end of the grace period after an outage.
+    grace_end: Option<Instant>,
 }
 
 impl Roster {
@@ -103,69 +100,68 @@
         Self::default()
     }
 
-    /// Notes that the store answers again after it was away.
+    /// Records that the store answers again after an outage.
     pub fn store_back(&mut self, now: Instant) {
-        self.shaky = Some(now + GRACE);
+        self.grace_end = Some(now + REREGISTRATION_GRACE);
     }
 
-    /// Takes in all entries at once; what is missing has lapsed or is gone.
+    /// Replaces all entries; endpoints without an entry are missing from now on.
     pub fn replace(&mut self, now: Instant, all: Vec<Endpoint>) -> Vec<News> {
         let ids: Vec<String> = self.rows.keys().cloned().collect();
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for id in ids {
             if !all.iter().any(|endpoint| endpoint.id == id) {
-                news.extend(self.remove(now, &id));
+                changes.extend(self.remove(now, &id));
             }
         }
-        let seen = all.into_iter().flat_map(|endpoint| self.set(endpoint));
-        news.extend(seen);
-        news
+        let updates = all.into_iter().flat_map(|endpoint| self.set(endpoint));
+        changes.extend(updates);
+        changes
     }
 
-    /// Takes in a new or changed entry.
+    /// Adds or updates an entry.
     ///
-    /// An endpoint that started again under its id holds nothing of what it held
-    /// before: to those who hear of it, the one before is gone and another is new.
-    /// An entry of an earlier life, written late, is passed over.
+    /// A restarted endpoint is reported as gone and as new, since it has lost all state. A
+    /// late entry of an earlier incarnation is ignored.
     pub fn set(&mut self, endpoint: Endpoint) -> Vec<News> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         if let Some(row) = self.rows.get_mut(&endpoint.id) {
-            let (before, now) = (row.endpoint.born, endpoint.born);
-            if before.zip(now).is_some_and(|(before, now)| now < before) {
-                return news;
+            let (old_start, new_start) = (row.endpoint.born, endpoint.born);
+            if old_start.zip(new_start).is_some_and(|(old, new)| new < old) {
+                return changes;
             }
-            row.lapsed = None;
+            row.drop_at = None;
             if row.endpoint == endpoint {
-                return news;
+                return changes;
             }
-            if before != now {
-                news.push(News::Gone(endpoint.id.clone()));
+            if old_start != new_start {
+                changes.push(News::Gone(endpoint.id.clone()));
             }
         }
         let row = Row {
             endpoint: endpoint.clone(),
-            lapsed: None,
+            drop_at: None,
         };
         self.rows.insert(endpoint.id.clone(), row);
-        news.push(News::Seen(endpoint));
-        news
+        changes.push(News::Seen(endpoint));
+        changes
     }
 
-    /// Takes in that an entry is missing.
+    /// Records that an entry is missing.
     pub fn remove(&mut self, now: Instant, id: &str) -> Option<News> {
         let row = self.rows.get_mut(id)?;
-        if let Some(until) = self.shaky.filter(|until| now < *until) {
-            row.lapsed.get_or_insert(until);
+        if let Some(until) = self.grace_end.filter(|until| now < *until) {
+            row.drop_at.get_or_insert(until);
             return None;
         }
         self.rows.remove(id);
         Some(News::Gone(id.to_owned()))
     }
 
-    /// Drops what has been missing for too long.
+    /// Drops the endpoints whose entries are still missing after the grace period.
     pub fn tick(&mut self, now: Instant) -> Vec<News> {
-        let over = |row: &Row| row.lapsed.is_some_and(|until| until <= now);
-        let rows = self.rows.iter().filter(|(_, row)| over(row));
+        let is_due = |row: &Row| row.drop_at.is_some_and(|until| until <= now);
+        let rows = self.rows.iter().filter(|(_, row)| is_due(row));
         let ids: Vec<String> = rows.map(|(id, _)| id.clone()).collect();
         ids.into_iter()
             .map(|id| {
@@ -175,19 +171,19 @@
             .collect()
     }
 
-    /// Says when [`Roster::tick`] has something to do.
+    /// Returns when [`Roster::tick`] next drops an endpoint.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
-        self.rows.values().filter_map(|row| row.lapsed).min()
+        self.rows.values().filter_map(|row| row.drop_at).min()
     }
 
-    /// Returns the endpoint of an id.
+    /// Returns the endpoint with an id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.rows.get(id).map(|row| &row.endpoint)
     }
 
-    /// Returns all endpoints, in no order.
+    /// Returns all endpoints, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.rows.values().map(|row| &row.endpoint)
     }
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -1,9 +1,9 @@
-//! Which endpoints there are, over outages of the store.
+//! Registered endpoints during outages of the store, routes of the catalog, and row keys.
 
 use hibiscusroad::{
     catalog::{Catalog, Kind, Limits, Route, Share},
     rollout::{row, text::Piece},
-    roster::{Endpoint, GRACE, News, Roster},
+    roster::{Endpoint, News, REREGISTRATION_GRACE, Roster},
 };
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn endpoint_that_leaves_is_gone_at_once() {
+fn removed_endpoint_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
     assert_eq!(roster.set(endpoint("a")).len(), 1);
@@ -35,11 +35,9 @@
     assert_eq!(roster.remove(now, "a"), None);
 }
 
-// The store was away and all entries lapsed, though the endpoints serve. Those
-// that come back were never gone; the one that doesn't is gone after the time
-// in which it would have.
+// Guards against dropping endpoints that serve but whose entries expired in an outage.
 #[test]
-fn entries_that_lapsed_in_an_outage_have_time_to_come_back() {
+fn entries_that_expired_in_an_outage_are_kept_for_the_grace_period() {
     let now = Instant::now();
     let mut roster = Roster::new();
     roster.replace(now, vec![endpoint("a"), endpoint("b")]);
@@ -49,22 +47,25 @@
     let later = now + Duration::from_secs(1);
     assert!(roster.set(endpoint("a")).is_empty());
     assert!(roster.tick(later).is_empty());
-    assert_eq!(roster.next_due(), Some(now + GRACE));
-    assert_eq!(roster.tick(now + GRACE), [gone("b")]);
+    assert_eq!(roster.next_due(), Some(now + REREGISTRATION_GRACE));
+    assert_eq!(roster.tick(now + REREGISTRATION_GRACE), [gone("b")]);
     assert!(roster.get("a").is_some());
 }
 
 #[test]
-fn endpoint_that_leaves_long_after_an_outage_is_gone_at_once() {
+fn endpoint_removed_after_the_grace_period_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
     roster.set(endpoint("a"));
     roster.store_back(now);
-    assert_eq!(roster.remove(now + GRACE, "a"), Some(gone("a")));
+    assert_eq!(
+        roster.remove(now + REREGISTRATION_GRACE, "a"),
+        Some(gone("a"))
+    );
 }
 
 #[test]
-fn longest_prefix_of_the_host_wins() {
+fn route_with_the_longest_prefix_of_the_host_is_found() {
     let route = |name: &str, host: &str, prefix: &str| Route {
         name: name.to_owned(),
         host: host.to_owned(),
@@ -86,7 +87,7 @@
         route("other", "b", "/"),
     ];
     let catalog = Catalog::new(1, routes, Vec::new(), Limits::default());
-    let name = |host: &str, path: &str| catalog.find(host, path).map(|r| r.name.as_str());
+    let name = |host: &str, path: &str| catalog.find(host, path).map(|route| route.name.as_str());
     assert_eq!(name("a", "/x/y/z"), Some("long"));
     assert_eq!(name("a", "/x/yz"), Some("short"));
     assert_eq!(name("a", "/x"), None);
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn services_share_a_route_by_weight() {
+fn services_are_chosen_by_weight() {
     let share = |service: &str, weight: f64| Share {
         service: service.to_owned(),
         weight,
@@ -124,10 +125,9 @@
     assert_eq!([count("a"), count("b"), count("c")], [900, 0, 100]);
 }
 
-// Readers and owners find rows by ranges of keys: the order of keys has to be
-// the order of positions and of growth.
+// Guards against reading results out of order: rows are read by ranges of keys.
 #[test]
-fn keys_sort_as_they_are_read() {
+fn row_keys_sort_in_reading_order() {
     assert!(row::result_key("b", 9) < row::result_key("b", 10));
     assert!(row::result_key("b", 99_999).as_str() < "b0");
     let piece = |round, after| Piece {
@@ -137,7 +137,7 @@
         versions: Vec::new(),
         text: String::new(),
     };
-    let key = |p: Piece| row::piece("b", "item/1", &p).key;
+    let key = |piece: Piece| row::piece("b", "item/1", &piece).key;
     let keys = [
         key(piece(0, None)),
         key(piece(0, Some(4))),
@@ -152,20 +152,20 @@
     assert!(row::buckets().any(|bucket| bucket == row::bucket("b")));
 }
 
-// An engine crashes and starts again under its id, before its entry lapses. Those
-// who hear of it are told that one is gone and another is there, so that nothing
-// counted for the first is believed of the second. A late entry of the first life
-// changes nothing.
+// Guards against attributing the state of a crashed engine to its next incarnation.
 #[test]
-fn endpoint_that_starts_again_is_another() {
+fn restarted_endpoint_is_reported_as_gone_and_new() {
     let mut roster = Roster::new();
-    let life = |born: u64| Endpoint {
+    let incarnation = |born: u64| Endpoint {
         born: Some(born),
         ..endpoint("a")
     };
-    assert_eq!(roster.set(life(7)), [News::Seen(life(7))]);
+    assert_eq!(roster.set(incarnation(7)), [News::Seen(incarnation(7))]);
     let gone = News::Gone("a".to_owned());
-    assert_eq!(roster.set(life(9)), [gone, News::Seen(life(9))]);
-    assert!(roster.set(life(7)).is_empty());
-    assert_eq!(roster.get("a"), Some(&life(9)));
+    assert_eq!(
+        roster.set(incarnation(9)),
+        [gone, News::Seen(incarnation(9))]
+    );
+    assert!(roster.set(incarnation(7)).is_empty());
+    assert_eq!(roster.get("a"), Some(&incarnation(9)));
 }
