--- a/src/steady.rs
+++ b/src/steady.rs
@@ -1,46 +1,46 @@
-//! The steady clock of another host, as its answers tell it.
+//! An estimate of the steady clock of another host.
 //!
-//! An answer tells the clock as it was when it was sent, so it is late by the answer's way:
-//! by milliseconds as a rule, by a quarter of a second from a slow host. The answer that was
-//! quickest tells it best. So one counts only if by it the clock is later than it was known
-//! to be, or if the one before has been used for long: this host's own clock may run a
-//! little faster, and would stay ahead for ever.
+//! An answer holds the clock as of when it was sent, so it is late by the latency of the
+//! answer: by milliseconds as a rule, by a quarter of a second from a slow host. The quickest
+//! answer gives the best estimate. So a sample is used only if it is ahead of the estimate,
+//! or if the estimate is old: where the local clock runs faster than the remote one, the
+//! estimate would stay ahead forever.
 
 use std::time::{Duration, Instant};
 
-/// How long the best answer is used: a clock that is wrong by one part in ten thousand is
-/// wrong by 3 ms then.
-const BEST: Duration = Duration::from_secs(30);
+/// Longest time for which a sample is used; two clocks that drift by one part in ten
+/// thousand differ by 3 ms then.
+const SAMPLE_TTL: Duration = Duration::from_secs(30);
 
-/// What is known of the clock.
+/// An estimate of the clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Steady {
-    /// What the best answer told, and when it came.
-    best: Option<(Duration, Instant)>,
+    /// The best sample, and when it arrived.
+    sample: Option<(Duration, Instant)>,
 }
 
 impl Steady {
-    /// Creates a clock of which nothing is known.
+    /// Creates an estimate without samples.
     #[must_use]
     pub const fn new() -> Self {
-        Self { best: None }
+        Self { sample: None }
     }
 
-    /// Takes in what an answer that came at `at` told.
-    pub fn tell(&mut self, at: Instant, told: Duration) {
-        let better = self.best.is_none_or(|(best, since)| {
+    /// Records a sample of the clock that arrived at `at`.
+    pub fn tell(&mut self, at: Instant, clock: Duration) {
+        let is_better = self.sample.is_none_or(|(sample, since)| {
             let age = at.saturating_duration_since(since);
-            age > BEST || told >= best + age
+            age > SAMPLE_TTL || clock >= sample + age
         });
-        if better {
-            self.best = Some((told, at));
+        if is_better {
+            self.sample = Some((clock, at));
         }
     }
 
-    /// Returns the clock at `now`, if it was ever told.
+    /// Returns the estimate of the clock at `now`, or `None` without a sample.
     #[must_use]
     pub fn at(&self, now: Instant) -> Option<Duration> {
-        let (best, since) = self.best?;
-        Some(best + now.saturating_duration_since(since))
+        let (sample, since) = self.sample?;
+        Some(sample + now.saturating_duration_since(since))
     }
 }
--- a/tests/steady.rs
+++ b/tests/steady.rs
@@ -1,19 +1,18 @@
-//! The store's clock, from answers of which some are slow.
+//! The estimate of the store's clock, from quick and slow answers.
 
 use hibiscusroad::steady::Steady;
 use std::time::{Duration, Instant};
 
-const fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
 }
 
 #[test]
-fn nothing_is_known_before_the_first_answer() {
+fn estimate_needs_a_sample() {
     assert_eq!(Steady::new().at(Instant::now()), None);
 }
 
-// The store turns slow: its answers tell a clock that is a quarter of a second late. What
-// was known from a quick answer goes on, and does not jump back.
+// Guards against an estimate that jumps back when the store becomes slow.
 #[test]
 fn slow_answers_do_not_set_the_clock_back() {
     let start = Instant::now();
@@ -21,15 +20,14 @@
     clock.tell(start, ms(5_000));
     clock.tell(start + ms(1_000), ms(5_750));
     assert_eq!(clock.at(start + ms(1_000)), Some(ms(6_000)));
-    // A quicker one than the first sets it right.
+    // A quicker answer than the first corrects the estimate.
     clock.tell(start + ms(2_000), ms(7_002));
     assert_eq!(clock.at(start + ms(3_000)), Some(ms(8_002)));
 }
 
-// This host's clock runs faster than the store's. What was told once is not believed for
-// ever, or the two would drift apart by seconds in a day.
+// Guards against drift where the local clock runs faster than the store's.
 #[test]
-fn an_old_answer_gives_way_to_a_later_one() {
+fn old_sample_is_replaced() {
     let start = Instant::now();
     let mut clock = Steady::new();
     clock.tell(start, ms(5_000));
