--- a/src/table.rs
+++ b/src/table.rs
@@ -1,30 +1,28 @@
-//! The narrow interface to a table service that keeps what must last.
+//! The interface to the table service that stores persistent data.
 //!
-//! Rows carry a version that grows with each change; a transaction is carried
-//! out whole or not at all, if the rows it names still have the versions it
-//! expects. That is all the product asks of a store, so that another store is
-//! one more translation.
+//! Each row has a version that increases with each change. A transaction is atomic, and is
+//! executed only if the rows of its conditions have the expected versions. Nothing else is
+//! required of a store, so another store needs only an adapter.
 //!
-//! The outcome of a transaction has a fourth value beside done, conflict and
-//! refused: [`Commit::Unknown`]. An answer that never came may belong to a write
-//! that was done, or will be done seconds later. It is a value rather than an
-//! error so that no caller can pass it on as a failure.
+//! Beside done, conflict and refused, a transaction has the outcome [`Commit::Unknown`]: if
+//! its answer is lost, it may have been executed, or may still be, seconds later. This is a
+//! value rather than an error so that no caller can report it as a failure.
 
 use std::time::Duration;
 
-/// Names a row.
+/// Identifies a row.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowId {
     /// The table.
     pub table: String,
-    /// The part of the table; transactions within one part are cheapest.
+    /// The part of the table; transactions within one part are the cheapest.
     pub part: String,
     /// The key within the part.
     pub key: String,
 }
 
 impl RowId {
-    /// Names a row.
+    /// Creates the id of a row.
     #[must_use]
     pub fn new(table: &str, part: &str, key: &str) -> Self {
         Self {
@@ -35,34 +33,34 @@
     }
 }
 
-/// A row as it was at some moment.
+/// A row as of some instant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// Its name.
+    /// The id.
     pub id: RowId,
-    /// Its content.
+    /// The content.
     pub value: Vec<u8>,
-    /// The version that its last change gave it.
+    /// The version of the last change.
     pub version: u64,
 }
 
-/// Rows of one part, by key.
+/// A range of keys in one part of a table.
 #[derive(Clone, Copy, Debug)]
 pub struct Range<'a> {
     /// The table.
     pub table: &'a str,
     /// The part.
     pub part: &'a str,
-    /// The first key; `None` for the first of all.
+    /// The first key; `None` for no lower bound.
     pub from: Option<&'a str>,
-    /// The key after the last; `None` for no end.
+    /// The exclusive end; `None` for no upper bound.
     pub end: Option<&'a str>,
-    /// Most rows wanted.
+    /// Most rows to return.
     pub limit: Option<usize>,
 }
 
 impl<'a> Range<'a> {
-    /// Names all rows of a part.
+    /// Creates the range of all rows of a part.
     #[must_use]
     pub const fn part(table: &'a str, part: &'a str) -> Self {
         Self {
@@ -75,14 +73,14 @@
     }
 }
 
-/// What a read found, all as of one moment.
+/// The result of a read, as of one instant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Page {
-    /// The rows, by key.
+    /// The rows, ordered by key.
     pub rows: Vec<Row>,
-    /// Whether more rows follow the last.
+    /// Whether the range has more rows.
     pub truncated: bool,
-    /// The store's newest version.
+    /// The latest version of the store.
     pub version: u64,
     /// The store's steady clock.
     pub now: Duration,
@@ -91,11 +89,11 @@
 /// Changes of a table since a version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Changes {
-    /// Rows that are new or were changed.
+    /// Rows that were added or changed.
     pub rows: Vec<Row>,
     /// Rows that were removed.
     pub gone: Vec<RowId>,
-    /// The version to go on from.
+    /// The version from which to continue.
     pub version: u64,
     /// The store's steady clock.
     pub now: Duration,
@@ -104,12 +102,11 @@
 /// A transaction.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Change {
-    /// Rows and the versions that they must have; 0 for a row that must not
-    /// exist.
+    /// The versions that rows must have; 0 for a row that must not exist.
     pub expect: Vec<(RowId, u64)>,
-    /// Rows to write.
+    /// The rows to write.
     pub puts: Vec<(RowId, Vec<u8>)>,
-    /// Rows to remove.
+    /// The rows to remove.
     pub removes: Vec<RowId>,
 }
 
@@ -142,22 +139,21 @@
     }
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Commit {
-    /// It was carried out.
+    /// The transaction was executed.
     Done {
-        /// The version that it gave the rows it wrote.
+        /// The version of the rows that were written.
         version: u64,
         /// The store's steady clock.
         now: Duration,
     },
-    /// A condition didn't hold; these are the rows named by the conditions, as
-    /// far as they exist.
+    /// A condition didn't hold; contains the existing rows of all conditions.
     Conflict(Vec<Row>),
-    /// The store refused it: it was not and won't be carried out.
+    /// The store refused the transaction, which was not and won't be executed.
     Refused,
-    /// No answer came: it may have been carried out, or may be later while its
-    /// conditions hold.
+    /// The answer was lost: the transaction may have been executed, or may still be while
+    /// its conditions hold.
     Unknown,
 }
