--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,13 @@
 //! Decisions of a rollout service for reinforcement learning.
 //!
-//! This crate holds what the daemons of hibiscusroad decide: which request is
-//! admitted, where it runs, when it is refused, and what must never happen
-//! twice. It does no input or output, starts no threads and never reads a
-//! clock: every function takes the present instant from its caller. The same
-//! code therefore runs in the daemons and, in virtual time, in the tests.
+//! This crate contains the decisions of the hibiscusroad daemons: which request is admitted,
+//! where it runs, when it is refused, and what must never happen twice. It does no I/O and
+//! starts no threads, and its decisions take the current instant as an argument. So the same
+//! code runs in the daemons and, in virtual time, in the tests.
 //!
 //! # Example
 //!
-//! Every refusal carries one [`ErrorKind`], and one table says what the caller
-//! is told:
+//! Every refusal has an [`ErrorKind`], which determines the answer to the caller:
 //!
 //! ```
 //! use hibiscusroad::ErrorKind;
@@ -21,28 +19,29 @@
 //!
 //! # Layout
 //!
-//! One module a concept, each opened by its design and trade-offs:
+//! There is one module per concept, whose documentation explains its design and trade-offs:
 //!
 //! * [`account`]: client accounts and their keys.
-//! * [`catalog`]: routes, services and limits that are in force.
-//! * [`claim`]: how a request that may not run twice runs at most once.
-//! * [`clock`]: the interface through which time enters.
-//! * [`config`]: the document that operators change, and how it spreads.
-//! * [`error`]: the closed list of error kinds and the table of answers.
-//! * [`id`]: the small keys that name requests and processes.
-//! * [`gate`]: what a side admits, seals, buffers and replays.
-//! * [`lease`]: duties with one holder, and their fencing numbers.
-//! * [`patience`]: how long to wait for a service whose pace changes.
+//! * [`catalog`]: routes, services and limits of one version of the configuration.
+//! * [`claim`]: running a request that is not idempotent at most once.
+//! * [`class`]: the class of a request, and whether it may run twice.
+//! * [`clock`]: sources of the current time.
+//! * [`config`]: the configuration document, its changes and its propagation.
+//! * [`error`]: the closed list of error kinds and the answers for them.
+//! * [`gate`]: admission, sealing, buffering and replay at a sidecar.
+//! * [`id`]: identifiers of requests and processes.
+//! * [`lease`]: duties with one holder, and their fencing tokens.
+//! * [`patience`]: a timeout that adapts to the latency of a service.
 //! * [`quarantine`]: requests that crash the endpoints that run them.
-//! * [`reach`]: which way a call to the store goes.
-//! * [`rollout`]: batches for trainers, and the weights they run on.
-//! * [`roster`]: which endpoints there are, as they register themselves.
+//! * [`reach`]: the path of calls to the store, direct or relayed by a peer.
+//! * [`rollout`]: batches of generations for trainers, and the weights they run on.
+//! * [`roster`]: the registered endpoints.
 //! * [`route`]: admission, queues, placement, limits, retries.
-//! * [`steady`]: the clock of another host, as its answers tell it.
-//! * [`subset`]: which sides an entry keeps links to.
-//! * [`table`]: the narrow interface to what must last.
-//! * [`train`]: a trainer's steps, samples and pace.
-//! * [`usage`]: what client accounts used, and its reports.
+//! * [`steady`]: an estimate of the steady clock of another host.
+//! * [`subset`]: the choice of sidecars to which an entry keeps streams.
+//! * [`table`]: the interface to the table service that stores persistent data.
+//! * [`train`]: the steps, samples and pace of a trainer.
+//! * [`usage`]: the usage of client accounts, and its reports.
 
 pub mod account;
 pub mod catalog;
