--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,21 +1,18 @@
-//! The configuration: one document, changed by commands, spread by everybody.
+//! The configuration: one versioned document, changed by commands.
 //!
-//! The whole configuration is one [`Document`] with a version that counts up by
-//! one. It lives in one row of the platform's table service. A change is a
-//! compare-and-set on the version that it was made for, in one transaction with
-//! a row for the command and a row for the audit trail. So two operators who
-//! race can't both win, a repeated command finds its own row and does nothing,
-//! and nothing accepted is missing from the trail.
+//! The whole configuration is one [`Document`], stored in one row of the platform's table
+//! service. A change is a compare-and-set on the version it is based on, in one transaction
+//! with a row for the command and a row for the audit trail. So of two concurrent changes
+//! only one succeeds, a repeated command finds its own row and has no effect, and every
+//! accepted change is in the audit trail.
 //!
-//! Entries poll the row; a side gets the document over a link, and hands it on
-//! to an entry that has an older one. Whoever has a version applies only a
-//! higher one ([`Register`]), so an accepted configuration never reverts,
-//! whatever order news arrives in, and it goes on spreading while the table
-//! service is down.
+//! Entries poll the row. A sidecar receives the document over a stream and passes it on to
+//! entries with an older one. A process applies only a newer version ([`Register`]), so an
+//! accepted configuration never reverts, in whatever order updates arrive, and it spreads
+//! even while the table service is down.
 //!
-//! The trade-off: one document for all means that two changes to different
-//! services conflict and one of them is tried again. At 230 changes a day that
-//! costs nothing, and it makes "in force" one number to compare.
+//! The trade-off: concurrent changes to different services conflict, and one of them is
+//! retried. In return, a single number identifies the configuration in force.
 //!
 //! # Example
 //!
--- a/src/config/register.rs
+++ b/src/config/register.rs
@@ -1,26 +1,26 @@
-//! The newest configuration that a process has seen.
+//! The newest configuration that a process has received.
 
 use crate::config::Document;
 use std::sync::Arc;
 
-/// Holds the newest document; an older one is never applied again.
+/// Holds the newest document, and never replaces it by an older one.
 ///
-/// News comes from the table, from links and from a process's own commits, in
-/// any order and repeated. Without this check a slow read of the table that
-/// was started before a change would revert it for some seconds.
+/// Documents arrive from the table, from streams and from the process's own commits, out
+/// of order and repeatedly. A slow read of the table, started before a change, could
+/// otherwise revert it for some seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Register {
     newest: Arc<Document>,
 }
 
 impl Register {
-    /// Creates a register that holds version 0: nothing yet.
+    /// Creates a register with the empty document of version 0.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the document if it is newer than all seen; says whether it was.
+    /// Stores the document if it is newer; returns whether it was.
     pub fn offer(&mut self, document: Document) -> bool {
         if document.version <= self.newest.version {
             return false;
@@ -35,7 +35,7 @@
         Arc::clone(&self.newest)
     }
 
-    /// Returns the newest version; 0 while there is none.
+    /// Returns the newest version; 0 if no document has arrived.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.newest.version
