--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The document and what is in it.
+//! The configuration document.
 
 use crate::{class::Class, route::ServiceSpec};
 use serde::{Deserialize, Serialize};
@@ -7,12 +7,12 @@
 /// The whole configuration of one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Document {
-    /// Counts up by one with each accepted change; 0 is "nothing yet".
+    /// The version, which increases by one with each accepted change; 0 if there was none.
     pub version: u64,
     /// The services by name.
     #[serde(default)]
     pub services: BTreeMap<String, Service>,
-    /// What takes no new work.
+    /// The endpoints that accept no new requests.
     #[serde(default)]
     pub drains: Drains,
     /// Deployment-wide settings by key.
@@ -21,17 +21,17 @@
 }
 
 impl Document {
-    /// Says whether an endpoint takes no new work, be it by its own name, its
-    /// host's or its place's.
+    /// Returns whether an endpoint accepts no new requests because it, its host or its data
+    /// centre is drained.
     #[must_use]
-    pub fn is_drained(&self, endpoint: &str, host: &str, place: &str) -> bool {
+    pub fn is_drained(&self, endpoint: &str, host: &str, data_centre: &str) -> bool {
         self.drains.endpoints.contains(endpoint)
             || self.drains.hosts.contains(host)
-            || self.drains.places.contains(place)
+            || self.drains.places.contains(data_centre)
     }
 }
 
-/// Names of what takes no new work.
+/// The names of drained endpoints, hosts and data centres.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Drains {
     /// Single endpoints.
@@ -40,7 +40,7 @@
     /// All endpoints on these hosts.
     #[serde(default)]
     pub hosts: BTreeSet<String>,
-    /// All endpoints in these places.
+    /// All endpoints in these data centres.
     #[serde(default)]
     pub places: BTreeSet<String>,
 }
@@ -48,38 +48,38 @@
 /// One service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// What its endpoints are.
+    /// The kind of the endpoints.
     pub kind: Kind,
-    /// How its requests are treated.
+    /// The rule for requests.
     #[serde(default)]
     pub rule: Rule,
 }
 
-/// What the endpoints of a service are.
+/// The kind of the endpoints of a service.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
     /// Model engines, whose calls are repeatable.
     Model,
-    /// Plain HTTP services, whose POST and PATCH may not run twice.
+    /// Plain HTTP services, whose POST and PATCH requests may not run twice.
     Plain,
 }
 
-/// How the requests of a service are treated.
+/// The rule by which the requests of a service are admitted and run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rule {
-    /// Requests that may wait, for each class.
+    /// Most requests that may wait, for each class.
     pub depth: usize,
-    /// Share that interactive callers are sure of, in [0, 1].
+    /// The share guaranteed to interactive requests, in [0, 1].
     pub floor_interactive: f64,
-    /// Share that partners are sure of, in [0, 1].
+    /// The share guaranteed to partners, in [0, 1].
     pub floor_partner: f64,
-    /// Share that rollouts are sure of, in [0, 1].
+    /// The share guaranteed to rollouts, in [0, 1].
     pub floor_rollout: f64,
-    /// Milliseconds that a caller waits who names no deadline.
+    /// The default deadline in milliseconds, for requests without one.
     pub deadline_ms: u64,
-    /// Requests that one endpoint takes at once.
+    /// Most requests that one endpoint runs at once.
     pub limit: u32,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl Rule {
-    /// Returns the share that each class is sure of, by [`Class::index`].
+    /// Returns the share guaranteed to each class, by [`Class::index`].
     #[must_use]
     pub const fn floors(&self) -> [f64; 3] {
         [
@@ -108,7 +108,7 @@
         ]
     }
 
-    /// Returns what the router needs of this rule.
+    /// Returns the settings for the router.
     #[must_use]
     pub const fn spec(&self) -> ServiceSpec {
         ServiceSpec::new().depth(self.depth).floors(self.floors())
