--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -1,10 +1,10 @@
-//! Changes of the document and the checks on them.
+//! Changes of the document, and their validation.
 
 use crate::config::{Document, Kind, Rule, Service};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a drain is for.
+/// The scope of a drain.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Target {
@@ -12,7 +12,7 @@
     Endpoint,
     /// All endpoints on a host.
     Host,
-    /// All endpoints in a place.
+    /// All endpoints in a data centre.
     Place,
 }
 
@@ -22,100 +22,100 @@
 pub enum Change {
     /// Adds a service.
     CreateService {
-        /// Its name.
+        /// The name of the service.
         name: String,
-        /// What its endpoints are.
+        /// The kind of the endpoints.
         kind: Kind,
-        /// How its requests are treated.
+        /// The rule for requests.
         #[serde(default)]
         rule: Rule,
     },
     /// Changes some keys of a service's rule.
     AlterService {
-        /// Its name.
+        /// The name of the service.
         name: String,
         /// The keys and their new values.
         set: BTreeMap<String, serde_json::Value>,
     },
     /// Removes a service.
     DropService {
-        /// Its name.
+        /// The name of the service.
         name: String,
     },
-    /// Stops new work for an endpoint, host or place.
+    /// Stops new requests to an endpoint, a host or a data centre.
     Drain {
-        /// What the name stands for.
+        /// The kind of the named object.
         target: Target,
-        /// The name.
+        /// The name of the object.
         name: String,
     },
-    /// Takes a drain back.
+    /// Reverts a drain.
     Undrain {
-        /// What the name stands for.
+        /// The kind of the named object.
         target: Target,
-        /// The name.
+        /// The name of the object.
         name: String,
     },
     /// Sets a deployment-wide key.
     Set {
         /// The key.
         key: String,
-        /// Its new value.
+        /// The new value.
         value: String,
     },
 }
 
-/// Why a change can't be made to a document.
+/// The reason for refusing a change.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 pub enum Refusal {
-    /// A service of this name stands already.
-    #[error("service {0} stands already; use alter service")]
+    /// A service of this name exists.
+    #[error("service {0} already exists; use alter service")]
     Exists(String),
-    /// No service has this name.
+    /// No service of this name exists.
     #[error("no service {0}; see show services")]
     Missing(String),
-    /// A name is empty, too long or has other characters than allowed.
+    /// A name is empty, too long or has characters that are not allowed.
     #[error("name {0:?}: 1 to 64 of a-z, 0-9, '-', '.' and '_' are allowed")]
     BadName(String),
     /// A key or its value isn't allowed.
     #[error("{0}")]
     BadValue(String),
-    /// The change is dangerous and was not forced.
+    /// The change is dangerous and needs `force`.
     #[error("{0}; repeat with --force if this is meant")]
     Dangerous(String),
-    /// The change would alter nothing.
+    /// The change would have no effect.
     #[error("nothing to change: {0}")]
     Nothing(String),
 }
 
-/// One value that a change replaces.
+/// The change of one value in the document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Edit {
-    /// Where it stands in the document, parts joined by dots.
+    /// The path in the document, joined by dots.
     pub key: String,
-    /// The value before; none if there was none.
+    /// The old value, if there was one.
     pub old: Option<String>,
-    /// The value after; none if it is removed.
+    /// The new value, unless it is removed.
     pub new: Option<String>,
 }
 
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_LEN: usize = 64;
 
-/// Deadlines beyond ten minutes hold buffers for callers who have long gone.
-const LONGEST_DEADLINE_MS: u64 = 600_000;
+/// Longer deadlines hold buffers for callers that have disconnected.
+const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// More waiting requests than this can't be answered in time by any service.
-const DEEPEST: usize = 100_000;
+/// Longer queues can't be served in time by any service.
+const MAX_DEPTH: usize = 100_000;
 
-/// More requests at once than this exceed the threads of a side.
-const HIGHEST_LIMIT: u32 = 4096;
+/// Higher limits exceed the threads of a sidecar.
+const MAX_LIMIT: u32 = 4096;
 
 impl Change {
-    /// Returns the document that this change makes of `base`.
+    /// Applies the change to `base` and returns the new document.
     ///
     /// # Errors
     ///
-    /// Returns why the change can't be made, or needs `force`.
+    /// Returns the reason for a refusal, also if the change needs `force`.
     pub fn apply(&self, base: &Document, force: bool) -> Result<Document, Refusal> {
         let mut next = base.clone();
         next.version += 1;
@@ -132,11 +132,11 @@
 }
 
 impl Edit {
-    /// Lists what differs between two documents, their versions apart.
+    /// Returns the differences between two documents, except for their versions.
     ///
     /// # Panics
     ///
-    /// Doesn't panic: a document always has a JSON form.
+    /// Never: a document always has a JSON form.
     #[must_use]
     pub fn between(old: &Document, new: &Document) -> Vec<Self> {
         let (old, new) = (flatten(old), flatten(new));
@@ -179,7 +179,9 @@
     let rule: Rule = serde_json::from_value(rule).map_err(bad_value)?;
     check_rule(&rule)?;
     if rule == service.rule {
-        return Err(Refusal::Nothing(format!("service {name} is so already")));
+        return Err(Refusal::Nothing(format!(
+            "service {name} has these values already"
+        )));
     }
     service.rule = rule;
     Ok(())
@@ -188,7 +190,7 @@
 fn remove(next: &mut Document, name: &str, force: bool) -> Result<(), Refusal> {
     find(next, name)?;
     if !force {
-        let text = format!("dropping service {name} refuses all its callers");
+        let text = format!("all requests to service {name} will be refused");
         return Err(Refusal::Dangerous(text));
     }
     next.services.remove(name);
@@ -197,14 +199,14 @@
 
 fn drain(next: &mut Document, target: Target, name: &str) -> Result<(), Refusal> {
     check_name(name)?;
-    if !names(next, target).insert(name.to_owned()) {
-        return Err(Refusal::Nothing(format!("{name} is drained already")));
+    if !drained_names(next, target).insert(name.to_owned()) {
+        return Err(Refusal::Nothing(format!("{name} is already drained")));
     }
     Ok(())
 }
 
 fn undrain(next: &mut Document, target: Target, name: &str) -> Result<(), Refusal> {
-    if !names(next, target).remove(name) {
+    if !drained_names(next, target).remove(name) {
         return Err(Refusal::Nothing(format!("{name} is not drained")));
     }
     Ok(())
@@ -214,7 +216,7 @@
     check_name(key)?;
     let old = next.settings.insert(key.to_owned(), value.to_owned());
     if old.as_deref() == Some(value) {
-        return Err(Refusal::Nothing(format!("{key} is {value} already")));
+        return Err(Refusal::Nothing(format!("{key} is already {value}")));
     }
     Ok(())
 }
@@ -225,7 +227,7 @@
         .ok_or_else(|| Refusal::Missing(name.to_owned()))
 }
 
-fn names(next: &mut Document, target: Target) -> &mut BTreeSet<String> {
+fn drained_names(next: &mut Document, target: Target) -> &mut BTreeSet<String> {
     match target {
         Target::Endpoint => &mut next.drains.endpoints,
         Target::Host => &mut next.drains.hosts,
@@ -234,8 +236,8 @@
 }
 
 fn check_name(name: &str) -> Result<(), Refusal> {
-    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
-    if (1..=LONGEST_NAME).contains(&name.len()) && name.chars().all(allowed) {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
+    if (1..=MAX_NAME_LEN).contains(&name.len()) && name.chars().all(is_allowed) {
         return Ok(());
     }
     Err(Refusal::BadName(name.to_owned()))
@@ -245,16 +247,18 @@
     let floors = rule.floors();
     let sum: f64 = floors.iter().sum();
     if floors.iter().any(|floor| !(0.0..=1.0).contains(floor)) || sum > 1.0 + f64::EPSILON {
-        return Err(bad_value("floors: each in 0 to 1, and at most 1 in all"));
+        return Err(bad_value(
+            "floors: each must be in 0 to 1, and their sum at most 1",
+        ));
     }
-    if !(1..=LONGEST_DEADLINE_MS).contains(&rule.deadline_ms) {
-        return Err(bad_value("deadline_ms: 1 to 600000 is allowed"));
+    if !(1..=MAX_DEADLINE_MS).contains(&rule.deadline_ms) {
+        return Err(bad_value("deadline_ms: must be in 1 to 600000"));
     }
-    if !(1..=DEEPEST).contains(&rule.depth) {
-        return Err(bad_value("depth: 1 to 100000 is allowed"));
+    if !(1..=MAX_DEPTH).contains(&rule.depth) {
+        return Err(bad_value("depth: must be in 1 to 100000"));
     }
-    if !(1..=HIGHEST_LIMIT).contains(&rule.limit) {
-        return Err(bad_value("limit: 1 to 4096 is allowed"));
+    if !(1..=MAX_LIMIT).contains(&rule.limit) {
+        return Err(bad_value("limit: must be in 1 to 4096"));
     }
     Ok(())
 }
@@ -264,13 +268,13 @@
 }
 
 fn flatten(document: &Document) -> BTreeMap<String, String> {
-    let mut rows = BTreeMap::new();
+    let mut values = BTreeMap::new();
     let value = serde_json::to_value(document).expect("a document has a JSON form");
-    walk(&mut rows, String::new(), &value);
-    rows
+    flatten_value(&mut values, String::new(), &value);
+    values
 }
 
-fn walk(rows: &mut BTreeMap<String, String>, path: String, value: &serde_json::Value) {
+fn flatten_value(values: &mut BTreeMap<String, String>, path: String, value: &serde_json::Value) {
     let join = |part: &str| match path.as_str() {
         "" => part.to_owned(),
         path => format!("{path}.{part}"),
@@ -278,20 +282,20 @@
     match value {
         serde_json::Value::Object(map) => {
             for (key, value) in map {
-                walk(rows, join(key), value);
+                flatten_value(values, join(key), value);
             }
         }
-        serde_json::Value::Array(list) => {
-            for value in list {
-                let name = value.as_str().unwrap_or_default();
-                rows.insert(join(name), "yes".to_owned());
+        serde_json::Value::Array(items) => {
+            for item in items {
+                let name = item.as_str().unwrap_or_default();
+                values.insert(join(name), "yes".to_owned());
             }
         }
         serde_json::Value::String(text) => {
-            rows.insert(path, text.clone());
+            values.insert(path, text.clone());
         }
         other => {
-            rows.insert(path, other.to_string());
+            values.insert(path, other.to_string());
         }
     }
 }
