--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -1,131 +1,128 @@
-//! How a command becomes a version, exactly once.
+//! Committing a command exactly once.
 //!
-//! A command has an id that its sender drew. An [`Attempt`] is shown what the
-//! table holds and says what to write, or what the operator can be told. It does
-//! no input or output, so the races can be tested without a table.
+//! A command has an id chosen by its sender. An [`Attempt`] decides from the rows in the
+//! table what to write, or how to answer the operator. It does no I/O, so races can be
+//! tested without a table.
 
 use crate::config::{Change, Document, Edit, Refusal};
 use serde::{Deserialize, Serialize};
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// Drawn at random by the sender; a repeat carries the same one.
+    /// A random id; repeats have the same one.
     pub id: String,
-    /// The version that the change was written for.
+    /// The version on which the change is based.
     ///
-    /// It is never left open. Were a command tried on whatever version is
-    /// newest, two entries that work on one command at once could judge it by
-    /// two documents, and one would say "refused" before the other accepts it.
+    /// It is required: if a command applied to the newest version, two entries that process
+    /// it at once could use different documents, and one could refuse it before the other
+    /// accepts it.
     pub base: u64,
-    /// Who asks.
+    /// The operator.
     pub who: String,
     /// The change.
     pub change: Change,
-    /// Only show what would change.
+    /// Whether to return the changes without making them.
     #[serde(default)]
     pub dry: bool,
-    /// Do it even if it is dangerous.
+    /// Whether to make the change even if it is dangerous.
     #[serde(default)]
     pub force: bool,
 }
 
-/// One line of the audit trail, written with the change that it tells of.
+/// An entry of the audit trail, written in one transaction with its change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Audit {
-    /// The version that the change made.
+    /// The version with the change.
     pub version: u64,
-    /// The command's id.
+    /// The id of the command.
     pub command: String,
-    /// Who asked.
+    /// The operator.
     pub who: String,
-    /// The address that the command came from.
+    /// The address from which the command was sent.
     pub origin: String,
-    /// When the entry planned it, milliseconds since 1970 UTC.
+    /// When the change was planned, in milliseconds since 1970 UTC.
     pub at_ms: u64,
-    /// What was asked.
+    /// The change.
     pub change: Change,
-    /// What it replaced.
+    /// The values that it replaced.
     pub edits: Vec<Edit>,
 }
 
-/// What the table holds about one command.
+/// The rows in the table that concern one command.
 #[derive(Clone, Debug, Default)]
 pub struct Rows {
-    /// The document; the default one if there is none.
+    /// The document, or the default if there is none.
     pub document: Document,
-    /// The version that this command made, if its row is there.
+    /// The version with this command's change, if it has been committed.
     pub made: Option<u64>,
 }
 
-/// What can be said of a command for good.
+/// The final outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It made this version.
+    /// It was committed as this version.
     Done(u64),
-    /// It would make this change; nothing was written.
+    /// A dry run would make this change.
     Dry(Box<Audit>),
-    /// Another change came first and made this version.
+    /// Another change was committed first, as this version.
     Conflict(u64),
-    /// It can't be made to the document.
+    /// The change was refused.
     Refused(Refusal),
 }
 
-/// What to do next for a command.
+/// The next step for a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
-    /// Write this, in one transaction, on its conditions.
+    /// Write the plan in one transaction with its conditions.
     Write(Box<Plan>),
-    /// Tell the operator.
+    /// Answer the operator.
     Tell(Verdict),
-    /// Look again later: the version that the command was written for has not
-    /// come yet. "Conflict" would not be true for good, since it may still come
-    /// and another entry then accept the command.
+    /// Read the rows again later: the base version has not arrived yet. A conflict would
+    /// not be final, since another entry may still commit the command on that version.
     Wait,
 }
 
-/// What to write for a command, if the document still has the base version and
-/// the command has no row.
+/// The writes for a command, on the conditions that the document still has the base version
+/// and the command has no row.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The version that must still stand.
+    /// The version that the document must have.
     pub base: u64,
     /// The document to write.
     pub next: Document,
-    /// The line of the trail to write.
+    /// The entry of the audit trail to write.
     pub audit: Audit,
 }
 
-/// One command on its way into the table.
+/// The attempt to commit one command.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     command: Command,
     origin: String,
-    // The plan whose write may have taken effect, or may still do so.
-    unsure: Option<Plan>,
+    /// A plan whose write may have taken effect, or may still do so.
+    uncertain: Option<Plan>,
 }
 
 impl Attempt {
-    /// Creates the attempt of a command that came from the address `origin`.
+    /// Creates the attempt to commit a command that was sent from the address `origin`.
     #[must_use]
     pub const fn new(command: Command, origin: String) -> Self {
         Self {
             command,
             origin,
-            unsure: None,
+            uncertain: None,
         }
     }
 
-    /// Decides what to do, from what the table holds at `at_ms` (milliseconds
-    /// since 1970 UTC).
+    /// Decides the next step from the rows as of `at_ms` (milliseconds since 1970 UTC).
     ///
-    /// A write is conditional on its base version. So once the document has
-    /// moved on without this command's row, a copy of the write that is still
-    /// under way can't take effect any more, and "another came first" is true
-    /// for good. While the base still stands nothing can be said, and the very
-    /// same plan is written again: were a new one made, two lines of the trail
-    /// could tell of one command.
+    /// A write is conditional on its base version. So once the document has a newer version
+    /// and the command has no row, a delayed write can't take effect any more and the
+    /// conflict is final. While the document has the base version the outcome is unknown,
+    /// and the same plan is written again: a new plan could differ from the audit entry
+    /// that a delayed write may still add.
     pub fn look(&mut self, rows: &Rows, at_ms: u64) -> Next {
         if let Some(version) = rows.made {
             return Next::Tell(Verdict::Done(version));
@@ -134,10 +131,10 @@
             return Next::Wait;
         }
         if rows.document.version > self.command.base {
-            self.unsure = None;
+            self.uncertain = None;
             return Next::Tell(Verdict::Conflict(rows.document.version));
         }
-        if let Some(plan) = &self.unsure {
+        if let Some(plan) = &self.uncertain {
             return Next::Write(Box::new(plan.clone()));
         }
         match self.plan(&rows.document, at_ms) {
@@ -147,17 +144,17 @@
         }
     }
 
-    /// Notes that the answer to the write of `plan` was lost.
+    /// Records that the answer to the write of `plan` was lost.
     pub fn lost(&mut self, plan: Plan) {
-        self.unsure = Some(plan);
+        self.uncertain = Some(plan);
     }
 
-    /// Says whether a write may have taken effect, or may still do so.
+    /// Returns whether a write may have taken effect, or may still do so.
     ///
-    /// While it does, an operator must be told that the outcome is unknown.
+    /// If so, the outcome reported to the operator must be unknown.
     #[must_use]
     pub const fn is_unsure(&self) -> bool {
-        self.unsure.is_some()
+        self.uncertain.is_some()
     }
 
     fn plan(&self, base: &Document, at_ms: u64) -> Result<Plan, Verdict> {
