--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -1,8 +1,7 @@
-//! Operators who race, over a table whose answers get lost.
+//! Concurrent commands, over a table whose answers may be lost.
 //!
-//! The table is a few rows; writes to it are applied at once, later, or never,
-//! and their answers arrive or don't. What operators are told is held against
-//! the trail that is left at the end.
+//! Writes to the table are applied at once, later or never, and their answers may be lost.
+//! The verdicts on commands are compared with the final audit trail.
 
 use hibiscusroad::config::{
     Attempt, Audit, Change, Command, Document, Next, Plan, Register, Rows, Target, Verdict,
@@ -14,7 +13,7 @@
 struct Table {
     document: Document,
     commands: BTreeMap<String, u64>,
-    trail: Vec<Audit>,
+    audit_trail: Vec<Audit>,
     history: Vec<Document>,
 }
 
@@ -26,7 +25,7 @@
         }
     }
 
-    /// Applies a plan on the conditions that the daemon's transaction has.
+    /// Applies a plan on the same conditions as the daemon's transaction.
     fn write(&mut self, plan: &Plan) -> bool {
         let command = &plan.audit.command;
         if self.document.version != plan.base || self.commands.contains_key(command) {
@@ -34,33 +33,33 @@
         }
         self.document = plan.next.clone();
         self.commands.insert(command.clone(), plan.next.version);
-        self.trail.push(plan.audit.clone());
+        self.audit_trail.push(plan.audit.clone());
         self.history.push(plan.next.clone());
         true
     }
 }
 
-/// What becomes of one write.
+/// The effect of a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteEffect {
     Answered,
-    LostAfter,
-    LostBefore,
+    AnswerLost,
+    WriteLost,
     Delayed,
 }
 
-/// One entry that works on one command.
+/// An entry that processes one command.
 struct Worker {
     id: String,
     attempt: Attempt,
     rows: Option<Rows>,
-    told: Option<Verdict>,
+    verdict: Option<Verdict>,
 }
 
 impl Worker {
     fn new(n: u64, base: u64) -> Self {
-        // Each command goes through two entries; the commands
-        // drain and undrain two hosts, so that some are refused.
+        // Two entries process each command. Commands drain and undrain two hosts, so some
+        // are refused.
         let id = format!("command-{}", n / 2);
         let target = Target::Host;
         let name = format!("host-{}", n / 2 % 2);
@@ -81,12 +80,12 @@
             id,
             attempt: Attempt::new(command, String::new()),
             rows: None,
-            told: None,
+            verdict: None,
         }
     }
 
-    fn step(&mut self, table: &mut Table, late: &mut Vec<Plan>, fate: Fate) {
-        if self.told.is_some() {
+    fn step(&mut self, table: &mut Table, delayed: &mut Vec<Plan>, effect: WriteEffect) {
+        if self.verdict.is_some() {
             return;
         }
         let Some(rows) = self.rows.take() else {
@@ -95,91 +94,92 @@
         };
         let plan = match self.attempt.look(&rows, 0) {
             Next::Tell(verdict) => {
-                self.told = Some(verdict);
+                self.verdict = Some(verdict);
                 return;
             }
             Next::Write(plan) => *plan,
             Next::Wait => return,
         };
-        match fate {
-            Fate::Answered => {
+        match effect {
+            WriteEffect::Answered => {
                 if table.write(&plan) {
-                    self.told = Some(Verdict::Done(plan.next.version));
+                    self.verdict = Some(Verdict::Done(plan.next.version));
                 }
             }
-            Fate::LostAfter => {
+            WriteEffect::AnswerLost => {
                 table.write(&plan);
                 self.attempt.lost(plan);
             }
-            Fate::LostBefore => self.attempt.lost(plan),
-            Fate::Delayed => {
-                late.push(plan.clone());
+            WriteEffect::WriteLost => self.attempt.lost(plan),
+            WriteEffect::Delayed => {
+                delayed.push(plan.clone());
                 self.attempt.lost(plan);
             }
         }
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn write_effect() -> impl Strategy<Value = WriteEffect> {
     prop_oneof![
-        3 => Just(Fate::Answered),
-        1 => Just(Fate::LostAfter),
-        1 => Just(Fate::LostBefore),
-        1 => Just(Fate::Delayed),
+        3 => Just(WriteEffect::Answered),
+        1 => Just(WriteEffect::AnswerLost),
+        1 => Just(WriteEffect::WriteLost),
+        1 => Just(WriteEffect::Delayed),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    // Twenty entries carry ten commands, written for versions 0 to 3. Whoever is
-    // told "done" finds the command in the trail; whoever is told anything else
-    // never does, not even after writes that come late; no command stands there
-    // twice, and versions have no gap.
+    // Guards against a verdict that contradicts the audit trail, commands that are applied
+    // twice and gaps between versions.
     #[test]
-    fn verdicts_agree_with_the_trail(
-        steps in prop::collection::vec((0_usize..20, fate(), 0_u8..4), 0..200),
+    fn verdicts_agree_with_the_audit_trail(
+        steps in prop::collection::vec((0_usize..20, write_effect(), 0_u8..4), 0..200),
         bases in prop::collection::vec(0_u64..4, 10),
     ) {
         let mut table = Table::default();
-        let mut late = Vec::new();
+        let mut delayed = Vec::new();
         let mut workers: Vec<Worker> = (0_u64..20)
             .map(|n| Worker::new(n, bases[usize::try_from(n / 2).unwrap()]))
             .collect();
-        for (n, fate, delay) in steps {
-            workers[n].step(&mut table, &mut late, fate);
-            if delay == 0 && !late.is_empty() {
-                let plan = late.remove(0);
+        for (n, effect, delay) in steps {
+            workers[n].step(&mut table, &mut delayed, effect);
+            if delay == 0 && !delayed.is_empty() {
+                let plan = delayed.remove(0);
                 table.write(&plan);
             }
         }
-        for plan in late {
+        for plan in delayed {
             table.write(&plan);
         }
-        for (n, line) in table.trail.iter().enumerate() {
-            prop_assert_eq!(line.version, n as u64 + 1);
+        for (n, entry) in table.audit_trail.iter().enumerate() {
+            prop_assert_eq!(entry.version, n as u64 + 1);
         }
         for worker in &workers {
-            let lines: Vec<&Audit> = table.trail.iter().filter(|l| l.command == worker.id).collect();
-            prop_assert!(lines.len() <= 1, "command {} stands twice", worker.id);
-            match &worker.told {
+            let entries = table.audit_trail.iter().filter(|entry| entry.command == worker.id);
+            let entries: Vec<&Audit> = entries.collect();
+            prop_assert!(entries.len() <= 1, "command {} is in the audit trail twice", worker.id);
+            match &worker.verdict {
                 Some(Verdict::Done(version)) => {
-                    prop_assert_eq!(lines.first().map(|l| l.version), Some(*version));
+                    prop_assert_eq!(entries.first().map(|entry| entry.version), Some(*version));
+                }
+                Some(verdict) => {
+                    prop_assert!(entries.is_empty(), "{:?} is in the audit trail", verdict);
                 }
-                Some(verdict) => prop_assert!(lines.is_empty(), "{:?} is in the trail", verdict),
                 None => {}
             }
         }
     }
 
-    // News arrives in any order and repeated; the version in force only rises.
+    // Guards against a configuration that reverts when documents arrive out of order.
     #[test]
-    fn an_older_version_is_never_applied(order in prop::collection::vec(0_u64..30, 1..100)) {
+    fn older_version_is_never_applied(order in prop::collection::vec(0_u64..30, 1..100)) {
         let mut register = Register::new();
         for version in order {
             let before = register.version();
-            let taken = register.offer(Document { version, ..Document::default() });
-            prop_assert_eq!(taken, version > before);
+            let accepted = register.offer(Document { version, ..Document::default() });
+            prop_assert_eq!(accepted, version > before);
             prop_assert_eq!(register.version(), before.max(version));
         }
     }
