--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -157,16 +157,21 @@
             prop_assert_eq!(entry.version, n as u64 + 1);
         }
         for worker in &workers {
-            let entries = table.audit_trail.iter().filter(|entry| entry.command == worker.id);
-            let entries: Vec<&Audit> = entries.collect();
+            let entries: Vec<&Audit> = table
+                .audit_trail
+                .iter()
+                .filter(|entry| entry.command == worker.id)
+                .collect();
             prop_assert!(entries.len() <= 1, "command {} is in the audit trail twice", worker.id);
             match &worker.verdict {
                 Some(Verdict::Done(version)) => {
                     prop_assert_eq!(entries.first().map(|entry| entry.version), Some(*version));
                 }
-                Some(verdict) => {
-                    prop_assert!(entries.is_empty(), "{:?} is in the audit trail", verdict);
-                }
+                Some(verdict) => prop_assert!(
+                    entries.is_empty(),
+                    "{:?} is in the audit trail",
+                    verdict
+                ),
                 None => {}
             }
         }
