--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -85,7 +85,7 @@
     Dangerous(String),
     /// The change would have no effect.
     #[error("nothing to change: {0}")]
-    Nothing(String),
+    NoEffect(String),
 }
 
 /// The change of one value in the document.
@@ -179,7 +179,7 @@
     let rule: Rule = serde_json::from_value(rule).map_err(bad_value)?;
     check_rule(&rule)?;
     if rule == service.rule {
-        return Err(Refusal::Nothing(format!(
+        return Err(Refusal::NoEffect(format!(
             "service {name} has these values already"
         )));
     }
@@ -200,14 +200,14 @@
 fn drain(next: &mut Document, target: Target, name: &str) -> Result<(), Refusal> {
     check_name(name)?;
     if !drained_names(next, target).insert(name.to_owned()) {
-        return Err(Refusal::Nothing(format!("{name} is already drained")));
+        return Err(Refusal::NoEffect(format!("{name} is already drained")));
     }
     Ok(())
 }
 
 fn undrain(next: &mut Document, target: Target, name: &str) -> Result<(), Refusal> {
     if !drained_names(next, target).remove(name) {
-        return Err(Refusal::Nothing(format!("{name} is not drained")));
+        return Err(Refusal::NoEffect(format!("{name} is not drained")));
     }
     Ok(())
 }
@@ -216,7 +216,7 @@
     check_name(key)?;
     let old = next.settings.insert(key.to_owned(), value.to_owned());
     if old.as_deref() == Some(value) {
-        return Err(Refusal::Nothing(format!("{key} is already {value}")));
+        return Err(Refusal::NoEffect(format!("{key} is already {value}")));
     }
     Ok(())
 }
