--- a/src/rollout/spec.rs
+++ b/src/rollout/spec.rs
@@ -5,28 +5,28 @@
 /// The request that scores an item's text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Scorer {
-    /// The id of the request.
+    /// The ID of the request.
     pub id: String,
-    /// The host that its route is found by.
+    /// The host that its route is looked up by.
     pub host: String,
-    /// Its path.
+    /// The path of the request.
     pub path: String,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
 }
 
 /// One generation of a batch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item {
-    /// The id of the request.
+    /// The ID of the request.
     pub id: String,
-    /// Its path.
+    /// The path of the request.
     pub path: String,
-    /// Its headers.
+    /// The headers of the request.
     pub headers: BTreeMap<String, String>,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// Tokens of its prompt and at most of its output.
+    /// Tokens of its prompt plus the maximum of its output.
     pub tokens: u32,
     /// The trainer's estimate of its output tokens.
     pub hint: Option<u32>,
@@ -39,13 +39,13 @@
 /// One step of a trainer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Submission {
-    /// The trainer's step.
+    /// The trainer's step number.
     pub step: Option<u64>,
     /// The model that generates.
     pub model: Option<String>,
     /// The oldest weight version that may generate.
     pub floor: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub target: Option<usize>,
     /// The generations.
     pub items: Vec<Item>,
@@ -54,23 +54,23 @@
 /// How an item ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Its text is whole and scored.
+    /// Its text is complete and scored.
     Completed {
         /// The data of all its events, joined by line feeds.
         text: String,
-        /// All weight versions that made an event of it.
+        /// All weight versions that generated an event of it.
         versions: Vec<u64>,
         /// The scorer's signature.
         score: Option<String>,
     },
-    /// It can't be done.
+    /// It failed for good.
     Errored,
 }
 
 /// The result of an item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemResult {
-    /// The item.
+    /// The ID of the item.
     pub item: String,
     /// How it ended.
     pub outcome: Outcome,
@@ -79,35 +79,35 @@
 /// An order to load weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// The engine that is meant.
+    /// The engine that the order is for.
     pub endpoint: String,
     /// The model.
     pub model: String,
     /// The version to load.
     pub version: u64,
-    /// Who orders.
+    /// The holder that gives the order.
     pub holder: String,
-    /// The fencing number of the lease it is given under.
+    /// The fencing token of the holder's lease.
     pub fence: u64,
-    /// How many orders the engine must have accepted before.
+    /// Number of orders that the engine must have accepted before.
     pub expected: u64,
 }
 
-/// What an engine says to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The load is in progress.
     Accepted,
     /// The engine already runs that version.
     Holds,
-    /// Another order is in progress, or others were accepted meanwhile.
+    /// Another order is in progress, or others were accepted since.
     Busy,
-    /// A newer holder gave orders.
+    /// A newer holder has given orders.
     Fenced,
-    /// Another endpoint has the address.
+    /// Another endpoint has the address now.
     Gone,
     /// The order can't be carried out.
     Refused,
-    /// No answer: it may be carried out, even seconds later.
+    /// No answer arrived; the order may still be carried out seconds later.
     Unknown,
 }
