--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,30 +1,29 @@
-//! Batches of generations for trainers, and the weights they run on.
+//! Batches of generations for trainers, and the weights that they run on.
 //!
-//! A trainer submits a step as one batch: groups of items that share a prompt.
-//! It waits for a number of whole groups, trains, and names the next weight
-//! version. What decides here does no input or output:
+//! A trainer submits a step as one batch of items, grouped by prompt. It waits for a
+//! number of complete groups, trains, and announces the next weight version. The modules
+//! here make the decisions and do no input or output:
 //!
-//! * [`choice`]: which process runs a new batch.
-//! * [`batch`]: which item of a batch starts next and what is listed when.
-//! * [`engines`]: which engine an item goes to.
-//! * [`wave`]: which engine loads which weights next.
-//! * [`pace`]: how fast engines are, as owners tell each other.
-//! * [`presence`]: whether the owner of a batch still lives.
-//! * [`turns`]: which engines were ordered lately, when the duty changes hands.
-//! * [`urgency`]: which items engines are to admit first.
-//! * [`waits`]: what items wait for before they run.
-//! * [`text`]: an item's text as it grows, and the parts of it that are kept.
-//! * [`row`]: what the store keeps of a batch, and under which conditions.
+//! * [`choice`]: chooses the process that runs a new batch.
+//! * [`batch`]: the state of a batch: which item starts next and which results are listed.
+//! * [`engines`]: chooses the engine for an item.
+//! * [`wave`]: plans which engine loads which weights next.
+//! * [`pace`]: the speed of engines, as owners share it.
+//! * [`presence`]: detects whether the owner of a batch is alive.
+//! * [`turns`]: records the last order to each engine, for when the duty changes hands.
+//! * [`urgency`]: the priority of an item at its engine.
+//! * [`waits`]: accounts for the time that items wait before they run.
+//! * [`text`]: the growing text of an item, and the pieces of it that are saved.
+//! * [`row`]: the rows of a batch in the store, and the conditions of their writes.
 //!
 //! # Design
 //!
-//! One process runs a batch: as a rule the one that runs all of them, else the one
-//! that accepted it. The store holds who that is, and each result is written under
-//! the condition that it still is; so
-//! there may be two that believe it at the worst, of which one can list
-//! nothing. Items may run more than once, which makes a takeover on a mere
-//! suspicion safe: it costs work, never a wrong result. That is why liveness
-//! needs no agreement, only a row that the owner renews.
+//! Each batch has one owner: usually the process that owns all batches, otherwise the
+//! one that accepted it. The store records the owner, and each result is written on the
+//! condition that the owner is unchanged. Two processes may both believe that they own a
+//! batch, but only one of them can list results. Items may run more than once, so a
+//! takeover on mere suspicion costs work but never gives a wrong result. Liveness
+//! therefore needs no consensus, only a row that the owner renews.
 
 pub mod batch;
 pub mod choice;
