--- a/src/rollout/choice.rs
+++ b/src/rollout/choice.rs
@@ -1,18 +1,13 @@
-//! Which process runs a new batch.
+//! Chooses the process that runs a new batch.
 //!
-//! Load: the steps of trainers come every few seconds, each to a process that a
-//! balancer draws among 88, and 360 to come. Harm: if each process runs what comes to
-//! it, each step begins at one that has no connection to any engine (4,220 new ones for
-//! 22 steps of two trainers before 38 engines, 930 with this choice; means of twelve
-//! runs with simulated hosts) and knows neither what a hint means nor what runs where:
-//! owners that see only their own items send long ones to engines that are full, where
-//! some waited for 2 s of the 7.5 s of a step.
+//! A batch goes to a process that already runs batches of any trainer, because that
+//! one has connections to the engines, knows their load, and has calibrated the
+//! trainers' length hints. If each process ran the batches that it accepts, owners
+//! would see only their own items and send long ones to engines that are full.
 //!
-//! So a batch goes to a process that runs the steps before, whichever trainer's, as
-//! long as that one is seen to live, has room for it, and isn't much smaller than the
-//! process that accepts it. It hears of it with the next change of the table. If it is
-//! gone all the same, the batch is missed and taken over like any other; one that was
-//! lost with its owner would have cost its trainer as much.
+//! The chosen process must have renewed its row recently, have memory for the batch,
+//! and not be much smaller than the process that accepts it. The choice may turn out
+//! wrong: if the process is gone, its batches are taken over like any others.
 
 use crate::rollout::{
     presence::{RENEWAL, SILENCE},
@@ -20,35 +15,34 @@
 };
 use std::time::Duration;
 
-/// A process is seen to live if it renewed its row within this time. One that was silent
-/// for longer is about to lose its batches to another, which is a candidate then; one
-/// that is passed over too early has its trainers' steps scattered again.
-const FRESH: Duration = SILENCE.saturating_add(RENEWAL);
-/// One whose memory is smaller by more than this factor is left for the one that
-/// accepts: hosts that have little memory have slow links and little of a processor,
-/// too, and pass on the events of all items.
-const SMALLER: u32 = 2;
-/// Items of open batches for each megabyte that a process may use. The text of a long
-/// one takes 64 KB, and as much again as a result, so they fill half of it at the most;
-/// trainers of 1,024 samples a step are shared among processes then.
-const ITEMS_A_MB: usize = 4;
+/// Maximum age of the row of a process that counts as alive. Beyond it, another process
+/// is about to take its batches over; a shorter one would scatter the batches of
+/// trainers over processes again.
+const MAX_ROW_AGE: Duration = SILENCE.saturating_add(RENEWAL);
+/// A process whose memory is smaller than the accepting one's by more than this factor
+/// is not chosen: hosts with little memory also have slow links and slow processors.
+const MAX_MEMORY_RATIO: u32 = 2;
+/// Maximum number of items in open batches for each megabyte of a process. The text of
+/// a long item takes 64 KB, and its result as much again, so items fill at most half of
+/// the memory.
+const MAX_ITEMS_PER_MB: usize = 4;
 
-/// A process that has got batches lately, in this life of it.
+/// A process that has been given batches recently in its present incarnation.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Its row, as it was read just now.
+    /// The row of the process, as read for this choice.
     pub presence: Presence,
-    /// Items of its batches that are open.
+    /// Number of items in its open batches.
     pub items: usize,
-    /// When it got the last one, by the store's clock.
+    /// When it was given its last batch, by the store's clock.
     pub last: Duration,
 }
 
-/// Chooses the process for a batch of so many items that one with `memory` MB accepts
-/// at the store's time `now`; none if that is to run it itself.
+/// Chooses the process for a batch of `items` items that a process with `memory` MB
+/// accepts at the store's time `now`; `None` if the accepting process should run it.
 ///
-/// The largest goes first, and of those alike the one that got a batch last, so that
-/// all trainers come to the same one.
+/// Prefers the largest process, and among equally large ones the one that was given a
+/// batch last, so that the batches of all trainers end up at one process.
 #[must_use]
 pub fn choose(
     candidates: &[Candidate],
@@ -56,14 +50,14 @@
     memory: u32,
     now: Duration,
 ) -> Option<&Candidate> {
-    let fits = |found: &&Candidate| {
-        let renewed = Duration::from_millis(found.presence.renewed);
-        let theirs = found.presence.memory;
-        let lives = now.saturating_sub(renewed) <= FRESH;
-        let large = theirs.saturating_mul(SMALLER) >= memory;
-        let most = ITEMS_A_MB * usize::try_from(theirs).unwrap_or(usize::MAX);
-        lives && large && found.items + items <= most
+    let eligible = |candidate: &&Candidate| {
+        let renewed = Duration::from_millis(candidate.presence.renewed);
+        let candidate_memory = candidate.presence.memory;
+        let alive = now.saturating_sub(renewed) <= MAX_ROW_AGE;
+        let large = candidate_memory.saturating_mul(MAX_MEMORY_RATIO) >= memory;
+        let max_items = MAX_ITEMS_PER_MB * usize::try_from(candidate_memory).unwrap_or(usize::MAX);
+        alive && large && candidate.items + items <= max_items
     };
-    let found = candidates.iter().filter(fits);
-    found.max_by_key(|found| (found.presence.memory, found.last))
+    let eligible = candidates.iter().filter(eligible);
+    eligible.max_by_key(|candidate| (candidate.presence.memory, candidate.last))
 }
