--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -1,16 +1,12 @@
-//! Which engine an item of a batch goes to.
+//! Chooses the engine that an item of a batch goes to.
 //!
-//! Load: several owners that each send to the same engines, engines of unequal
-//! speed, and engines that load weights meanwhile. Harm: owners that see only
-//! their own items and break ties alike all choose the same engine, which then
-//! refuses most of them; a whole group waits for the one item that went to a
-//! slow engine.
+//! Several owners send items to the same engines, and none sees the items of the others.
+//! The capacity of an engine is therefore its slots, less own items and the other requests
+//! that it last reported. Ties are broken by a hash of group and engine, so that owners
+//! don't all choose the same engine.
 //!
-//! So an engine's room is its slots less own items and what it last told of
-//! others, which fades with age; engines that refused are left alone for a
-//! while; ties are broken by a hash of group and engine.
-//! An engine much slower than its peers gets an item only while it has none,
-//! which is enough to see when it recovers.
+//! A group waits for its slowest item, so an engine that is much slower than its peers
+//! gets only one item at a time, which shows when it recovers.
 
 use slotmap::SlotMap;
 use std::{
@@ -22,7 +18,7 @@
 use crate::{
     rollout::{
         pace::{Paces, Sample},
-        tier::{Tier, Usual},
+        tier::{ServiceSpeed, Tier},
         waits::Lack,
     },
     roster::Endpoint,
@@ -33,87 +29,93 @@
     pub struct EngineKey;
 }
 
-/// What an engine told of other callers' requests is believed for so long; a
-/// generation takes about a second, after which the load is another.
-const BELIEVED: Duration = Duration::from_millis(800);
-/// Pause after a refusal: the time in which about one slot in ten becomes free.
-const REFUSED: Duration = Duration::from_millis(100);
-/// Pause after a failed connection, doubled by each further one.
-const FAILED: Duration = Duration::from_millis(250);
-/// Longest pause: an engine that is back is found within it.
-const FAILED_MOST: Duration = Duration::from_secs(4);
-/// Pause after an engine made no events: a third of a load of weights, after
-/// which it is tried by one item that moves on at once if it has to.
-const STALLED: Duration = Duration::from_millis(300);
-/// A run is long when it has made so many times the events of a usual one: half
-/// of the runs that get there make as many again.
-const LONG: f64 = 1.5;
-/// Weight of a new sample of how many events a run makes.
+/// Lifetime of an engine's report of its load: generations take about a second.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(800);
+/// Pause after a refusal: about one slot in ten becomes free meanwhile.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after the first failed connection; it doubles with each further one.
+const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(250);
+/// Longest pause after failed connections.
+const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
+/// Pause after an engine made no events: a third of the time that loading weights takes.
+/// An item that is sent too early moves on at once.
+const STALL_PAUSE: Duration = Duration::from_millis(300);
+/// A run is long if it has this many times the events of an average one; half of the runs
+/// that get there have as many again to come.
+const LONG_RUN_FACTOR: f64 = 1.5;
+/// Weight of a new sample in the average number of events of a text.
 const EVENTS_WEIGHT: f64 = 0.05;
-/// An engine that was slow so long ago is tried like one that is somewhat slower
-/// than the others: disturbances last some seconds.
-const DISTURBED: Duration = Duration::from_secs(6);
-/// Weight of a new sample of an engine's pace.
+/// Lifetime of an engine's slowness: disturbances last some seconds. After it, a slow
+/// engine is treated as one that is mildly slow.
+const SLOWNESS_TTL: Duration = Duration::from_secs(6);
+/// Weight of a new sample in an engine's pace.
 const PACE_WEIGHT: f64 = 0.4;
 
 #[derive(Debug)]
-struct Row {
+struct EngineState {
     id: String,
-    /// This life of it, by which owners tell each other of it.
-    life: String,
+    /// The engine's ID and incarnation, by which owners share its pace.
+    incarnation: String,
     service: String,
     slots: u32,
-    open: bool,
+    /// Whether the engine takes new requests.
+    is_open: bool,
     weights: HashMap<String, u64>,
-    mine: u32,
-    others: Option<(Instant, u32)>,
-    away: Option<Instant>,
+    /// Number of items of this owner that run there.
+    own_items: u32,
+    /// Number of other requests there, and when it was reported.
+    others_report: Option<(Instant, u32)>,
+    paused_until: Option<Instant>,
+    /// Number of failures in a row.
     failures: u32,
-    /// Seconds from one event to the next.
+    /// Seconds per event.
     pace: Option<f64>,
-    /// When that was last measured, here or by another owner.
-    sampled: Option<Instant>,
-    /// When it was last measured here.
-    measured: Option<Instant>,
+    /// When the pace was last measured, here or by another owner.
+    pace_as_of: Option<Instant>,
+    /// When the pace was last measured here.
+    own_measurement: Option<Instant>,
 }
 
-impl Row {
-    fn others(&self, now: Instant) -> u32 {
-        let told = self.others.filter(|(at, _)| now < *at + BELIEVED);
-        told.map_or(0, |(_, n)| n)
+impl EngineState {
+    fn other_requests(&self, now: Instant) -> u32 {
+        let report = self
+            .others_report
+            .filter(|(at, _)| now < *at + LOAD_REPORT_TTL);
+        report.map_or(0, |(_, count)| count)
     }
 
-    fn room(&self, now: Instant) -> u32 {
-        self.slots.saturating_sub(self.mine + self.others(now))
+    fn free_slots(&self, now: Instant) -> u32 {
+        self.slots
+            .saturating_sub(self.own_items + self.other_requests(now))
     }
 }
 
-/// What an item needs of its engine.
+/// What an item requires of its engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Want<'a> {
     /// The service.
     pub service: &'a str,
-    /// The model, if it names one.
+    /// The model, if the item names one.
     pub model: Option<&'a str>,
-    /// The oldest weight version that will do.
+    /// The oldest weight version that is allowed.
     pub floor: u64,
-    /// The only weight version that will do.
+    /// The only weight version that is allowed, if it is fixed.
     pub exact: Option<u64>,
-    /// Its group.
+    /// The item's group, which breaks ties.
     pub group: &'a str,
-    /// An engine that won't do.
+    /// An engine that must not be chosen.
     pub not: Option<EngineKey>,
 }
 
 /// All engines, as one owner of batches sees them.
 #[derive(Debug, Default)]
 pub struct Engines {
-    rows: SlotMap<EngineKey, Row>,
+    states: SlotMap<EngineKey, EngineState>,
     index: HashMap<String, EngineKey>,
-    /// Events of a usual text.
-    events: Option<f64>,
-    /// Hinted tokens for each event that a text had in the end.
-    stride: Option<f64>,
+    /// Average number of events of a text.
+    mean_events: Option<f64>,
+    /// Average ratio of a text's hinted tokens to its events.
+    tokens_per_event: Option<f64>,
 }
 
 impl Engines {
@@ -123,316 +125,340 @@
         Self::default()
     }
 
-    /// Adds an engine or takes in what it registered.
+    /// Adds an engine, or updates it from its registration.
     pub fn set(&mut self, endpoint: &Endpoint) {
         let Endpoint {
             id, born, service, ..
         } = endpoint;
         let key = self.index.get(id).copied().unwrap_or_else(|| {
-            let key = self.rows.insert(Row {
+            let key = self.states.insert(EngineState {
                 id: id.clone(),
-                life: born.map_or_else(|| id.clone(), |born| format!("{id}@{born}")),
+                incarnation: born.map_or_else(|| id.clone(), |born| format!("{id}@{born}")),
                 service: service.clone(),
                 slots: endpoint.slots,
-                open: !endpoint.leaving,
+                is_open: !endpoint.leaving,
                 weights: HashMap::new(),
-                mine: 0,
-                others: None,
-                away: None,
+                own_items: 0,
+                others_report: None,
+                paused_until: None,
                 failures: 0,
                 pace: None,
-                sampled: None,
-                measured: None,
+                pace_as_of: None,
+                own_measurement: None,
             });
             self.index.insert(id.clone(), key);
             key
         });
-        let row = &mut self.rows[key];
-        row.slots = endpoint.slots;
-        row.open = !endpoint.leaving;
+        let engine = &mut self.states[key];
+        engine.slots = endpoint.slots;
+        engine.is_open = !endpoint.leaving;
         for weights in &endpoint.weights {
-            note(&mut row.weights, &weights.model, weights.version);
+            raise_version(&mut engine.weights, &weights.model, weights.version);
         }
     }
 
-    /// Drops an engine that is gone.
+    /// Removes an engine.
     pub fn remove(&mut self, id: &str) {
         if let Some(key) = self.index.remove(id) {
-            self.rows.remove(key);
+            self.states.remove(key);
         }
     }
 
-    /// Returns the id of an engine.
+    /// Returns the ID of an engine.
     #[must_use]
     pub fn id(&self, key: EngineKey) -> Option<&str> {
-        self.rows.get(key).map(|row| row.id.as_str())
+        self.states.get(key).map(|engine| engine.id.as_str())
     }
 
-    /// Finds an engine by its id.
+    /// Returns the key of the engine with this ID.
     #[must_use]
     pub fn key(&self, id: &str) -> Option<EngineKey> {
         self.index.get(id).copied()
     }
 
-    /// Returns how many items of this owner run there.
+    /// Returns how many items of this owner run at an engine.
     #[must_use]
     pub fn mine(&self, id: &str) -> u32 {
-        self.key(id).map_or(0, |key| self.rows[key].mine)
+        self.key(id).map_or(0, |key| self.states[key].own_items)
     }
 
-    /// Says whether any engine has the version, to go on with a text.
+    /// Returns whether any engine of a service has exactly this version of a model.
     #[must_use]
     pub fn has_version(&self, service: &str, model: &str, version: u64) -> bool {
-        self.rows.values().any(|row| {
-            row.open && row.service == service && row.weights.get(model) == Some(&version)
+        self.states.values().any(|engine| {
+            engine.is_open
+                && engine.service == service
+                && engine.weights.get(model) == Some(&version)
         })
     }
 
-    /// Chooses an engine with room for an item.
+    /// Chooses an engine with free capacity for an item.
     #[must_use]
-    pub fn choose(&self, now: Instant, want: &Want<'_>) -> Option<EngineKey> {
-        let usual = self.paces(want.service);
-        let tier = |row: &Row| {
-            let known = usual.zip(row.pace);
-            let tier = known.map_or(Tier::Fast, |(usual, pace)| usual.tier(pace));
-            let old = row.sampled.is_some_and(|at| now > at + DISTURBED);
-            if old { tier.max(Tier::Mild) } else { tier }
+    pub fn choose(&self, now: Instant, requirements: &Want<'_>) -> Option<EngineKey> {
+        let speed = self.service_speed(requirements.service);
+        let tier = |engine: &EngineState| {
+            let known = speed.zip(engine.pace);
+            let tier = known.map_or(Tier::Fast, |(speed, pace)| speed.tier(pace));
+            let outdated = engine.pace_as_of.is_some_and(|at| now > at + SLOWNESS_TTL);
+            if outdated { tier.max(Tier::Mild) } else { tier }
         };
-        let fits = |key: EngineKey, row: &Row| {
-            Some(key) != want.not
-                && row.open
-                && row.service == want.service
-                && row.away.is_none_or(|until| until <= now)
-                && row.room(now) > 0
-                && (tier(row) != Tier::Slow || row.mine == 0)
-                && has(row, want)
+        let is_eligible = |key: EngineKey, engine: &EngineState| {
+            Some(key) != requirements.not
+                && engine.is_open
+                && engine.service == requirements.service
+                && engine.paused_until.is_none_or(|until| until <= now)
+                && engine.free_slots(now) > 0
+                && (tier(engine) != Tier::Slow || engine.own_items == 0)
+                && has_weights(engine, requirements)
         };
-        let found = self.rows.iter().filter(|(key, row)| fits(*key, row));
-        let best = found.max_by_key(|(_, row)| {
-            // A hash keeps owners apart that see the same room.
-            let group = xxh3_64_with_seed(want.group.as_bytes(), 0);
-            let tie = xxh3_64_with_seed(row.id.as_bytes(), group);
-            (tier(row), row.room(now), tie)
+        let eligible = self
+            .states
+            .iter()
+            .filter(|(key, engine)| is_eligible(*key, engine));
+        let best = eligible.max_by_key(|(_, engine)| {
+            // Makes owners that see the same capacities choose different engines.
+            let group_hash = xxh3_64_with_seed(requirements.group.as_bytes(), 0);
+            let tie_breaker = xxh3_64_with_seed(engine.id.as_bytes(), group_hash);
+            (tier(engine), engine.free_slots(now), tie_breaker)
         });
         best.map(|(key, _)| key)
     }
 
-    /// Says what is missing where no engine can be chosen.
+    /// Returns what is missing when no engine can be chosen.
     #[must_use]
-    pub fn lack(&self, want: &Want<'_>) -> Lack {
-        let fit = |row: &Row| row.open && row.service == want.service && has(row, want);
-        if self.rows.values().any(fit) {
+    pub fn lack(&self, requirements: &Want<'_>) -> Lack {
+        let is_suitable = |engine: &EngineState| {
+            engine.is_open
+                && engine.service == requirements.service
+                && has_weights(engine, requirements)
+        };
+        if self.states.values().any(is_suitable) {
             Lack::Room
         } else {
             Lack::Weights
         }
     }
 
-    /// Says whether an engine was much slower than its peers lately.
+    /// Returns whether an engine has been much slower than its peers recently.
     #[must_use]
     pub fn is_slow(&self, now: Instant, id: &str) -> bool {
-        let Some(row) = self.key(id).and_then(|key| self.rows.get(key)) else {
+        let Some(engine) = self.key(id).and_then(|key| self.states.get(key)) else {
             return false;
         };
-        let lately = row.sampled.is_some_and(|at| now <= at + DISTURBED);
-        let known = self.paces(&row.service).zip(row.pace);
-        lately && known.is_some_and(|(usual, pace)| usual.tier(pace) == Tier::Slow)
+        let is_recent = engine.pace_as_of.is_some_and(|at| now <= at + SLOWNESS_TTL);
+        let known = self.service_speed(&engine.service).zip(engine.pace);
+        is_recent && known.is_some_and(|(speed, pace)| speed.tier(pace) == Tier::Slow)
     }
 
-    /// Says whether an engine is at least half empty.
+    /// Returns whether at least half of an engine's slots are free.
     #[must_use]
     pub fn is_idle(&self, now: Instant, key: EngineKey) -> bool {
-        let row = self.rows.get(key);
-        row.is_some_and(|row| row.room(now) * 2 >= row.slots)
+        let engine = self.states.get(key);
+        engine.is_some_and(|engine| engine.free_slots(now) * 2 >= engine.slots)
     }
 
-    /// Says whether an engine with room is clearly faster than one of `pace`:
-    /// far faster for any run, somewhat faster for one with many events.
+    /// Returns whether `other` is enough faster than an engine with this `pace` to move a
+    /// run with `events` events there: a long run moves for a smaller difference.
     #[must_use]
     pub fn is_better(&self, service: &str, pace: f64, events: u64, other: EngineKey) -> bool {
-        let Some(usual) = self.paces(service) else {
+        let Some(speed) = self.service_speed(service) else {
             return false;
         };
-        let there = self.rows.get(other).and_then(|row| row.pace);
-        let there = there.map_or(Tier::Fast, |pace| usual.tier(pace));
-        let long = self.events.is_some_and(|mean| events as f64 > mean * LONG);
-        match usual.tier(pace) {
-            Tier::Slow => there != Tier::Slow,
-            Tier::Mild => long && there == Tier::Fast,
+        let other_pace = self.states.get(other).and_then(|engine| engine.pace);
+        let other_tier = other_pace.map_or(Tier::Fast, |pace| speed.tier(pace));
+        let is_long = self
+            .mean_events
+            .is_some_and(|mean| events as f64 > mean * LONG_RUN_FACTOR);
+        match speed.tier(pace) {
+            Tier::Slow => other_tier != Tier::Slow,
+            Tier::Mild => is_long && other_tier == Tier::Fast,
             Tier::Fast => false,
         }
     }
 
-    /// Notes how many events a whole text has, of so many tokens as was hinted.
+    /// Records the number of events of a complete text, and its length hint in tokens.
     pub fn whole(&mut self, events: u64, hint: Option<u32>) {
-        let mean = self.events.unwrap_or(events as f64);
-        self.events = Some(mean + (events as f64 - mean) * EVENTS_WEIGHT);
+        let mean = self.mean_events.unwrap_or(events as f64);
+        self.mean_events = Some(mean + (events as f64 - mean) * EVENTS_WEIGHT);
         if let Some(hint) = hint.filter(|_| events > 0) {
             let ratio = f64::from(hint) / events as f64;
-            let stride = self.stride.unwrap_or(ratio);
-            self.stride = Some(stride + (ratio - stride) * EVENTS_WEIGHT);
+            let mean = self.tokens_per_event.unwrap_or(ratio);
+            self.tokens_per_event = Some(mean + (ratio - mean) * EVENTS_WEIGHT);
         }
     }
 
-    /// Returns how long a text of so many hinted tokens is expected to run on behind
-    /// its last event, at one of the fastest engines; nothing before any was seen.
+    /// Returns how long a text with this hint in tokens is expected to take after event
+    /// `last` at one of the fastest engines; zero before any text was completed.
     #[must_use]
     pub fn expected(&self, service: &str, hint: u32, last: u64) -> Duration {
-        let known = self.paces(service).zip(self.stride);
-        let Some((usual, stride)) = known.filter(|(_, stride)| *stride > 0.0) else {
+        let known = self.service_speed(service).zip(self.tokens_per_event);
+        let Some((speed, ratio)) = known.filter(|(_, ratio)| *ratio > 0.0) else {
             return Duration::ZERO;
         };
-        let events = (f64::from(hint) / stride - last as f64).max(0.0);
-        Duration::from_secs_f64(events * usual.best)
+        let events = (f64::from(hint) / ratio - last as f64).max(0.0);
+        Duration::from_secs_f64(events * speed.best)
     }
 
-    /// Notes that an item was sent.
+    /// Records that an item was sent to an engine.
     pub fn start(&mut self, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.mine += 1;
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.own_items += 1;
         }
     }
 
-    /// Notes that an item is no longer there.
+    /// Records that an item no longer runs at an engine.
     pub fn end(&mut self, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.mine = row.mine.saturating_sub(1);
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.own_items = engine.own_items.saturating_sub(1);
         }
     }
 
-    /// Takes in what an engine told: all its running and waiting requests.
-    pub fn told(&mut self, now: Instant, key: EngineKey, all: u32) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.others = Some((now, all.saturating_sub(row.mine)));
+    /// Records the total of running and queued requests that an engine reported.
+    pub fn told(&mut self, now: Instant, key: EngineKey, total: u32) {
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.others_report = Some((now, total.saturating_sub(engine.own_items)));
         }
     }
 
-    /// Takes in the weight version that an engine named with an answer.
+    /// Records the weight version that an engine reported with an answer.
     pub fn weights(&mut self, key: EngineKey, model: &str, version: u64) {
-        if let Some(row) = self.rows.get_mut(key) {
-            note(&mut row.weights, model, version);
+        if let Some(engine) = self.states.get_mut(key) {
+            raise_version(&mut engine.weights, model, version);
         }
     }
 
-    /// Notes that an engine refused an item without running it.
+    /// Records that an engine refused an item without running it.
     ///
-    /// One that has room by its own word refuses because it loads weights.
+    /// An engine that refuses although it reported free slots is probably loading weights.
     pub fn refused(&mut self, now: Instant, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            let pause = if row.room(now) > 0 { STALLED } else { REFUSED };
-            row.away = Some(now + pause);
+        if let Some(engine) = self.states.get_mut(key) {
+            let pause = if engine.free_slots(now) > 0 {
+                STALL_PAUSE
+            } else {
+                REFUSAL_PAUSE
+            };
+            engine.paused_until = Some(now + pause);
         }
     }
 
-    /// Notes that an engine is full: an item of this owner waits in its queue.
+    /// Records that an engine is full: an item of this owner waits in its queue.
     pub fn full(&mut self, now: Instant, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.others = Some((now, row.slots.saturating_sub(row.mine)));
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.others_report = Some((now, engine.slots.saturating_sub(engine.own_items)));
         }
     }
 
-    /// Notes that an engine couldn't be reached or broke off.
+    /// Records that an engine couldn't be reached or lost the connection.
     pub fn failed(&mut self, now: Instant, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            let pause = FAILED * (1 << row.failures.min(5));
-            row.failures += 1;
-            row.away = Some(now + pause.min(FAILED_MOST));
+        if let Some(engine) = self.states.get_mut(key) {
+            let pause = MIN_FAILURE_PAUSE * (1 << engine.failures.min(5));
+            engine.failures += 1;
+            engine.paused_until = Some(now + pause.min(MAX_FAILURE_PAUSE));
         }
     }
 
-    /// Notes that an engine makes no events for a while: it loads weights, or
-    /// something is wrong with it.
+    /// Records that an engine makes no events: it loads weights, or is disturbed.
     pub fn stalled(&mut self, now: Instant, key: EngineKey) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.away = Some(now + STALLED);
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.paused_until = Some(now + STALL_PAUSE);
         }
     }
 
-    /// Notes an engine's pace, in seconds an event.
+    /// Records a measurement of an engine's pace, in seconds per event.
     pub fn paced(&mut self, now: Instant, key: EngineKey, pace: f64) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.failures = 0;
-            row.sampled = Some(now);
-            row.measured = Some(now);
-            let old = row.pace.unwrap_or(pace);
-            row.pace = Some(old + (pace - old) * PACE_WEIGHT);
+        if let Some(engine) = self.states.get_mut(key) {
+            engine.failures = 0;
+            engine.pace_as_of = Some(now);
+            engine.own_measurement = Some(now);
+            let old = engine.pace.unwrap_or(pace);
+            engine.pace = Some(old + (pace - old) * PACE_WEIGHT);
         }
     }
 
-    /// Returns the services of engines that were measured here since an instant.
+    /// Returns the services of engines that this process has sampled since an instant.
     #[must_use]
     pub fn sampled_since(&self, since: Instant) -> BTreeSet<String> {
-        let rows = self.rows.values();
-        let measured = rows.filter(|row| row.measured.is_some_and(|at| at >= since));
-        measured.map(|row| row.service.clone()).collect()
+        let engines = self.states.values();
+        let measured =
+            engines.filter(|engine| engine.own_measurement.is_some_and(|at| at >= since));
+        measured.map(|engine| engine.service.clone()).collect()
     }
 
-    /// Returns what was measured here of a service's engines; `store` is the
-    /// store's steady clock at `now`.
+    /// Returns this process's own samples of the paces of a service's engines.
+    ///
+    /// `store_now` is the store's steady clock at `now`.
     #[must_use]
-    pub fn paces_of(&self, now: Instant, store: Duration, service: &str) -> Paces {
+    pub fn paces_of(&self, now: Instant, store_now: Duration, service: &str) -> Paces {
         let mut paces = Paces::new();
-        for row in self.rows.values().filter(|row| row.service == service) {
-            let Some((pace, at)) = row.pace.zip(row.measured) else {
+        for engine in self
+            .states
+            .values()
+            .filter(|engine| engine.service == service)
+        {
+            let Some((pace, measured_at)) = engine.pace.zip(engine.own_measurement) else {
                 continue;
             };
-            let age = now.saturating_duration_since(at);
+            let age = now.saturating_duration_since(measured_at);
             let micros = Duration::from_secs_f64(pace).as_micros();
             let sample = Sample {
-                micros: u32::try_from(micros).unwrap_or(u32::MAX),
-                at: u64::try_from(store.saturating_sub(age).as_millis()).unwrap_or(0),
+                event_micros: u32::try_from(micros).unwrap_or(u32::MAX),
+                measured_at: u64::try_from(store_now.saturating_sub(age).as_millis()).unwrap_or(0),
             };
-            paces.note(&row.life, sample);
+            paces.record(&engine.incarnation, sample);
         }
         paces
     }
 
-    /// Takes in what other owners measured, where it is newer than what is known;
-    /// returns how many engines that were.
-    pub fn hear(&mut self, now: Instant, store: Duration, paces: &Paces) -> usize {
-        let mut heard = 0;
-        for row in self.rows.values_mut() {
-            let Some(sample) = paces.get(&row.life) else {
+    /// Merges the paces that other owners measured where they are newer than the known
+    /// ones, and returns the number of engines updated.
+    ///
+    /// `store_now` is the store's steady clock at `now`.
+    pub fn hear(&mut self, now: Instant, store_now: Duration, paces: &Paces) -> usize {
+        let mut updated = 0;
+        for engine in self.states.values_mut() {
+            let Some(sample) = paces.get(&engine.incarnation) else {
                 continue;
             };
-            let age = store.saturating_sub(Duration::from_millis(sample.at));
+            let age = store_now.saturating_sub(Duration::from_millis(sample.measured_at));
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
-            if row.sampled.is_none_or(|known| known < at) {
-                row.pace = Some(f64::from(sample.micros) / 1e6);
-                row.sampled = Some(at);
-                heard += 1;
+            if engine.pace_as_of.is_none_or(|known| known < at) {
+                engine.pace = Some(f64::from(sample.event_micros) / 1e6);
+                engine.pace_as_of = Some(at);
+                updated += 1;
             }
         }
-        heard
+        updated
     }
 
-    /// Returns the median pace of a service's engines, in seconds an event.
+    /// Returns the median pace of a service's engines, in seconds per event.
     #[must_use]
     pub fn usual(&self, service: &str) -> Option<f64> {
-        self.paces(service).map(|usual| usual.median)
+        self.service_speed(service).map(|speed| speed.median)
     }
 
-    fn paces(&self, service: &str) -> Option<Usual> {
-        let rows = self.rows.values().filter(|row| row.service == service);
-        Usual::of(rows.filter_map(|row| row.pace))
+    fn service_speed(&self, service: &str) -> Option<ServiceSpeed> {
+        let engines = self
+            .states
+            .values()
+            .filter(|engine| engine.service == service);
+        ServiceSpeed::from_paces(engines.filter_map(|engine| engine.pace))
     }
 }
 
-fn has(row: &Row, want: &Want<'_>) -> bool {
-    let Some(model) = want.model else {
+fn has_weights(engine: &EngineState, requirements: &Want<'_>) -> bool {
+    let Some(model) = requirements.model else {
         return true;
     };
-    let Some(version) = row.weights.get(model).copied() else {
+    let Some(version) = engine.weights.get(model).copied() else {
         return false;
     };
-    version >= want.floor && want.exact.is_none_or(|exact| exact == version)
+    version >= requirements.floor && requirements.exact.is_none_or(|exact| exact == version)
 }
 
-/// Keeps the highest version: an engine's own word comes with its answers, and
-/// its registration lags behind.
-fn note(weights: &mut HashMap<String, u64>, model: &str, version: u64) {
+/// Keeps the highest reported version, because registrations lag behind answers.
+fn raise_version(weights: &mut HashMap<String, u64>, model: &str, version: u64) {
     let known = weights.entry(model.to_owned()).or_default();
     *known = (*known).max(version);
 }
--- a/src/rollout/pace.rs
+++ b/src/rollout/pace.rs
@@ -1,32 +1,30 @@
-//! How fast engines are, as owners of batches tell each other.
+//! Paces of engines, as the owners of batches share them.
 //!
-//! Load: every step of a trainer is accepted by another process, engines of one
-//! service differ by a third when sound, and a disturbed one is several times
-//! slower. Harm: each owner finds out by itself. Its long items, which start first,
-//! spend their first second on engines that the owner before knew to be slow, and
-//! the step ends that much later.
-//!
-//! So owners share what they measured through the store, a row a service. The newer
-//! sample of an engine counts, whoever took it; times are those of the store's
-//! steady clock, which all processes know.
+//! The pace of an engine is the time from one event of a text to the next. Owners share
+//! the paces that they measure through one row per service in the store, so that a new
+//! owner need not first run long items on slow engines. The newest sample of an engine
+//! counts, whoever took it. Sample times are those of the store's steady clock, which
+//! all processes know.
 
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Samples older than this are dropped: engines that are gone must not fill the
-/// row, and one that nobody used for so long may have changed.
-const KEEP: Duration = Duration::from_mins(1);
+/// Lifetime of a sample. Engines that are gone must not fill the row, and the pace of
+/// one that nobody has used for so long may have changed.
+const SAMPLE_TTL: Duration = Duration::from_mins(1);
 
-/// A measured pace.
+/// One measurement of the pace of an engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sample {
     /// Microseconds from one event to the next.
-    pub micros: u32,
-    /// The store's steady clock when it was measured, in milliseconds.
-    pub at: u64,
+    #[serde(rename = "micros")]
+    pub event_micros: u32,
+    /// The store's steady clock at the measurement, in milliseconds.
+    #[serde(rename = "at")]
+    pub measured_at: u64,
 }
 
-/// The paces of a service's engines, by their ids.
+/// The paces of a service's engines, by engine ID and incarnation.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Paces {
     engines: BTreeMap<String, Sample>,
@@ -39,34 +37,35 @@
         Self::default()
     }
 
-    /// Says whether there are none.
+    /// Returns whether the table holds no samples.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Takes in a sample, unless a newer one of the same engine is known.
-    pub fn note(&mut self, engine: &str, sample: Sample) {
+    /// Records a sample, unless a newer one of the same engine is known.
+    pub fn record(&mut self, engine: &str, sample: Sample) {
         let known = self.engines.get(engine);
-        if known.is_none_or(|known| known.at < sample.at) {
+        if known.is_none_or(|known| known.measured_at < sample.measured_at) {
             self.engines.insert(engine.to_owned(), sample);
         }
     }
 
-    /// Takes in all samples of another table.
+    /// Merges all samples of another table into this one.
     pub fn merge(&mut self, other: &Self) {
         for (engine, sample) in &other.engines {
-            self.note(engine, *sample);
+            self.record(engine, *sample);
         }
     }
 
-    /// Drops samples that are too old at the store's time `now`.
+    /// Drops samples that have expired at the store's time `now`.
     pub fn expire(&mut self, now: Duration) {
-        let oldest = u64::try_from(now.saturating_sub(KEEP).as_millis()).unwrap_or(0);
-        self.engines.retain(|_, sample| sample.at >= oldest);
+        let oldest = u64::try_from(now.saturating_sub(SAMPLE_TTL).as_millis()).unwrap_or(0);
+        self.engines
+            .retain(|_, sample| sample.measured_at >= oldest);
     }
 
-    /// Goes through all engines.
+    /// Iterates over the samples of all engines.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Sample)> {
         self.engines
             .iter()
--- a/src/rollout/tier.rs
+++ b/src/rollout/tier.rs
@@ -1,27 +1,28 @@
-//! How an engine's pace compares with that of its peers.
+//! Compares the speed of an engine with that of its peers.
 //!
-//! What counts as slow is told nowhere and differs between deployments, so engines of
-//! one service are measured against each other.
+//! Engines of one service are compared with each other, because the speed that counts as
+//! slow differs between deployments and is not configured.
 
-/// Slower than its median peer by this factor is slow. Engines of one service
-/// differ by up to a third when sound; a disturbed one by three and more.
-const SLOW: f64 = 1.7;
-/// Slower than the fastest peers by this factor is worth a move for a run that
-/// has become long: what is left of it ends that much sooner.
-const MILD: f64 = 1.12;
-/// The fastest peers are one in so many engines.
-const FASTEST: usize = 4;
+/// An engine is slow if its pace exceeds the median by this factor. Healthy
+/// engines of one service differ by up to a third, a disturbed one by a factor of three
+/// or more.
+const SLOW_FACTOR: f64 = 1.7;
+/// An engine slower than the fastest peers by this factor is worth leaving for a run
+/// that has many events: moving shortens the rest of the run by as much.
+const MILD_FACTOR: f64 = 1.12;
+/// The pace of the fastest engines is taken at position `count / FASTEST_DIVISOR`.
+const FASTEST_DIVISOR: usize = 4;
 
-/// How fast the engines of a service are, in seconds an event.
+/// The paces of the engines of a service, in seconds per event.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Usual {
-    /// The median.
+pub(super) struct ServiceSpeed {
+    /// The median pace.
     pub(super) median: f64,
-    /// Of the fastest ones.
+    /// The pace of the fastest engines.
     pub(super) best: f64,
 }
 
-/// How an engine compares with its peers, best last.
+/// Speed of an engine relative to its peers; the fastest tier is the greatest.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Tier {
     Slow,
@@ -29,22 +30,23 @@
     Fast,
 }
 
-impl Usual {
-    /// Finds what is usual among paces; none if there are none.
-    pub(super) fn of(paces: impl Iterator<Item = f64>) -> Option<Self> {
+impl ServiceSpeed {
+    /// Computes the speed of a service from the paces of its engines; `None` if there
+    /// are none.
+    pub(super) fn from_paces(paces: impl Iterator<Item = f64>) -> Option<Self> {
         let mut paces: Vec<f64> = paces.collect();
         paces.sort_by(f64::total_cmp);
         Some(Self {
             median: *paces.get(paces.len() / 2)?,
-            best: *paces.get(paces.len() / FASTEST)?,
+            best: *paces.get(paces.len() / FASTEST_DIVISOR)?,
         })
     }
 
-    /// Compares a pace with it.
+    /// Returns the tier of an engine with this pace.
     pub(super) fn tier(self, pace: f64) -> Tier {
-        if pace > self.median * SLOW {
+        if pace > self.median * SLOW_FACTOR {
             Tier::Slow
-        } else if pace > self.best * MILD {
+        } else if pace > self.best * MILD_FACTOR {
             Tier::Mild
         } else {
             Tier::Fast
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -1,4 +1,4 @@
-//! Which engine an item goes to, and which loads which weights.
+//! Tests the choice of an engine for an item, and the plan of weight loads.
 
 use hibiscusroad::{
     rollout::{
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-const WANT: Want<'static> = Want {
+const REQUIREMENTS: Want<'static> = Want {
     service: "lm",
     model: Some("guide"),
     floor: 3,
@@ -35,38 +35,37 @@
 }
 
 #[test]
-fn only_fresh_engines_with_room_are_chosen() {
+fn only_engines_with_allowed_weights_and_free_slots_are_chosen() {
     let now = Instant::now();
     let mut engines = engines(&[2, 3, 9]);
-    let mut found = Vec::new();
-    while let Some(key) = engines.choose(now, &WANT) {
+    let mut chosen = Vec::new();
+    while let Some(key) = engines.choose(now, &REQUIREMENTS) {
         engines.start(key);
-        found.push(engines.id(key).unwrap().to_owned());
+        chosen.push(engines.id(key).unwrap().to_owned());
     }
-    found.sort();
-    assert_eq!(found, ["e1", "e1", "e2", "e2"]);
+    chosen.sort();
+    assert_eq!(chosen, ["e1", "e1", "e2", "e2"]);
     let exact = Want {
         exact: Some(9),
-        ..WANT
+        ..REQUIREMENTS
     };
     assert_eq!(engines.choose(now, &exact), None);
     engines.end(engines.key("e2").unwrap());
     assert_eq!(engines.choose(now, &exact), engines.key("e2"));
 }
 
-// Several owners see the same room and no engine of another's items. If they
-// broke ties alike, all would send to one engine, which refuses most of them.
+// Guards against owners that all choose the same one of several equal engines.
 #[test]
 fn ties_are_broken_by_group() {
     let now = Instant::now();
     let engines = engines(&[3; 12]);
     let chosen = (0..200).filter_map(|n| {
         let group = format!("g{n}");
-        let want = Want {
+        let requirements = Want {
             group: &group,
-            ..WANT
+            ..REQUIREMENTS
         };
-        engines.choose(now, &want)
+        engines.choose(now, &requirements)
     });
     let mut counts = HashMap::new();
     chosen.for_each(|key| *counts.entry(key).or_insert(0) += 1);
@@ -74,23 +73,22 @@
     assert!(counts.values().all(|n| *n < 40), "{counts:?}");
 }
 
-// What others run there takes room, until the word is old.
+// Requests of others take slots until the engine's report expires.
 #[test]
-fn load_that_an_engine_told_fades() {
+fn reported_load_expires() {
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
     engines.told(now, key, 2);
-    assert_eq!(engines.choose(now, &WANT), None);
+    assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     assert_eq!(
-        engines.choose(now + Duration::from_secs(1), &WANT),
+        engines.choose(now + Duration::from_secs(1), &REQUIREMENTS),
         Some(key)
     );
 }
 
-// One engine in five is 3.4 times slower for some seconds, a third is always
-// 1.3 times slower. Items go to the fast ones; a run on the slow one is worth a
-// move at once, on the other only when it has become long.
+// Some engines are mildly slow, one is much slower. Any run leaves the slow engine, but
+// only a long one leaves a mildly slow engine.
 #[test]
 fn items_prefer_fast_engines_and_leave_slow_ones() {
     let now = Instant::now();
@@ -101,7 +99,7 @@
         engines.paced(now, key, *pace);
     }
     let mut order = Vec::new();
-    while let Some(key) = engines.choose(now, &WANT) {
+    while let Some(key) = engines.choose(now, &REQUIREMENTS) {
         engines.start(key);
         order.push(engines.id(key).unwrap().to_owned());
     }
@@ -114,7 +112,7 @@
     assert_eq!(
         order[10..],
         ["e5"],
-        "one item tells when the slow one recovers"
+        "one item shows when the slow engine recovers"
     );
     let fast = engines.key("e0").unwrap();
     assert!(engines.is_better("lm", 0.13, 1, fast));
@@ -126,24 +124,27 @@
 }
 
 #[test]
-fn failing_engine_is_left_alone_longer_each_time() {
+fn pause_of_a_failing_engine_grows() {
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
     engines.failed(now, key);
-    assert_eq!(engines.choose(now, &WANT), None);
+    assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     let later = now + Duration::from_millis(300);
-    assert_eq!(engines.choose(later, &WANT), Some(key));
+    assert_eq!(engines.choose(later, &REQUIREMENTS), Some(key));
     engines.failed(later, key);
     assert_eq!(
-        engines.choose(later + Duration::from_millis(300), &WANT),
+        engines.choose(later + Duration::from_millis(300), &REQUIREMENTS),
         None
     );
     engines.remove("e0");
-    assert_eq!(engines.choose(later + Duration::from_secs(9), &WANT), None);
+    assert_eq!(
+        engines.choose(later + Duration::from_secs(9), &REQUIREMENTS),
+        None
+    );
 }
 
-/// An engine with two places.
+/// Builds an engine with two slots.
 fn engine(id: &str, born: Option<u64>, weights: Vec<Weights>) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
@@ -158,7 +159,7 @@
     }
 }
 
-/// Engines that all have the same weights.
+/// Builds engines that all have the same weights.
 fn loaders(count: usize, weights: &[(&str, u64)]) -> Vec<Loader> {
     let engines = (0..count).map(|n| Loader {
         id: format!("e{n}"),
@@ -181,48 +182,46 @@
     }
 }
 
-/// Carries out loads until none is wanted; returns how many there were.
-fn settle(engines: &mut [Loader], goals: &[Goal]) -> usize {
+/// Runs the planned loads until there are none; returns how many there were.
+fn run_loads(engines: &mut [Loader], goals: &[Goal]) -> usize {
     let mut loads = 0;
     loop {
-        let wanted = plan(engines, goals, 2);
-        if wanted.is_empty() {
+        let planned = plan(engines, goals, 2);
+        if planned.is_empty() {
             return loads;
         }
-        for load in wanted {
+        for load in planned {
             let engine = engines.iter_mut().find(|e| e.id == load.endpoint).unwrap();
             engine.weights.insert(load.model, load.version);
             loads += 1;
         }
-        assert!(loads < 1000, "loads never end");
+        assert!(loads < 1000, "the plan never becomes empty");
     }
 }
 
-// A version is named every few seconds and steps may lag by one. All engines
-// that a step can use are there when it is asked for, and each loads only every
-// other version: half of the pauses.
+// With a lag of one, half of the engines are usable for each step, and each engine loads
+// only every other version.
 #[test]
-fn engines_take_turns_when_steps_may_lag() {
+fn engines_skip_versions_when_steps_may_lag() {
     let mut engines = loaders(9, &[("guide", 1)]);
     let mut loads = Vec::new();
     for named in 2..12 {
-        let fresh = |e: &Loader| e.weights["guide"] + 1 >= named;
-        let usable = engines.iter().filter(|e| fresh(e)).count();
-        assert!(usable >= 4, "{usable} engines for step {named}");
-        loads.push(settle(&mut engines, &[goal("guide", named, 1)]));
+        let is_usable = |e: &Loader| e.weights["guide"] + 1 >= named;
+        let usable = engines.iter().filter(|e| is_usable(e)).count();
+        assert!(usable >= 4, "{usable} usable engines for version {named}");
+        loads.push(run_loads(&mut engines, &[goal("guide", named, 1)]));
     }
     assert!(loads.iter().all(|n| *n <= 5), "{loads:?}");
 }
 
 #[test]
-fn every_engine_loads_when_steps_may_not_lag() {
+fn every_engine_loads_each_version_when_steps_may_not_lag() {
     let mut engines = loaders(5, &[("guide", 1)]);
-    assert_eq!(settle(&mut engines, &[goal("guide", 2, 0)]), 5);
-    assert_eq!(settle(&mut engines, &[goal("guide", 2, 0)]), 0);
+    assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 5);
+    assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 0);
 }
 
-// Three models on nine engines: each keeps its own engines from version to
-// version, whoever decides, and no two models want the same one.
+// Guards against models that exchange engines from version to version.
 #[test]
 fn models_keep_their_engines() {
     let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
@@ -233,19 +232,19 @@
             goal("c", named, 1),
         ]
     };
-    settle(&mut engines, &goals(2));
+    run_loads(&mut engines, &goals(2));
     for named in 3..8 {
-        let loads = settle(&mut engines, &goals(named));
+        let loads = run_loads(&mut engines, &goals(named));
         assert!(loads <= 6, "{loads} loads for version {named}");
         for model in ["a", "b", "c"] {
-            let fresh = engines.iter().filter(|e| e.weights[model] + 1 >= named);
-            assert!(fresh.count() >= 2, "model {model}, version {named}");
+            let usable = engines.iter().filter(|e| e.weights[model] + 1 >= named);
+            assert!(usable.count() >= 2, "model {model}, version {named}");
         }
     }
 }
 
 #[test]
-fn no_more_loads_than_allowed_run_at_once() {
+fn concurrent_loads_are_limited() {
     let mut engines = loaders(9, &[("guide", 1)]);
     assert_eq!(plan(&engines, &[goal("guide", 9, 1)], 2).len(), 2);
     engines[0].busy = true;
@@ -254,102 +253,113 @@
     assert_ne!(loads[0].endpoint, "e0");
 }
 
-// Up to some number that nobody tells, loads don't slow each other down; beyond
-// it they do in proportion. The pace finds the number from how long they took.
+// Loads slow each other down from some unknown number of concurrent ones on, which is
+// learned from their durations.
 #[test]
-fn number_of_loads_at_once_is_learned() {
-    for knee in [2_u32, 5, 8] {
+fn number_of_concurrent_loads_is_learned() {
+    for threshold in [2_u32, 5, 8] {
         let mut pace = Pace::new();
         for _ in 0..60 {
-            let n = pace.at_once(9);
-            let slower = (n as f64 / f64::from(knee)).max(1.0);
-            pace.loaded(n, Duration::from_secs_f64(0.9 * slower));
+            let loads = pace.at_once(9);
+            let factor = (loads as f64 / f64::from(threshold)).max(1.0);
+            pace.loaded(loads, Duration::from_secs_f64(0.9 * factor));
         }
         assert!(
-            u32::try_from(pace.at_once(9)).unwrap().abs_diff(knee) <= 1,
-            "{knee}: {}",
+            u32::try_from(pace.at_once(9)).unwrap().abs_diff(threshold) <= 1,
+            "{threshold}: {}",
             pace.at_once(9)
         );
     }
 }
 
-fn sample(micros: u32, at: u64) -> Sample {
-    Sample { micros, at }
+fn sample(event_micros: u32, measured_at: u64) -> Sample {
+    Sample {
+        event_micros,
+        measured_at,
+    }
 }
 
-// Another owner measured the engines ten seconds before. What it says of one that
-// was measured here since is older, and must not undo it.
+// Guards against an older measurement of another owner that replaces a newer own one.
 #[test]
-fn newer_samples_of_others_are_heard_and_older_ones_are_not() {
+fn only_newer_paces_of_other_owners_are_merged() {
     let (now, store) = (
         Instant::now() + Duration::from_mins(2),
         Duration::from_mins(9),
     );
     let mut engines = engines(&[3, 3, 3]);
     let key = engines.key("e0").unwrap();
-    let then = now.checked_sub(Duration::from_secs(4)).unwrap();
-    engines.paced(then, key, 0.037);
+    let earlier = now.checked_sub(Duration::from_secs(4)).unwrap();
+    engines.paced(earlier, key, 0.037);
     let mut paces = Paces::new();
-    paces.note("e0", sample(900_000, 530_000));
-    paces.note("e1", sample(37_000, 530_000));
-    paces.note("gone", sample(37_000, 530_000));
+    paces.record("e0", sample(900_000, 530_000));
+    paces.record("e1", sample(37_000, 530_000));
+    paces.record("gone", sample(37_000, 530_000));
     assert_eq!(engines.hear(now, store, &paces), 1);
-    assert_eq!(engines.hear(now, store, &paces), 0, "known already");
-    paces.note("e0", sample(41_000, 539_000));
+    assert_eq!(engines.hear(now, store, &paces), 0, "already known");
+    paces.record("e0", sample(41_000, 539_000));
     assert_eq!(engines.hear(now, store, &paces), 1);
-    // Only what was measured here is told: hearsay would never grow old.
+    // Only own measurements are shared: received ones would never expire.
     let own = engines.paces_of(now, store, "lm");
-    let told: Vec<(&str, u64)> = own.iter().map(|(id, sample)| (id, sample.at)).collect();
-    assert_eq!(told, [("e0", 536_000)]);
+    let shared: Vec<(&str, u64)> = own
+        .iter()
+        .map(|(id, sample)| (id, sample.measured_at))
+        .collect();
+    assert_eq!(shared, [("e0", 536_000)]);
     assert!(engines.sampled_since(now).is_empty());
 }
 
 #[test]
-fn of_two_tables_of_paces_the_newer_samples_stay() {
+fn merged_paces_keep_the_newer_samples() {
     let mut ours = Paces::new();
-    ours.note("a", sample(1, 10));
-    ours.note("b", sample(2, 70_000));
+    ours.record("a", sample(1, 10));
+    ours.record("b", sample(2, 70_000));
     let mut theirs = Paces::new();
-    theirs.note("a", sample(3, 20));
-    theirs.note("b", sample(4, 69_000));
+    theirs.record("a", sample(3, 20));
+    theirs.record("b", sample(4, 69_000));
     ours.merge(&theirs);
-    let found: Vec<(&str, u32)> = ours
+    let merged: Vec<(&str, u32)> = ours
         .iter()
-        .map(|(id, sample)| (id, sample.micros))
+        .map(|(id, sample)| (id, sample.event_micros))
         .collect();
-    assert_eq!(found, [("a", 3), ("b", 2)]);
+    assert_eq!(merged, [("a", 3), ("b", 2)]);
     ours.expire(Duration::from_secs(70));
     assert_eq!(ours.iter().count(), 1);
 }
 
-// An engine was slow and nobody has used it since. It is tried again after some
-// seconds, when the fast ones are full, by more than one item.
+// Guards against an engine that counts as slow forever because nobody uses it.
 #[test]
-fn an_engine_that_was_slow_long_ago_is_tried_again() {
+fn engine_that_was_slow_long_ago_is_tried_again() {
     let now = Instant::now();
     let mut engines = engines(&[3, 3, 3]);
     for (n, pace) in [0.037, 0.037, 0.4].into_iter().enumerate() {
         let key = engines.key(&format!("e{n}")).unwrap();
         engines.paced(now, key, pace);
     }
-    let count = |engines: &mut Engines, now| {
-        let mut count = 0;
-        while let Some(key) = engines.choose(now, &WANT) {
+    let start_all = |engines: &mut Engines, now| {
+        let mut started = 0;
+        while let Some(key) = engines.choose(now, &REQUIREMENTS) {
             engines.start(key);
-            count += 1;
+            started += 1;
         }
-        count
+        started
     };
-    assert_eq!(count(&mut engines, now), 5, "the slow one gets one item");
+    assert_eq!(
+        start_all(&mut engines, now),
+        5,
+        "the slow engine gets one item"
+    );
     let later = now + Duration::from_secs(7);
-    assert_eq!(count(&mut engines, later), 1, "and its second slot later");
+    assert_eq!(
+        start_all(&mut engines, later),
+        1,
+        "its second slot is used later"
+    );
 }
 
-// An outage has left all engines stale for two models, the first of which is more
-// urgent and has twice the engines. Both get engines in turns, by their shares: the
-// step of the other one would otherwise stand still until the first has all of its.
+// After an outage, a less urgent model must not wait until the more urgent one has all of
+// its engines back.
 #[test]
-fn stale_models_are_loaded_in_turns() {
+fn stale_models_are_loaded_in_turn() {
     let engines = loaders(12, &[("a", 1), ("b", 1)]);
     let urgent = Goal {
         work: 2.0,
@@ -364,59 +374,61 @@
     assert_eq!(models, ["a", "b", "a", "a", "b", "a"]);
 }
 
-// A new holder of the duty knows how fast loads are from the one before, and begins
-// with as many at once as that one had learned.
+// A new holder of the duty begins with the number of concurrent loads that the former
+// one learned.
 #[test]
-fn what_was_learned_of_loads_is_handed_on() {
+fn learned_concurrency_survives_encoding() {
     let mut pace = Pace::new();
     assert_eq!(pace.at_once(9), 2);
-    assert_eq!(pace.at_once(40), 5, "more engines, more at once");
+    assert_eq!(pace.at_once(40), 5, "more engines allow more loads");
     for n in 2..7_u32 {
-        let slower = f64::from(n.max(4)) / 4.0;
-        pace.loaded(n as usize, Duration::from_secs_f64(0.9 * slower));
+        let factor = f64::from(n.max(4)) / 4.0;
+        pace.loaded(n as usize, Duration::from_secs_f64(0.9 * factor));
     }
     assert_eq!(pace.at_once(9), 4);
-    assert_eq!(pace.at_once(40), 4, "the first guess was too high");
-    let kept = serde_json::to_vec(&pace).unwrap();
-    let heard: Pace = serde_json::from_slice(&kept).unwrap();
-    assert_eq!(heard, pace);
+    assert_eq!(pace.at_once(40), 4, "the initial number was too high");
+    let encoded = serde_json::to_vec(&pace).unwrap();
+    let decoded: Pace = serde_json::from_slice(&encoded).unwrap();
+    assert_eq!(decoded, pace);
 }
 
-// An engine was slow and full of this owner's items, and starts again under its id.
-// Nothing of that is believed of its new life, and what other owners measured of the
-// former one isn't either.
+// Guards against load and paces of an engine's former incarnation that are attributed to
+// its new one.
 #[test]
-fn engine_that_starts_again_is_unknown() {
+fn restarted_engine_has_no_history() {
     let now = Instant::now();
     let store = Duration::from_secs(100);
-    let fresh = || {
+    let weights = || {
         vec![Weights {
             model: "guide".to_owned(),
             version: 3,
         }]
     };
     let mut engines = Engines::new();
-    engines.set(&engine("e0", Some(1), fresh()));
+    engines.set(&engine("e0", Some(1), weights()));
     let key = engines.key("e0").unwrap();
     engines.start(key);
     engines.start(key);
     engines.paced(now, key, 0.2);
     let former = engines.paces_of(now, store, "lm");
-    assert_eq!(engines.choose(now, &WANT), None, "it is full");
+    assert_eq!(
+        engines.choose(now, &REQUIREMENTS),
+        None,
+        "the engine is full"
+    );
     engines.remove("e0");
-    engines.set(&engine("e0", Some(2), fresh()));
+    engines.set(&engine("e0", Some(2), weights()));
     assert_eq!(engines.hear(now, store, &former), 0);
     assert_eq!(engines.usual("lm"), None);
-    assert!(engines.choose(now, &WANT).is_some());
+    assert!(engines.choose(now, &REQUIREMENTS).is_some());
     engines.end(key);
     assert_eq!(engines.mine("e0"), 0);
 }
 
-// Two of an engine service's nine are several times slower for some seconds, both
-// of them a model's. They are loaded with nothing, and the model gets others: on one
-// engine its step would take three times as long.
+// Guards against a model whose engines are mostly slow: they load nothing, and the model
+// gets others.
 #[test]
-fn slow_engines_count_for_nothing_in_the_plan() {
+fn slow_engines_are_excluded_from_the_plan() {
     let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
     let goals = |named| {
         [
@@ -425,19 +437,19 @@
             goal("c", named, 1),
         ]
     };
-    settle(&mut engines, &goals(3));
-    let fresh = |engines: &[Loader], named: u64| {
-        let holds = |e: &&Loader| !e.slow && e.weights["a"] + 1 >= named;
-        engines.iter().filter(holds).count()
+    run_loads(&mut engines, &goals(3));
+    let usable = |engines: &[Loader], named: u64| {
+        let is_usable = |e: &&Loader| !e.slow && e.weights["a"] + 1 >= named;
+        engines.iter().filter(is_usable).count()
     };
-    let mine: Vec<usize> = (0..9).filter(|n| engines[*n].weights["a"] > 1).collect();
-    for n in &mine[..2.min(mine.len())] {
+    let assigned: Vec<usize> = (0..9).filter(|n| engines[*n].weights["a"] > 1).collect();
+    for n in &assigned[..2.min(assigned.len())] {
         engines[*n].slow = true;
     }
     let before: Vec<_> = engines.iter().map(|e| e.weights.clone()).collect();
-    settle(&mut engines, &goals(4));
-    settle(&mut engines, &goals(5));
-    assert!(fresh(&engines, 5) >= 2, "{engines:?}");
+    run_loads(&mut engines, &goals(4));
+    run_loads(&mut engines, &goals(5));
+    assert!(usable(&engines, 5) >= 2, "{engines:?}");
     for (engine, before) in engines.iter().zip(before) {
         assert!(!engine.slow || engine.weights == before, "{engine:?}");
     }
