--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -1,21 +1,18 @@
-//! One batch: which item starts next, and what is listed in which order.
+//! The state of one batch: the start order of its items and the listing of results.
 //!
-//! Load: a step of a hundred items before seventy slots, of which the trainer
-//! waits for nine groups in ten. Harm: started in any order, every group waits
-//! for its last item, and the trainer for nearly all groups. So the items start
-//! first that were carried over from an earlier step, which the trainer waits for
-//! in any case, and then those that are expected to take longest, since a step
-//! lasts at least as long as the last of them.
+//! A step has more items than engines have slots, so the start order decides how long it
+//! takes. Items of carried-over groups start first, because the trainer waits for them in
+//! any case, then those that are expected to take longest.
 //!
-//! Results are listed in the order in which they were written to the store.
-//! Positions are handed out only here and only after the write before is known
-//! to be done, so a position never holds two results.
+//! Results are listed in the order in which they were written to the store. Positions
+//! are assigned only here, and only after the previous write is known to be done, so a
+//! position never holds two results.
 
 use crate::rollout::{
     Item, ItemResult, Outcome, Submission,
     order::{groups, start_order},
     text::{Piece, Text},
-    waits::{Lack, Waited, Waits},
+    waits::{Lack, WaitTracker, Waited},
 };
 use std::{
     cmp::Reverse,
@@ -23,38 +20,36 @@
     time::{Duration, Instant},
 };
 
-/// First pause before an item that broke off starts again: an engine that
-/// refused it needs a moment, and another may have room at once.
-const PAUSE_FIRST: Duration = Duration::from_millis(20);
-/// Longest pause: an item has seconds, and engines come back within them.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
+/// First delay before an interrupted item starts again.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest delay before an interrupted item starts again. A step has only seconds.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How a generation broke off.
+/// How a run of an item was interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Break {
-    /// The engine said that it did not run.
+    /// The engine reported that the item did not run.
     NotRun,
     /// The connection or the stream failed.
     Lost,
-    /// It was cut here, because another engine is faster.
+    /// The owner cancelled the run because another engine is faster.
     Moved,
-    /// The engine failed the run by itself; so many may be tried.
+    /// The engine failed the run; the number of such failures is limited.
     Failed,
-    /// The engine said that it can never be done.
+    /// The engine reported that the item can never run.
     Never,
 }
 
-/// Items count as stragglers when at most one in so many is left: the trainer
-/// goes on without one group in ten as a rule, and a group has several items of
-/// which one or two are long.
-const FEW: usize = 4;
+/// Items count as stragglers when at most one in this many is left. A trainer usually
+/// goes on without one group in ten, of which only one or two items are long.
+const STRAGGLER_DIVISOR: usize = 4;
 
 #[derive(Debug)]
 enum Phase {
     Waiting {
         after: Instant,
     },
-    /// It must not run before then.
+    /// The item must not run before then.
     Held {
         until: Instant,
     },
@@ -65,89 +60,94 @@
 }
 
 #[derive(Debug)]
-struct Row {
+struct ItemState {
     phase: Phase,
     text: Text,
-    /// How often the text began anew.
+    /// Number of times the text was restarted.
     round: u32,
-    /// Runs that the engine failed by itself.
+    /// Number of runs that the engine failed.
     failures: u32,
-    /// Scorer calls that failed by themselves.
-    rejected: u32,
-    /// Breaks in a row, for the pause.
-    breaks: u32,
-    /// Its trainer may go on without its group, and ask for it again.
-    spare: bool,
-    /// Since when it waits, and what the batch had waited for by then.
-    mark: (Instant, Waited),
+    /// Number of failed scorer calls.
+    scorer_failures: u32,
+    /// Number of interruptions in a row, for the retry delay.
+    interruptions: u32,
+    /// Whether the trainer may go on without its group and ask for it again.
+    is_optional: bool,
+    /// When the present wait began, and the wait times of the batch at that instant.
+    wait_start: (Instant, Waited),
 }
 
-/// One batch in the hands of its owner.
+/// The state of one batch at its owner.
 #[derive(Debug)]
 pub struct Batch {
-    rows: Vec<Row>,
+    items: Vec<ItemState>,
+    /// Positions in `items` by item ID.
     index: HashMap<String, usize>,
     /// Items in the order in which they start.
-    order: Vec<usize>,
-    waits: Waits,
+    start_order: Vec<usize>,
+    waits: WaitTracker,
     listed: usize,
-    attempts: u32,
-    floor: u64,
-    single: bool,
+    max_attempts: u32,
+    min_version: u64,
+    single_version: bool,
 }
 
 impl Batch {
     /// Creates the state of a batch of which nothing has run.
     ///
-    /// `attempts` is how often an item or its scorer may fail; with `single`
-    /// all of a text has to come from one weight version; so many groups at the
-    /// beginning are carried over from an earlier step.
+    /// `max_attempts` limits the failures of an item or its scorer. With `single_version`,
+    /// one weight version must generate all of a text. The first `carried_groups` groups
+    /// are carried over from an earlier step.
     #[must_use]
     pub fn new(
         now: Instant,
         submission: &Submission,
-        attempts: u32,
-        single: bool,
-        carried: usize,
+        max_attempts: u32,
+        single_version: bool,
+        carried_groups: usize,
     ) -> Self {
         let items = &submission.items;
         let groups = groups(submission);
         let target = submission.target.unwrap_or(groups.len());
-        let row = |item: &Item| Row {
+        let new_item = |item: &Item| ItemState {
             phase: Phase::Waiting { after: now },
             text: Text::default(),
             round: 0,
             failures: 0,
-            rejected: 0,
-            breaks: 0,
-            mark: (now, Waited::default()),
-            spare: target < groups.len() && groups[item.group.as_str()].place >= carried,
+            scorer_failures: 0,
+            interruptions: 0,
+            wait_start: (now, Waited::default()),
+            is_optional: target < groups.len()
+                && groups[item.group.as_str()].position >= carried_groups,
         };
-        let index = items.iter().enumerate().map(|(n, i)| (i.id.clone(), n));
+        let index = items
+            .iter()
+            .enumerate()
+            .map(|(idx, item)| (item.id.clone(), idx));
         Self {
-            rows: items.iter().map(row).collect(),
+            items: items.iter().map(new_item).collect(),
             index: index.collect(),
-            order: start_order(submission, &groups, carried),
-            waits: Waits::default(),
+            start_order: start_order(submission, &groups, carried_groups),
+            waits: WaitTracker::default(),
             listed: 0,
-            attempts: attempts.max(1),
-            floor: submission.floor,
-            single,
+            max_attempts: max_attempts.max(1),
+            min_version: submission.floor,
+            single_version,
         }
     }
 
-    /// Notes a result that was listed by an earlier owner.
-    pub fn restore(&mut self, item: &str) {
+    /// Records a result that an earlier owner has listed.
+    pub fn restore(&mut self, id: &str) {
         self.listed += 1;
-        if let Some(n) = self.index.get(item) {
-            self.rows[*n].phase = Phase::Listed;
+        if let Some(idx) = self.index.get(id) {
+            self.items[*idx].phase = Phase::Listed;
         }
     }
 
-    /// Says whether an item's result is listed.
+    /// Returns whether an item's result is listed.
     #[must_use]
-    pub fn is_listed(&self, n: usize) -> bool {
-        matches!(self.rows[n].phase, Phase::Listed)
+    pub fn is_listed(&self, idx: usize) -> bool {
+        matches!(self.items[idx].phase, Phase::Listed)
     }
 
     /// Returns how many results are listed.
@@ -156,289 +156,302 @@
         self.listed
     }
 
-    /// Says whether every item is listed.
+    /// Returns whether the results of all items are listed.
     #[must_use]
     pub const fn complete(&self) -> bool {
-        self.listed >= self.rows.len()
+        self.listed >= self.items.len()
     }
 
-    /// Returns the item that starts next, if one may start now: first those whose texts
-    /// have begun, the longest before the others.
+    /// Returns the item that starts next, if one may start now.
     ///
-    /// A text that was moved or lost its engine has had its place already. Behind the
-    /// items that have not begun it would wait for as long as these fill all engines,
-    /// 0.7 s where two steps came at once, and the step ends that much later.
+    /// Items that already have text go first, the longest texts before the others. Behind
+    /// the items that have not begun, an interrupted item would wait for as long as these
+    /// fill all engines, and end the step late.
     #[must_use]
     pub fn next_start(&self, now: Instant) -> Option<usize> {
-        let due = |n: &usize| match self.rows[*n].phase {
+        let is_due = |idx: &usize| match self.items[*idx].phase {
             Phase::Waiting { after } => after <= now,
             Phase::Held { until } => until <= now,
             _ => false,
         };
-        let begun = |n: &usize| self.rows[*n].text.last().is_some();
-        let waiting = self.order.iter().copied().filter(due);
+        let has_text = |idx: &usize| self.items[*idx].text.last().is_some();
+        let waiting = self.start_order.iter().copied().filter(is_due);
         waiting
             .clone()
-            .filter(begun)
-            .max_by_key(|n| self.rows[*n].text.last())
+            .filter(has_text)
+            .max_by_key(|idx| self.items[*idx].text.last())
             .or_else(|| waiting.into_iter().next())
     }
 
-    /// Says when an item that pauses may start, if one does.
+    /// Returns when the next retry delay ends, if an item has one.
     #[must_use]
     pub fn next_due(&self, now: Instant) -> Option<Instant> {
-        let pauses = self.rows.iter().filter_map(|row| match row.phase {
+        let ends = self.items.iter().filter_map(|item| match item.phase {
             Phase::Waiting { after } if after > now => Some(after),
             _ => None,
         });
-        pauses.min()
+        ends.min()
     }
 
-    /// Has an item that waits not start before an instant.
-    pub fn hold(&mut self, n: usize, until: Instant) {
-        let row = &mut self.rows[n];
-        if matches!(row.phase, Phase::Waiting { .. } | Phase::Held { .. }) {
-            row.phase = Phase::Held { until };
+    /// Keeps a waiting item from starting before an instant.
+    pub fn hold(&mut self, idx: usize, until: Instant) {
+        let item = &mut self.items[idx];
+        if matches!(item.phase, Phase::Waiting { .. } | Phase::Held { .. }) {
+            item.phase = Phase::Held { until };
         }
     }
 
-    /// Says whether an item is held.
+    /// Returns whether any item is held.
     #[must_use]
     pub fn holds_any(&self) -> bool {
-        let held = |row: &Row| matches!(row.phase, Phase::Held { .. });
-        self.rows.iter().any(held)
+        let is_held = |item: &ItemState| matches!(item.phase, Phase::Held { .. });
+        self.items.iter().any(is_held)
     }
 
     /// Returns how many items wait for an engine.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        let waits = |row: &&Row| matches!(row.phase, Phase::Waiting { .. });
-        self.rows.iter().filter(waits).count()
+        let is_waiting = |item: &&ItemState| matches!(item.phase, Phase::Waiting { .. });
+        self.items.iter().filter(is_waiting).count()
     }
 
-    /// Takes in a part of a text that an earlier owner kept; parts come in the
-    /// order in which they were kept.
-    pub fn resume(&mut self, item: &str, piece: Piece) {
-        let Some(n) = self.index.get(item).copied() else {
+    /// Appends a piece of a text that an earlier owner saved; pieces come in the order in
+    /// which they were saved.
+    pub fn resume(&mut self, id: &str, piece: Piece) {
+        let Some(idx) = self.index.get(id).copied() else {
             return;
         };
-        let row = &mut self.rows[n];
-        if piece.round > row.round {
-            row.round = piece.round;
-            row.text = Text::default();
+        let item = &mut self.items[idx];
+        if piece.round > item.round {
+            item.round = piece.round;
+            item.text = Text::default();
         }
-        if piece.round < row.round || !row.text.add(piece) {
+        if piece.round < item.round || !item.text.append(piece) {
             return;
         }
-        if !self.fits(n) {
-            self.restart(n);
+        if !self.has_usable_text(idx) {
+            self.restart(idx);
         }
     }
 
-    /// Begins an item with a text of an earlier batch, if its versions do and it is
-    /// the longest there is; returns whether it was taken.
-    pub fn carry(&mut self, item: &str, mut text: Text) -> bool {
-        let Some(n) = self.index.get(item).copied() else {
+    /// Starts an item with its text from an earlier batch, if the weight versions are
+    /// allowed and the text is longer than the present one; returns whether it was used.
+    pub fn carry(&mut self, id: &str, mut text: Text) -> bool {
+        let Some(idx) = self.index.get(id).copied() else {
             return false;
         };
-        let row = &mut self.rows[n];
-        let waits = matches!(row.phase, Phase::Waiting { .. });
-        let longer = text.last() > row.text.last();
-        if !waits || !longer || !text.fits(self.floor, self.single) {
+        let item = &mut self.items[idx];
+        let is_waiting = matches!(item.phase, Phase::Waiting { .. });
+        let is_longer = text.last() > item.text.last();
+        if !is_waiting || !is_longer || !text.is_usable(self.min_version, self.single_version) {
             return false;
         }
-        text.unkeep();
-        row.text = text;
+        text.clear_saved();
+        item.text = text;
         true
     }
 
-    /// Returns the items that are still under way when nearly all others are done,
-    /// that the trainer may go on without, and whose texts a batch with this floor
-    /// could not use; the longest first.
+    /// Returns the items that are still unfinished when nearly all others are done, whose
+    /// groups are optional, and whose texts are too old for a batch with this minimum
+    /// version; those with the longest text first.
     #[must_use]
-    pub fn stragglers(&self, floor: u64) -> Vec<usize> {
-        let open = |row: &Row| matches!(row.phase, Phase::Running | Phase::Waiting { .. });
-        let count = self.rows.iter().filter(|row| open(row)).count();
-        if self.waiting() > 0 || count * FEW > self.rows.len() {
+    pub fn stragglers(&self, min_version: u64) -> Vec<usize> {
+        let is_unfinished =
+            |item: &ItemState| matches!(item.phase, Phase::Running | Phase::Waiting { .. });
+        let count = self.items.iter().filter(|item| is_unfinished(item)).count();
+        if self.waiting() > 0 || count * STRAGGLER_DIVISOR > self.items.len() {
             return Vec::new();
         }
-        let rows = self.rows.iter().enumerate().filter(|(_, row)| open(row));
-        let mut found: Vec<usize> = rows
-            .filter(|(_, row)| row.spare && !row.text.fits(floor, self.single))
-            .map(|(n, _)| n)
+        let items = self
+            .items
+            .iter()
+            .enumerate()
+            .filter(|(_, item)| is_unfinished(item));
+        let mut found: Vec<usize> = items
+            .filter(|(_, item)| {
+                item.is_optional && !item.text.is_usable(min_version, self.single_version)
+            })
+            .map(|(idx, _)| idx)
             .collect();
-        found.sort_by_key(|n| Reverse(self.rows[*n].text.last()));
+        found.sort_by_key(|idx| Reverse(self.items[*idx].text.last()));
         found
     }
 
-    /// Notes what the next item lacks now, if it lacks something.
+    /// Records what the next item waits for from now on, if it waits.
     pub fn lacks(&mut self, now: Instant, lack: Option<Lack>) {
-        self.waits.note(now, lack);
+        self.waits.record(now, lack);
     }
 
-    /// Returns for how long an item has waited since it was last known to wait,
-    /// and of that for what.
+    /// Returns how long an item has waited since this owner got the batch or the item was
+    /// interrupted, and the known reasons with their shares of that time.
     #[must_use]
-    pub fn waited(&self, now: Instant, n: usize) -> (Duration, Waited) {
-        let (since, before) = self.rows[n].mark;
-        let all = now.saturating_duration_since(since);
-        (all, self.waits.sum(now).since(before))
+    pub fn waited(&self, now: Instant, idx: usize) -> (Duration, Waited) {
+        let (since, before) = self.items[idx].wait_start;
+        let elapsed = now.saturating_duration_since(since);
+        (elapsed, self.waits.total(now).since(before))
     }
 
-    /// Notes that an item was sent to an engine, and returns the last event of
-    /// its text.
-    pub fn start(&mut self, n: usize) -> Option<u64> {
-        let row = &mut self.rows[n];
-        row.phase = Phase::Running;
-        row.text.last()
+    /// Records that an item was sent to an engine, and returns the last event of its text.
+    pub fn start(&mut self, idx: usize) -> Option<u64> {
+        let item = &mut self.items[idx];
+        item.phase = Phase::Running;
+        item.text.last()
     }
 
-    /// Adds an event that a version made; `false` if it doesn't follow the last.
-    pub fn extend(&mut self, n: usize, number: u64, data: &str, version: Option<u64>) -> bool {
-        self.rows[n].text.extend(number, data, version)
+    /// Appends an event that `version` generated to an item's text; returns `false` if it
+    /// doesn't follow the last one.
+    pub fn extend(&mut self, idx: usize, number: u64, data: &str, version: Option<u64>) -> bool {
+        self.items[idx].text.extend(number, data, version)
     }
 
     /// Returns the last event of an item's text.
     #[must_use]
-    pub fn last(&self, n: usize) -> Option<u64> {
-        self.rows[n].text.last()
+    pub fn last(&self, idx: usize) -> Option<u64> {
+        self.items[idx].text.last()
     }
 
-    /// Returns what of running items' texts isn't kept yet, the longest first,
-    /// at most `most` parts.
+    /// Returns at most `limit` pieces of unfinished texts that are not saved yet, those of
+    /// the longest texts first.
     #[must_use]
-    pub fn unkept(&self, most: usize) -> Vec<(usize, Piece)> {
-        let open = |row: &Row| {
-            let phase = &row.phase;
+    pub fn unkept(&self, limit: usize) -> Vec<(usize, Piece)> {
+        let is_unfinished = |item: &ItemState| {
+            let phase = &item.phase;
             !matches!(phase, Phase::Ready(_) | Phase::Listed)
         };
-        let rows = self.rows.iter().enumerate().filter(|(_, row)| open(row));
-        let mut found: Vec<(usize, Piece)> = rows
-            .filter_map(|(n, row)| Some((n, row.text.unkept(row.round)?)))
+        let items = self
+            .items
+            .iter()
+            .enumerate()
+            .filter(|(_, item)| is_unfinished(item));
+        let mut found: Vec<(usize, Piece)> = items
+            .filter_map(|(idx, item)| Some((idx, item.text.unkept(item.round)?)))
             .collect();
-        found.sort_by_key(|(n, _)| Reverse(self.rows[*n].text.last()));
-        found.truncate(most);
+        found.sort_by_key(|(idx, _)| Reverse(self.items[*idx].text.last()));
+        found.truncate(limit);
         found
     }
 
-    /// Notes that a part of a text is kept.
-    pub fn keep(&mut self, n: usize, piece: &Piece) {
-        let row = &mut self.rows[n];
-        if row.round == piece.round {
-            row.text.keep(piece);
+    /// Records that a piece of a text is saved.
+    pub fn keep(&mut self, idx: usize, piece: &Piece) {
+        let item = &mut self.items[idx];
+        if item.round == piece.round {
+            item.text.keep(piece);
         }
     }
 
-    /// Drops what there is of an item's text, because no engine can go on.
-    pub fn restart(&mut self, n: usize) {
-        let row = &mut self.rows[n];
-        row.text = Text::default();
-        row.round += 1;
+    /// Discards an item's text, because no engine can continue it.
+    pub fn restart(&mut self, idx: usize) {
+        let item = &mut self.items[idx];
+        item.text = Text::default();
+        item.round += 1;
     }
 
-    /// Returns the version that has to go on with an item, if only one may.
+    /// Returns the only weight version that may continue an item's text, if one
+    /// version must generate all of it.
     #[must_use]
-    pub fn pinned(&self, n: usize) -> Option<u64> {
-        let last = self.rows[n].text.versions().last().copied();
-        last.filter(|_| self.single)
+    pub fn pinned(&self, idx: usize) -> Option<u64> {
+        let last = self.items[idx].text.versions().last().copied();
+        last.filter(|_| self.single_version)
     }
 
-    /// Notes that a run broke off; `before` is the last event that it began with.
-    pub fn broke(&mut self, now: Instant, n: usize, before: Option<u64>, cause: Break) {
-        if !self.fits(n) {
-            self.restart(n);
+    /// Records that a run was interrupted; `before` is the last event before the run.
+    pub fn broke(&mut self, now: Instant, idx: usize, before: Option<u64>, cause: Break) {
+        if !self.has_usable_text(idx) {
+            self.restart(idx);
         }
-        let mark = (now, self.waits.sum(now));
-        let row = &mut self.rows[n];
-        row.mark = mark;
-        let grown = row.text.last() > before;
-        row.breaks = if grown { 1 } else { row.breaks + 1 };
+        let wait_start = (now, self.waits.total(now));
+        let item = &mut self.items[idx];
+        item.wait_start = wait_start;
+        let has_grown = item.text.last() > before;
+        item.interruptions = if has_grown { 1 } else { item.interruptions + 1 };
         match cause {
             Break::Never => {
-                row.phase = Phase::Ready(Outcome::Errored);
+                item.phase = Phase::Ready(Outcome::Errored);
                 return;
             }
-            Break::Failed => row.failures += 1,
+            Break::Failed => item.failures += 1,
             Break::Moved => {
-                row.phase = Phase::Waiting { after: now };
+                item.phase = Phase::Waiting { after: now };
                 return;
             }
             Break::NotRun | Break::Lost => {}
         }
-        if row.failures >= self.attempts {
-            row.phase = Phase::Ready(Outcome::Errored);
+        if item.failures >= self.max_attempts {
+            item.phase = Phase::Ready(Outcome::Errored);
             return;
         }
-        let factor = 1 << row.breaks.saturating_sub(1).min(6);
-        let pause = (PAUSE_FIRST * factor).min(PAUSE_MOST);
-        row.phase = Phase::Waiting { after: now + pause };
+        let factor = 1 << item.interruptions.saturating_sub(1).min(6);
+        let delay = (MIN_RETRY_DELAY * factor).min(MAX_RETRY_DELAY);
+        item.phase = Phase::Waiting { after: now + delay };
     }
 
-    /// Notes that an item's text is whole; `false` if it has to run again
-    /// because its versions don't do.
-    pub fn generated(&mut self, now: Instant, n: usize) -> bool {
-        if !self.fits(n) {
-            self.broke(now, n, None, Break::Lost);
+    /// Records that an item's text is complete; returns `false` if the item has to run
+    /// again because the weight versions of its text are not allowed.
+    pub fn generated(&mut self, now: Instant, idx: usize) -> bool {
+        if !self.has_usable_text(idx) {
+            self.broke(now, idx, None, Break::Lost);
             return false;
         }
-        self.rows[n].phase = Phase::Scoring;
+        self.items[idx].phase = Phase::Scoring;
         true
     }
 
-    /// Notes the scorer's signature, or that none is needed.
-    pub fn scored(&mut self, n: usize, score: Option<String>) {
-        let row = &mut self.rows[n];
-        let (text, versions) = std::mem::take(&mut row.text).into_parts();
-        row.phase = Phase::Ready(Outcome::Completed {
+    /// Records the scorer's signature, or that the item needs none.
+    pub fn scored(&mut self, idx: usize, score: Option<String>) {
+        let item = &mut self.items[idx];
+        let (text, versions) = std::mem::take(&mut item.text).into_parts();
+        item.phase = Phase::Ready(Outcome::Completed {
             text,
             versions,
             score,
         });
     }
 
-    /// Notes that a scorer call failed by itself; `true` if it was the last.
-    pub fn rejected(&mut self, n: usize, attempts: u32) -> bool {
-        let row = &mut self.rows[n];
-        row.rejected += 1;
-        let over = row.rejected >= attempts.max(self.attempts);
-        if over {
-            row.phase = Phase::Ready(Outcome::Errored);
+    /// Records that a scorer call failed; returns `true` if it was the last attempt.
+    pub fn rejected(&mut self, idx: usize, max_attempts: u32) -> bool {
+        let item = &mut self.items[idx];
+        item.scorer_failures += 1;
+        let is_final = item.scorer_failures >= max_attempts.max(self.max_attempts);
+        if is_final {
+            item.phase = Phase::Ready(Outcome::Errored);
         }
-        over
+        is_final
     }
 
-    /// Gives up what is not done: its time is over.
+    /// Ends all unfinished items as errored.
     pub fn give_up(&mut self) {
-        for row in &mut self.rows {
-            if !matches!(row.phase, Phase::Ready(_) | Phase::Listed) {
-                row.phase = Phase::Ready(Outcome::Errored);
+        for item in &mut self.items {
+            if !matches!(item.phase, Phase::Ready(_) | Phase::Listed) {
+                item.phase = Phase::Ready(Outcome::Errored);
             }
         }
     }
 
-    /// Returns results that can be listed next, at most `most` of them.
+    /// Returns at most `limit` results that can be listed next.
     #[must_use]
-    pub fn ready(&self, submission: &Submission, most: usize) -> Vec<(usize, ItemResult)> {
-        let ready = self.rows.iter().enumerate().filter_map(|(n, row)| {
-            let Phase::Ready(outcome) = &row.phase else {
+    pub fn ready(&self, submission: &Submission, limit: usize) -> Vec<(usize, ItemResult)> {
+        let ready = self.items.iter().enumerate().filter_map(|(idx, state)| {
+            let Phase::Ready(outcome) = &state.phase else {
                 return None;
             };
-            let item = submission.items[n].id.clone();
+            let item = submission.items[idx].id.clone();
             let outcome = outcome.clone();
-            Some((n, ItemResult { item, outcome }))
+            Some((idx, ItemResult { item, outcome }))
         });
-        ready.take(most).collect()
+        ready.take(limit).collect()
     }
 
-    /// Notes that results were listed, in this order.
+    /// Records that the results of these items are listed.
     pub fn list(&mut self, items: impl IntoIterator<Item = usize>) {
-        for n in items {
-            self.rows[n].phase = Phase::Listed;
+        for idx in items {
+            self.items[idx].phase = Phase::Listed;
             self.listed += 1;
         }
     }
 
-    fn fits(&self, n: usize) -> bool {
-        self.rows[n].text.fits(self.floor, self.single)
+    fn has_usable_text(&self, idx: usize) -> bool {
+        self.items[idx]
+            .text
+            .is_usable(self.min_version, self.single_version)
     }
 }
--- a/src/rollout/text.rs
+++ b/src/rollout/text.rs
@@ -1,55 +1,58 @@
-//! The text of an item as it grows, and the parts of it that a store keeps.
+//! The growing text of an item, and the pieces of it that the store keeps.
 //!
-//! A text is the data of events in order. Several runs may make it, each of which
-//! goes on behind the last event of the one before. Parts are kept as they grow;
-//! put together in their order they give the text back, and a part that doesn't
-//! follow the one before is left out, since it belongs to another run.
+//! A text is the data of consecutive events. It may come from several runs, each of
+//! which continues after the last event of the one before. Pieces are saved as the text
+//! grows and give it back when they are joined in order. A piece that doesn't follow the
+//! one before belongs to another run and is skipped.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What of an item's text is there.
+/// The text of an item as far as it has been generated.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Text {
     /// The number of the last event in `data`; `None` before the first.
     last: Option<u64>,
     /// The data of all events so far, joined by line feeds.
     data: String,
-    /// The weight versions that made them.
+    /// The weight versions that generated them.
     versions: Vec<u64>,
-    /// The last event that is kept in the store, and the length of its text.
-    kept: Option<u64>,
-    kept_bytes: usize,
+    /// The last event that is saved in the store.
+    saved: Option<u64>,
+    /// The length of the saved data.
+    saved_len: usize,
 }
 
-/// A part of an item's text, as it is kept for a next owner.
+/// A part of an item's text, saved for the next owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Piece {
-    /// How often the text began anew before.
+    /// Number of times the text was restarted before.
     pub round: u32,
-    /// The last event before it; `None` at the beginning.
+    /// The last event before this piece; `None` at the beginning.
     pub after: Option<u64>,
-    /// Its last event.
+    /// The last event of this piece.
     pub last: u64,
-    /// The weight versions of the text up to here.
+    /// The weight versions of the text up to the end of this piece.
     pub versions: Vec<u64>,
     /// The data of its events, joined by line feeds.
     pub text: String,
 }
 
-/// Puts kept parts together to texts, one for each tag; they come in the order of
-/// their rows. A part that doesn't follow the one before belongs to another run.
+/// Joins saved pieces into one text for each tag.
+///
+/// The pieces come in the order of their rows. A piece that doesn't follow the one
+/// before belongs to another run and is skipped.
 #[must_use]
-pub fn assemble<'a>(parts: impl IntoIterator<Item = (&'a str, Piece)>) -> Vec<Text> {
+pub fn assemble<'a>(pieces: impl IntoIterator<Item = (&'a str, Piece)>) -> Vec<Text> {
     let mut texts: BTreeMap<&str, (u32, Text)> = BTreeMap::new();
-    for (tag, piece) in parts {
+    for (tag, piece) in pieces {
         let (round, text) = texts.entry(tag).or_default();
         if piece.round > *round {
             *round = piece.round;
             *text = Text::default();
         }
         if piece.round == *round {
-            text.add(piece);
+            text.append(piece);
         }
     }
     texts.into_values().map(|(_, text)| text).collect()
@@ -62,7 +65,7 @@
         self.last
     }
 
-    /// Returns the weight versions that made it, in the order of their events.
+    /// Returns the weight versions that generated the text, in the order of their events.
     #[must_use]
     pub fn versions(&self) -> &[u64] {
         &self.versions
@@ -74,12 +77,13 @@
         (self.data, self.versions)
     }
 
-    /// Adds an event that a version made; `false` if it doesn't follow the last.
+    /// Appends an event that `version` generated; returns `false` if it doesn't follow
+    /// the last one.
     pub fn extend(&mut self, number: u64, data: &str, version: Option<u64>) -> bool {
         if self.last.is_some_and(|last| number != last + 1) {
             return false;
         }
-        self.join(data);
+        self.append_data(data);
         self.last = Some(number);
         if let Some(version) = version
             && !self.versions.contains(&version)
@@ -89,61 +93,62 @@
         true
     }
 
-    /// Adds a part that was kept; `false` if it doesn't follow the last.
-    pub fn add(&mut self, piece: Piece) -> bool {
+    /// Appends a saved piece; returns `false` if it doesn't follow the last event.
+    pub fn append(&mut self, piece: Piece) -> bool {
         if piece.after != self.last {
             return false;
         }
-        self.join(&piece.text);
+        self.append_data(&piece.text);
         self.last = Some(piece.last);
         self.versions = piece.versions;
-        self.kept = self.last;
-        self.kept_bytes = self.data.len();
+        self.saved = self.last;
+        self.saved_len = self.data.len();
         true
     }
 
-    fn join(&mut self, data: &str) {
+    fn append_data(&mut self, data: &str) {
         if self.last.is_some() {
             self.data.push('\n');
         }
         self.data.push_str(data);
     }
 
-    /// Returns what isn't kept yet, if there is something.
+    /// Returns the part that is not saved yet, if there is one.
     #[must_use]
     pub fn unkept(&self, round: u32) -> Option<Piece> {
-        let last = self.last.filter(|last| Some(*last) != self.kept)?;
-        // The line feed behind what is kept is put back when it is read.
-        let begin = self.kept_bytes + usize::from(self.kept.is_some());
+        let last = self.last.filter(|last| Some(*last) != self.saved)?;
+        // Skips the line feed after the saved data: `append` restores it.
+        let start = self.saved_len + usize::from(self.saved.is_some());
         Some(Piece {
             round,
-            after: self.kept,
+            after: self.saved,
             last,
             versions: self.versions.clone(),
-            text: self.data[begin..].to_owned(),
+            text: self.data[start..].to_owned(),
         })
     }
 
-    /// Notes that a part is kept.
+    /// Records that a piece is saved.
     pub fn keep(&mut self, piece: &Piece) {
-        if self.kept == piece.after {
-            self.kept_bytes += usize::from(self.kept.is_some()) + piece.text.len();
-            self.kept = Some(piece.last);
+        if self.saved == piece.after {
+            self.saved_len += usize::from(self.saved.is_some()) + piece.text.len();
+            self.saved = Some(piece.last);
         }
     }
 
-    /// Notes that nothing of it is kept where it is needed from now on.
-    pub fn unkeep(&mut self) {
-        self.kept = None;
-        self.kept_bytes = 0;
+    /// Marks the whole text as not saved, because its saved pieces belong to another
+    /// batch.
+    pub fn clear_saved(&mut self) {
+        self.saved = None;
+        self.saved_len = 0;
     }
 
-    /// Says whether no version that made it is older than `floor`, and with
-    /// `single` that there is one at most.
+    /// Returns whether no part was generated by a version older than `floor` and, with
+    /// `single`, at most one version generated the text.
     #[must_use]
-    pub fn fits(&self, floor: u64, single: bool) -> bool {
-        let old = self.versions.iter().any(|version| *version < floor);
+    pub fn is_usable(&self, floor: u64, single: bool) -> bool {
+        let outdated = self.versions.iter().any(|version| *version < floor);
         let mixed = single && self.versions.len() > 1;
-        !old && !mixed
+        !outdated && !mixed
     }
 }
--- a/src/rollout/waits.rs
+++ b/src/rollout/waits.rs
@@ -1,31 +1,31 @@
-//! What the items of a batch wait for before they run.
+//! Accounts for the time that the items of a batch wait before they run.
 //!
-//! An engineer who asks why a step was late has to know whether its items waited
-//! for weights, for room, or for a pause after a refusal. Items start one by one
-//! in a fixed order, so all that wait do so for what the first of them lacks.
+//! The times tell why a step was late: its items waited for weights, for capacity, or
+//! for a retry delay. Items start one by one in a fixed order, so all items that wait
+//! do so for what the first of them needs.
 
 use std::time::{Duration, Instant};
 
-/// What no engine has that the next item needs.
+/// What the next item needs and no engine has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Lack {
-    /// Weights that are fresh enough.
+    /// Weights that are new enough.
     Weights,
-    /// Room, at engines with such weights.
+    /// Capacity at engines with such weights.
     Room,
 }
 
-/// How long items waited in all, by what they lacked.
+/// Total times that items waited, by what they needed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Waited {
-    /// For engines with fresh weights.
+    /// Time without any engine whose weights are new enough.
     pub weights: Duration,
-    /// For room at them.
+    /// Time without free capacity at such engines.
     pub room: Duration,
 }
 
 impl Waited {
-    /// Returns what was added since `before`.
+    /// Returns the times added since `before`.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -35,31 +35,33 @@
     }
 }
 
-/// The waits of one batch.
+/// Adds up the wait times of one batch.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Waits {
-    sum: Waited,
-    lack: Option<(Lack, Instant)>,
+pub struct WaitTracker {
+    /// The waits that have ended.
+    total: Waited,
+    /// The wait in progress and its start.
+    current: Option<(Lack, Instant)>,
 }
 
-impl Waits {
-    /// Notes what the next item lacks now, if it lacks something.
-    pub fn note(&mut self, now: Instant, lack: Option<Lack>) {
-        self.sum = self.sum(now);
-        self.lack = lack.map(|lack| (lack, now));
+impl WaitTracker {
+    /// Records what the next item waits for from now on, if it waits.
+    pub fn record(&mut self, now: Instant, lack: Option<Lack>) {
+        self.total = self.total(now);
+        self.current = lack.map(|lack| (lack, now));
     }
 
-    /// Returns how long items waited until now.
+    /// Returns the wait times up to now.
     #[must_use]
-    pub fn sum(&self, now: Instant) -> Waited {
-        let mut sum = self.sum;
-        if let Some((lack, since)) = self.lack {
-            let more = now.saturating_duration_since(since);
+    pub fn total(&self, now: Instant) -> Waited {
+        let mut total = self.total;
+        if let Some((lack, since)) = self.current {
+            let elapsed = now.saturating_duration_since(since);
             match lack {
-                Lack::Weights => sum.weights += more,
-                Lack::Room => sum.room += more,
+                Lack::Weights => total.weights += elapsed,
+                Lack::Room => total.room += elapsed,
             }
         }
-        sum
+        total
     }
 }
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -1,4 +1,4 @@
-//! One batch in the hands of its owner, without input or output.
+//! Tests the state of one batch at its owner.
 
 use hibiscusroad::rollout::{
     Item, Outcome, Submission,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Groups of two, with the hint of their first item.
+/// Builds groups of two items; the hints are those of the first items.
 fn submission(hints: &[u32]) -> Submission {
     let groups = hints.iter().enumerate();
     let items = groups.flat_map(|(group, hint)| [item(group, 0, *hint), item(group, 1, 1)]);
@@ -37,49 +37,48 @@
     }
 }
 
-fn starts(batch: &mut Batch, now: Instant) -> Vec<usize> {
-    let mut found = Vec::new();
-    while let Some(n) = batch.next_start(now) {
-        batch.start(n);
-        found.push(n);
+/// Starts all items and returns them in their start order.
+fn start_all(batch: &mut Batch, now: Instant) -> Vec<usize> {
+    let mut started = Vec::new();
+    while let Some(idx) = batch.next_start(now) {
+        batch.start(idx);
+        started.push(idx);
     }
-    found
+    started
 }
 
-// The trainer waits for carried groups in any case, and for the longest item of
-// the others: whichever starts late ends late.
+// A carried-over group or a long item that starts late ends the step late.
 #[test]
-fn carried_groups_start_first_and_long_ones_next() {
+fn carried_over_groups_start_first_and_long_ones_next() {
     let now = Instant::now();
     let step = submission(&[10, 20, 900, 50]);
     let mut batch = Batch::new(now, &step, 3, false, 0);
-    assert_eq!(starts(&mut batch, now), [4, 5, 6, 7, 2, 3, 0, 1]);
+    assert_eq!(start_all(&mut batch, now), [4, 5, 6, 7, 2, 3, 0, 1]);
     let mut batch = Batch::new(now, &step, 3, false, 2);
-    assert_eq!(starts(&mut batch, now), [0, 1, 2, 3, 4, 5, 6, 7]);
+    assert_eq!(start_all(&mut batch, now), [0, 1, 2, 3, 4, 5, 6, 7]);
 }
 
-// A step has more items than there are slots. A long item that waits behind the
-// short ones of another group ends late, and the trainer waits for its group; the
-// short items still start by groups, so that groups are whole one by one.
+// Guards against a long item that waits behind the short ones of another group. Short
+// items still start by groups, so that groups are completed one by one.
 #[test]
 fn long_items_start_before_short_ones_of_other_groups() {
     let now = Instant::now();
     let step = submission(&[10, 800, 900, 50]);
     let mut batch = Batch::new(now, &step, 3, false, 0);
-    assert_eq!(starts(&mut batch, now), [4, 2, 5, 3, 6, 7, 0, 1]);
+    assert_eq!(start_all(&mut batch, now), [4, 2, 5, 3, 6, 7, 0, 1]);
     let mut batch = Batch::new(now, &step, 3, false, 2);
-    assert_eq!(starts(&mut batch, now), [0, 1, 2, 3, 4, 5, 6, 7]);
+    assert_eq!(start_all(&mut batch, now), [0, 1, 2, 3, 4, 5, 6, 7]);
 }
 
 #[test]
-fn text_grows_over_runs_and_only_in_order() {
+fn text_grows_across_runs_and_only_in_order() {
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     assert_eq!(batch.start(0), None);
     assert!(batch.extend(0, 0, "a", Some(3)));
     assert!(batch.extend(0, 1, "b", Some(3)));
     assert!(!batch.extend(0, 3, "d", Some(3)), "event 2 is missing");
-    assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 came before");
+    assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 is a repeat");
     batch.broke(now, 0, None, Break::Lost);
     assert_eq!(batch.start(0), Some(1));
     assert!(batch.extend(0, 2, "c", Some(4)));
@@ -94,15 +93,15 @@
     assert_eq!(ready[0].1.outcome, expected);
 }
 
-// A text of weights that the step doesn't allow, or of two versions where one
-// is asked for, is not handed to the trainer: it is made anew.
+// Guards against texts from weights that the step doesn't allow, or from two versions
+// where one must generate all of the text.
 #[test]
-fn text_of_wrong_versions_begins_anew() {
+fn text_of_wrong_versions_is_restarted() {
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     batch.start(0);
     batch.extend(0, 0, "a", Some(2));
-    assert!(!batch.generated(now, 0), "version 2 is under the floor");
+    assert!(!batch.generated(now, 0), "version 2 is below the minimum");
     assert_eq!(batch.last(0), None);
     let mut single = Batch::new(now, &submission(&[1]), 3, true, 0);
     single.start(0);
@@ -135,30 +134,34 @@
 }
 
 #[test]
-fn broken_item_pauses_longer_each_time() {
+fn retry_delay_grows_with_each_interruption() {
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
-    let mut last = Duration::ZERO;
+    let mut last_delay = Duration::ZERO;
     batch.start(1);
     for _ in 0..4 {
         batch.start(0);
         batch.broke(now, 0, None, Break::NotRun);
-        let pause = batch.next_due(now).unwrap() - now;
-        assert!(pause > last);
-        last = pause;
+        let delay = batch.next_due(now).unwrap() - now;
+        assert!(delay > last_delay);
+        last_delay = delay;
     }
     batch.start(0);
     batch.broke(now, 0, None, Break::Moved);
-    assert_eq!(batch.next_start(now), Some(0), "a move starts at once");
+    assert_eq!(
+        batch.next_start(now),
+        Some(0),
+        "a moved item starts at once"
+    );
 }
 
-// Whatever order events come in, and wherever owners change: the pieces that
-// were kept give the next owner the beginning of the same text.
+// Guards against a new owner that restores another text than the former one saved,
+// whenever runs are interrupted and saves are lost.
 proptest! {
     #[test]
-    fn kept_pieces_give_the_text_back(
+    fn saved_pieces_restore_the_text(
         steps in prop::collection::vec((0usize..3, 1usize..5), 1..30),
-        lost in prop::collection::vec(any::<bool>(), 30),
+        lost_saves in prop::collection::vec(any::<bool>(), 30),
     ) {
         let now = Instant::now();
         let step = submission(&[1]);
@@ -166,8 +169,8 @@
         let mut store = Vec::new();
         let mut next = 0;
         batch.start(0);
-        for (turn, (what, events)) in steps.into_iter().enumerate() {
-            match what {
+        for (step_idx, (action, events)) in steps.into_iter().enumerate() {
+            match action {
                 0 | 1 => for _ in 0..events {
                     let data = format!("e{next}");
                     prop_assert!(batch.extend(0, next, &data, Some(3)));
@@ -178,37 +181,36 @@
                     batch.start(0);
                 }
             }
-            for (n, piece) in batch.unkept(9) {
-                // A write whose answer is lost is repeated later, longer.
-                if !lost[turn] {
-                    batch.keep(n, &piece);
+            for (idx, piece) in batch.unkept(9) {
+                // The next save repeats a lost one, with more events.
+                if !lost_saves[step_idx] {
+                    batch.keep(idx, &piece);
                     store.push(piece);
                 }
             }
         }
-        let mut heir = Batch::new(now, &step, 3, false, 0);
-        let kept = store.last().map(|piece| piece.last);
+        let mut successor = Batch::new(now, &step, 3, false, 0);
+        let saved = store.last().map(|piece| piece.last);
         for piece in store {
-            heir.resume("0-0", piece);
+            successor.resume("0-0", piece);
         }
-        prop_assert_eq!(heir.last(0), kept);
-        heir.start(0);
-        for number in kept.map_or(0, |last| last + 1)..next.max(1) {
+        prop_assert_eq!(successor.last(0), saved);
+        successor.start(0);
+        for number in saved.map_or(0, |last| last + 1)..next.max(1) {
             let data = format!("e{number}");
-            prop_assert!(heir.extend(0, number, &data, Some(3)));
+            prop_assert!(successor.extend(0, number, &data, Some(3)));
         }
-        prop_assert!(heir.generated(now, 0));
-        heir.scored(0, None);
-        let whole: Vec<String> = (0..next.max(1)).map(|n| format!("e{n}")).collect();
-        match &heir.ready(&step, 9)[0].1.outcome {
-            Outcome::Completed { text, .. } => prop_assert_eq!(text, &whole.join("\n")),
+        prop_assert!(successor.generated(now, 0));
+        successor.scored(0, None);
+        let expected: Vec<String> = (0..next.max(1)).map(|n| format!("e{n}")).collect();
+        match &successor.ready(&step, 9)[0].1.outcome {
+            Outcome::Completed { text, .. } => prop_assert_eq!(text, &expected.join("\n")),
             Outcome::Errored => prop_assert!(false),
         }
     }
 }
 
-// Each item is listed once and in the order of the positions, whatever is
-// ready when, and what an earlier owner listed is not listed again.
+// Guards against items that are listed twice, also after a change of owners.
 #[test]
 fn every_item_is_listed_once() {
     let now = Instant::now();
@@ -217,8 +219,8 @@
     batch.restore("1-0");
     assert_eq!(batch.listed(), 1);
     let mut listed = HashSet::new();
-    for n in starts(&mut batch, now) {
-        assert_ne!(n, 2, "it is listed already");
+    for n in start_all(&mut batch, now) {
+        assert_ne!(n, 2, "already listed");
         batch.generated(now, n);
         batch.scored(n, None);
         let ready = batch.ready(&step, 1);
@@ -240,28 +242,30 @@
     text
 }
 
-// A group comes again in a later step, whose floor is 3. Of the texts that there
-// are, the longest that the floor allows is gone on with, and kept anew: its rows
-// belong to the batch before and are swept with it.
+// Of the texts of an earlier batch, the longest with allowed versions is continued. All
+// of it is saved again, because its rows are removed with the earlier batch.
 #[test]
-fn carried_text_is_gone_on_with_if_its_versions_do() {
+fn carried_over_text_is_continued_if_its_versions_are_allowed() {
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 1);
-    assert!(!batch.carry("0-0", text(9, 2)), "older than the floor");
-    assert!(!batch.carry("1-0", text(9, 3)), "of no item here");
+    assert!(
+        !batch.carry("0-0", text(9, 2)),
+        "older than the minimum version"
+    );
+    assert!(!batch.carry("1-0", text(9, 3)), "unknown item");
     assert!(batch.carry("0-0", text(5, 3)));
     assert!(
         !batch.carry("0-0", text(4, 4)),
-        "shorter than what is there"
+        "shorter than the present text"
     );
     assert_eq!(batch.start(0), Some(5));
-    assert!(!batch.carry("0-0", text(8, 4)), "a run goes on already");
+    assert!(!batch.carry("0-0", text(8, 4)), "the item is running");
     let pieces = batch.unkept(9);
     assert_eq!((pieces[0].1.after, pieces[0].1.last), (None, 5));
 }
 
 #[test]
-fn texts_of_several_versions_are_not_carried_where_one_is_asked_for() {
+fn texts_of_several_versions_are_not_carried_over_in_single_version_batches() {
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, true, 1);
     let mut mixed = text(3, 3);
@@ -271,43 +275,43 @@
     assert_eq!(batch.pinned(0), Some(4));
 }
 
-// Drafts take engines from nobody: only when nearly all of a step is done, and only
-// of items whose texts a later step could not use anyway.
+// Drafts are only for the last items of a step, and only if a later step could not use
+// their texts.
 #[test]
-fn stragglers_are_the_few_last_items_with_texts_too_old() {
+fn stragglers_are_the_last_items_with_outdated_texts() {
     let now = Instant::now();
     let mut step = submission(&[1, 1, 1, 1]);
     step.target = Some(3);
     let mut batch = Batch::new(now, &step, 3, false, 0);
-    let order = starts(&mut batch, now);
+    let order = start_all(&mut batch, now);
     for n in &order {
         for number in 1..=(*n as u64 + 1) {
             assert!(batch.extend(*n, number, "e", Some(3)));
         }
     }
-    assert!(batch.stragglers(4).is_empty(), "all are under way");
+    assert!(batch.stragglers(4).is_empty(), "all are running");
     for n in 0..6 {
         batch.generated(now, n);
     }
-    assert_eq!(batch.stragglers(4), [7, 6], "the longest first");
-    assert!(batch.stragglers(3).is_empty(), "their texts will do");
+    assert_eq!(batch.stragglers(4), [7, 6], "longest first");
+    assert!(batch.stragglers(3).is_empty(), "their texts are usable");
     batch.broke(now, 7, None, Break::Lost);
     assert!(
         batch.stragglers(4).is_empty(),
-        "one waits for an engine itself"
+        "one of them waits for an engine"
     );
 }
 
-// A trainer that waits for all groups, or for a group that it asks for again, never
-// asks for its items a second time: a draft would be work for nothing.
+// Guards against drafts of items that no later batch will contain, because the trainer
+// waits for their groups.
 #[test]
-fn items_that_the_trainer_waits_for_are_no_stragglers() {
+fn items_that_the_trainer_waits_for_are_not_stragglers() {
     let now = Instant::now();
     for (target, carried) in [(4, 0), (3, 4)] {
         let mut step = submission(&[1, 1, 1, 1]);
         step.target = Some(target);
         let mut batch = Batch::new(now, &step, 3, false, carried);
-        for n in starts(&mut batch, now) {
+        for n in start_all(&mut batch, now) {
             assert!(batch.extend(n, 1, "e", Some(3)));
         }
         for n in 0..6 {
@@ -329,9 +333,8 @@
     }
 }
 
-// An owner drafts an item and is killed; the next owner drafts it anew, and a part of
-// its draft happens to end where one of the first owner's goes on. The trainer would
-// get a text of two runs, of which the second was never asked to go on there.
+// Guards against a text joined from the drafts of two owners, when a piece of one happens
+// to end where a piece of the other begins.
 #[test]
 fn drafts_of_two_owners_are_not_joined() {
     let first = [
@@ -349,12 +352,10 @@
     assert_eq!(texts, ["a1\na2\na3\na4\na5\na6", "b1\nb2\nb3\nb4"]);
 }
 
-// Two items run, and four wait for engines that are full. The engine of the second one
-// turns slow after 40 events and it is moved; the first one breaks off after 2. Both had
-// their places already: the one that has come furthest gets the next, and nothing that
-// has not begun goes before them, or the step would end that much later.
+// Guards against an interrupted item that waits behind items that have not begun, which
+// would end the step late.
 #[test]
-fn a_text_that_has_begun_starts_again_before_those_that_have_not() {
+fn interrupted_items_start_before_new_ones() {
     let now = Instant::now();
     let submission = submission(&[50, 10, 10, 10, 10, 10]);
     let mut batch = Batch::new(now, &submission, 3, false, 0);
