--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -1,4 +1,4 @@
-//! Whether an owner lives, seen through a store that is slow or away.
+//! Tests the detection of lost owners through a store that is slow or unreachable.
 
 use hibiscusroad::rollout::presence::{Loss, Presences, RENEWAL, SILENCE, Sign};
 use std::{
@@ -17,30 +17,35 @@
     }
 }
 
-/// Plays renewals until `stop` and looks for `total`, both over a store whose
-/// reads take `latency` and whose writes take twice as long, or four times if
-/// they queue. Returns when the owner was first taken to be gone.
-fn play(latency: Duration, stop: Duration, total: Duration, offset: Duration) -> Option<Duration> {
+/// Simulates an owner that renews its row until `stop` and a process that polls until
+/// `end`, through a store whose reads take `latency` and whose writes take two or four
+/// times as long. Returns when the owner was first taken to be gone.
+fn simulate(
+    latency: Duration,
+    stop: Duration,
+    end: Duration,
+    offset: Duration,
+) -> Option<Duration> {
     let start = Instant::now();
     let mut writes = Vec::new();
     let mut at = Duration::ZERO;
     while at < stop {
-        let queued = writes.len() % 3 == 2;
-        at += latency * if queued { 4 } else { 2 };
+        let is_queued = writes.len() % 3 == 2;
+        at += latency * if is_queued { 4 } else { 2 };
         writes.push(at);
         at += RENEWAL;
     }
-    let mut seen = Presences::new();
+    let mut presences = Presences::new();
     let mut at = offset;
-    while at < total {
-        // The store answers as of the middle of the call.
+    while at < end {
+        // The store reads its state in the middle of the call.
         let as_of = at + latency / 2;
         at += latency;
         let version = writes.iter().filter(|write| **write <= as_of).count() as u64;
         if version > 0 {
-            seen.seen(start + at, latency, vec![sign(OWNER, version)]);
+            presences.seen(start + at, latency, vec![sign(OWNER, version)]);
         }
-        if seen.lost(OWNER, start).is_some() {
+        if presences.lost(OWNER, start).is_some() {
             return Some(at);
         }
         at += RENEWAL;
@@ -48,118 +53,120 @@
     None
 }
 
-// The store takes up to eighty times as long as usual. The owner lives and
-// renews as fast as the store lets it: nobody may take its batch, or it would
-// change hands again and again and its step be lost.
+// Guards against batches that change owners for as long as the store is slow.
 #[test]
-fn slow_store_is_no_silent_owner() {
+fn owner_is_not_lost_while_the_store_is_slow() {
     for latency in [4, 50, 200, 320, 450] {
         let latency = Duration::from_millis(latency);
         for offset in (0..40).map(|n| Duration::from_millis(n * 25)) {
             let long = Duration::from_secs(30);
-            let lost = play(latency, long, long, offset);
+            let lost = simulate(latency, long, long, offset);
             assert_eq!(lost, None, "{latency:?} {offset:?}");
         }
     }
 }
 
-// The owner is killed: another knows within a second and a half, of the seven
-// and a half that a step has.
+// Guards against a killed owner that is noticed late.
 #[test]
-fn dead_owner_is_missed_soon() {
+fn dead_owner_is_detected_soon() {
     let latency = Duration::from_millis(5);
     let stop = Duration::from_secs(5);
-    let found = play(latency, stop, Duration::from_secs(10), Duration::ZERO).unwrap();
-    assert!(found > stop, "{found:?}");
-    assert!(found < stop + SILENCE + 2 * RENEWAL, "{found:?}");
+    let detected = simulate(latency, stop, Duration::from_secs(10), Duration::ZERO).unwrap();
+    assert!(detected > stop, "{detected:?}");
+    assert!(detected < stop + SILENCE + 2 * RENEWAL, "{detected:?}");
 }
 
-// Nobody reached the store for a minute, so no row has changed for as long. The
-// owners live; only time that was seen counts.
+// Guards against live owners that are taken to be dead after an outage of the store.
 #[test]
-fn outage_of_the_store_is_nobodys_silence() {
+fn outage_of_the_store_does_not_count_as_silence() {
     let start = Instant::now();
-    let mut seen = Presences::new();
-    let brief = Duration::from_millis(5);
-    seen.seen(start, brief, vec![sign(OWNER, 7)]);
-    seen.blind();
-    let back = start + Duration::from_mins(1);
-    seen.seen(back, brief, vec![sign(OWNER, 7)]);
-    assert_eq!(seen.lost(OWNER, start), None);
-    seen.seen(back + SILENCE, brief, vec![sign(OWNER, 7)]);
-    assert_eq!(seen.lost(OWNER, start), None);
-    seen.seen(back + SILENCE * 2, brief, vec![sign(OWNER, 7)]);
-    assert_eq!(seen.lost(OWNER, start), Some(Loss::Silent));
+    let mut presences = Presences::new();
+    let latency = Duration::from_millis(5);
+    presences.seen(start, latency, vec![sign(OWNER, 7)]);
+    presences.blind();
+    let recovery = start + Duration::from_mins(1);
+    presences.seen(recovery, latency, vec![sign(OWNER, 7)]);
+    assert_eq!(presences.lost(OWNER, start), None);
+    presences.seen(recovery + SILENCE, latency, vec![sign(OWNER, 7)]);
+    assert_eq!(presences.lost(OWNER, start), None);
+    presences.seen(recovery + SILENCE * 2, latency, vec![sign(OWNER, 7)]);
+    assert_eq!(presences.lost(OWNER, start), Some(Loss::Silent));
 }
 
-// A process hears of an owner that it has not looked at since, because nobody's
-// batches made it look: neither a look from before nor none at all tells that the
-// owner is gone, however much time goes by.
+// Guards against an owner that is taken to be gone by a poll from before it was known, or
+// without any poll.
 #[test]
-fn owner_that_nobody_looked_at_is_not_missed() {
+fn owner_is_not_lost_before_a_poll() {
     let start = Instant::now();
-    let mut seen = Presences::new();
-    let brief = Duration::from_millis(5);
-    assert_eq!(seen.lost(OWNER, start), None);
-    seen.seen(start, brief, vec![sign("gateway-1/before", 1)]);
+    let mut presences = Presences::new();
+    let latency = Duration::from_millis(5);
+    assert_eq!(presences.lost(OWNER, start), None);
+    presences.seen(start, latency, vec![sign("gateway-1/before", 1)]);
     let since = start + Duration::from_secs(9);
-    assert_eq!(seen.lost(OWNER, since), None, "a look from before");
-    seen.seen(since, brief, vec![sign(OWNER, 2)]);
-    assert_eq!(seen.lost(OWNER, since), None);
+    assert_eq!(presences.lost(OWNER, since), None, "an earlier poll");
+    presences.seen(since, latency, vec![sign(OWNER, 2)]);
+    assert_eq!(presences.lost(OWNER, since), None);
 }
 
-// An owner that gave its batches back has no row, one that was restarted has
-// another life: both are known at once, without waiting.
+// An owner that removed its row or was restarted is detected without a timeout.
 #[test]
-fn owner_that_left_or_lives_anew_is_known_at_once() {
+fn owner_that_left_or_restarted_is_detected_at_once() {
     let start = Instant::now();
     let now = start + Duration::from_secs(9);
-    let mut seen = Presences::new();
-    let brief = Duration::from_millis(5);
-    seen.seen(now, brief, vec![sign(OWNER, 1)]);
-    assert_eq!(seen.lost(OWNER, start), None);
-    seen.seen(now, brief, Vec::new());
-    assert_eq!(seen.lost(OWNER, start), Some(Loss::NoRow));
-    assert_eq!(seen.lost(OWNER, now), None, "its row may be on its way");
-    seen.seen(now, brief, vec![sign("gateway-1/bb", 2)]);
-    assert_eq!(seen.lost(OWNER, now), Some(Loss::LivesAnew));
+    let mut presences = Presences::new();
+    let latency = Duration::from_millis(5);
+    presences.seen(now, latency, vec![sign(OWNER, 1)]);
+    assert_eq!(presences.lost(OWNER, start), None);
+    presences.seen(now, latency, Vec::new());
+    assert_eq!(presences.lost(OWNER, start), Some(Loss::NoRow));
+    assert_eq!(
+        presences.lost(OWNER, now),
+        None,
+        "its first row may not be written yet"
+    );
+    presences.seen(now, latency, vec![sign("gateway-1/bb", 2)]);
+    assert_eq!(presences.lost(OWNER, now), Some(Loss::LivesAnew));
 }
 
-// A process that stops hands its batches on. It names another that was seen to live
-// lately: not itself, not one whose row stands still, and not the same for every process
-// that stops.
+// A stopping process chooses a successor that is alive and not itself; different
+// processes choose different ones.
 #[test]
-fn batches_are_handed_on_to_the_living() {
+fn successor_is_alive() {
     let start = Instant::now();
-    let mut seen = Presences::new();
-    let brief = Duration::from_millis(5);
+    let mut presences = Presences::new();
+    let latency = Duration::from_millis(5);
     let row = |n: u64, version: u64| Sign {
         name: format!("gateway-{n}"),
         life: format!("gateway-{n}/aa"),
         version,
         memory: 512,
     };
-    assert_eq!(seen.heir("gateway-1"), None);
-    seen.seen(start, brief, (1..=4).map(|n| row(n, n)).collect());
+    assert_eq!(presences.heir("gateway-1"), None);
+    presences.seen(start, latency, (1..=4).map(|n| row(n, n)).collect());
     let later = start + SILENCE * 2;
-    let fresh = |n: u64| if n < 4 { n + 10 } else { n };
-    seen.seen(later, brief, (1..=4).map(|n| row(n, fresh(n))).collect());
-    let heir = seen.heir("gateway-1").unwrap();
-    assert!(["gateway-2/aa", "gateway-3/aa"].contains(&heir), "{heir}");
-    let heirs: HashSet<_> = (5..40)
-        .filter_map(|n| seen.heir(&format!("gateway-{n}")))
+    let renewed = |n: u64| if n < 4 { n + 10 } else { n };
+    presences.seen(
+        later,
+        latency,
+        (1..=4).map(|n| row(n, renewed(n))).collect(),
+    );
+    let successor = presences.heir("gateway-1").unwrap();
+    assert!(
+        ["gateway-2/aa", "gateway-3/aa"].contains(&successor),
+        "{successor}"
+    );
+    let successors: HashSet<_> = (5..40)
+        .filter_map(|n| presences.heir(&format!("gateway-{n}")))
         .collect();
-    let living = ["gateway-1/aa", "gateway-2/aa", "gateway-3/aa"];
-    assert_eq!(heirs, living.into());
+    let alive = ["gateway-1/aa", "gateway-2/aa", "gateway-3/aa"];
+    assert_eq!(successors, alive.into());
 }
 
-// One process owns all batches and is told to stop. Nobody else was seen to renew a
-// row, since nobody had to. The batches go to others all the same, the largest of them,
-// rather than lie there until they are missed.
+// Processes that own nothing renew no rows, but one of the largest must still be chosen.
 #[test]
-fn batches_are_handed_on_where_nobody_else_owns_any() {
+fn successor_exists_where_no_other_process_owns_batches() {
     let start = Instant::now();
-    let mut seen = Presences::new();
+    let mut presences = Presences::new();
     let row = |n: u64, memory: u32| Sign {
         name: format!("gateway-{n}"),
         life: format!("gateway-{n}/aa"),
@@ -167,39 +174,40 @@
         memory,
     };
     let rows = || vec![row(1, 512), row(2, 160), row(3, 512), row(4, 512)];
-    let brief = Duration::from_millis(5);
-    seen.seen(start, brief, rows());
-    seen.seen(start + SILENCE * 3, brief, rows());
-    let heir = seen.heir("gateway-1").unwrap();
-    assert!(["gateway-3/aa", "gateway-4/aa"].contains(&heir), "{heir}");
+    let latency = Duration::from_millis(5);
+    presences.seen(start, latency, rows());
+    presences.seen(start + SILENCE * 3, latency, rows());
+    let successor = presences.heir("gateway-1").unwrap();
+    assert!(
+        ["gateway-3/aa", "gateway-4/aa"].contains(&successor),
+        "{successor}"
+    );
 }
 
-// All processes see that an owner of four batches is gone. They take their turns in the
-// same order for each batch, so one gets all of them; small hosts come behind the large
-// ones, and nobody waits for long.
+// Guards against batches of a lost owner that are scattered, or go to small hosts.
 #[test]
 fn large_processes_take_over_first() {
-    let mut seen = Presences::new();
+    let mut presences = Presences::new();
     let sign = |n: u32| Sign {
         name: format!("gateway-{n}"),
         life: format!("gateway-{n}/aa"),
         version: 1,
         memory: if n < 4 { 160 } else { 512 },
     };
-    assert!(seen.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
-    seen.seen(
+    assert!(presences.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
+    presences.seen(
         Instant::now(),
         Duration::from_millis(5),
         (0..8).map(sign).collect(),
     );
-    let turn = |n: u32| seen.takeover_delay(&format!("gateway-{n}"), sign(n).memory);
-    let slowest = (4..8).map(turn).max().unwrap();
-    assert!((0..4).all(|n| turn(n) >= slowest));
-    assert!((0..8).all(|n| turn(n) <= Duration::from_millis(300)));
+    let delay = |n: u32| presences.takeover_delay(&format!("gateway-{n}"), sign(n).memory);
+    let longest = (4..8).map(delay).max().unwrap();
+    assert!((0..4).all(|n| delay(n) >= longest));
+    assert!((0..8).all(|n| delay(n) <= Duration::from_millis(300)));
 }
 
-/// What a process knows that has looked at the rows of so many.
-fn crowd(count: usize) -> (Presences, Vec<String>) {
+/// Builds the view of a process that has polled `count` rows, and their names.
+fn poll_processes(count: usize) -> (Presences, Vec<String>) {
     let names: Vec<String> = (0..count).map(|n| format!("gateway-{n}")).collect();
     let sign = |name: &String| Sign {
         name: name.clone(),
@@ -207,53 +215,57 @@
         version: 1,
         memory: 512,
     };
-    let mut seen = Presences::new();
-    seen.seen(
+    let mut presences = Presences::new();
+    presences.seen(
         Instant::now(),
         Duration::from_millis(4),
         names.iter().map(sign).collect(),
     );
-    (seen, names)
+    (presences, names)
 }
 
-// An owner is lost, and its trainer has 7.5 s for the whole step. Some process has to
-// look within a renewal, whether 8 or 360 of them share the store, and all together
-// must not use up its reads: 360 that look four times a second are 1,440 of them.
+// Guards against polls that exhaust the store with many processes, and against owners
+// without a process that polls at every renewal.
 #[test]
-fn few_processes_watch_an_owner_closely_however_many_there_are() {
+fn each_owner_has_a_few_watchers_among_any_number_of_processes() {
     for count in [8, 34, 88, 360] {
-        let (seen, names) = crowd(count);
+        let (presences, names) = poll_processes(count);
         let owners = ["gateway-1/aa", "gateway-2/aa"];
-        let pauses = names.iter().map(|name| seen.pause(name, owners));
-        let rate: f64 = pauses.clone().map(|pause| 1.0 / pause.as_secs_f64()).sum();
-        assert!(rate <= 100.0, "{rate} looks a second of {count}");
+        let intervals = names.iter().map(|name| presences.pause(name, owners));
+        let rate: f64 = intervals
+            .clone()
+            .map(|interval| 1.0 / interval.as_secs_f64())
+            .sum();
+        assert!(
+            rate <= 100.0,
+            "{rate} polls per second of {count} processes"
+        );
         for owner in owners {
-            let close = names
+            let watchers = names
                 .iter()
-                .filter(|name| seen.pause(name, [owner]) <= RENEWAL);
-            assert!(close.count() >= 6, "{count}");
+                .filter(|name| presences.pause(name, [owner]) <= RENEWAL);
+            assert!(watchers.count() >= 6, "{count}");
         }
     }
 }
 
-// A third of 360 hosts lose power at once, with owners among them. Who watches an owner
-// closely is drawn for each anew, so nearly all of a thousand owners have somebody left
-// who sees the loss at once, and the others are seen in the end.
+// When a third of all hosts fail at once, nearly all owners keep a watcher, and the other
+// owners are polled eventually.
 #[test]
-fn a_lost_third_leaves_watchers_to_nearly_all_owners() {
-    let (seen, names) = crowd(360);
-    let living: HashSet<&String> = names.iter().skip(120).collect();
+fn nearly_all_owners_keep_a_watcher_when_a_third_of_hosts_fail() {
+    let (presences, names) = poll_processes(360);
+    let alive: HashSet<&String> = names.iter().skip(120).collect();
     let owners: Vec<String> = (0..1000).map(|n| format!("owner-{n}/aa")).collect();
     let unwatched = owners.iter().filter(|owner| {
-        let mut near = living
+        let mut watchers = alive
             .iter()
-            .filter(|name| seen.pause(name, [owner.as_str()]) <= RENEWAL);
-        near.next().is_none()
+            .filter(|name| presences.pause(name, [owner.as_str()]) <= RENEWAL);
+        watchers.next().is_none()
     });
     assert!(unwatched.count() <= 5);
-    let slowest = names
+    let longest = names
         .iter()
-        .map(|name| seen.pause(name, ["owner-1/aa"]))
+        .map(|name| presences.pause(name, ["owner-1/aa"]))
         .max();
-    assert!(slowest.unwrap() <= Duration::from_secs(20));
+    assert!(longest.unwrap() <= Duration::from_secs(20));
 }
