--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,4 +1,4 @@
-//! Holders of the weights' duty that follow each other, and who is left alone.
+//! Tests that orders of successive holders of the weights' duty stay apart.
 
 use hibiscusroad::{
     lease::{Holding, Lease, Next, Row, Terms},
@@ -9,11 +9,10 @@
 
 const APART: Duration = Duration::from_secs(3);
 
-// The holder died right after an order to e1. Its successor may be overtaken by
-// that order, so it leaves e1 alone until no order of the former holder can be
-// on its way; e2, which nobody ordered lately, waits for nothing.
+// A new holder spares an engine until orders of the former holder can no longer arrive
+// there, and no other engine.
 #[test]
-fn only_engines_that_were_ordered_lately_are_left_alone() {
+fn only_engines_with_recent_orders_are_spared() {
     let now = Duration::from_secs(100);
     let mut turns = Turns::new();
     turns.note("e1", "gateway-1/aa", now);
@@ -25,10 +24,10 @@
     assert_eq!(turns, Turns::new());
 }
 
-// A holder is taken to be gone by its signs of life. Its duty is taken at once,
-// where a lease alone takes a whole span; one that nobody suspects keeps it.
+// The lease of a suspected holder is taken over before it expires, but only if the
+// suspicion is about the present holder and fencing token.
 #[test]
-fn suspected_holder_is_followed_at_once() {
+fn lease_of_a_suspected_holder_is_taken_over_at_once() {
     let now = Instant::now();
     let row = Row {
         holder: "gateway-1/aa".to_owned(),
@@ -52,7 +51,7 @@
     assert!(matches!(lease.next(now), Next::Sleep(_)));
     lease.suspect(held);
     let Next::Write { version, row } = lease.next(now) else {
-        panic!("the duty is not taken");
+        panic!("the lease is not taken over");
     };
     assert_eq!((version, row.fence), (17, 5));
     assert_eq!(lease.version(now), None);
@@ -64,131 +63,134 @@
 const HOLDERS: usize = 3;
 const ENGINES: usize = 2;
 
-/// What the store holds: who holds the duty, the version of its row, and the
-/// orders that were written down.
+/// The state of the store: the holder of the lease, the version of its row, and the
+/// recorded orders.
 struct Store {
     holder: usize,
     version: u64,
     turns: Turns,
 }
 
-/// A write of an order, and whether the store took it.
+/// The write of an order's record; times are in steps.
 #[derive(Clone, Copy)]
 struct Write {
     engine: usize,
-    began: u32,
-    arrives: u32,
-    answered: u32,
-    done: bool,
+    sent_at: u32,
+    arrives_at: u32,
+    answered_at: u32,
+    applied: bool,
 }
 
-/// What one process knows and has under way.
+/// The state of one process.
 struct Process {
-    /// The version of the lease's row that it believes to be its own.
-    held: Option<u64>,
+    /// The version of the lease's row under which it believes to hold the lease.
+    lease_version: Option<u64>,
     turns: Turns,
     write: Option<Write>,
-    paused: u32,
+    /// Remaining steps of a freeze.
+    frozen_steps: u32,
 }
 
-/// What chance decides for one process at one step.
+/// The random choices for one process at one step; durations are in steps.
 #[derive(Clone, Copy, Debug)]
-struct Luck {
-    there: u32,
-    back: u32,
-    pause: u32,
+struct Choices {
+    request_latency: u32,
+    answer_latency: u32,
+    freeze: u32,
     engine: usize,
-    suspects: bool,
+    suspects_holder: bool,
 }
 
-fn luck() -> impl Strategy<Value = Luck> {
+fn choices() -> impl Strategy<Value = Choices> {
     (0..8_u32, 0..8_u32, 0..40_u32, 0..ENGINES, 0..30_u32).prop_map(
-        |(there, back, pause, engine, suspects)| Luck {
-            there,
-            back,
-            pause: if pause == 0 { 100 } else { 0 },
+        |(request_latency, answer_latency, freeze, engine, suspects)| Choices {
+            request_latency,
+            answer_latency,
+            freeze: if freeze == 0 { 100 } else { 0 },
             engine,
-            suspects: suspects == 0,
+            suspects_holder: suspects == 0,
         },
     )
 }
 
 impl Process {
-    fn new(held: Option<u64>) -> Self {
+    fn new(lease_version: Option<u64>) -> Self {
         Self {
-            held,
+            lease_version,
             turns: Turns::new(),
             write: None,
-            paused: 0,
+            frozen_steps: 0,
         }
     }
 
-    /// Lets the store take in a write that arrives now. With `careless` the lease's
-    /// row is no condition.
-    fn arrive(&mut self, at: u32, name: &str, store: &mut Store, careless: bool) {
+    /// Applies a write that arrives at the store now. With `unconditional`, the version of
+    /// the lease's row is not checked.
+    fn apply_write(&mut self, at: u32, name: &str, store: &mut Store, unconditional: bool) {
         let Some(write) = &mut self.write else { return };
-        if write.arrives == at && (careless || self.held == Some(store.version)) {
-            write.done = true;
+        if write.arrives_at == at && (unconditional || self.lease_version == Some(store.version)) {
+            write.applied = true;
             store
                 .turns
-                .note(&write.engine.to_string(), name, STEP * write.began);
+                .note(&write.engine.to_string(), name, STEP * write.sent_at);
         }
     }
 
-    /// Does one thing; returns the engine that is ordered, if one is.
-    fn act(&mut self, at: u32, n: usize, luck: Luck, store: &mut Store) -> Option<usize> {
+    /// Takes one action; returns the engine that it orders, if any.
+    fn act(&mut self, at: u32, n: usize, choices: Choices, store: &mut Store) -> Option<usize> {
         let name = n.to_string();
-        if let Some(write) = self.write.filter(|write| write.answered <= at) {
+        if let Some(write) = self.write.filter(|write| write.answered_at <= at) {
             self.write = None;
-            let in_time = STEP * at < STEP * write.began + VALID;
-            if !write.done {
-                self.held = None;
+            let in_time = STEP * at < STEP * write.sent_at + VALID;
+            if !write.applied {
+                self.lease_version = None;
             }
-            return (write.done && in_time).then_some(write.engine);
+            return (write.applied && in_time).then_some(write.engine);
         }
         if self.write.is_some() {
             return None;
         }
-        if store.holder != n && luck.suspects {
+        if store.holder != n && choices.suspects_holder {
             store.holder = n;
             store.version += 1;
-            self.held = Some(store.version);
+            self.lease_version = Some(store.version);
             self.turns = store.turns.clone();
             return None;
         }
-        let barred = self.turns.barred(&luck.engine.to_string(), &name, APART);
-        if self.held.is_some() && barred.is_none_or(|until| until <= STEP * at) {
-            let arrives = at + 1 + luck.there;
+        let blocked_until = self.turns.barred(&choices.engine.to_string(), &name, APART);
+        if self.lease_version.is_some() && blocked_until.is_none_or(|until| until <= STEP * at) {
+            let arrives_at = at + 1 + choices.request_latency;
             self.write = Some(Write {
-                engine: luck.engine,
-                began: at,
-                arrives,
-                answered: arrives + luck.back,
-                done: false,
+                engine: choices.engine,
+                sent_at: at,
+                arrives_at,
+                answered_at: arrives_at + choices.answer_latency,
+                applied: false,
             });
         }
         None
     }
 }
 
-/// Plays processes that suspect each other wrongly and stand still at any moment;
-/// returns the orders that reached engines: when, by whom, to which.
-fn play(draws: &[[Luck; HOLDERS]], careless: bool) -> Vec<(u32, usize, usize)> {
+/// Simulates processes that freeze and suspect each other wrongly; returns the orders
+/// that reached engines, as step, holder and engine.
+fn simulate(steps: &[[Choices; HOLDERS]], unconditional: bool) -> Vec<(u32, usize, usize)> {
     let mut store = Store {
         holder: 0,
         version: 1,
         turns: Turns::new(),
     };
-    let held = |n: usize| (n == 0).then_some(1);
-    let mut processes: Vec<Process> = (0..HOLDERS).map(|n| Process::new(held(n))).collect();
+    let lease_version = |n: usize| (n == 0).then_some(1);
+    let mut processes: Vec<Process> = (0..HOLDERS)
+        .map(|n| Process::new(lease_version(n)))
+        .collect();
     let mut orders = Vec::new();
-    for (at, row) in (0..).zip(draws) {
-        for (n, luck) in row.iter().enumerate() {
+    for (at, step) in (0..).zip(steps) {
+        for (n, choices) in step.iter().enumerate() {
             let process = &mut processes[n];
-            process.arrive(at, &n.to_string(), &mut store, careless);
-            process.paused = process.paused.saturating_sub(1).max(luck.pause);
-            if process.paused == 0
-                && let Some(engine) = process.act(at, n, *luck, &mut store)
+            process.apply_write(at, &n.to_string(), &mut store, unconditional);
+            process.frozen_steps = process.frozen_steps.saturating_sub(1).max(choices.freeze);
+            if process.frozen_steps == 0
+                && let Some(engine) = process.act(at, n, *choices, &mut store)
             {
                 orders.push((at, n, engine));
             }
@@ -197,44 +199,45 @@
     orders
 }
 
-/// Returns the first pair of orders by two holders to one engine that are closer
-/// than they may be.
-fn crossing(orders: &[(u32, usize, usize)]) -> Option<[(u32, usize, usize); 2]> {
+/// Returns the first pair of orders of two holders to one engine that are too close.
+fn find_overlap(orders: &[(u32, usize, usize)]) -> Option<[(u32, usize, usize); 2]> {
     (0..ENGINES).find_map(|engine| {
-        let at = orders.iter().filter(|order| order.2 == engine);
-        let at: Vec<_> = at.copied().collect();
-        let close = |pair: &&[(u32, usize, usize)]| {
+        let orders = orders.iter().filter(|order| order.2 == engine);
+        let orders: Vec<_> = orders.copied().collect();
+        let is_too_close = |pair: &&[(u32, usize, usize)]| {
             pair[0].1 != pair[1].1 && STEP * (pair[1].0 - pair[0].0) < APART
         };
-        at.windows(2).find(close).map(|pair| [pair[0], pair[1]])
+        orders
+            .windows(2)
+            .find(is_too_close)
+            .map(|pair| [pair[0], pair[1]])
     })
 }
 
-fn draws() -> impl Strategy<Value = Vec<[Luck; HOLDERS]>> {
-    prop::collection::vec([luck(), luck(), luck()], 400)
+fn all_steps() -> impl Strategy<Value = Vec<[Choices; HOLDERS]>> {
+    prop::collection::vec([choices(), choices(), choices()], 400)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    // Each process may take another for gone while that one lives, and stand still
-    // between writing an order down and sending it. No engine sees orders of two
-    // holders that are closer than a lease: it couldn't tell which is the newer.
+    // Guards against an engine that can't tell which of two holders gave the newer order,
+    // after a wrong suspicion or a freeze between the record of an order and its sending.
     #[test]
-    fn orders_of_two_holders_stay_apart(draws in draws()) {
-        prop_assert_eq!(crossing(&play(&draws, false)), None);
+    fn orders_of_two_holders_stay_apart(steps in all_steps()) {
+        prop_assert_eq!(find_overlap(&simulate(&steps, false)), None);
     }
 }
 
-// The same without the lease's row as a condition: a holder that was replaced
-// goes on ordering. The check above has to see that.
+// Without the lease's version as a condition, a replaced holder goes on ordering. The
+// check above must detect that.
 #[test]
-fn orders_without_the_condition_cross() {
+fn orders_overlap_without_the_lease_condition() {
     use proptest::{strategy::ValueTree, test_runner::TestRunner};
     let mut runner = TestRunner::deterministic();
-    let crossed = (0..40).any(|_| {
-        let draws = draws().new_tree(&mut runner).unwrap().current();
-        crossing(&play(&draws, true)).is_some()
+    let overlapped = (0..40).any(|_| {
+        let steps = all_steps().new_tree(&mut runner).unwrap().current();
+        find_overlap(&simulate(&steps, true)).is_some()
     });
-    assert!(crossed);
+    assert!(overlapped);
 }
