--- a/tests/rollout_model.rs
+++ b/tests/rollout_model.rs
@@ -1,121 +1,118 @@
-//! All interleavings of two owners of one batch and a store that loses answers.
+//! Model checks the listing of results by two owners of one batch.
 //!
-//! What a trainer relies on: a position never changes once it was read, no item
-//! stands at two positions, and nothing is listed after the end was
-//! acknowledged. Two processes each believe that the batch is theirs; either may
-//! take it over at any time, and each write may be carried out now, later or
-//! never, with or without an answer. The model is small (two items, three
-//! takeovers, one end) and every order of its steps is tried, with the rows and
-//! conditions of `rollout::row`. Each safeguard is also taken out, and the model
-//! has to find what it is for.
+//! A trainer relies on three invariants: a position never changes after it was read, no
+//! item is listed at two positions, and nothing is listed after the batch has ended. The
+//! model explores every interleaving of two owners that take the batch over from each
+//! other and whose writes may be applied late or twice, or lose their answers, under the
+//! conditions of `rollout::row`. Where a test removes a safeguard, an invariant must fail.
 
 use std::collections::{BTreeSet, HashSet};
 
 /// Items of the batch.
 const ITEMS: u8 = 2;
-/// Takeovers after the first owner.
-const TAKEOVERS: u8 = 3;
+/// Maximum number of takeovers.
+const MAX_TAKEOVERS: u8 = 3;
 
-/// The safeguards.
+/// The safeguards that are enabled.
 #[derive(Clone, Copy, Debug)]
 struct Guards {
-    /// A result's row must be absent.
-    absent: bool,
-    /// The head must be as the writer knows it.
-    head: bool,
-    /// The next position is given out only when the last outcome is known.
-    known: bool,
+    /// A write requires that the result's row is absent.
+    row_absent: bool,
+    /// A write requires that the head has the version that the writer knows.
+    head_version: bool,
+    /// The next position is used only when the outcome of the last write is known.
+    outcome_known: bool,
 }
 
-const ALL: Guards = Guards {
-    absent: true,
-    head: true,
-    known: true,
+const ALL_GUARDS: Guards = Guards {
+    row_absent: true,
+    head_version: true,
+    outcome_known: true,
 };
 
-/// A write that is on its way, or may be carried out later.
+/// A write that the store may apply now or later.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Write {
-    by: u8,
-    /// The head's version that its writer knew.
+    writer: u8,
+    /// The version of the head that the writer knew.
     head: u8,
     position: u8,
     item: u8,
 }
 
-/// One process's belief.
+/// What one process believes.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Owner {
-    /// The head's version under which it runs the batch.
+    /// The version of the head under which it owns the batch.
     head: Option<u8>,
-    /// Items that it believes to be listed, by position.
+    /// Items that it believes are listed, by position.
     listed: Vec<u8>,
-    /// What it sent and knows no outcome of.
-    open: Option<Write>,
+    /// A write whose outcome it doesn't know.
+    pending: Option<Write>,
 }
 
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct World {
     head: u8,
     ended: bool,
-    /// The item at each position, by the store.
+    /// The item at each position in the store.
     rows: Vec<Option<u8>>,
     owners: [Owner; 2],
-    /// Writes that the store may still carry out.
-    late: BTreeSet<Write>,
+    /// Writes that the store may still apply.
+    delayed: BTreeSet<Write>,
     takeovers: u8,
-    /// What a trainer has read, by position.
+    /// The item that the trainer has read at each position.
     read: Vec<Option<u8>>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 impl World {
     fn new() -> Self {
-        let places = usize::from(ITEMS) + 1;
+        let positions = usize::from(ITEMS) + 1;
         let mut world = Self {
-            rows: vec![None; places],
-            read: vec![None; places],
+            rows: vec![None; positions],
+            read: vec![None; positions],
             ..Self::default()
         };
         world.owners[0].head = Some(0);
         world
     }
 
-    /// Carries a write out if its conditions hold.
-    fn commit(&mut self, guards: Guards, write: Write) -> bool {
-        let place = usize::from(write.position);
-        if guards.head && write.head != self.head {
+    /// Applies a write if its conditions hold; returns whether it did.
+    fn apply(&mut self, guards: Guards, write: Write) -> bool {
+        let position = usize::from(write.position);
+        if guards.head_version && write.head != self.head {
             return false;
         }
-        if guards.absent && self.rows[place].is_some() {
+        if guards.row_absent && self.rows[position].is_some() {
             return false;
         }
         if self.ended {
-            self.broken = Some("a result was listed after the end");
+            self.violation = Some("a result was listed after the end");
         }
-        self.rows[place] = Some(write.item);
+        self.rows[position] = Some(write.item);
         let listed = self.rows.iter().flatten();
         if listed.clone().collect::<HashSet<_>>().len() < listed.count() {
-            self.broken = Some("an item stands at two positions");
+            self.violation = Some("an item is listed at two positions");
         }
-        if self.read[place].is_some_and(|item| item != write.item) {
-            self.broken = Some("a position changed after it was read");
+        if self.read[position].is_some_and(|item| item != write.item) {
+            self.violation = Some("a position changed after it was read");
         }
         true
     }
 
-    /// Returns all states that one step leads to.
+    /// Returns all states that are one step away.
     fn next(&self, guards: Guards) -> Vec<Self> {
         let mut next = Vec::new();
-        for by in 0..2 {
-            self.send(guards, by, &mut next);
-            self.resolve(guards, by, &mut next);
-            self.take_over(by, &mut next);
+        for process in 0..2 {
+            self.send(guards, process, &mut next);
+            self.resolve(guards, process, &mut next);
+            self.take_over(process, &mut next);
         }
-        for write in &self.late {
+        for write in &self.delayed {
             let mut world = self.clone();
-            world.late.remove(write);
-            world.commit(guards, *write);
+            world.delayed.remove(write);
+            world.apply(guards, *write);
             next.push(world);
         }
         if !self.ended {
@@ -124,99 +121,99 @@
             world.head += 1;
             next.push(world);
         }
-        for place in 0..self.rows.len() {
-            if self.rows[place].is_some() && self.read[place].is_none() {
+        for position in 0..self.rows.len() {
+            if self.rows[position].is_some() && self.read[position].is_none() {
                 let mut world = self.clone();
-                world.read[place] = world.rows[place];
+                world.read[position] = world.rows[position];
                 next.push(world);
             }
         }
         next
     }
 
-    /// An owner sends the next result: any item that it hasn't listed.
-    fn send(&self, guards: Guards, by: u8, next: &mut Vec<Self>) {
-        let owner = &self.owners[usize::from(by)];
+    /// An owner writes any item that it hasn't listed at the next position.
+    fn send(&self, guards: Guards, process: u8, next: &mut Vec<Self>) {
+        let owner = &self.owners[usize::from(process)];
         let Some(head) = owner.head else { return };
-        if owner.open.is_some() && guards.known {
+        if owner.pending.is_some() && guards.outcome_known {
             return;
         }
         for item in (0..ITEMS).filter(|item| !owner.listed.contains(item)) {
             let position = u8::try_from(owner.listed.len()).unwrap();
             let write = Write {
-                by,
+                writer: process,
                 head,
                 position,
                 item,
             };
             let mut world = self.clone();
-            world.owners[usize::from(by)].open = Some(write);
-            if !guards.known {
-                // It takes the write for done without waiting.
-                world.owners[usize::from(by)].listed.push(item);
+            world.owners[usize::from(process)].pending = Some(write);
+            if !guards.outcome_known {
+                // The owner assumes success without waiting.
+                world.owners[usize::from(process)].listed.push(item);
             }
-            // Its first copy may be carried out at any time.
-            world.late.insert(write);
+            // The store may apply the first copy at any time.
+            world.delayed.insert(write);
             next.push(world);
         }
     }
 
-    /// An owner sends the same write again and gets an answer.
-    fn resolve(&self, guards: Guards, by: u8, next: &mut Vec<Self>) {
-        let n = usize::from(by);
-        let Some(write) = self.owners[n].open else {
+    /// An owner repeats its pending write and gets an answer.
+    fn resolve(&self, guards: Guards, process: u8, next: &mut Vec<Self>) {
+        let idx = usize::from(process);
+        let Some(write) = self.owners[idx].pending else {
             return;
         };
         let mut world = self.clone();
-        let done = world.commit(guards, write);
-        let own = world.rows[usize::from(write.position)] == Some(write.item);
-        let owner = &mut world.owners[n];
-        owner.open = None;
-        if done || (own && write.head == world.head) {
-            if guards.known {
+        let applied = world.apply(guards, write);
+        let is_listed = world.rows[usize::from(write.position)] == Some(write.item);
+        let owner = &mut world.owners[idx];
+        owner.pending = None;
+        if applied || (is_listed && write.head == world.head) {
+            if guards.outcome_known {
                 owner.listed.push(write.item);
             }
         } else {
-            // Somebody else has the batch, or it has ended.
+            // Another process owns the batch, or it has ended.
             owner.head = None;
         }
         next.push(world);
     }
 
-    /// A process writes the head and reads what is listed.
-    fn take_over(&self, by: u8, next: &mut Vec<Self>) {
-        let n = usize::from(by);
-        if self.takeovers >= TAKEOVERS || self.ended {
+    /// A process writes the head and reads the listed results.
+    fn take_over(&self, process: u8, next: &mut Vec<Self>) {
+        let idx = usize::from(process);
+        if self.takeovers >= MAX_TAKEOVERS || self.ended {
             return;
         }
         let mut world = self.clone();
         world.takeovers += 1;
         world.head += 1;
         let listed = world.rows.iter().map_while(|item| *item).collect();
-        world.owners[n] = Owner {
+        world.owners[idx] = Owner {
             head: Some(world.head),
             listed,
-            open: None,
+            pending: None,
         };
         next.push(world);
     }
 }
 
-/// Tries every order of steps until one breaks `wanted`, or anything if that is
-/// `None`; returns what broke and how many states there are.
-fn explore(guards: Guards, wanted: Option<&str>) -> (Option<&'static str>, usize) {
+/// Explores all states until one violates `expected`, or any invariant if that is `None`;
+/// returns the violation and the number of states.
+fn explore(guards: Guards, expected: Option<&str>) -> (Option<&'static str>, usize) {
     let mut seen = HashSet::new();
-    let mut open = vec![World::new()];
-    while let Some(world) = open.pop() {
-        if let Some(what) = world.broken {
-            if wanted.is_none_or(|wanted| wanted == what) {
-                return (Some(what), seen.len());
+    let mut unexplored = vec![World::new()];
+    while let Some(world) = unexplored.pop() {
+        if let Some(violation) = world.violation {
+            if expected.is_none_or(|expected| expected == violation) {
+                return (Some(violation), seen.len());
             }
             continue;
         }
         for next in world.next(guards) {
             if seen.insert(next.clone()) {
-                open.push(next);
+                unexplored.push(next);
             }
         }
     }
@@ -224,43 +221,43 @@
 }
 
 #[test]
-fn positions_hold_over_all_interleavings() {
-    let (broken, states) = explore(ALL, None);
-    assert_eq!(broken, None);
-    assert!(states > 10_000, "{states} states are too few to tell");
+fn invariants_hold_in_all_interleavings() {
+    let (violation, states) = explore(ALL_GUARDS, None);
+    assert_eq!(violation, None);
+    assert!(states > 10_000, "only {states} states were explored");
 }
 
-// The trainer read an item at a position and finds another there later: a late
-// copy of a former write, or a former owner's, overwrote it.
+// A delayed write, or one of a former owner, overwrites a position that was read.
 #[test]
-fn without_absence_a_position_changes() {
+fn position_changes_without_the_absent_row_condition() {
     let guards = Guards {
-        absent: false,
-        head: false,
-        ..ALL
+        row_absent: false,
+        head_version: false,
+        ..ALL_GUARDS
     };
-    let wanted = "a position changed after it was read";
-    assert_eq!(explore(guards, Some(wanted)).0, Some(wanted));
+    let expected = "a position changed after it was read";
+    assert_eq!(explore(guards, Some(expected)).0, Some(expected));
 }
 
-// A former owner goes on listing, also when the trainer was told that the batch
-// has ended.
+// A former owner lists results after the trainer has ended the batch.
 #[test]
-fn without_the_heads_version_a_former_owner_goes_on() {
-    let guards = Guards { head: false, ..ALL };
-    let wanted = "a result was listed after the end";
-    assert_eq!(explore(guards, Some(wanted)).0, Some(wanted));
+fn former_owner_lists_results_without_the_head_version_condition() {
+    let guards = Guards {
+        head_version: false,
+        ..ALL_GUARDS
+    };
+    let expected = "a result was listed after the end";
+    assert_eq!(explore(guards, Some(expected)).0, Some(expected));
 }
 
-// An owner that takes a write for done goes on to the next position, leaves a
-// hole where the write never came, and its successor fills it with an item that
-// stands behind it already.
+// An owner that doesn't wait for the outcome of a lost write leaves a gap, which its
+// successor fills with an item that is listed after it already.
 #[test]
-fn without_known_outcomes_an_item_is_listed_twice() {
+fn item_is_listed_twice_without_waiting_for_outcomes() {
     let guards = Guards {
-        known: false,
-        ..ALL
+        outcome_known: false,
+        ..ALL_GUARDS
     };
-    let wanted = "an item stands at two positions";
-    assert_eq!(explore(guards, Some(wanted)).0, Some(wanted));
+    let expected = "an item is listed at two positions";
+    assert_eq!(explore(guards, Some(expected)).0, Some(expected));
 }
