--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -10,7 +10,7 @@
 
 use crate::rollout::{
     Item, ItemResult, Outcome, Submission,
-    order::{groups, start_order},
+    start_order::{groups, start_order},
     text::{Piece, Text},
     waits::{Lack, WaitTracker, Waited},
 };
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -28,11 +28,11 @@
 pub mod batch;
 pub mod choice;
 pub mod engines;
-mod order;
 pub mod pace;
 pub mod presence;
 pub mod row;
 mod spec;
+mod start_order;
 pub mod text;
 mod tier;
 pub mod turns;
