--- a/src/rollout/turns.rs
+++ b/src/rollout/turns.rs
@@ -22,7 +22,7 @@
 
 /// The last order to an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Turn {
+pub struct OrderRecord {
     /// The holder that gave the order.
     pub holder: String,
     /// The store's steady clock when the order was recorded, in milliseconds.
@@ -33,7 +33,7 @@
 /// The last order to each engine, by engine ID.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Turns {
-    engines: BTreeMap<String, Turn>,
+    engines: BTreeMap<String, OrderRecord>,
 }
 
 impl Turns {
@@ -45,11 +45,11 @@
 
     /// Records that `holder` is about to order an engine at the store's time `now`.
     pub fn note(&mut self, engine: &str, holder: &str, now: Duration) {
-        let turn = Turn {
+        let record = OrderRecord {
             holder: holder.to_owned(),
             recorded_at: millis(now),
         };
-        self.engines.insert(engine.to_owned(), turn);
+        self.engines.insert(engine.to_owned(), record);
     }
 
     /// Returns until when `holder` must not order an engine, by the store's clock, if
@@ -58,15 +58,16 @@
     /// Orders of two holders to one engine are at least `apart` from each other.
     #[must_use]
     pub fn barred(&self, engine: &str, holder: &str, apart: Duration) -> Option<Duration> {
-        let turn = self.engines.get(engine)?;
-        (turn.holder != holder)
-            .then(|| Duration::from_millis(turn.recorded_at) + VALID + apart + MAX_CLOCK_SKEW)
+        let record = self.engines.get(engine)?;
+        (record.holder != holder)
+            .then(|| Duration::from_millis(record.recorded_at) + VALID + apart + MAX_CLOCK_SKEW)
     }
 
     /// Drops the orders that no longer block any holder at the store's time `now`.
     pub fn expire(&mut self, now: Duration, apart: Duration) {
-        let end =
-            |turn: &Turn| Duration::from_millis(turn.recorded_at) + VALID + apart + MAX_CLOCK_SKEW;
-        self.engines.retain(|_, turn| end(turn) > now);
+        let end = |record: &OrderRecord| {
+            Duration::from_millis(record.recorded_at) + VALID + apart + MAX_CLOCK_SKEW
+        };
+        self.engines.retain(|_, record| end(record) > now);
     }
 }
