--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -1,20 +1,18 @@
-//! What client accounts used: requests that endpoints began, by windows of time.
+//! Usage of client accounts: requests started by endpoints, counted per time window.
 //!
-//! Each process counts what it sent itself, and keeps its counts in the store a few
-//! times a second, as rows that are written once and never changed ([`Tally`]). One
-//! process at a time adds up the rows of a window that is over and reports the sums
-//! ([`Reports`]). A row that is written twice, by a repeat or late, is the same row, so
-//! nothing counts twice; what a process that is killed had not kept yet is lost.
+//! Each process counts the requests that it sent and writes its counts to the store
+//! several times a second, as rows that are written once and never changed ([`Tally`]).
+//! The holder of the reporting duty adds up the rows of each closed window and reports
+//! the sums ([`Reports`]). Rows are idempotent: a repeated or late write stores the same
+//! row and is counted once. Counts that a killed process hasn't written yet are lost.
 //!
-//! Two reports of one window that differ would be billed twice or not at all. So the
-//! report is kept, under the condition that the duty is still held, before it is sent,
-//! and whoever has the duty sends what is kept, to the letter.
+//! A report is stored before it is sent, on the condition that the duty is still held,
+//! and every later holder sends the stored bytes. Otherwise two holders could send
+//! different reports of one window, which would be billed twice or not at all.
 //!
-//! Weighed: counts that are copied to peers and asked for by the holder (a process that
-//! is cut off from its peers, or a holder that is lost, costs more windows than a lost
-//! moment of one process, and peers would need a message more); one row a process and
-//! window, written anew with its sum (an older sum that comes late undoes a newer one,
-//! so each write needs a condition and a read after each lost answer).
+//! Trade-off: counts replicated to peers would lose whole windows with a lost holder. One
+//! row per process and window, overwritten with the running sum, would need a condition
+//! on each write, since a late write could replace a newer sum.
 
 mod report;
 mod tally;
@@ -23,7 +21,7 @@
 
 pub use self::{
     report::{Kept, REPORTS, Reports, Step, Terms, report},
-    tally::{Counts, Share, Tally, USAGE, keys, merge, pause},
+    tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
     time::{Offset, agreed},
     window::{Window, Windows},
 };
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -1,8 +1,8 @@
-//! Reports of windows: when each is due, and that all who send it send the same.
+//! Reports of windows: when each is due, and which stored report is sent.
 
 use super::{
     Window, Windows,
-    tally::{named, prefix},
+    tally::{key_prefix, parse_window},
 };
 use crate::{clock::millis, rollout::turns::Turns, table::RowId};
 use serde::{Deserialize, Serialize};
@@ -11,151 +11,158 @@
 /// The table of reports.
 pub const REPORTS: &str = "reports";
 
-/// Time that a report has for its way: two tries at a slow platform.
-const SPARE: Duration = Duration::from_secs(2);
-/// A report is made so long after its window's end. Requests that began in the window
-/// are answered by then, and counts are kept, with a write or two that has to be
-/// repeated. Not later: while the store is away for some seconds no report can be made.
-const GATHERED: Duration = Duration::from_millis(2_500);
-/// After the store was away all processes keep their counts of that time first.
-const SETTLED: Duration = Duration::from_millis(1_200);
-/// Reports that are later than this are of no use to anybody.
-const GIVEN_UP: Duration = Duration::from_mins(1);
-/// How long reports and counts are kept, for whoever looks into a window.
-const KEPT: Duration = Duration::from_mins(2);
-/// What the turns of all windows stand under: two holders must be apart whichever
-/// windows they report.
-const SUBJECT: &str = "usage";
-
-/// When reports are made and sent.
+/// Time to send a report before it is late: two attempts at a slow platform.
+const SEND_MARGIN: Duration = Duration::from_secs(2);
+/// Delay from the end of a window to its report. By then the window's requests are
+/// answered and their counts are written, with retries. A longer delay would leave less
+/// time to wait for a store that is unavailable.
+const COLLECTION_DELAY: Duration = Duration::from_millis(2_500);
+/// Delay after the store is available again, in which processes write their pending counts.
+const STORE_RECOVERY_DELAY: Duration = Duration::from_millis(1_200);
+/// Reports that are later than this are not sent.
+const MAX_REPORT_DELAY: Duration = Duration::from_mins(1);
+/// How long reports and counts stay in the store, for inspection.
+const RETENTION: Duration = Duration::from_mins(2);
+/// The one key of all windows in [`Turns`]: calls of two holders must not overlap, even
+/// for different windows.
+const TURNS_KEY: &str = "usage";
+
+/// The timing of reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Terms {
-    /// The windows.
+    /// The windows to report.
     pub windows: Windows,
     /// How long after its end the report of a window is due.
     pub late: Duration,
-    /// By how much calls of two holders must be apart.
+    /// The least time between calls of two holders.
     pub apart: Duration,
 }
 
-/// A report as it is kept.
+/// A report in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Kept {
-    /// What is sent, to the letter.
+    /// The exact body to send.
     pub body: String,
-    /// Who last wrote it down to send it.
+    /// The process that last wrote the row before it sent the report.
     pub holder: String,
-    /// The store's steady clock then, in milliseconds.
+    /// The store's steady clock at that write, in milliseconds.
     pub at: u64,
-    /// Whether it was accepted, or given up.
+    /// Whether the report was accepted or given up.
     pub sent: bool,
 }
 
-/// Names the row of a window's report.
+/// Returns the row id of a window's report.
 #[must_use]
 pub fn report(window: Window) -> RowId {
-    RowId::new(REPORTS, "", &prefix(window))
+    RowId::new(REPORTS, "", &key_prefix(window))
 }
 
-/// What a holder does next.
+/// The next action of a holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Add up a window's counts and keep the report.
+    /// Add up a window's counts and store the report.
     Make(Window),
-    /// Send a report that is kept.
+    /// Send a stored report.
     Send(Window),
-    /// Note that a report is too late to be of use.
+    /// Close a report that is too late to be sent.
     GiveUp(Window),
-    /// Do nothing until this time of day.
+    /// Wait until this time of day.
     Wait(Duration),
 }
 
-/// All reports, as the holder of the duty knows them.
+/// The reports in the store, as known to the holder of the duty.
 #[derive(Clone, Debug)]
 pub struct Reports {
     terms: Terms,
-    kept: BTreeMap<Window, Kept>,
-    /// The first window to report if none was.
-    first: Window,
+    stored: BTreeMap<Window, Kept>,
+    /// The first window to report if no report is stored.
+    first_window: Window,
 }
 
 impl Reports {
-    /// Creates the view of a holder that has read no report, at the time of day `now`.
+    /// Creates the state of a new holder without any stored report, at the time of day
+    /// `now`.
     #[must_use]
     pub fn new(terms: Terms, now: Duration) -> Self {
         Self {
             terms,
-            kept: BTreeMap::new(),
-            // What was counted just before may not be kept yet.
-            first: terms.windows.at(now.saturating_sub(GATHERED)),
+            stored: BTreeMap::new(),
+            // Counts of this time may not be in the store yet.
+            first_window: terms.windows.at(now.saturating_sub(COLLECTION_DELAY)),
         }
     }
 
-    /// Takes in a report that the store has.
+    /// Adds a report that was read from the store, by the key of its row.
     pub fn read(&mut self, key: &str, kept: Kept) {
-        if let Some(window) = named(key) {
-            self.kept.insert(window, kept);
+        if let Some(window) = parse_window(key) {
+            self.stored.insert(window, kept);
         }
     }
 
-    /// Takes in the key of the first count that the store has: before anybody holds the
-    /// duty for the first time requests are counted already.
+    /// Reports from the window of the first count in the store on, given by the key of its
+    /// row. Requests are counted before any process has held the duty.
     pub fn begin_with(&mut self, key: &str) {
-        self.first = named(key).map_or(self.first, |window| window.min(self.first));
+        self.first_window =
+            parse_window(key).map_or(self.first_window, |window| window.min(self.first_window));
     }
 
-    /// Notes a report that this process has kept.
+    /// Records a report that this process has written, and removes those past retention.
     pub fn note(&mut self, window: Window, kept: Kept) {
-        self.kept.insert(window, kept);
+        self.stored.insert(window, kept);
         let oldest = self.outlived(window);
-        self.kept.retain(|known, _| *known >= oldest);
+        self.stored.retain(|stored, _| *stored >= oldest);
     }
 
     /// Returns the report of a window.
     #[must_use]
     pub fn get(&self, window: Window) -> Option<&Kept> {
-        self.kept.get(&window)
+        self.stored.get(&window)
     }
 
-    /// Returns the first window whose rows are still kept when this one is reported.
+    /// Returns the first window that is still retained when this one is reported.
     #[must_use]
     pub fn outlived(&self, window: Window) -> Window {
         let end = self.terms.windows.end(window);
-        self.terms.windows.at(end.saturating_sub(KEPT))
+        self.terms.windows.at(end.saturating_sub(RETENTION))
     }
 
-    /// Returns from when on `holder` may call, by the store's clock, if it must wait.
+    /// Returns the time on the store's clock until which `holder` must not call, if another
+    /// holder has written a report.
     ///
-    /// Whoever takes the duty over from one that is only suspected to be gone may be
-    /// wrong. Calls of both that mix are orders of two holders to the platform, so the
-    /// later one waits until nothing of the former can come any more.
+    /// A holder that was suspected to have failed, and lost the duty, may still run. Its
+    /// calls must not interleave with those of its successor at the platform, so the
+    /// successor waits until none of them can arrive any more.
     #[must_use]
     pub fn barred(&self, holder: &str) -> Option<Duration> {
         let mut turns = Turns::new();
-        let others = self.kept.values().filter(|kept| kept.holder != holder);
-        let last = others.max_by_key(|kept| kept.at)?;
-        turns.note(SUBJECT, &last.holder, Duration::from_millis(last.at));
-        turns.barred(SUBJECT, holder, self.terms.apart)
+        let others = self
+            .stored
+            .values()
+            .filter(|report| report.holder != holder);
+        let last = others.max_by_key(|report| report.at)?;
+        turns.note(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
+        turns.barred(TURNS_KEY, holder, self.terms.apart)
     }
 
-    /// Decides what to do at the time of day `now`, if the store was away until `back`.
+    /// Returns the next action at the time of day `now`. `store_back` is when the store
+    /// became available again after its last outage.
     #[must_use]
-    pub fn next(&self, now: Duration, back: Option<Duration>) -> Step {
-        let mut open = self.kept.iter().filter(|(_, kept)| !kept.sent);
+    pub fn next(&self, now: Duration, store_back: Option<Duration>) -> Step {
+        let mut open = self.stored.iter().filter(|(_, report)| !report.sent);
         if let Some((window, _)) = open.next() {
-            let late = now.saturating_sub(self.terms.windows.end(*window));
-            return if late > GIVEN_UP {
+            let delay = now.saturating_sub(self.terms.windows.end(*window));
+            return if delay > MAX_REPORT_DELAY {
                 Step::GiveUp(*window)
             } else {
                 Step::Send(*window)
             };
         }
-        let last = self.kept.last_key_value();
-        let next = last.map_or(self.first, |(window, _)| window.next());
-        // Nobody had the duty for long: what is too late anyway is passed over.
-        let oldest = self.terms.windows.at(now.saturating_sub(GIVEN_UP));
+        let last = self.stored.last_key_value();
+        let next = last.map_or(self.first_window, |(window, _)| window.next());
+        // Skips windows that became too late while no process held the duty.
+        let oldest = self.terms.windows.at(now.saturating_sub(MAX_REPORT_DELAY));
         let next = next.max(oldest);
-        let due = self.due(next, back);
+        let due = self.due(next, store_back);
         if due <= now {
             Step::Make(next)
         } else {
@@ -163,18 +170,19 @@
         }
     }
 
-    /// Returns when the report of a window is made.
-    fn due(&self, window: Window, back: Option<Duration>) -> Duration {
+    /// Returns the time of day at which the report of a window is made.
+    fn due(&self, window: Window, store_back: Option<Duration>) -> Duration {
         let end = self.terms.windows.end(window);
-        let gathered = end + GATHERED;
-        let settled = back.map_or(gathered, |back| gathered.max(back + SETTLED));
-        // What comes after that comes too late.
-        settled.min(end + self.terms.late.saturating_sub(SPARE))
+        let collected = end + COLLECTION_DELAY;
+        let complete =
+            store_back.map_or(collected, |back| collected.max(back + STORE_RECOVERY_DELAY));
+        // Doesn't wait for counts that are written later: the report would be late.
+        complete.min(end + self.terms.late.saturating_sub(SEND_MARGIN))
     }
 }
 
 impl Kept {
-    /// Describes a report that `holder` is about to send at the store's time `now`.
+    /// Creates a report that `holder` is about to send, at the store's time `now`.
     #[must_use]
     pub fn new(body: String, holder: &str, now: Duration) -> Self {
         Self {
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of one process on their way into the store.
+//! Counts of one process that are being written to the store.
 
 use super::Window;
 use crate::table::RowId;
@@ -8,26 +8,23 @@
 /// The table of counts.
 pub const USAGE: &str = "usage";
 
-/// Most shares of one write; a process that reaches the store again after an outage
-/// has counts of many windows.
-const MOST: usize = 50;
-/// Time between two writes of a process at the least.
-const KEEP: Duration = Duration::from_millis(200);
-/// With more processes each of them writes the less often: together they write so many
-/// times a second at the most, a seventh of what the smallest store takes.
-const WRITES: u32 = 120;
+/// After a store outage a process has counts of many windows to write.
+const MAX_ROWS_PER_WRITE: usize = 50;
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
+/// Limits the writes of all processes together.
+const MAX_WRITES_PER_SECOND: u32 = 120;
 
-/// Requests by account.
+/// Number of requests by account.
 pub type Counts = BTreeMap<String, u64>;
 
-/// A part of what one process counted in a window. It is written once.
+/// A part of the counts of one process in a window, written once as one row.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Share {
+pub struct PartialCounts {
     /// The window.
     pub window: Window,
-    /// Tells the shares of a process apart.
+    /// The sequence number of the row within its process.
     pub seq: u64,
-    /// What was counted.
+    /// The counts.
     pub counts: Counts,
 }
 
@@ -36,44 +33,44 @@
     counts: Counts,
 }
 
-impl Share {
-    /// Names its row; `life` is the life of the process that counted.
+impl PartialCounts {
+    /// Returns the row id, for the incarnation of the process that counted.
     #[must_use]
-    pub fn row(&self, life: &str) -> RowId {
-        let key = format!("{}{life}/{}", prefix(self.window), self.seq);
+    pub fn row(&self, incarnation: &str) -> RowId {
+        let key = format!("{}{incarnation}/{}", key_prefix(self.window), self.seq);
         RowId::new(USAGE, "", &key)
     }
 
-    /// Encodes its counts.
+    /// Encodes the counts as JSON.
     ///
     /// # Panics
     ///
-    /// Never: texts and numbers always become JSON.
+    /// Never: a map of strings to integers can always be encoded.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let counts = self.counts.clone();
-        serde_json::to_vec(&Value { counts }).expect("texts and numbers become JSON")
+        serde_json::to_vec(&Value { counts }).expect("strings and integers can be encoded as JSON")
     }
 }
 
-/// Returns what the keys of all rows of a window begin with; it sorts as windows do.
-pub(super) fn prefix(window: Window) -> String {
+/// Returns the common key prefix of a window's rows. Prefixes sort in the order of windows.
+pub(super) fn key_prefix(window: Window) -> String {
     format!("{:020}/", window.0)
 }
 
-/// Returns the window that a key begins with.
-pub(super) fn named(key: &str) -> Option<Window> {
+/// Returns the window of the row with this key.
+pub(super) fn parse_window(key: &str) -> Option<Window> {
     let (number, _) = key.split_once('/')?;
     number.parse().ok().map(Window)
 }
 
-/// Returns the first key of a window's counts, and the key behind its last.
+/// Returns the range of keys of a window's counts: the first one, and the end (exclusive).
 #[must_use]
 pub fn keys(window: Window) -> (String, String) {
-    (prefix(window), prefix(window.next()))
+    (key_prefix(window), key_prefix(window.next()))
 }
 
-/// Adds up the rows of a window; also returns how many rows are broken.
+/// Adds up the rows of a window; also returns the number of rows that can't be decoded.
 #[must_use]
 pub fn merge<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
     let mut sums = Counts::new();
@@ -90,13 +87,13 @@
     (sums, broken)
 }
 
-/// Counts of one process that the store doesn't surely have yet.
+/// Counts of one process that aren't confirmed to be in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    open: BTreeMap<Window, Counts>,
-    /// Shares that are being written, or whose write has no outcome yet.
-    sent: Vec<Share>,
-    seq: u64,
+    unsent: BTreeMap<Window, Counts>,
+    /// Rows of a write that isn't confirmed yet.
+    in_flight: Vec<PartialCounts>,
+    last_seq: u64,
 }
 
 impl Tally {
@@ -108,55 +105,53 @@
 
     /// Counts one request of an account.
     pub fn note(&mut self, window: Window, account: &str) {
-        let counts = self.open.entry(window).or_default();
+        let counts = self.unsent.entry(window).or_default();
         match counts.get_mut(account) {
             Some(count) => *count += 1,
             None => drop(counts.insert(account.to_owned(), 1)),
         }
     }
 
-    /// Says whether nothing is left to write.
+    /// Returns whether all counts are confirmed to be in the store.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty() && self.sent.is_empty()
+        self.unsent.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Returns what to write next, all in one transaction.
+    /// Returns the rows to write next, in one transaction.
     ///
-    /// The same shares come again until [`Self::kept`] is called, since a write without
-    /// an answer may have been carried out: as the same rows they count once. What is
-    /// counted meanwhile goes into later shares.
-    pub fn next_write(&mut self) -> &[Share] {
-        if self.sent.is_empty() {
-            while let Some((window, counts)) = self.open.pop_first() {
-                self.seq += 1;
-                let seq = self.seq;
-                self.sent.push(Share {
+    /// Returns the same rows until [`Self::kept`] is called, since a write without an
+    /// answer may have taken effect. Later counts go into later rows.
+    pub fn next_write(&mut self) -> &[PartialCounts] {
+        if self.in_flight.is_empty() {
+            while let Some((window, counts)) = self.unsent.pop_first() {
+                self.last_seq += 1;
+                let seq = self.last_seq;
+                self.in_flight.push(PartialCounts {
                     window,
                     seq,
                     counts,
                 });
-                if self.sent.len() >= MOST {
+                if self.in_flight.len() >= MAX_ROWS_PER_WRITE {
                     break;
                 }
             }
         }
-        &self.sent
+        &self.in_flight
     }
 
-    /// Notes that the store has what [`Self::next_write`] returned.
+    /// Confirms that the rows of [`Self::next_write`] are in the store.
     pub fn kept(&mut self) {
-        self.sent.clear();
+        self.in_flight.clear();
     }
 }
 
-/// Returns the pause between two writes of a process among `processes`.
+/// Returns the interval between two writes of one of `processes` processes.
 ///
-/// Load: every process has callers all the time. Harm: what a process that is killed
-/// has not written is lost, so the pause is short; 360 processes that write five times a
-/// second would use up the store.
+/// A process that is killed loses the counts of this interval, so it is as short as the
+/// store can handle.
 #[must_use]
 pub fn pause(processes: usize) -> Duration {
     let processes = u32::try_from(processes).unwrap_or(u32::MAX);
-    KEEP.max(Duration::from_secs(1) * processes / WRITES)
+    MIN_WRITE_INTERVAL.max(Duration::from_secs(1) * processes / MAX_WRITES_PER_SECOND)
 }
