--- a/src/usage/window.rs
+++ b/src/usage/window.rs
@@ -1,8 +1,8 @@
-//! Windows of the time of day, in which usage is counted.
+//! Time windows in which usage is counted.
 
 use std::time::Duration;
 
-/// A window by its number, counted from the start of 1970.
+/// The number of a window, counted from the Unix epoch.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Window(pub u64);
 
@@ -14,14 +14,14 @@
     }
 }
 
-/// All windows of one length. Times are counted from the start of 1970.
+/// Consecutive windows of one length. Times are durations since the Unix epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Windows {
     length: Duration,
 }
 
 impl Windows {
-    /// Creates windows of a length; one of no length counts as a second.
+    /// Creates windows of this length; zero becomes one second.
     #[must_use]
     pub const fn new(length: Duration) -> Self {
         let length = if length.is_zero() {
@@ -32,14 +32,14 @@
         Self { length }
     }
 
-    /// Returns the window that a time is in.
+    /// Returns the window that contains a time.
     #[must_use]
     pub fn at(&self, time: Duration) -> Window {
         let number = time.as_nanos() / self.length.as_nanos();
         Window(u64::try_from(number).unwrap_or(u64::MAX))
     }
 
-    /// Returns when a window ends.
+    /// Returns the end of a window (exclusive).
     #[must_use]
     pub fn end(&self, window: Window) -> Duration {
         let nanos = self.length.as_nanos() * (u128::from(window.0) + 1);
