--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -21,9 +21,9 @@
     /// was within the bound would be over it when it is handed out.
     pub(crate) fn fix(&mut self) {
         let head = self.head();
-        let (cursor, version) = (head.next, head.version);
+        let (cursor, version) = (head.next_cursor, head.version);
         let fixing = self.journal.has(|change| matches!(change, Change::Fix(_)));
-        if head.done != cursor || fixing || self.must_wait() {
+        if head.done_steps != cursor || fixing || self.must_wait() {
             return;
         }
         let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
@@ -176,9 +176,9 @@
             return;
         }
         let head = self.head();
-        if cursor < head.done {
+        if cursor < head.done_steps {
             self.steps.push_back(Step::Answer(ticket, Answer::Noted));
-        } else if cursor >= head.next {
+        } else if cursor >= head.next_cursor {
             self.refuse(ticket, ErrorKind::BadCursor);
         } else if version < head.version {
             self.refuse(ticket, ErrorKind::BadVersion);
@@ -215,13 +215,13 @@
             return Some(Answer::Batch(batch.clone()));
         }
         let head = self.head();
-        if pull.cursor != head.next {
+        if pull.cursor != head.next_cursor {
             return Some(Answer::Refused(ErrorKind::BadCursor));
         }
         let closing = self
             .journal
             .has(|change| matches!(change, Change::Done { .. }));
-        if head.done < head.next && !closing {
+        if head.done_steps < head.next_cursor && !closing {
             return Some(Answer::Refused(ErrorKind::StepOpen));
         }
         late
--- a/src/train/journal.rs
+++ b/src/train/journal.rs
@@ -271,13 +271,13 @@
         }
         Change::Fix(batch) => {
             for record in &batch.records {
-                write.head.take(record.slot.group);
+                write.head.mark_delivered(record.slot.group);
             }
-            write.head.next = batch.cursor + 1;
+            write.head.next_cursor = batch.cursor + 1;
             write.puts.push(Row::Batch(batch.clone()));
         }
         Change::Done { cursor, version } => {
-            write.head.done = cursor + 1;
+            write.head.done_steps = cursor + 1;
             write.head.version = *version;
             if let Some(old) = cursor.checked_sub(KEPT) {
                 write.deletes.push(RowName::Batch(old));
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -213,14 +213,16 @@
             return;
         }
         let head = self.head().clone();
-        self.opened = head.low;
+        self.opened = head.delivered_below;
         for row in rows {
             let name = row.name();
             match row {
-                Row::Batch(batch) if batch.cursor + super::KEPT >= head.done => {
+                Row::Batch(batch) if batch.cursor + super::KEPT >= head.done_steps => {
                     self.batches.insert(batch.cursor, batch);
                 }
-                Row::Sample(record) if !head.is_taken(record.slot.group) => self.restore(record),
+                Row::Sample(record) if !head.is_delivered(record.slot.group) => {
+                    self.restore(record);
+                }
                 // Its batch or step is done; the holder that should have
                 // removed it was lost first.
                 _ => self.journal.add(Change::Forget(name)),
@@ -282,7 +284,7 @@
         while count < window {
             let group = self.opened;
             self.opened += 1;
-            if head.is_taken(group) || self.groups.contains_key(&group) {
+            if head.is_delivered(group) || self.groups.contains_key(&group) {
                 continue;
             }
             self.groups.insert(group, fresh(size));
--- a/src/train/sample.rs
+++ b/src/train/sample.rs
@@ -2,7 +2,7 @@
 
 use crate::train::{
     GenKey,
-    row::{Record, Slot, Span, oldest},
+    row::{Record, Slot, Span, oldest_version},
 };
 use std::time::Instant;
 
@@ -47,7 +47,7 @@
 
 impl Text {
     pub(crate) fn oldest(&self) -> Option<u64> {
-        oldest(&self.spans)
+        oldest_version(&self.spans)
     }
 
     /// Returns this text with what was reported of its continuation; none if
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -40,12 +40,12 @@
 impl Run {
     /// Says whether the next batch, or one before, waits for this group.
     pub(crate) fn is_due(&self, group: u64) -> bool {
-        group / u64::from(self.spec.groups.max(1)) <= self.head().next
+        group / u64::from(self.spec.groups.max(1)) <= self.head().next_cursor
     }
 
     pub(crate) fn is_urgent(&self, group: u64) -> bool {
         let per = u64::from(self.spec.groups.max(1));
-        let late = group / per < self.head().next;
+        let late = group / per < self.head().next_cursor;
         late || self.is_due(group) && self.is_closing()
     }
 
@@ -58,7 +58,7 @@
     pub(crate) fn hurry(&mut self, now: Instant) {
         let closing = self.is_closing();
         let per = u64::from(self.spec.groups.max(1));
-        let next = self.head().next;
+        let next = self.head().next_cursor;
         let mut slow = Vec::new();
         for (key, generation) in &mut self.gens {
             let step = generation.slot.group / per;
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -66,7 +66,10 @@
     fn check_lost(&self, name: &RowName, head: &Head) {
         if let Some(Row::Sample(record)) = self.rows.get(name) {
             let old = record.oldest().unwrap() + SPEC.bound < head.version;
-            assert!(old || head.is_taken(record.slot.group), "a sample is lost");
+            assert!(
+                old || head.is_delivered(record.slot.group),
+                "a sample is lost"
+            );
         }
     }
 }
