--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -207,7 +207,7 @@
 
     fn reply(&self, now: Instant, pull: Pull) -> Option<Answer> {
         let waited = now.saturating_duration_since(pull.since);
-        let late = (waited >= self.spec.patience).then_some(Answer::NotYet);
+        let late = (waited >= self.spec.pull_timeout).then_some(Answer::NotYet);
         if !self.journal.is_ready() {
             return late;
         }
--- a/src/train/spec.rs
+++ b/src/train/spec.rs
@@ -1,30 +1,31 @@
-//! What a trainer asks for when it opens a run.
+//! The settings of a run, which a trainer chooses when it opens the run.
 
 use std::time::Duration;
 
 /// The settings of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
-    /// Samples of one prompt, which are scored against each other.
+    /// The number of samples per prompt, which are scored relative to each other.
     pub size: u32,
-    /// Groups in one step's batch.
+    /// The number of groups in the batch of a step.
     pub groups: u32,
-    /// How many versions a sample's oldest token may be behind the trainer.
+    /// The staleness bound: how many versions the oldest token of a sample may be
+    /// behind the trainer.
     pub bound: u64,
-    /// How much the deployment minds staleness against idle time, 0 to 1.
+    /// The weight of low staleness against low idle time, from 0 to 1.
     ///
-    /// At 0 as much is started ahead as the bound allows; at 1 each group is
-    /// started just in time.
+    /// At 0, as many groups are started ahead as the staleness bound allows. At
+    /// 1, groups are started just in time.
     pub staleness: f64,
-    /// Share of a run's generations that may run a second copy at once.
-    pub hedges: f64,
-    /// How long a pull waits before it is answered "not yet".
-    pub patience: Duration,
+    /// The share of running generations that may have a hedge at the same time.
+    pub hedge_share: f64,
+    /// How long a pull waits for its batch before the answer is "not yet".
+    pub pull_timeout: Duration,
 }
 
 impl Spec {
-    /// Creates settings of 8 samples a group, 16 groups a step, and a bound of
-    /// 2 versions.
+    /// Creates settings with 8 samples per group, 16 groups per step and a
+    /// staleness bound of 2 versions.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -32,19 +33,19 @@
             groups: 16,
             bound: 2,
             staleness: 0.5,
-            hedges: 0.05,
-            patience: Duration::from_secs(20),
+            hedge_share: 0.05,
+            pull_timeout: Duration::from_secs(20),
         }
     }
 
-    /// Sets the samples of one prompt.
+    /// Sets the number of samples per prompt.
     #[must_use]
     pub const fn size(mut self, size: u32) -> Self {
         self.size = size;
         self
     }
 
-    /// Sets the groups in one step.
+    /// Sets the number of groups per step.
     #[must_use]
     pub const fn groups(mut self, groups: u32) -> Self {
         self.groups = groups;
@@ -58,17 +59,17 @@
         self
     }
 
-    /// Sets the weight of staleness against idle time.
+    /// Sets the weight of low staleness against low idle time.
     #[must_use]
     pub const fn staleness(mut self, staleness: f64) -> Self {
         self.staleness = staleness;
         self
     }
 
-    /// Sets the share of generations that may run twice at once.
+    /// Sets the share of running generations that may have a hedge.
     #[must_use]
-    pub const fn hedges(mut self, hedges: f64) -> Self {
-        self.hedges = hedges;
+    pub const fn hedge_share(mut self, share: f64) -> Self {
+        self.hedge_share = share;
         self
     }
 }
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -83,7 +83,7 @@
     /// generations, and one at least, so that a small run is helped as well.
     fn hedge(&mut self, now: Instant, key: GenKey) {
         let running = self.groups.values().map(hedges).sum::<usize>();
-        let budget = (self.gens.len() as f64 * self.spec.hedges).max(1.0);
+        let budget = (self.gens.len() as f64 * self.spec.hedge_share).max(1.0);
         if running as f64 + 1.0 > budget {
             return;
         }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -19,7 +19,7 @@
     time::{Duration, Instant},
 };
 
-pub const SPEC: Spec = Spec::new().size(2).groups(2).bound(2).hedges(0.3);
+pub const SPEC: Spec = Spec::new().size(2).groups(2).bound(2).hedge_share(0.3);
 const TURN: Duration = Duration::from_millis(500);
 const OWNER: u64 = 7;
 const ENGINES: usize = 3;
