--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -68,9 +68,11 @@
     fn oldest(&self, group: &Group) -> Option<u64> {
         let samples = group.samples.iter();
         let oldest = samples.filter_map(|sample| match &sample.phase {
-            Phase::Waiting => sample.prefix.oldest(),
-            Phase::Running { main, .. } => self.gens.get(*main).and_then(|g| g.text.oldest()),
-            Phase::Scoring(key) => self.gens.get(*key).and_then(|g| g.text.oldest()),
+            Phase::Waiting => sample.prefix.oldest_version(),
+            Phase::Running { main, .. } => {
+                self.gens.get(*main).and_then(|g| g.text.oldest_version())
+            }
+            Phase::Scoring(key) => self.gens.get(*key).and_then(|g| g.text.oldest_version()),
             Phase::Writing(record) | Phase::Recorded(record) => record.oldest(),
         });
         oldest.min()
@@ -91,7 +93,8 @@
         let mut slots = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
-                if over(&sample.phase, self) || old(sample.prefix.oldest()) && waits(&sample.phase)
+                if over(&sample.phase, self)
+                    || old(sample.prefix.oldest_version()) && waits(&sample.phase)
                 {
                     slots.push(Slot {
                         group: *number,
@@ -129,7 +132,7 @@
 
     fn is_old(&self, key: GenKey, floor: u64) -> bool {
         let generation = self.gens.get(key);
-        generation.is_some_and(|g| g.text.oldest().is_some_and(|oldest| oldest < floor))
+        generation.is_some_and(|g| g.text.oldest_version().is_some_and(|oldest| oldest < floor))
     }
 
     /// Notes that a step's end is in the table.
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -23,7 +23,7 @@
 
     /// Starts waiting samples in prompt order, up to the share of the engines.
     pub(crate) fn start(&mut self, now: Instant) {
-        let running = self.gens.values().filter(|g| !g.ended).count();
+        let running = self.gens.values().filter(|g| !g.finished).count();
         let room = self.limit.saturating_sub(running);
         let mut waiting = Vec::new();
         for (number, group) in &self.groups {
@@ -52,7 +52,7 @@
 
     pub(crate) fn launch(&mut self, now: Instant, slot: Slot, base: Text, hurried: bool) -> GenKey {
         let urgent = hurried || self.is_urgent(slot.group);
-        let prefix = base.from.map(|generation| Prefix {
+        let prefix = base.source.map(|generation| Prefix {
             generation,
             tokens: base.tokens,
         });
@@ -65,8 +65,8 @@
             text: base.clone(),
             base,
             started: now,
-            heard: None,
-            ended: false,
+            reports: None,
+            finished: false,
         });
         self.steps.push_back(Step::Start {
             generation,
@@ -84,17 +84,21 @@
         let Some(generation) = self.gens.get_mut(key) else {
             return;
         };
-        if generation.ended || tokens < generation.text.tokens {
+        if generation.finished || tokens < generation.text.tokens {
             return;
         }
         let slot = generation.slot;
-        let Some(text) = generation.base.with(tokens, spans) else {
+        let Some(text) = generation.base.extended(tokens, spans) else {
             self.distrust(key);
             return;
         };
         self.counts.tokens += u64::from(tokens - generation.text.tokens);
-        generation.hear(now, key, text);
-        if generation.text.oldest().is_none_or(|old| old >= floor) {
+        generation.record_report(now, key, text);
+        if generation
+            .text
+            .oldest_version()
+            .is_none_or(|old| old >= floor)
+        {
             self.overtake(key);
         } else if self.is_copy(slot, key) {
             self.drop_copy(slot, key);
@@ -137,7 +141,7 @@
         };
         let slot = generation.slot;
         let took = now.saturating_duration_since(generation.started);
-        let rate = generation.rate(now);
+        let rate = generation.token_rate(now);
         // A second copy that ends before it has passed the first one's length
         // is not taken: it would win by being short.
         if self.is_copy(slot, key) {
@@ -152,7 +156,7 @@
         }
         self.pace.finished(took, rate);
         if let Some(generation) = self.gens.get_mut(key) {
-            generation.ended = true;
+            generation.finished = true;
         }
         self.set(slot, Phase::Scoring(key));
         self.steps.push_back(Step::Score {
--- a/src/train/sample.rs
+++ b/src/train/sample.rs
@@ -1,4 +1,4 @@
-//! Samples on their way, and what truly generated them.
+//! Samples of open groups, and the versions that generated their tokens.
 
 use crate::train::{
     GenKey,
@@ -6,19 +6,19 @@
 };
 use std::time::Instant;
 
-/// Where a sample stands.
+/// The state of a sample.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) enum Phase {
-    /// Nothing runs for it; a prefix may be there.
+    /// No generation is running; there may be a prefix.
     #[default]
     Waiting,
-    /// It is being generated.
+    /// The sample is being generated, with an optional hedge.
     Running { main: GenKey, hedge: Option<GenKey> },
-    /// It is finished, and is being kept and scored.
+    /// The sample is finished and is being stored and scored.
     Scoring(GenKey),
-    /// Its record is on the way to the table.
+    /// The record is being written to the table.
     Writing(Record),
-    /// Its record is in the table.
+    /// The record is in the table.
     Recorded(Record),
 }
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sample {
     pub(crate) phase: Phase,
-    /// What generations that broke off left.
+    /// The text of generations that failed.
     pub(crate) prefix: Text,
 }
 
@@ -36,96 +36,99 @@
     }
 }
 
-/// Some first tokens of a sample, by what generated them.
+/// The first tokens of a sample, with the versions that generated them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Text {
     pub(crate) tokens: u32,
     pub(crate) spans: Vec<Span>,
-    /// The generation whose text begins so.
-    pub(crate) from: Option<GenKey>,
+    /// The generation that holds the text.
+    pub(crate) source: Option<GenKey>,
 }
 
 impl Text {
-    pub(crate) fn oldest(&self) -> Option<u64> {
+    pub(crate) fn oldest_version(&self) -> Option<u64> {
         oldest_version(&self.spans)
     }
 
-    /// Returns this text with what was reported of its continuation; none if
-    /// the report leaves a token without a version.
+    /// Returns this text extended by a report of its continuation, or `None` if the
+    /// report leaves a token without a version.
     ///
-    /// Such a report can't be made whole by a guess: what was ordered may not
-    /// be what ran.
-    pub(crate) fn with(&self, tokens: u32, spans: &[Span]) -> Option<Self> {
-        let rising = spans.windows(2).all(|pair| pair[0].first < pair[1].first);
-        let starts = spans.first().map_or(self.tokens, |span| span.first);
-        let inside = spans.last().is_none_or(|span| span.first < tokens);
+    /// A missing version isn't inferred from the orders, since the engine may
+    /// have run another one.
+    pub(crate) fn extended(&self, tokens: u32, spans: &[Span]) -> Option<Self> {
+        let increasing = spans.windows(2).all(|pair| pair[0].first < pair[1].first);
+        let start = spans.first().map_or(self.tokens, |span| span.first);
+        let in_range = spans.last().is_none_or(|span| span.first < tokens);
         let covered = !spans.is_empty() || tokens == self.tokens;
-        if !rising || starts != self.tokens || !inside || !covered {
+        if !increasing || start != self.tokens || !in_range || !covered {
             return None;
         }
-        let mut all = self.spans.clone();
+        let mut merged = self.spans.clone();
         for span in spans {
-            if all.last().is_none_or(|last| last.version != span.version) {
-                all.push(*span);
+            if merged
+                .last()
+                .is_none_or(|last| last.version != span.version)
+            {
+                merged.push(*span);
             }
         }
         Some(Self {
             tokens,
-            spans: all,
-            from: self.from,
+            spans: merged,
+            source: self.source,
         })
     }
 }
 
-/// One run of an engine for one sample.
+/// A generation of one sample on an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Generation {
     pub(crate) slot: Slot,
     pub(crate) serial: u64,
     pub(crate) urgent: bool,
-    /// The text that it continues.
+    /// The text that the generation continues.
     pub(crate) base: Text,
-    /// The text as last reported.
+    /// The last reported text, including `base`.
     pub(crate) text: Text,
     pub(crate) started: Instant,
-    /// When the first and the last report came, with the tokens of the first.
-    pub(crate) heard: Option<Heard>,
-    /// Whether its last token was reported.
-    pub(crate) ended: bool,
+    pub(crate) reports: Option<ReportTimes>,
+    /// Whether the last token was reported.
+    pub(crate) finished: bool,
 }
 
-/// The reports of a generation.
+/// When a generation was first and last reported.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Heard {
+pub(crate) struct ReportTimes {
     pub(crate) first: Instant,
-    pub(crate) tokens: u32,
+    /// The number of tokens in the first report.
+    pub(crate) first_tokens: u32,
     pub(crate) last: Instant,
 }
 
 impl Generation {
-    pub(crate) fn hear(&mut self, now: Instant, key: GenKey, text: Text) {
-        match &mut self.heard {
-            Some(heard) => heard.last = now,
+    pub(crate) fn record_report(&mut self, now: Instant, key: GenKey, text: Text) {
+        match &mut self.reports {
+            Some(reports) => reports.last = now,
             None => {
-                self.heard = Some(Heard {
+                self.reports = Some(ReportTimes {
                     first: now,
-                    tokens: text.tokens,
+                    first_tokens: text.tokens,
                     last: now,
                 });
             }
         }
         self.text = Text {
-            from: Some(key),
+            source: Some(key),
             ..text
         };
     }
 
-    /// Returns tokens a second since its first report; none before there is
-    /// enough to tell.
-    pub(crate) fn rate(&self, now: Instant) -> Option<f64> {
-        let heard = self.heard?;
-        let took = now.saturating_duration_since(heard.first).as_secs_f64();
-        let tokens = self.text.tokens.saturating_sub(heard.tokens);
-        (took > 0.0).then(|| f64::from(tokens) / took)
+    /// Returns the tokens per second since the first report, or `None` before any
+    /// time has passed since then.
+    pub(crate) fn token_rate(&self, now: Instant) -> Option<f64> {
+        let reports = self.reports?;
+        let elapsed = now.saturating_duration_since(reports.first).as_secs_f64();
+        let tokens = self.text.tokens.saturating_sub(reports.first_tokens);
+        (elapsed > 0.0).then(|| f64::from(tokens) / elapsed)
     }
 }
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -141,14 +141,14 @@
 }
 
 fn is_slow(generation: &Generation, usual: Option<f64>, now: Instant) -> bool {
-    let Some(heard) = generation.heard else {
+    let Some(reports) = generation.reports else {
         return false;
     };
-    if now.saturating_duration_since(heard.last) > SILENT {
+    if now.saturating_duration_since(reports.last) > SILENT {
         return true;
     }
-    let warm = now.saturating_duration_since(heard.first) > WARM;
-    let rate = generation.rate(now);
+    let warm = now.saturating_duration_since(reports.first) > WARM;
+    let rate = generation.token_rate(now);
     warm && rate
         .zip(usual)
         .is_some_and(|(rate, usual)| rate < SLOW * usual)
