--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -3,7 +3,7 @@
 use crate::{
     error::ErrorKind,
     train::{
-        GenKey, KEPT,
+        GenKey, RETAINED_BATCHES,
         event::{Answer, Step, Ticket},
         journal::Change,
         row::{Batch, Record, Slot},
@@ -22,7 +22,9 @@
     pub(crate) fn fix(&mut self) {
         let head = self.head();
         let (cursor, version) = (head.next_cursor, head.version);
-        let fixing = self.journal.has(|change| matches!(change, Change::Fix(_)));
+        let fixing = self
+            .journal
+            .has(|change| matches!(change, Change::AddBatch(_)));
         if head.done_steps != cursor || fixing || self.must_wait() {
             return;
         }
@@ -44,7 +46,7 @@
             version,
             records: records.collect(),
         };
-        self.journal.add(Change::Fix(batch));
+        self.journal.add(Change::AddBatch(batch));
     }
 
     /// Says whether a group that this batch or an earlier one was to hold can't
@@ -142,7 +144,7 @@
             .get(&cursor)
             .is_some_and(|b| b.version < version);
         self.pace.done(now, bump);
-        let kept = (cursor + 1).saturating_sub(KEPT);
+        let kept = (cursor + 1).saturating_sub(RETAINED_BATCHES);
         self.batches.retain(|batch, _| *batch >= kept);
         let dones = mem::take(&mut self.dones);
         for (ticket, done) in dones {
@@ -188,9 +190,9 @@
         } else {
             if !self
                 .journal
-                .has(|change| matches!(change, Change::Done { .. }))
+                .has(|change| matches!(change, Change::CompleteStep { .. }))
             {
-                self.journal.add(Change::Done { cursor, version });
+                self.journal.add(Change::CompleteStep { cursor, version });
             }
             self.dones.push((ticket, cursor));
         }
@@ -223,7 +225,7 @@
         }
         let closing = self
             .journal
-            .has(|change| matches!(change, Change::Done { .. }));
+            .has(|change| matches!(change, Change::CompleteStep { .. }));
         if head.done_steps < head.next_cursor && !closing {
             return Some(Answer::Refused(ErrorKind::StepOpen));
         }
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -213,7 +213,7 @@
             fence: self.journal.fence(),
             serial: generation.serial,
         };
-        self.journal.add(Change::Record(record.clone()));
+        self.journal.add(Change::AddSample(record.clone()));
         self.set(slot, Phase::Writing(record));
     }
 
@@ -253,7 +253,7 @@
         };
         self.counts.wasted += u64::from(tokens);
         self.counts.dropped += 1;
-        self.journal.add(Change::Drop(slot));
+        self.journal.add(Change::DropSample(slot));
     }
 
     /// Stops a generation whose tokens beyond its base are lost.
--- a/src/train/journal.rs
+++ b/src/train/journal.rs
@@ -1,77 +1,79 @@
 //! The single writer of a run's rows.
 //!
-//! One transaction is under way at a time, and carries all that gathered
-//! meanwhile. If its answer is lost it may have taken effect, or may still do
-//! so; the head's version tells. It is repeated unchanged, so that it doesn't
-//! matter which copy takes effect, and a second copy fails on its condition.
+//! One transaction is in flight at a time; changes that arrive meanwhile go into
+//! the next one. A transaction without an answer may have taken effect, or may
+//! still do so, which the version of the head row shows. It is retried unchanged:
+//! either copy may take effect, and the other one then fails on its condition.
 
 use crate::train::row::{Batch, Head, Record, Row, RowName, Slot, Write};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Changes in one transaction.
+/// The maximum number of changes in one transaction.
 ///
-/// etcd takes 128 operations as it is delivered; a done step removes two rows
-/// at most for each change here, and the head is one more.
-const CHANGES: usize = 48;
+/// Each change writes or removes at most one row, and the head row is one more. By
+/// default etcd allows 128 operations.
+const MAX_CHANGES: usize = 48;
 
-/// Batches kept behind the trainer's cursor.
+/// Number of batches retained behind the trainer's cursor.
 ///
-/// A trainer that restarts from its checkpoint of a few steps ago gets the same
-/// batches again; one that lost more must open a new run.
-pub const KEPT: u64 = 4;
+/// A trainer that restarts from a checkpoint at most this many steps old gets the
+/// same batches again. An older checkpoint needs a new run.
+pub const RETAINED_BATCHES: u64 = 4;
 
-/// One change of a run.
+/// A change to the rows of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Change {
-    Record(Record),
-    Drop(Slot),
-    Fix(Batch),
-    Done { cursor: u64, version: u64 },
-    Forget(RowName),
+    AddSample(Record),
+    DropSample(Slot),
+    AddBatch(Batch),
+    CompleteStep { cursor: u64, version: u64 },
+    DeleteRow(RowName),
 }
 
 impl Change {
-    /// Returns the row that it writes or removes.
-    fn row(&self) -> Option<RowName> {
+    /// Returns the row that the change writes or removes.
+    fn row_name(&self) -> Option<RowName> {
         match self {
-            Self::Record(record) => Some(RowName::Sample(record.slot)),
-            Self::Drop(slot) => Some(RowName::Sample(*slot)),
-            Self::Fix(batch) => Some(RowName::Batch(batch.cursor)),
-            Self::Done { cursor, .. } => cursor.checked_sub(KEPT).map(RowName::Batch),
-            Self::Forget(name) => Some(*name),
+            Self::AddSample(record) => Some(RowName::Sample(record.slot)),
+            Self::DropSample(slot) => Some(RowName::Sample(*slot)),
+            Self::AddBatch(batch) => Some(RowName::Batch(batch.cursor)),
+            Self::CompleteStep { cursor, .. } => {
+                cursor.checked_sub(RETAINED_BATCHES).map(RowName::Batch)
+            }
+            Self::DeleteRow(name) => Some(*name),
         }
     }
 }
 
-/// What the table has to do next.
+/// A call of the table.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Ask {
-    Head,
-    Rows,
+pub(crate) enum TableCall {
+    ReadHead,
+    ReadRows,
     Write(Box<Write>),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    /// The head is to be read.
-    Look,
+    /// The head must be read.
+    NeedsHead,
     /// The head is being read.
-    Looking,
-    /// The claim or a change is to be sent, perhaps again.
-    Send,
-    /// A write is under way.
-    Sending,
-    /// All rows are to be read.
-    Load,
+    ReadingHead,
+    /// The claim or a change must be written, perhaps again.
+    NeedsWrite,
+    /// A write is in flight.
+    Writing,
+    /// All rows must be read.
+    NeedsRows,
     /// All rows are being read.
-    Loading,
-    /// Nothing is under way.
+    ReadingRows,
+    /// No call is in flight.
     Idle,
-    /// A newer holder wrote.
-    Deposed,
+    /// A newer holder has taken over.
+    Fenced,
 }
 
-/// Writes for one holder of one run.
+/// Writes the changes of one holder to the rows of a run.
 #[derive(Debug)]
 pub(crate) struct Journal {
     fence: u64,
@@ -79,13 +81,13 @@
     head: Head,
     state: State,
     claimed: bool,
-    queue: VecDeque<Change>,
-    sent: Option<(Write, Vec<Change>)>,
+    pending: VecDeque<Change>,
+    in_flight: Option<(Write, Vec<Change>)>,
 }
 
 impl Journal {
-    /// Creates a holder under `fence` of a run that starts at `version` if the
-    /// table doesn't know it yet.
+    /// Creates the journal of a holder under `fence`. A run that isn't in the table
+    /// yet starts at `version`.
     pub(crate) fn new(fence: u64, version: u64) -> Self {
         let head = Head {
             version,
@@ -95,14 +97,14 @@
             fence,
             version: 0,
             head,
-            state: State::Look,
+            state: State::NeedsHead,
             claimed: false,
-            queue: VecDeque::new(),
-            sent: None,
+            pending: VecDeque::new(),
+            in_flight: None,
         }
     }
 
-    /// Returns the head as it was last known to be in the table.
+    /// Returns the last known head in the table.
     pub(crate) const fn head(&self) -> &Head {
         &self.head
     }
@@ -111,98 +113,104 @@
         self.fence
     }
 
-    /// Says whether the claim took effect and all rows were read.
+    /// Returns whether the claim took effect and all rows were read.
     pub(crate) fn is_ready(&self) -> bool {
-        self.claimed && !matches!(self.state, State::Load | State::Loading | State::Deposed)
+        self.claimed
+            && !matches!(
+                self.state,
+                State::NeedsRows | State::ReadingRows | State::Fenced
+            )
     }
 
-    pub(crate) fn is_deposed(&self) -> bool {
-        self.state == State::Deposed
+    pub(crate) fn is_fenced(&self) -> bool {
+        self.state == State::Fenced
     }
 
     pub(crate) fn add(&mut self, change: Change) {
-        self.queue.push_back(change);
+        self.pending.push_back(change);
     }
 
-    /// Says whether a change that fits is waiting or under way.
-    pub(crate) fn has(&self, fits: impl Fn(&Change) -> bool) -> bool {
-        let sent = self.sent.iter().flat_map(|(_, changes)| changes);
-        self.queue.iter().chain(sent).any(fits)
+    /// Returns whether a pending or in-flight change matches.
+    pub(crate) fn has(&self, predicate: impl Fn(&Change) -> bool) -> bool {
+        let in_flight = self.in_flight.iter().flat_map(|(_, changes)| changes);
+        self.pending.iter().chain(in_flight).any(predicate)
     }
 
-    /// Decides what the table has to do next; nothing while it is being asked.
-    pub(crate) fn next(&mut self) -> Option<Ask> {
+    /// Returns the next call of the table, or `None` if there is nothing to do or a
+    /// call is in flight.
+    pub(crate) fn next_call(&mut self) -> Option<TableCall> {
         match self.state {
-            State::Look => {
-                self.state = State::Looking;
-                Some(Ask::Head)
+            State::NeedsHead => {
+                self.state = State::ReadingHead;
+                Some(TableCall::ReadHead)
             }
-            State::Load => {
-                self.state = State::Loading;
-                Some(Ask::Rows)
+            State::NeedsRows => {
+                self.state = State::ReadingRows;
+                Some(TableCall::ReadRows)
             }
-            State::Send => self.send(),
-            State::Idle if !self.queue.is_empty() => {
-                self.gather();
-                self.send()
+            State::NeedsWrite => self.start_write(),
+            State::Idle if !self.pending.is_empty() => {
+                self.prepare_write();
+                self.start_write()
             }
             _ => None,
         }
     }
 
-    /// Takes in the head's row as it was read: version and content.
-    pub(crate) fn seen(&mut self, found: Option<(u64, Head)>) -> Vec<Change> {
-        if self.state != State::Looking {
+    /// Handles the head row that was read, as its version and content. Returns the
+    /// changes that turn out to have taken effect.
+    pub(crate) fn head_read(&mut self, row: Option<(u64, Head)>) -> Vec<Change> {
+        if self.state != State::ReadingHead {
             return Vec::new();
         }
-        let (version, head) = found.unwrap_or_else(|| (0, self.head.clone()));
-        // A newer holder wrote: whatever this one still wants is void, and its
-        // samples in memory are generated again by the other.
+        let (version, head) = row.unwrap_or_else(|| (0, self.head.clone()));
+        // A newer holder has taken over. It regenerates the samples that aren't in
+        // the table.
         if head.fence > self.fence {
-            self.state = State::Deposed;
+            self.state = State::Fenced;
             return Vec::new();
         }
-        let took = self.sent.as_ref().is_some_and(|(write, _)| {
-            // Nobody else writes under this fence, so the next version under it
-            // is this write.
+        let took_effect = self.in_flight.as_ref().is_some_and(|(write, _)| {
+            // Only this holder writes under this fence, so the next version under
+            // it is this write.
             head.fence == self.fence && version == write.expect + 1
         });
-        if took {
-            return self.settle();
+        if took_effect {
+            return self.complete_write();
         }
         if !self.claimed {
             self.version = version;
             self.claim(head);
         }
-        self.state = State::Send;
+        self.state = State::NeedsWrite;
         Vec::new()
     }
 
-    /// Notes that the write took effect; returns the changes in it.
+    /// Handles a write that took effect. Returns its changes.
     pub(crate) fn committed(&mut self) -> Vec<Change> {
-        if self.state == State::Sending {
-            return self.settle();
+        if self.state == State::Writing {
+            return self.complete_write();
         }
         Vec::new()
     }
 
-    /// Notes that the write failed on its condition, or that a call got no
-    /// answer: what the table holds must be looked at.
-    pub(crate) fn lost(&mut self) {
+    /// Handles a write that failed on its condition, or a call without an answer:
+    /// the state of the table must be read again.
+    pub(crate) fn call_failed(&mut self) {
         self.state = match self.state {
-            State::Sending | State::Looking => State::Look,
-            State::Loading => State::Load,
+            State::Writing | State::ReadingHead => State::NeedsHead,
+            State::ReadingRows => State::NeedsRows,
             other => other,
         };
     }
 
-    /// Notes that all rows were read.
-    pub(crate) fn loaded(&mut self) -> bool {
-        let due = self.state == State::Loading;
-        if due {
+    /// Handles that all rows were read. Returns whether that was expected.
+    pub(crate) fn rows_read(&mut self) -> bool {
+        let expected = self.state == State::ReadingRows;
+        if expected {
             self.state = State::Idle;
         }
-        due
+        expected
     }
 
     fn claim(&mut self, mut head: Head) {
@@ -213,33 +221,33 @@
             puts: Vec::new(),
             deletes: Vec::new(),
         };
-        self.sent = Some((write, Vec::new()));
+        self.in_flight = Some((write, Vec::new()));
     }
 
-    fn send(&mut self) -> Option<Ask> {
-        let (write, _) = self.sent.as_ref()?;
-        self.state = State::Sending;
-        Some(Ask::Write(Box::new(write.clone())))
+    fn start_write(&mut self) -> Option<TableCall> {
+        let (write, _) = self.in_flight.as_ref()?;
+        self.state = State::Writing;
+        Some(TableCall::Write(Box::new(write.clone())))
     }
 
-    fn settle(&mut self) -> Vec<Change> {
-        let Some((write, changes)) = self.sent.take() else {
+    fn complete_write(&mut self) -> Vec<Change> {
+        let Some((write, changes)) = self.in_flight.take() else {
             return Vec::new();
         };
         self.version = write.expect + 1;
         self.head = write.head;
-        // Rows are read only after the claim took effect: an older holder's
-        // write can't come after it, so nothing recorded is overlooked.
+        // Rows are read after the claim took effect. No write of an older holder
+        // can take effect after it, so the rows are complete.
         self.state = if self.claimed {
             State::Idle
         } else {
-            State::Load
+            State::NeedsRows
         };
         self.claimed = true;
         changes
     }
 
-    fn gather(&mut self) {
+    fn prepare_write(&mut self) {
         let mut write = Write {
             expect: self.version,
             head: self.head.clone(),
@@ -247,42 +255,42 @@
             deletes: Vec::new(),
         };
         let mut changes = Vec::new();
-        let mut rows = BTreeSet::new();
-        while changes.len() < CHANGES {
-            // A transaction may write a row once only, and a dropped sample may
-            // have been generated anew by now.
-            let fits = |c: &mut Change| c.row().is_none_or(|row| rows.insert(row));
-            let Some(change) = self.queue.pop_front_if(fits) else {
+        let mut row_names = BTreeSet::new();
+        while changes.len() < MAX_CHANGES {
+            // A transaction may write a row only once, and a dropped sample may
+            // already have been generated again.
+            let is_unique = |c: &mut Change| c.row_name().is_none_or(|name| row_names.insert(name));
+            let Some(change) = self.pending.pop_front_if(is_unique) else {
                 break;
             };
             apply(&change, &mut write);
             changes.push(change);
         }
-        self.sent = Some((write, changes));
+        self.in_flight = Some((write, changes));
     }
 }
 
 fn apply(change: &Change, write: &mut Write) {
     match change {
-        Change::Record(record) => write.puts.push(Row::Sample(record.clone())),
-        Change::Drop(slot) => {
+        Change::AddSample(record) => write.puts.push(Row::Sample(record.clone())),
+        Change::DropSample(slot) => {
             write.head.dropped += 1;
             write.deletes.push(RowName::Sample(*slot));
         }
-        Change::Fix(batch) => {
+        Change::AddBatch(batch) => {
             for record in &batch.records {
                 write.head.mark_delivered(record.slot.group);
             }
             write.head.next_cursor = batch.cursor + 1;
             write.puts.push(Row::Batch(batch.clone()));
         }
-        Change::Done { cursor, version } => {
+        Change::CompleteStep { cursor, version } => {
             write.head.done_steps = cursor + 1;
             write.head.version = *version;
-            if let Some(old) = cursor.checked_sub(KEPT) {
-                write.deletes.push(RowName::Batch(old));
+            if let Some(expired) = cursor.checked_sub(RETAINED_BATCHES) {
+                write.deletes.push(RowName::Batch(expired));
             }
         }
-        Change::Forget(name) => write.deletes.push(*name),
+        Change::DeleteRow(name) => write.deletes.push(*name),
     }
 }
--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -47,7 +47,7 @@
 
 pub use self::{
     event::{Answer, Event, Prefix, Step, Ticket},
-    journal::KEPT,
+    journal::RETAINED_BATCHES,
     row::{Batch, Head, Record, Row, RowName, Slot, Span, Write},
     run::{Counts, Run},
     share::shares,
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -3,7 +3,7 @@
 use crate::train::{
     GenKey,
     event::{Answer, Event, Step, Ticket},
-    journal::{Ask, Change, Journal},
+    journal::{Change, Journal, TableCall},
     pace::Pace,
     row::{Batch, Head, Record, Row, RowName},
     sample::{Generation, Phase, Sample},
@@ -127,8 +127,8 @@
 
     /// Says whether a newer holder has taken over.
     #[must_use]
-    pub fn is_deposed(&self) -> bool {
-        self.journal.is_deposed()
+    pub fn is_fenced(&self) -> bool {
+        self.journal.is_fenced()
     }
 
     /// Returns how many generations it runs and could start at once.
@@ -143,7 +143,7 @@
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Head(found) => {
-                let changes = self.journal.seen(found);
+                let changes = self.journal.head_read(found);
                 self.settle(now, changes);
             }
             Event::Rows(rows) => self.load(rows),
@@ -151,7 +151,7 @@
                 let changes = self.journal.committed();
                 self.settle(now, changes);
             }
-            Event::Lost => self.journal.lost(),
+            Event::Lost => self.journal.call_failed(),
             Event::Progress {
                 generation,
                 tokens,
@@ -183,7 +183,7 @@
 
     /// Runs the systems over the tables.
     fn turn(&mut self, now: Instant) {
-        if self.is_deposed() {
+        if self.is_fenced() {
             self.give_up();
             return;
         }
@@ -198,18 +198,18 @@
     }
 
     fn ask(&mut self) {
-        if let Some(ask) = self.journal.next() {
+        if let Some(ask) = self.journal.next_call() {
             self.steps.push_back(match ask {
-                Ask::Head => Step::ReadHead,
-                Ask::Rows => Step::ReadRows,
-                Ask::Write(write) => Step::Write(write),
+                TableCall::ReadHead => Step::ReadHead,
+                TableCall::ReadRows => Step::ReadRows,
+                TableCall::Write(write) => Step::Write(write),
             });
         }
     }
 
     /// Rebuilds the tables from the rows that earlier holders left.
     fn load(&mut self, rows: Vec<Row>) {
-        if !self.journal.loaded() {
+        if !self.journal.rows_read() {
             return;
         }
         let head = self.head().clone();
@@ -217,7 +217,7 @@
         for row in rows {
             let name = row.name();
             match row {
-                Row::Batch(batch) if batch.cursor + super::KEPT >= head.done_steps => {
+                Row::Batch(batch) if batch.cursor + super::RETAINED_BATCHES >= head.done_steps => {
                     self.batches.insert(batch.cursor, batch);
                 }
                 Row::Sample(record) if !head.is_delivered(record.slot.group) => {
@@ -225,7 +225,7 @@
                 }
                 // Its batch or step is done; the holder that should have
                 // removed it was lost first.
-                _ => self.journal.add(Change::Forget(name)),
+                _ => self.journal.add(Change::DeleteRow(name)),
             }
         }
         self.sweep();
@@ -248,10 +248,10 @@
     fn settle(&mut self, now: Instant, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::Record(record) => self.recorded(record),
-                Change::Fix(batch) => self.fixed(batch),
-                Change::Done { cursor, version } => self.noted(now, cursor, version),
-                Change::Drop(_) | Change::Forget(_) => {}
+                Change::AddSample(record) => self.recorded(record),
+                Change::AddBatch(batch) => self.fixed(batch),
+                Change::CompleteStep { cursor, version } => self.noted(now, cursor, version),
+                Change::DropSample(_) | Change::DeleteRow(_) => {}
             }
         }
     }
@@ -270,7 +270,7 @@
         for record in &batch.records {
             self.groups.remove(&record.slot.group);
             let name = RowName::Sample(record.slot);
-            self.journal.add(Change::Forget(name));
+            self.journal.add(Change::DeleteRow(name));
         }
         self.batches.insert(batch.cursor, batch);
     }
