--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -55,7 +55,7 @@
     /// Carried over again it would be dropped over the bound, and what is
     /// dropped so is what takes long: training would see too few long samples.
     fn must_wait(&self) -> bool {
-        if !self.pace.may_bump() {
+        if !self.pace.may_change_version() {
             return false;
         }
         let (bound, version) = (self.spec.bound, self.head().version);
@@ -143,7 +143,7 @@
             .batches
             .get(&cursor)
             .is_some_and(|b| b.version < version);
-        self.pace.done(now, bump);
+        self.pace.step_completed(now, bump);
         let kept = (cursor + 1).saturating_sub(RETAINED_BATCHES);
         self.batches.retain(|batch, _| *batch >= kept);
         let dones = mem::take(&mut self.dones);
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -154,7 +154,7 @@
         if let Some(hedge) = hedge {
             self.cancel(hedge);
         }
-        self.pace.finished(took, rate);
+        self.pace.sample_finished(took, rate);
         if let Some(generation) = self.gens.get_mut(key) {
             generation.finished = true;
         }
--- a/src/train/pace.rs
+++ b/src/train/pace.rs
@@ -1,9 +1,9 @@
-//! How much is started ahead of the trainer.
+//! How many groups are started ahead of the trainer.
 //!
-//! Made for a trainer that takes a batch each few minutes and changes its
-//! weights every few batches. Too little ahead, and it waits for the last
-//! samples of each step; too much, and samples are dropped over the bound, and
-//! engines that others could use worked for nothing.
+//! A trainer takes a batch every few minutes and changes its weights every few
+//! batches. With too few groups ahead it waits for the last samples of each step.
+//! With too many, samples exceed the staleness bound and are dropped, and the
+//! engines' work on them is wasted.
 
 use crate::train::spec::Spec;
 use std::{
@@ -11,93 +11,100 @@
     time::{Duration, Instant},
 };
 
-/// Generations whose times are remembered: a few steps' worth, so that a
-/// trainer whose samples grow longer is followed within minutes.
-const REMEMBERED: usize = 512;
+/// Number of recent samples whose durations are kept: a few steps' worth, so that
+/// the estimate follows a trend within minutes.
+const DURATION_HISTORY: usize = 512;
 
-/// The share of generations that have to fit into the lead; the longer ones are
-/// what carrying over is for.
-const QUANTILE: f64 = 0.95;
+/// The quantile of sample durations that sets the minimum lead. Longer samples are
+/// carried over to a later step.
+const LEAD_QUANTILE: f64 = 0.95;
 
-/// Weight of the newest value in a running mean.
-const NEWEST: f64 = 0.3;
+/// The weight of the newest value in a moving average.
+const SMOOTHING_FACTOR: f64 = 0.3;
 
-/// Versions that engines may be behind the trainer while new weights spread.
-const LAG: u64 = 1;
+/// How many versions engines may be behind the trainer during a rollout.
+const ROLLOUT_LAG: u64 = 1;
 
-/// What a run learned of its times.
+/// The estimated pace of a run's samples and steps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pace {
-    took: VecDeque<Duration>,
-    long: Option<Duration>,
-    done: Option<Instant>,
-    step: Option<Duration>,
-    /// Steps since the version changed, and between two changes.
-    since: u64,
-    between: Option<f64>,
-    rate: Option<f64>,
+    durations: VecDeque<Duration>,
+    /// The `LEAD_QUANTILE` of `durations`.
+    long_duration: Option<Duration>,
+    /// When the last step was completed.
+    last_step: Option<Instant>,
+    step_duration: Option<Duration>,
+    /// The number of steps since the version changed.
+    version_steps: u64,
+    /// The mean number of steps from one version to the next.
+    version_interval: Option<f64>,
+    /// The mean tokens per second of a generation.
+    token_rate: Option<f64>,
 }
 
 impl Pace {
-    /// Notes how long a sample took, and how many tokens a second it made.
-    pub(crate) fn finished(&mut self, took: Duration, rate: Option<f64>) {
-        if self.took.len() == REMEMBERED {
-            self.took.pop_front();
+    /// Records the duration of a sample, and its tokens per second.
+    pub(crate) fn sample_finished(&mut self, duration: Duration, token_rate: Option<f64>) {
+        if self.durations.len() == DURATION_HISTORY {
+            self.durations.pop_front();
         }
-        self.took.push_back(took);
-        if let Some(rate) = rate {
-            self.rate = Some(mean(self.rate, rate));
+        self.durations.push_back(duration);
+        if let Some(rate) = token_rate {
+            self.token_rate = Some(moving_average(self.token_rate, rate));
         }
     }
 
-    /// Notes that a step was done, with or without a new version.
-    pub(crate) fn done(&mut self, now: Instant, bump: bool) {
-        if let Some(last) = self.done.replace(now) {
-            let took = now.saturating_duration_since(last).as_secs_f64();
-            let step = mean(self.step.map(|step| step.as_secs_f64()), took);
-            self.step = Some(Duration::from_secs_f64(step));
+    /// Records that a step was completed, with or without a new version.
+    pub(crate) fn step_completed(&mut self, now: Instant, new_version: bool) {
+        if let Some(last) = self.last_step.replace(now) {
+            let elapsed = now.saturating_duration_since(last).as_secs_f64();
+            let step = moving_average(self.step_duration.map(|step| step.as_secs_f64()), elapsed);
+            self.step_duration = Some(Duration::from_secs_f64(step));
         }
-        self.since += 1;
-        if bump {
-            self.between = Some(mean(self.between, self.since as f64));
-            self.since = 0;
+        self.version_steps += 1;
+        if new_version {
+            self.version_interval = Some(moving_average(
+                self.version_interval,
+                self.version_steps as f64,
+            ));
+            self.version_steps = 0;
         }
-        self.long = quantile(&self.took);
+        self.long_duration = quantile(&self.durations);
     }
 
-    /// Returns the usual tokens a second of one generation.
-    pub(crate) const fn rate(&self) -> Option<f64> {
-        self.rate
+    /// Returns the mean tokens per second of a generation.
+    pub(crate) const fn token_rate(&self) -> Option<f64> {
+        self.token_rate
     }
 
-    /// Says whether the next step may end with a new version.
-    pub(crate) fn may_bump(&self) -> bool {
-        self.between
-            .is_none_or(|between| self.since as f64 + 1.5 >= between)
+    /// Returns whether the next step may end with a new version.
+    pub(crate) fn may_change_version(&self) -> bool {
+        self.version_interval
+            .is_none_or(|interval| self.version_steps as f64 + 1.5 >= interval)
     }
 
     /// Returns how many groups may be open.
     ///
-    /// At most those that are used before the bound runs out, engines being a
-    /// version behind; at least those that make the next batch whole while the
-    /// trainer works on this one. The setting chooses between the two.
-    pub(crate) fn window(&self, spec: &Spec) -> u64 {
-        let between = self.between.unwrap_or(1.0);
-        let room = spec.bound.saturating_sub(LAG) as f64;
-        let most = (room * between).max(1.0);
-        let lead = match (self.long, self.step) {
+    /// The maximum is the number of groups that are used before they exceed the
+    /// staleness bound. The minimum is enough to complete the next batch while the
+    /// trainer works on this one. The staleness setting chooses between the two.
+    pub(crate) fn max_open_groups(&self, spec: &Spec) -> u64 {
+        let interval = self.version_interval.unwrap_or(1.0);
+        let usable_versions = spec.bound.saturating_sub(ROLLOUT_LAG) as f64;
+        let max_steps = (usable_versions * interval).max(1.0);
+        let lead = match (self.long_duration, self.step_duration) {
             (Some(long), Some(step)) => long.as_secs_f64() / step.as_secs_f64().max(1e-3),
             _ => 1.0,
         };
-        let least = (1.0 + lead).min(most);
-        let steps = most + (least - most) * spec.staleness.clamp(0.0, 1.0);
+        let min_steps = (1.0 + lead).min(max_steps);
+        let steps = max_steps + (min_steps - max_steps) * spec.staleness.clamp(0.0, 1.0);
         let groups = (steps * f64::from(spec.groups)).ceil();
-        whole(groups).max(u64::from(spec.groups))
+        truncate(groups).max(u64::from(spec.groups))
     }
 }
 
-fn mean(old: Option<f64>, new: f64) -> f64 {
-    old.map_or(new, |old| old + NEWEST * (new - old))
+fn moving_average(old: Option<f64>, new: f64) -> f64 {
+    old.map_or(new, |old| old + SMOOTHING_FACTOR * (new - old))
 }
 
 #[expect(
@@ -105,14 +112,15 @@
     clippy::cast_sign_loss,
     reason = "a count of groups is small and not negative"
 )]
-const fn whole(value: f64) -> u64 {
+const fn truncate(value: f64) -> u64 {
     value as u64
 }
 
-fn quantile(took: &VecDeque<Duration>) -> Option<Duration> {
-    let mut all: Vec<Duration> = took.iter().copied().collect();
-    all.sort_unstable();
-    let index = whole(all.len() as f64 * QUANTILE);
-    all.get(usize::try_from(index).unwrap_or(usize::MAX))
+fn quantile(durations: &VecDeque<Duration>) -> Option<Duration> {
+    let mut sorted: Vec<Duration> = durations.iter().copied().collect();
+    sorted.sort_unstable();
+    let index = truncate(sorted.len() as f64 * LEAD_QUANTILE);
+    sorted
+        .get(usize::try_from(index).unwrap_or(usize::MAX))
         .copied()
 }
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -278,7 +278,7 @@
     /// Opens groups in prompt order, as many as can be used.
     fn open(&mut self) {
         let head = self.journal.head();
-        let window = self.pace.window(&self.spec);
+        let window = self.pace.max_open_groups(&self.spec);
         let size = self.spec.size;
         let mut count = self.groups.len() as u64;
         while count < window {
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -67,7 +67,7 @@
                 generation.urgent = true;
                 self.steps.push_back(Step::Raise(key));
             }
-            if is_slow(generation, self.pace.rate(), now) {
+            if is_slow(generation, self.pace.token_rate(), now) {
                 slow.push((!urgent, generation.slot, key));
             }
         }
