--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -1,4 +1,4 @@
-//! What a run is told, and what it wants done.
+//! The events that a run handles, and the steps that it asks for.
 
 use crate::{
     error::ErrorKind,
@@ -8,131 +8,132 @@
     },
 };
 
-/// Names a caller's open request at the process that holds the run.
+/// Identifies an open request of a caller at the process that holds the run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// What became known.
+/// An input of a [`Run`](crate::train::Run).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The head's row was read: its version and content, if it exists.
+    /// The head row was read: its version and content, if it exists.
     Head(Option<(u64, Head)>),
     /// All other rows were read.
     Rows(Vec<Row>),
     /// The write took effect.
     Committed,
     /// The write failed on its condition, or a call of the table got no answer.
-    /// What the table holds is looked at before anything else is said.
+    /// The run reads the table again before it continues.
     Lost,
-    /// The engine reported a generation's tokens and what generated them.
+    /// An engine reported the progress of a generation.
     ///
-    /// Both count from the sample's first token; the spans start where the
-    /// generation did. What was ordered is never put in their place.
+    /// Positions count from the first token of the sample; the spans begin where the
+    /// generation did. The spans must be those that the engine reported, never those
+    /// that were ordered.
     Progress {
         /// The generation.
         generation: GenKey,
-        /// Tokens of the sample so far.
+        /// The number of tokens of the sample so far.
         tokens: u32,
-        /// What generated them.
+        /// The versions that generated them.
         spans: Vec<Span>,
     },
-    /// The last report before this one was the generation's last.
+    /// The generation has finished; its last report came before.
     Finished(GenKey),
-    /// The generation broke off; what was reported of it stands.
+    /// The generation failed; the tokens reported before are kept.
     Failed(GenKey),
-    /// The sample is kept in the object store, and this is its score.
+    /// The sample was stored in the object store and scored.
     Scored {
-        /// The generation that made it.
+        /// The generation of the sample.
         generation: GenKey,
-        /// What the scorer gave; what is no number is asked for again.
+        /// The score. If it isn't finite, scoring is retried.
         score: f64,
     },
-    /// The sample could not be kept or scored; it is tried again.
+    /// The sample could not be stored or scored; this is retried.
     ScoreLost(GenKey),
-    /// The trainer asked for a step's batch.
+    /// The trainer requested the batch of a step.
     Pulled {
-        /// Its request.
+        /// The request.
         ticket: Ticket,
-        /// The trainer's own key, drawn when it opened the run.
+        /// The key that the trainer drew when it opened the run.
         owner: u64,
         /// The step, from 0.
         cursor: u64,
     },
-    /// The trainer reported a step done.
+    /// The trainer reported a step as done.
     Done {
-        /// Its request.
+        /// The request.
         ticket: Ticket,
-        /// The trainer's own key.
+        /// The key of the trainer.
         owner: u64,
-        /// The step.
+        /// The step, from 0.
         cursor: u64,
         /// The trainer's weight version from now on.
         version: u64,
     },
-    /// The run may have this many generations on the engines.
+    /// The number of generations that the run may have on the engines changed.
     Share(usize),
-    /// Time went on.
+    /// Time has passed.
     Tick,
 }
 
-/// The text that a generation goes on from.
+/// The text that a generation continues.
 ///
-/// That generation broke off, or is slow: the new one runs elsewhere. Its KV is
-/// taken along if its engine can still export it.
+/// Another generation that failed or is slow has produced it. Its KV cache is reused
+/// if its engine can still export it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Prefix {
     /// The generation that has the text.
     pub generation: GenKey,
-    /// How many of its sample's tokens to go on from.
+    /// The number of tokens of the sample to continue from.
     pub tokens: u32,
 }
 
-/// What has to be done.
+/// An output of a [`Run`](crate::train::Run), for its holder to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Read the head's row: [`Event::Head`] or [`Event::Lost`].
+    /// Read the head row. Answered by [`Event::Head`] or [`Event::Lost`].
     ReadHead,
-    /// Read all other rows, after everything written before:
-    /// [`Event::Rows`] or [`Event::Lost`].
+    /// Read all other rows, with all writes so far. Answered by [`Event::Rows`] or
+    /// [`Event::Lost`].
     ReadRows,
-    /// Write: [`Event::Committed`] or [`Event::Lost`].
+    /// Commit a transaction. Answered by [`Event::Committed`] or [`Event::Lost`].
     Write(Box<Write>),
-    /// Start a generation at rollout class.
+    /// Start a generation with the rollout class.
     Start {
-        /// Names it from now on.
+        /// The key of the new generation.
         generation: GenKey,
-        /// The sample.
+        /// The slot of the sample.
         slot: Slot,
-        /// Whether it goes before others of the class.
+        /// Whether the generation goes before others of its class.
         urgent: bool,
-        /// What is there already and isn't generated again.
+        /// The text to continue, if any.
         prefix: Option<Prefix>,
-        /// The oldest weight version that may generate it.
-        floor: u64,
+        /// The oldest weight version that may generate the sample.
+        min_version: u64,
     },
-    /// Put a generation before others of its class.
+    /// Move a generation before others of its class.
     Raise(GenKey),
-    /// Stop a generation; nothing of it is wanted any more.
+    /// Stop a generation and discard its output.
     Cancel(GenKey),
-    /// Keep the finished sample in the object store, then score it.
+    /// Write a finished sample to the object store, then score it.
     Score {
-        /// The generation that made it.
+        /// The generation of the sample.
         generation: GenKey,
-        /// The sample.
+        /// The slot of the sample.
         slot: Slot,
     },
-    /// Let go of the texts of a sample; no generation goes on from them.
+    /// Discard the texts of a sample; no generation will continue them.
     Release(Slot),
     /// Answer a request.
     Answer(Ticket, Answer),
 }
 
-/// What a trainer is told.
+/// The answer to a request of a trainer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The step's samples.
+    /// The batch of the step.
     Batch(Batch),
-    /// The step's samples aren't all there; ask again with the same cursor.
+    /// The batch isn't complete; retry with the same cursor.
     NotYet,
     /// The step is recorded as done.
     Noted,
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -73,7 +73,7 @@
             slot,
             urgent,
             prefix,
-            floor: self.floor(),
+            min_version: self.floor(),
         });
         generation
     }
--- a/src/train/share.rs
+++ b/src/train/share.rs
@@ -1,10 +1,9 @@
-//! Shares of the engines between trainers.
+//! Fair sharing of the engines between trainers.
 
-/// Returns how many of `capacity` generations each trainer may run.
+/// Returns how many of `capacity` generations each trainer may run (max-min fairness).
 ///
-/// Each is sure of the same share, and lends what it can't use to those that
-/// can: a trainer that waits for its own optimiser costs the others nothing,
-/// and one that asks for everything can't slow the others below their share.
+/// No trainer can reduce another one's share below the equal share, and capacity that
+/// a trainer doesn't use goes to the others.
 ///
 /// # Example
 ///
@@ -15,15 +14,15 @@
 /// assert_eq!(shares(100, &[400, 500]), [50, 50]);
 /// ```
 #[must_use]
-pub fn shares(capacity: usize, wanted: &[usize]) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..wanted.len()).collect();
-    order.sort_by_key(|n| wanted[*n]);
-    let mut given = vec![0; wanted.len()];
-    let mut left = capacity;
-    for (rank, n) in order.into_iter().enumerate() {
-        let fair = left / (wanted.len() - rank);
-        given[n] = wanted[n].min(fair);
-        left -= given[n];
+pub fn shares(capacity: usize, demands: &[usize]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by_key(|i| demands[*i]);
+    let mut granted = vec![0; demands.len()];
+    let mut remaining = capacity;
+    for (rank, i) in order.into_iter().enumerate() {
+        let equal_share = remaining / (demands.len() - rank);
+        granted[i] = demands[i].min(equal_share);
+        remaining -= granted[i];
     }
-    given
+    granted
 }
