--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -19,7 +19,7 @@
     ///
     /// Not earlier: until then the trainer's version may rise, and a batch that
     /// was within the bound would be over it when it is handed out.
-    pub(crate) fn fix(&mut self) {
+    pub(crate) fn assemble_batch(&mut self) {
         let head = self.head();
         let (cursor, version) = (head.next_cursor, head.version);
         let fixing = self
@@ -31,7 +31,7 @@
         let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
         let floor = self.floor();
         let fresh = |group: &Group| self.oldest(group).is_none_or(|old| old >= floor);
-        let whole = self.groups.values().filter(|g| g.is_whole() && fresh(g));
+        let whole = self.groups.values().filter(|g| g.is_complete() && fresh(g));
         let chosen: Vec<&Group> = whole.take(count).collect();
         if chosen.len() < count {
             return;
@@ -63,7 +63,7 @@
         self.groups
             .iter()
             .take_while(|(number, _)| self.is_due(**number))
-            .any(|(_, group)| !group.is_whole() && last(group))
+            .any(|(_, group)| !group.is_complete() && last(group))
     }
 
     /// Returns the oldest version in a group.
@@ -71,17 +71,21 @@
         let samples = group.samples.iter();
         let oldest = samples.filter_map(|sample| match &sample.phase {
             Phase::Waiting => sample.prefix.oldest_version(),
-            Phase::Running { main, .. } => {
-                self.gens.get(*main).and_then(|g| g.text.oldest_version())
-            }
-            Phase::Scoring(key) => self.gens.get(*key).and_then(|g| g.text.oldest_version()),
+            Phase::Running { main, .. } => self
+                .generations
+                .get(*main)
+                .and_then(|g| g.text.oldest_version()),
+            Phase::Scoring(key) => self
+                .generations
+                .get(*key)
+                .and_then(|g| g.text.oldest_version()),
             Phase::Writing(record) | Phase::Recorded(record) => record.oldest(),
         });
         oldest.min()
     }
 
     /// Drops every sample that is over the bound.
-    pub(crate) fn sweep(&mut self) {
+    pub(crate) fn drop_stale_samples(&mut self) {
         let floor = self.floor();
         let old = |version: Option<u64>| version.is_some_and(|version| version < floor);
         let over = |phase: &Phase, run: &Self| match phase {
@@ -91,7 +95,7 @@
             Phase::Waiting | Phase::Writing(_) => false,
             Phase::Recorded(record) => old(Record::oldest(record)),
         };
-        self.sweep_copies(floor);
+        self.cancel_stale_hedges(floor);
         let mut slots = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
@@ -112,7 +116,7 @@
 
     /// Stops second copies that are over the bound: taking over, they would cost
     /// the whole sample.
-    fn sweep_copies(&mut self, floor: u64) {
+    fn cancel_stale_hedges(&mut self, floor: u64) {
         let mut copies = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
@@ -133,12 +137,12 @@
     }
 
     fn is_old(&self, key: GenKey, floor: u64) -> bool {
-        let generation = self.gens.get(key);
+        let generation = self.generations.get(key);
         generation.is_some_and(|g| g.text.oldest_version().is_some_and(|oldest| oldest < floor))
     }
 
     /// Notes that a step's end is in the table.
-    pub(crate) fn noted(&mut self, now: Instant, cursor: u64, version: u64) {
+    pub(crate) fn step_recorded(&mut self, now: Instant, cursor: u64, version: u64) {
         let bump = self
             .batches
             .get(&cursor)
@@ -146,18 +150,18 @@
         self.pace.step_completed(now, bump);
         let kept = (cursor + 1).saturating_sub(RETAINED_BATCHES);
         self.batches.retain(|batch, _| *batch >= kept);
-        let dones = mem::take(&mut self.dones);
+        let dones = mem::take(&mut self.done_requests);
         for (ticket, done) in dones {
             if done == cursor {
                 self.steps.push_back(Step::Answer(ticket, Answer::Noted));
             } else {
-                self.dones.push((ticket, done));
+                self.done_requests.push((ticket, done));
             }
         }
-        self.sweep();
+        self.drop_stale_samples();
     }
 
-    pub(crate) fn pull(&mut self, now: Instant, ticket: Ticket, owner: u64, cursor: u64) {
+    pub(crate) fn handle_pull(&mut self, now: Instant, ticket: Ticket, owner: u64, cursor: u64) {
         if owner != self.owner {
             // Two trainers of one name would each get every sample.
             self.refuse(ticket, ErrorKind::RunTaken);
@@ -166,11 +170,11 @@
         self.pulls.push(Pull {
             ticket,
             cursor,
-            since: now,
+            received: now,
         });
     }
 
-    pub(crate) fn done(&mut self, ticket: Ticket, owner: u64, cursor: u64, version: u64) {
+    pub(crate) fn handle_done(&mut self, ticket: Ticket, owner: u64, cursor: u64, version: u64) {
         if owner != self.owner {
             self.refuse(ticket, ErrorKind::RunTaken);
             return;
@@ -194,12 +198,12 @@
             {
                 self.journal.add(Change::CompleteStep { cursor, version });
             }
-            self.dones.push((ticket, cursor));
+            self.done_requests.push((ticket, cursor));
         }
     }
 
     /// Answers the pulls that can be answered.
-    pub(crate) fn answer(&mut self, now: Instant) {
+    pub(crate) fn answer_pulls(&mut self, now: Instant) {
         let pulls = mem::take(&mut self.pulls);
         for pull in pulls {
             if let Some(answer) = self.reply(now, pull) {
@@ -211,7 +215,7 @@
     }
 
     fn reply(&self, now: Instant, pull: Pull) -> Option<Answer> {
-        let waited = now.saturating_duration_since(pull.since);
+        let waited = now.saturating_duration_since(pull.received);
         let late = (waited >= self.spec.pull_timeout).then_some(Answer::NotYet);
         if !self.journal.is_ready() {
             return late;
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -22,9 +22,9 @@
     }
 
     /// Starts waiting samples in prompt order, up to the share of the engines.
-    pub(crate) fn start(&mut self, now: Instant) {
-        let running = self.gens.values().filter(|g| !g.finished).count();
-        let room = self.limit.saturating_sub(running);
+    pub(crate) fn start_samples(&mut self, now: Instant) {
+        let running = self.generations.values().filter(|g| !g.finished).count();
+        let room = self.max_running.saturating_sub(running);
         let mut waiting = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
@@ -56,11 +56,11 @@
             generation,
             tokens: base.tokens,
         });
-        self.serial += 1;
+        self.last_serial += 1;
         self.counts.started += 1;
-        let generation = self.gens.insert(Generation {
+        let generation = self.generations.insert(Generation {
             slot,
-            serial: self.serial,
+            serial: self.last_serial,
             urgent,
             text: base.clone(),
             base,
@@ -81,7 +81,7 @@
     /// Takes in what an engine reported.
     pub(crate) fn progress(&mut self, now: Instant, key: GenKey, tokens: u32, spans: &[Span]) {
         let floor = self.floor();
-        let Some(generation) = self.gens.get_mut(key) else {
+        let Some(generation) = self.generations.get_mut(key) else {
             return;
         };
         if generation.finished || tokens < generation.text.tokens {
@@ -111,7 +111,7 @@
     /// Throws away a generation of which nobody knows what made its tokens; the
     /// sample goes on from what was there before it.
     fn distrust(&mut self, key: GenKey) {
-        if let Some(generation) = self.gens.get_mut(key) {
+        if let Some(generation) = self.generations.get_mut(key) {
             let own = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(own);
             generation.text = generation.base.clone();
@@ -136,7 +136,7 @@
     }
 
     pub(crate) fn finish(&mut self, now: Instant, key: GenKey) {
-        let Some(generation) = self.gens.get(key) else {
+        let Some(generation) = self.generations.get(key) else {
             return;
         };
         let slot = generation.slot;
@@ -155,7 +155,7 @@
             self.cancel(hedge);
         }
         self.pace.sample_finished(took, rate);
-        if let Some(generation) = self.gens.get_mut(key) {
+        if let Some(generation) = self.generations.get_mut(key) {
             generation.finished = true;
         }
         self.set(slot, Phase::Scoring(key));
@@ -167,7 +167,7 @@
 
     /// Notes that a generation broke off; the sample goes on from its prefix.
     pub(crate) fn fail(&mut self, key: GenKey) {
-        let Some(generation) = self.gens.get(key) else {
+        let Some(generation) = self.generations.get(key) else {
             return;
         };
         let (slot, text) = (generation.slot, generation.text.clone());
@@ -183,7 +183,7 @@
         if let Some(hedge) = hedge {
             self.cancel(hedge);
         }
-        self.gens.remove(key);
+        self.generations.remove(key);
         if let Some(sample) = self.sample(slot) {
             sample.prefix = text;
             sample.phase = Phase::Waiting;
@@ -192,17 +192,17 @@
 
     pub(crate) fn score(&mut self, key: GenKey, score: f64) {
         if !score.is_finite() {
-            self.score_again(key);
+            self.retry_score(key);
             return;
         }
-        let Some(generation) = self.gens.get(key) else {
+        let Some(generation) = self.generations.get(key) else {
             return;
         };
         let slot = generation.slot;
         if self.sample(slot).map(|s| &s.phase) != Some(&Phase::Scoring(key)) {
             return;
         }
-        let Some(generation) = self.gens.remove(key) else {
+        let Some(generation) = self.generations.remove(key) else {
             return;
         };
         let record = Record {
@@ -217,8 +217,8 @@
         self.set(slot, Phase::Writing(record));
     }
 
-    pub(crate) fn score_again(&mut self, key: GenKey) {
-        let Some(generation) = self.gens.get(key) else {
+    pub(crate) fn retry_score(&mut self, key: GenKey) {
+        let Some(generation) = self.generations.get(key) else {
             return;
         };
         let slot = generation.slot;
@@ -243,12 +243,12 @@
                 if let Some(hedge) = hedge {
                     self.cancel(hedge);
                 }
-                let tokens = self.gens.get(main).map_or(0, |g| g.text.tokens);
-                self.gens.remove(main);
+                let tokens = self.generations.get(main).map_or(0, |g| g.text.tokens);
+                self.generations.remove(main);
                 self.steps.push_back(Step::Cancel(main));
                 tokens
             }
-            Phase::Scoring(key) => self.gens.remove(key).map_or(0, |g| g.text.tokens),
+            Phase::Scoring(key) => self.generations.remove(key).map_or(0, |g| g.text.tokens),
             Phase::Writing(record) | Phase::Recorded(record) => record.tokens,
         };
         self.counts.wasted += u64::from(tokens);
@@ -263,7 +263,7 @@
     }
 
     pub(crate) fn forget(&mut self, key: GenKey) {
-        if let Some(generation) = self.gens.remove(key) {
+        if let Some(generation) = self.generations.remove(key) {
             let own = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(own);
         }
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -1,4 +1,4 @@
-//! One run, held by one process.
+//! The state of a run at the process that holds it.
 
 use crate::train::{
     GenKey,
@@ -22,61 +22,66 @@
 }
 
 impl Group {
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.samples.iter().all(Sample::is_recorded)
     }
 }
 
-/// A pull that waits for its batch.
+/// A pull that is waiting for its batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pull {
     pub(crate) ticket: Ticket,
     pub(crate) cursor: u64,
-    pub(crate) since: Instant,
+    pub(crate) received: Instant,
 }
 
-/// What became of a run's tokens and samples at this holder.
+/// Counters of a run's tokens and samples at this holder.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Tokens generated, as reported.
     pub tokens: u64,
-    /// Tokens of them that no batch can hold any more.
+    /// Generated tokens that can't be in a batch.
     pub wasted: u64,
-    /// Samples dropped because they were over the bound.
+    /// Samples dropped because they exceeded the staleness bound.
     pub dropped: u64,
-    /// Second copies started.
+    /// Hedges started.
     pub hedges: u64,
     /// Generations started.
     pub started: u64,
 }
 
-/// One run, held by one process under one fencing number.
+/// A run, held by one process under one fencing number.
 ///
-/// Events go in by [`Run::handle`]; [`Run::next_step`] says what to do.
+/// [`Run::handle`] takes events and [`Run::next_step`] returns what to do.
 #[derive(Debug)]
 pub struct Run {
     pub(crate) spec: Spec,
     pub(crate) owner: u64,
     pub(crate) journal: Journal,
-    /// Groups in prompt order, from the first that isn't delivered.
+    /// The open groups, in the order of prompts.
     pub(crate) groups: BTreeMap<u64, Group>,
-    pub(crate) gens: SlotMap<GenKey, Generation>,
+    pub(crate) generations: SlotMap<GenKey, Generation>,
     pub(crate) batches: BTreeMap<u64, Batch>,
     pub(crate) pulls: Vec<Pull>,
-    pub(crate) dones: Vec<(Ticket, u64)>,
+    /// Requests that wait until the end of their step is in the table, with the
+    /// step's cursor.
+    pub(crate) done_requests: Vec<(Ticket, u64)>,
     pub(crate) steps: VecDeque<Step>,
     pub(crate) pace: Pace,
-    pub(crate) limit: usize,
-    pub(crate) opened: u64,
-    pub(crate) serial: u64,
+    /// The number of generations that may run at once.
+    pub(crate) max_running: usize,
+    /// The next group to open.
+    pub(crate) next_group: u64,
+    /// The serial number of the last generation.
+    pub(crate) last_serial: u64,
     pub(crate) counts: Counts,
 }
 
 impl Run {
-    /// Creates the view of a process that has become the holder under `fence`.
+    /// Creates the state of a process that has become the holder under `fence`.
     ///
-    /// `owner` is the trainer's own key, and `version` the weights that it
-    /// begins with, if the table doesn't know the run yet.
+    /// `owner` is the key of the trainer. `version` is its first weight version, for
+    /// a run that isn't in the table yet.
     #[must_use]
     pub fn new(spec: Spec, owner: u64, version: u64, fence: u64) -> Self {
         let mut run = Self {
@@ -84,72 +89,72 @@
             owner,
             journal: Journal::new(fence, version),
             groups: BTreeMap::new(),
-            gens: SlotMap::with_key(),
+            generations: SlotMap::with_key(),
             batches: BTreeMap::new(),
             pulls: Vec::new(),
-            dones: Vec::new(),
+            done_requests: Vec::new(),
             steps: VecDeque::new(),
             pace: Pace::default(),
-            limit: usize::MAX,
-            opened: 0,
-            serial: 0,
+            max_running: usize::MAX,
+            next_group: 0,
+            last_serial: 0,
             counts: Counts::default(),
         };
-        run.ask();
+        run.call_table();
         run
     }
 
-    /// Returns the next thing to do.
+    /// Returns the next step to carry out.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Returns how far the run is, as the table was last known to say.
+    /// Returns the progress of the run, as last known to be in the table.
     #[must_use]
     pub const fn head(&self) -> &Head {
         self.journal.head()
     }
 
-    /// Returns what became of tokens and samples.
+    /// Returns the counters of tokens and samples.
     #[must_use]
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns the number that, with the fencing number, names a generation's
-    /// text in the object store.
+    /// Returns the serial number of a generation, which with the fencing number names
+    /// its text in the object store.
     #[must_use]
     pub fn serial_of(&self, generation: GenKey) -> Option<u64> {
-        self.gens
+        self.generations
             .get(generation)
             .map(|generation| generation.serial)
     }
 
-    /// Says whether a newer holder has taken over.
+    /// Returns whether a newer holder has taken over.
     #[must_use]
     pub fn is_fenced(&self) -> bool {
         self.journal.is_fenced()
     }
 
-    /// Returns how many generations it runs and could start at once.
+    /// Returns the number of generations that are running or could be started now.
     #[must_use]
     pub fn wanted(&self) -> usize {
         let samples = self.groups.values().flat_map(|group| &group.samples);
         let waiting = samples.filter(|sample| sample.phase == Phase::Waiting);
-        self.gens.len() + waiting.count()
+        self.generations.len() + waiting.count()
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Head(found) => {
-                let changes = self.journal.head_read(found);
-                self.settle(now, changes);
+            Event::Head(row) => {
+                let changes = self.journal.head_read(row);
+                self.apply(now, changes);
             }
-            Event::Rows(rows) => self.load(rows),
+            Event::Rows(rows) => self.load_rows(rows),
             Event::Committed => {
                 let changes = self.journal.committed();
-                self.settle(now, changes);
+                self.apply(now, changes);
             }
             Event::Lost => self.journal.call_failed(),
             Event::Progress {
@@ -163,43 +168,43 @@
             Event::Finished(generation) => self.finish(now, generation),
             Event::Failed(generation) => self.fail(generation),
             Event::Scored { generation, score } => self.score(generation, score),
-            Event::ScoreLost(generation) => self.score_again(generation),
+            Event::ScoreLost(generation) => self.retry_score(generation),
             Event::Pulled {
                 ticket,
                 owner,
                 cursor,
-            } => self.pull(now, ticket, owner, cursor),
+            } => self.handle_pull(now, ticket, owner, cursor),
             Event::Done {
                 ticket,
                 owner,
                 cursor,
                 version,
-            } => self.done(ticket, owner, cursor, version),
-            Event::Share(limit) => self.limit = limit,
+            } => self.handle_done(ticket, owner, cursor, version),
+            Event::Share(limit) => self.max_running = limit,
             Event::Tick => {}
         }
-        self.turn(now);
+        self.advance(now);
     }
 
-    /// Runs the systems over the tables.
-    fn turn(&mut self, now: Instant) {
+    /// Does all that has become possible after an event.
+    fn advance(&mut self, now: Instant) {
         if self.is_fenced() {
-            self.give_up();
+            self.stop();
             return;
         }
         if self.journal.is_ready() {
-            self.fix();
-            self.open();
-            self.start(now);
-            self.hurry(now);
+            self.assemble_batch();
+            self.open_groups();
+            self.start_samples(now);
+            self.handle_stragglers(now);
         }
-        self.answer(now);
-        self.ask();
+        self.answer_pulls(now);
+        self.call_table();
     }
 
-    fn ask(&mut self) {
-        if let Some(ask) = self.journal.next_call() {
-            self.steps.push_back(match ask {
+    fn call_table(&mut self) {
+        if let Some(call) = self.journal.next_call() {
+            self.steps.push_back(match call {
                 TableCall::ReadHead => Step::ReadHead,
                 TableCall::ReadRows => Step::ReadRows,
                 TableCall::Write(write) => Step::Write(write),
@@ -207,13 +212,13 @@
         }
     }
 
-    /// Rebuilds the tables from the rows that earlier holders left.
-    fn load(&mut self, rows: Vec<Row>) {
+    /// Restores the state from the rows that earlier holders wrote.
+    fn load_rows(&mut self, rows: Vec<Row>) {
         if !self.journal.rows_read() {
             return;
         }
         let head = self.head().clone();
-        self.opened = head.delivered_below;
+        self.next_group = head.delivered_below;
         for row in rows {
             let name = row.name();
             match row {
@@ -221,52 +226,57 @@
                     self.batches.insert(batch.cursor, batch);
                 }
                 Row::Sample(record) if !head.is_delivered(record.slot.group) => {
-                    self.restore(record);
+                    self.restore_sample(record);
                 }
-                // Its batch or step is done; the holder that should have
-                // removed it was lost first.
+                // The row is obsolete; an earlier holder was lost before it
+                // removed the row.
                 _ => self.journal.add(Change::DeleteRow(name)),
             }
         }
-        self.sweep();
+        self.drop_stale_samples();
     }
 
-    fn restore(&mut self, record: Record) {
+    fn restore_sample(&mut self, record: Record) {
         let slot = record.slot;
         let size = self.spec.size;
-        let group = self.groups.entry(slot.group).or_insert_with(|| fresh(size));
+        let group = self
+            .groups
+            .entry(slot.group)
+            .or_insert_with(|| new_group(size));
         let samples = &mut group.samples;
         if let Some(sample) = usize::try_from(slot.index)
             .ok()
-            .and_then(|n| samples.get_mut(n))
+            .and_then(|index| samples.get_mut(index))
         {
             sample.phase = Phase::Recorded(record);
         }
     }
 
-    /// Takes in changes that are in the table now.
-    fn settle(&mut self, now: Instant, changes: Vec<Change>) {
+    /// Applies changes that took effect in the table.
+    fn apply(&mut self, now: Instant, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::AddSample(record) => self.recorded(record),
-                Change::AddBatch(batch) => self.fixed(batch),
-                Change::CompleteStep { cursor, version } => self.noted(now, cursor, version),
+                Change::AddSample(record) => self.sample_recorded(record),
+                Change::AddBatch(batch) => self.batch_recorded(batch),
+                Change::CompleteStep { cursor, version } => {
+                    self.step_recorded(now, cursor, version);
+                }
                 Change::DropSample(_) | Change::DeleteRow(_) => {}
             }
         }
     }
 
-    fn recorded(&mut self, record: Record) {
+    fn sample_recorded(&mut self, record: Record) {
         self.steps.push_back(Step::Release(record.slot));
         if let Some(sample) = self.sample(record.slot)
-            && matches!(&sample.phase, Phase::Writing(own) if own.serial == record.serial)
+            && matches!(&sample.phase, Phase::Writing(written) if written.serial == record.serial)
         {
             sample.phase = Phase::Recorded(record);
         }
-        self.sweep();
+        self.drop_stale_samples();
     }
 
-    fn fixed(&mut self, batch: Batch) {
+    fn batch_recorded(&mut self, batch: Batch) {
         for record in &batch.records {
             self.groups.remove(&record.slot.group);
             let name = RowName::Sample(record.slot);
@@ -275,40 +285,40 @@
         self.batches.insert(batch.cursor, batch);
     }
 
-    /// Opens groups in prompt order, as many as can be used.
-    fn open(&mut self) {
+    /// Opens groups in the order of prompts, up to the limit of the pace.
+    fn open_groups(&mut self) {
         let head = self.journal.head();
-        let window = self.pace.max_open_groups(&self.spec);
+        let max_open = self.pace.max_open_groups(&self.spec);
         let size = self.spec.size;
         let mut count = self.groups.len() as u64;
-        while count < window {
-            let group = self.opened;
-            self.opened += 1;
+        while count < max_open {
+            let group = self.next_group;
+            self.next_group += 1;
             if head.is_delivered(group) || self.groups.contains_key(&group) {
                 continue;
             }
-            self.groups.insert(group, fresh(size));
+            self.groups.insert(group, new_group(size));
             count += 1;
         }
     }
 
-    /// Leaves everything to the newer holder, which generates anew what this
-    /// one has not recorded.
-    fn give_up(&mut self) {
-        for (generation, _) in self.gens.drain() {
+    /// Cancels everything after a newer holder has taken over. It regenerates the
+    /// samples that aren't recorded.
+    fn stop(&mut self) {
+        for (generation, _) in self.generations.drain() {
             self.steps.push_back(Step::Cancel(generation));
         }
         self.groups.clear();
         let pulls = self.pulls.drain(..).map(|pull| pull.ticket);
-        let dones = self.dones.drain(..).map(|(ticket, _)| ticket);
-        for ticket in pulls.chain(dones) {
+        let done_requests = self.done_requests.drain(..).map(|(ticket, _)| ticket);
+        for ticket in pulls.chain(done_requests) {
             let refusal = Answer::Refused(crate::ErrorKind::Fenced);
             self.steps.push_back(Step::Answer(ticket, refusal));
         }
     }
 }
 
-fn fresh(size: u32) -> Group {
+fn new_group(size: u32) -> Group {
     Group {
         samples: (0..size).map(|_| Sample::default()).collect(),
     }
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -50,17 +50,17 @@
     }
 
     fn is_closing(&self) -> bool {
-        let whole = self.groups.values().filter(|g| g.is_whole()).count();
+        let whole = self.groups.values().filter(|g| g.is_complete()).count();
         whole as f64 >= CLOSING * f64::from(self.spec.groups)
     }
 
     /// Raises and moves what the next batch waits for.
-    pub(crate) fn hurry(&mut self, now: Instant) {
+    pub(crate) fn handle_stragglers(&mut self, now: Instant) {
         let closing = self.is_closing();
         let per = u64::from(self.spec.groups.max(1));
         let next = self.head().next_cursor;
         let mut slow = Vec::new();
-        for (key, generation) in &mut self.gens {
+        for (key, generation) in &mut self.generations {
             let step = generation.slot.group / per;
             let urgent = step < next || step == next && closing;
             if urgent && !generation.urgent {
@@ -83,11 +83,11 @@
     /// generations, and one at least, so that a small run is helped as well.
     fn hedge(&mut self, now: Instant, key: GenKey) {
         let running = self.groups.values().map(hedges).sum::<usize>();
-        let budget = (self.gens.len() as f64 * self.spec.hedge_share).max(1.0);
+        let budget = (self.generations.len() as f64 * self.spec.hedge_share).max(1.0);
         if running as f64 + 1.0 > budget {
             return;
         }
-        let Some(generation) = self.gens.get(key) else {
+        let Some(generation) = self.generations.get(key) else {
             return;
         };
         let (slot, text) = (generation.slot, generation.text.clone());
@@ -105,14 +105,14 @@
 
     /// Lets a second copy take over once it is longer than the first.
     pub(crate) fn overtake(&mut self, key: GenKey) {
-        let Some(copy) = self.gens.get(key) else {
+        let Some(copy) = self.generations.get(key) else {
             return;
         };
         let (slot, tokens, base) = (copy.slot, copy.text.tokens, copy.base.tokens);
         let Some((main, true)) = self.passed(slot, key, tokens) else {
             return;
         };
-        if let Some(old) = self.gens.remove(main) {
+        if let Some(old) = self.generations.remove(main) {
             // What the copy goes on from is not wasted.
             self.counts.wasted += u64::from(old.text.tokens - base);
         }
@@ -130,7 +130,7 @@
         if hedge != Some(copy) {
             return None;
         }
-        let passed = self.gens.get(main)?.text.tokens < tokens;
+        let passed = self.generations.get(main)?.text.tokens < tokens;
         Some((main, passed))
     }
 }
