--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -29,7 +29,7 @@
             return;
         }
         let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
-        let floor = self.floor();
+        let floor = self.min_version();
         let fresh = |group: &Group| self.oldest(group).is_none_or(|old| old >= floor);
         let whole = self.groups.values().filter(|g| g.is_complete() && fresh(g));
         let chosen: Vec<&Group> = whole.take(count).collect();
@@ -86,7 +86,7 @@
 
     /// Drops every sample that is over the bound.
     pub(crate) fn drop_stale_samples(&mut self) {
-        let floor = self.floor();
+        let floor = self.min_version();
         let old = |version: Option<u64>| version.is_some_and(|version| version < floor);
         let over = |phase: &Phase, run: &Self| match phase {
             Phase::Running { main, .. } => run.is_old(*main, floor),
@@ -110,7 +110,7 @@
             }
         }
         for slot in slots {
-            self.renew(slot);
+            self.restart_sample(slot);
         }
     }
 
@@ -131,7 +131,7 @@
             }
         }
         for (slot, copy) in copies {
-            self.drop_copy(slot, copy);
+            self.remove_hedge(slot, copy);
             self.steps.push_back(Step::Cancel(copy));
         }
     }
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -1,4 +1,4 @@
-//! Generations: start, report, finish, and what breaks.
+//! Generations: start, progress, end and failure.
 
 use crate::train::{
     GenKey,
@@ -11,24 +11,25 @@
 use std::time::Instant;
 
 impl Run {
-    pub(crate) fn sample(&mut self, slot: Slot) -> Option<&mut Sample> {
+    pub(crate) fn sample_mut(&mut self, slot: Slot) -> Option<&mut Sample> {
         let index = usize::try_from(slot.index).ok()?;
         self.groups.get_mut(&slot.group)?.samples.get_mut(index)
     }
 
-    /// Returns the oldest version that the next batch may hold.
-    pub(crate) fn floor(&self) -> u64 {
+    /// Returns the oldest version that the next batch may contain.
+    pub(crate) fn min_version(&self) -> u64 {
         self.head().version.saturating_sub(self.spec.bound)
     }
 
-    /// Starts waiting samples in prompt order, up to the share of the engines.
+    /// Starts waiting samples in the order of prompts, up to the run's share of the
+    /// engines.
     pub(crate) fn start_samples(&mut self, now: Instant) {
         let running = self.generations.values().filter(|g| !g.finished).count();
-        let room = self.max_running.saturating_sub(running);
+        let free = self.max_running.saturating_sub(running);
         let mut waiting = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
-                if waiting.len() >= room {
+                if waiting.len() >= free {
                     break;
                 }
                 if sample.phase == Phase::Waiting {
@@ -40,18 +41,24 @@
             }
         }
         for slot in waiting {
-            let Some(base) = self.sample(slot).map(|sample| sample.prefix.clone()) else {
+            let Some(base) = self.sample_mut(slot).map(|sample| sample.prefix.clone()) else {
                 continue;
             };
-            let main = self.launch(now, slot, base, false);
-            if let Some(sample) = self.sample(slot) {
+            let main = self.start_generation(now, slot, base, false);
+            if let Some(sample) = self.sample_mut(slot) {
                 sample.phase = Phase::Running { main, hedge: None };
             }
         }
     }
 
-    pub(crate) fn launch(&mut self, now: Instant, slot: Slot, base: Text, hurried: bool) -> GenKey {
-        let urgent = hurried || self.is_urgent(slot.group);
+    pub(crate) fn start_generation(
+        &mut self,
+        now: Instant,
+        slot: Slot,
+        base: Text,
+        is_hedge: bool,
+    ) -> GenKey {
+        let urgent = is_hedge || self.is_urgent(slot.group);
         let prefix = base.source.map(|generation| Prefix {
             generation,
             tokens: base.tokens,
@@ -73,14 +80,14 @@
             slot,
             urgent,
             prefix,
-            min_version: self.floor(),
+            min_version: self.min_version(),
         });
         generation
     }
 
-    /// Takes in what an engine reported.
+    /// Handles the progress that an engine reported.
     pub(crate) fn progress(&mut self, now: Instant, key: GenKey, tokens: u32, spans: &[Span]) {
-        let floor = self.floor();
+        let min_version = self.min_version();
         let Some(generation) = self.generations.get_mut(key) else {
             return;
         };
@@ -89,7 +96,7 @@
         }
         let slot = generation.slot;
         let Some(text) = generation.base.extended(tokens, spans) else {
-            self.distrust(key);
+            self.discard_generation(key);
             return;
         };
         self.counts.tokens += u64::from(tokens - generation.text.tokens);
@@ -97,38 +104,38 @@
         if generation
             .text
             .oldest_version()
-            .is_none_or(|old| old >= floor)
+            .is_none_or(|version| version >= min_version)
         {
             self.overtake(key);
-        } else if self.is_copy(slot, key) {
-            self.drop_copy(slot, key);
+        } else if self.is_hedge(slot, key) {
+            self.remove_hedge(slot, key);
             self.steps.push_back(Step::Cancel(key));
         } else {
-            self.renew(slot);
+            self.restart_sample(slot);
         }
     }
 
-    /// Throws away a generation of which nobody knows what made its tokens; the
-    /// sample goes on from what was there before it.
-    fn distrust(&mut self, key: GenKey) {
+    /// Discards a generation whose tokens have no known version. The sample continues
+    /// from the text before it.
+    fn discard_generation(&mut self, key: GenKey) {
         if let Some(generation) = self.generations.get_mut(key) {
-            let own = generation.text.tokens - generation.base.tokens;
-            self.counts.wasted += u64::from(own);
+            let new_tokens = generation.text.tokens - generation.base.tokens;
+            self.counts.wasted += u64::from(new_tokens);
             generation.text = generation.base.clone();
         }
         self.steps.push_back(Step::Cancel(key));
         self.fail(key);
     }
 
-    fn is_copy(&mut self, slot: Slot, key: GenKey) -> bool {
-        let phase = self.sample(slot).map(|sample| &sample.phase);
+    fn is_hedge(&mut self, slot: Slot, key: GenKey) -> bool {
+        let phase = self.sample_mut(slot).map(|sample| &sample.phase);
         matches!(phase, Some(Phase::Running { hedge: Some(hedge), .. }) if *hedge == key)
     }
 
-    /// Lets go of a second copy; the first one goes on.
-    pub(crate) fn drop_copy(&mut self, slot: Slot, key: GenKey) {
-        self.forget(key);
-        if let Some(sample) = self.sample(slot)
+    /// Removes a hedge; the original generation continues.
+    pub(crate) fn remove_hedge(&mut self, slot: Slot, key: GenKey) {
+        self.remove_generation(key);
+        if let Some(sample) = self.sample_mut(slot)
             && let Phase::Running { hedge, .. } = &mut sample.phase
         {
             *hedge = None;
@@ -140,51 +147,53 @@
             return;
         };
         let slot = generation.slot;
-        let took = now.saturating_duration_since(generation.started);
-        let rate = generation.token_rate(now);
-        // A second copy that ends before it has passed the first one's length
-        // is not taken: it would win by being short.
-        if self.is_copy(slot, key) {
-            self.drop_copy(slot, key);
+        let duration = now.saturating_duration_since(generation.started);
+        let token_rate = generation.token_rate(now);
+        // A hedge that ends before it is longer than the original is discarded,
+        // since choosing it would favour short samples.
+        if self.is_hedge(slot, key) {
+            self.remove_hedge(slot, key);
             return;
         }
-        let Some(Phase::Running { hedge, .. }) = self.sample(slot).map(|s| s.phase.clone()) else {
+        let Some(Phase::Running { hedge, .. }) = self.sample_mut(slot).map(|s| s.phase.clone())
+        else {
             return;
         };
         if let Some(hedge) = hedge {
             self.cancel(hedge);
         }
-        self.pace.sample_finished(took, rate);
+        self.pace.sample_finished(duration, token_rate);
         if let Some(generation) = self.generations.get_mut(key) {
             generation.finished = true;
         }
-        self.set(slot, Phase::Scoring(key));
+        self.set_phase(slot, Phase::Scoring(key));
         self.steps.push_back(Step::Score {
             generation: key,
             slot,
         });
     }
 
-    /// Notes that a generation broke off; the sample goes on from its prefix.
+    /// Handles a failed generation. The sample continues from its text.
     pub(crate) fn fail(&mut self, key: GenKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
         let (slot, text) = (generation.slot, generation.text.clone());
-        if self.is_copy(slot, key) {
-            self.drop_copy(slot, key);
+        if self.is_hedge(slot, key) {
+            self.remove_hedge(slot, key);
             return;
         }
-        let Some(Phase::Running { hedge, .. }) = self.sample(slot).map(|s| s.phase.clone()) else {
+        let Some(Phase::Running { hedge, .. }) = self.sample_mut(slot).map(|s| s.phase.clone())
+        else {
             return;
         };
-        // The second copy is behind; going on from the first one's text keeps
-        // the sample free of a choice between two lengths.
+        // The hedge is behind. Continuing from the original's text avoids a choice
+        // between two lengths.
         if let Some(hedge) = hedge {
             self.cancel(hedge);
         }
         self.generations.remove(key);
-        if let Some(sample) = self.sample(slot) {
+        if let Some(sample) = self.sample_mut(slot) {
             sample.prefix = text;
             sample.phase = Phase::Waiting;
         }
@@ -199,7 +208,7 @@
             return;
         };
         let slot = generation.slot;
-        if self.sample(slot).map(|s| &s.phase) != Some(&Phase::Scoring(key)) {
+        if self.sample_mut(slot).map(|s| &s.phase) != Some(&Phase::Scoring(key)) {
             return;
         }
         let Some(generation) = self.generations.remove(key) else {
@@ -214,7 +223,7 @@
             serial: generation.serial,
         };
         self.journal.add(Change::AddSample(record.clone()));
-        self.set(slot, Phase::Writing(record));
+        self.set_phase(slot, Phase::Writing(record));
     }
 
     pub(crate) fn retry_score(&mut self, key: GenKey) {
@@ -222,7 +231,7 @@
             return;
         };
         let slot = generation.slot;
-        if self.sample(slot).map(|s| &s.phase) == Some(&Phase::Scoring(key)) {
+        if self.sample_mut(slot).map(|s| &s.phase) == Some(&Phase::Scoring(key)) {
             self.steps.push_back(Step::Score {
                 generation: key,
                 slot,
@@ -230,15 +239,15 @@
         }
     }
 
-    /// Drops a sample that is over the bound, and has it generated anew.
-    pub(crate) fn renew(&mut self, slot: Slot) {
-        let Some(sample) = self.sample(slot) else {
+    /// Drops a sample that exceeds the staleness bound. It is generated again.
+    pub(crate) fn restart_sample(&mut self, slot: Slot) {
+        let Some(sample) = self.sample_mut(slot) else {
             return;
         };
-        let old = std::mem::take(sample);
+        let dropped = std::mem::take(sample);
         self.steps.push_back(Step::Release(slot));
-        let tokens = match old.phase {
-            Phase::Waiting => old.prefix.tokens,
+        let tokens = match dropped.phase {
+            Phase::Waiting => dropped.prefix.tokens,
             Phase::Running { main, hedge } => {
                 if let Some(hedge) = hedge {
                     self.cancel(hedge);
@@ -256,21 +265,22 @@
         self.journal.add(Change::DropSample(slot));
     }
 
-    /// Stops a generation whose tokens beyond its base are lost.
+    /// Cancels a generation; its tokens beyond its base are wasted.
     pub(crate) fn cancel(&mut self, key: GenKey) {
-        self.forget(key);
+        self.remove_generation(key);
         self.steps.push_back(Step::Cancel(key));
     }
 
-    pub(crate) fn forget(&mut self, key: GenKey) {
+    /// Removes a generation; its tokens beyond its base are wasted.
+    pub(crate) fn remove_generation(&mut self, key: GenKey) {
         if let Some(generation) = self.generations.remove(key) {
-            let own = generation.text.tokens - generation.base.tokens;
-            self.counts.wasted += u64::from(own);
+            let new_tokens = generation.text.tokens - generation.base.tokens;
+            self.counts.wasted += u64::from(new_tokens);
         }
     }
 
-    pub(crate) fn set(&mut self, slot: Slot, phase: Phase) {
-        if let Some(sample) = self.sample(slot) {
+    pub(crate) fn set_phase(&mut self, slot: Slot, phase: Phase) {
+        if let Some(sample) = self.sample_mut(slot) {
             sample.phase = phase;
         }
     }
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -268,7 +268,7 @@
 
     fn sample_recorded(&mut self, record: Record) {
         self.steps.push_back(Step::Release(record.slot));
-        if let Some(sample) = self.sample(record.slot)
+        if let Some(sample) = self.sample_mut(record.slot)
             && matches!(&sample.phase, Phase::Writing(written) if written.serial == record.serial)
         {
             sample.phase = Phase::Recorded(record);
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -95,12 +95,12 @@
             main: key,
             hedge: None,
         };
-        if self.sample(slot).map(|s| &s.phase) != Some(&free) {
+        if self.sample_mut(slot).map(|s| &s.phase) != Some(&free) {
             return;
         }
         self.counts.hedges += 1;
-        let hedge = Some(self.launch(now, slot, text, true));
-        self.set(slot, Phase::Running { main: key, hedge });
+        let hedge = Some(self.start_generation(now, slot, text, true));
+        self.set_phase(slot, Phase::Running { main: key, hedge });
     }
 
     /// Lets a second copy take over once it is longer than the first.
@@ -118,13 +118,13 @@
         }
         self.steps.push_back(Step::Cancel(main));
         let main = key;
-        self.set(slot, Phase::Running { main, hedge: None });
+        self.set_phase(slot, Phase::Running { main, hedge: None });
     }
 
     /// Returns the generation that `copy` is a second one of, and whether the
     /// copy is longer.
     fn passed(&mut self, slot: Slot, copy: GenKey, tokens: u32) -> Option<(GenKey, bool)> {
-        let Phase::Running { main, hedge } = self.sample(slot)?.phase else {
+        let Phase::Running { main, hedge } = self.sample_mut(slot)?.phase else {
             return None;
         };
         if hedge != Some(copy) {
