--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -1,4 +1,4 @@
-//! Batches: fixed once, recorded, then handed out; steps reported done.
+//! Delivery: batches are assembled once, recorded and then returned to the trainer.
 
 use crate::{
     error::ErrorKind,
@@ -14,25 +14,31 @@
 use std::{mem, time::Instant};
 
 impl Run {
-    /// Fixes the next batch, once the step before is done and enough groups are
-    /// whole.
+    /// Assembles the next batch, once the step before is done and enough groups are
+    /// complete.
     ///
-    /// Not earlier: until then the trainer's version may rise, and a batch that
-    /// was within the bound would be over it when it is handed out.
+    /// The trainer's version may rise until that step is done, so a batch that was
+    /// assembled earlier could exceed the staleness bound when it is delivered.
     pub(crate) fn assemble_batch(&mut self) {
         let head = self.head();
         let (cursor, version) = (head.next_cursor, head.version);
-        let fixing = self
+        let is_assembled = self
             .journal
             .has(|change| matches!(change, Change::AddBatch(_)));
-        if head.done_steps != cursor || fixing || self.must_wait() {
+        if head.done_steps != cursor || is_assembled || self.must_wait() {
             return;
         }
         let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
-        let floor = self.min_version();
-        let fresh = |group: &Group| self.oldest(group).is_none_or(|old| old >= floor);
-        let whole = self.groups.values().filter(|g| g.is_complete() && fresh(g));
-        let chosen: Vec<&Group> = whole.take(count).collect();
+        let min_version = self.min_version();
+        let is_fresh = |group: &Group| {
+            self.oldest_version(group)
+                .is_none_or(|oldest| oldest >= min_version)
+        };
+        let complete = self
+            .groups
+            .values()
+            .filter(|g| g.is_complete() && is_fresh(g));
+        let chosen: Vec<&Group> = complete.take(count).collect();
         if chosen.len() < count {
             return;
         }
@@ -49,27 +55,29 @@
         self.journal.add(Change::AddBatch(batch));
     }
 
-    /// Says whether a group that this batch or an earlier one was to hold can't
-    /// be carried over any more.
+    /// Returns whether a group that is due can't be carried over to a later batch.
     ///
-    /// Carried over again it would be dropped over the bound, and what is
-    /// dropped so is what takes long: training would see too few long samples.
+    /// It would exceed the staleness bound and be dropped. Since this happens to long
+    /// samples, training would see too few of them.
     fn must_wait(&self) -> bool {
         if !self.pace.may_change_version() {
             return false;
         }
         let (bound, version) = (self.spec.bound, self.head().version);
-        let last = |group: &Group| self.oldest(group).is_some_and(|old| old + bound <= version);
+        let at_bound = |group: &Group| {
+            self.oldest_version(group)
+                .is_some_and(|oldest| oldest + bound <= version)
+        };
         self.groups
             .iter()
             .take_while(|(number, _)| self.is_due(**number))
-            .any(|(_, group)| !group.is_complete() && last(group))
+            .any(|(_, group)| !group.is_complete() && at_bound(group))
     }
 
     /// Returns the oldest version in a group.
-    fn oldest(&self, group: &Group) -> Option<u64> {
+    fn oldest_version(&self, group: &Group) -> Option<u64> {
         let samples = group.samples.iter();
-        let oldest = samples.filter_map(|sample| match &sample.phase {
+        let versions = samples.filter_map(|sample| match &sample.phase {
             Phase::Waiting => sample.prefix.oldest_version(),
             Phase::Running { main, .. } => self
                 .generations
@@ -81,81 +89,85 @@
                 .and_then(|g| g.text.oldest_version()),
             Phase::Writing(record) | Phase::Recorded(record) => record.oldest(),
         });
-        oldest.min()
+        versions.min()
     }
 
-    /// Drops every sample that is over the bound.
+    /// Drops all samples that exceed the staleness bound.
     pub(crate) fn drop_stale_samples(&mut self) {
-        let floor = self.min_version();
-        let old = |version: Option<u64>| version.is_some_and(|version| version < floor);
-        let over = |phase: &Phase, run: &Self| match phase {
-            Phase::Running { main, .. } => run.is_old(*main, floor),
-            Phase::Scoring(key) => run.is_old(*key, floor),
-            // It is looked at again when it is recorded.
+        let min_version = self.min_version();
+        let is_stale = |version: Option<u64>| version.is_some_and(|version| version < min_version);
+        let is_stale_phase = |phase: &Phase, run: &Self| match phase {
+            Phase::Running { main, .. } => run.is_stale_generation(*main, min_version),
+            Phase::Scoring(key) => run.is_stale_generation(*key, min_version),
+            // A sample that is being written is checked once it is recorded.
             Phase::Waiting | Phase::Writing(_) => false,
-            Phase::Recorded(record) => old(Record::oldest(record)),
+            Phase::Recorded(record) => is_stale(Record::oldest(record)),
         };
-        self.cancel_stale_hedges(floor);
-        let mut slots = Vec::new();
+        self.cancel_stale_hedges(min_version);
+        let mut stale = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
-                if over(&sample.phase, self)
-                    || old(sample.prefix.oldest_version()) && waits(&sample.phase)
+                if is_stale_phase(&sample.phase, self)
+                    || is_stale(sample.prefix.oldest_version()) && is_waiting(&sample.phase)
                 {
-                    slots.push(Slot {
+                    stale.push(Slot {
                         group: *number,
                         index,
                     });
                 }
             }
         }
-        for slot in slots {
+        for slot in stale {
             self.restart_sample(slot);
         }
     }
 
-    /// Stops second copies that are over the bound: taking over, they would cost
-    /// the whole sample.
-    fn cancel_stale_hedges(&mut self, floor: u64) {
-        let mut copies = Vec::new();
+    /// Cancels hedges that exceed the staleness bound. If one replaced its original,
+    /// the whole sample would be dropped.
+    fn cancel_stale_hedges(&mut self, min_version: u64) {
+        let mut stale = Vec::new();
         for (number, group) in &self.groups {
             for (index, sample) in (0..).zip(&group.samples) {
                 if let Phase::Running {
-                    hedge: Some(copy), ..
+                    hedge: Some(hedge), ..
                 } = sample.phase
-                    && self.is_old(copy, floor)
+                    && self.is_stale_generation(hedge, min_version)
                 {
                     let group = *number;
-                    copies.push((Slot { group, index }, copy));
+                    stale.push((Slot { group, index }, hedge));
                 }
             }
         }
-        for (slot, copy) in copies {
-            self.remove_hedge(slot, copy);
-            self.steps.push_back(Step::Cancel(copy));
+        for (slot, hedge) in stale {
+            self.remove_hedge(slot, hedge);
+            self.steps.push_back(Step::Cancel(hedge));
         }
     }
 
-    fn is_old(&self, key: GenKey, floor: u64) -> bool {
+    fn is_stale_generation(&self, key: GenKey, min_version: u64) -> bool {
         let generation = self.generations.get(key);
-        generation.is_some_and(|g| g.text.oldest_version().is_some_and(|oldest| oldest < floor))
+        generation.is_some_and(|g| {
+            g.text
+                .oldest_version()
+                .is_some_and(|oldest| oldest < min_version)
+        })
     }
 
-    /// Notes that a step's end is in the table.
+    /// Handles the end of a step that is in the table.
     pub(crate) fn step_recorded(&mut self, now: Instant, cursor: u64, version: u64) {
-        let bump = self
+        let new_version = self
             .batches
             .get(&cursor)
-            .is_some_and(|b| b.version < version);
-        self.pace.step_completed(now, bump);
-        let kept = (cursor + 1).saturating_sub(RETAINED_BATCHES);
-        self.batches.retain(|batch, _| *batch >= kept);
-        let dones = mem::take(&mut self.done_requests);
-        for (ticket, done) in dones {
-            if done == cursor {
+            .is_some_and(|batch| batch.version < version);
+        self.pace.step_completed(now, new_version);
+        let first_retained = (cursor + 1).saturating_sub(RETAINED_BATCHES);
+        self.batches.retain(|batch, _| *batch >= first_retained);
+        let requests = mem::take(&mut self.done_requests);
+        for (ticket, step) in requests {
+            if step == cursor {
                 self.steps.push_back(Step::Answer(ticket, Answer::Noted));
             } else {
-                self.done_requests.push((ticket, done));
+                self.done_requests.push((ticket, step));
             }
         }
         self.drop_stale_samples();
@@ -163,7 +175,7 @@
 
     pub(crate) fn handle_pull(&mut self, now: Instant, ticket: Ticket, owner: u64, cursor: u64) {
         if owner != self.owner {
-            // Two trainers of one name would each get every sample.
+            // Two trainers with the same run name would both get all samples.
             self.refuse(ticket, ErrorKind::RunTaken);
             return;
         }
@@ -180,7 +192,7 @@
             return;
         }
         if !self.journal.is_ready() {
-            // The trainer asks again, as it does when the answer is lost.
+            // The trainer retries, as after a lost answer.
             self.refuse(ticket, ErrorKind::StoreDown);
             return;
         }
@@ -206,7 +218,7 @@
     pub(crate) fn answer_pulls(&mut self, now: Instant) {
         let pulls = mem::take(&mut self.pulls);
         for pull in pulls {
-            if let Some(answer) = self.reply(now, pull) {
+            if let Some(answer) = self.pull_answer(now, pull) {
                 self.steps.push_back(Step::Answer(pull.ticket, answer));
             } else {
                 self.pulls.push(pull);
@@ -214,11 +226,11 @@
         }
     }
 
-    fn reply(&self, now: Instant, pull: Pull) -> Option<Answer> {
+    fn pull_answer(&self, now: Instant, pull: Pull) -> Option<Answer> {
         let waited = now.saturating_duration_since(pull.received);
-        let late = (waited >= self.spec.pull_timeout).then_some(Answer::NotYet);
+        let timed_out = (waited >= self.spec.pull_timeout).then_some(Answer::NotYet);
         if !self.journal.is_ready() {
-            return late;
+            return timed_out;
         }
         if let Some(batch) = self.batches.get(&pull.cursor) {
             return Some(Answer::Batch(batch.clone()));
@@ -227,13 +239,13 @@
         if pull.cursor != head.next_cursor {
             return Some(Answer::Refused(ErrorKind::BadCursor));
         }
-        let closing = self
+        let is_closing = self
             .journal
             .has(|change| matches!(change, Change::CompleteStep { .. }));
-        if head.done_steps < head.next_cursor && !closing {
+        if head.done_steps < head.next_cursor && !is_closing {
             return Some(Answer::Refused(ErrorKind::StepOpen));
         }
-        late
+        timed_out
     }
 
     fn refuse(&mut self, ticket: Ticket, kind: ErrorKind) {
@@ -242,6 +254,6 @@
     }
 }
 
-const fn waits(phase: &Phase) -> bool {
+const fn is_waiting(phase: &Phase) -> bool {
     matches!(phase, Phase::Waiting)
 }
