--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -106,7 +106,7 @@
             .oldest_version()
             .is_none_or(|version| version >= min_version)
         {
-            self.overtake(key);
+            self.promote_hedge(key);
         } else if self.is_hedge(slot, key) {
             self.remove_hedge(slot, key);
             self.steps.push_back(Step::Cancel(key));
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -1,15 +1,14 @@
-//! Stragglers: raised, moved, carried over, and never chosen by length.
+//! Stragglers: slow samples are prioritized and hedged, never replaced by shorter ones.
 //!
-//! A step whose last samples are slow stalls the trainer; taking the first that
-//! end instead would train on short answers. So a sample that is late is made
-//! faster, and never replaced by another draw that happens to end earlier:
+//! A step whose last samples are slow stalls the trainer, but a batch of the first
+//! samples to finish would bias training to short answers. So the work on a slow sample
+//! is sped up:
 //!
-//! * The groups that the next batch is short of go before others.
-//! * A generation on a slow or silent engine gets a second copy elsewhere, from
-//!   the same prefix. The copy takes over when it has passed the first one's
-//!   length while both still run: then both are only known to be longer than
-//!   that, so the choice says nothing of their ends. A copy that ends earlier
-//!   is thrown away, and so is one whose original ends first.
+//! * The groups that the next batch still needs go before others.
+//! * A generation on a slow or silent engine gets a hedge on another engine, from the
+//!   same prefix. The hedge replaces the original once it is longer, while both still
+//!   run. At that point neither final length is known, so the choice has no bias. A
+//!   hedge that ends earlier is discarded.
 
 use crate::train::{
     GenKey,
@@ -20,49 +19,49 @@
 };
 use std::time::{Duration, Instant};
 
-/// A generation with less than this share of the usual rate is slow.
-///
-/// Batches of different sizes differ by less; an engine that is throttled or
-/// failing is slower.
-const SLOW: f64 = 0.5;
+/// A generation below this share of the usual token rate is slow. The rates of engines
+/// with different batch sizes differ by less.
+const SLOW_RATE_RATIO: f64 = 0.5;
 
-/// Reports come several times a second; after this time without one the engine
-/// or the connection is taken to be lost.
-const SILENT: Duration = Duration::from_secs(10);
+/// Without a report for this time, the engine or the connection is considered lost.
+/// Reports normally come several times per second.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a generation runs before its rate is judged.
-const WARM: Duration = Duration::from_secs(5);
+/// How long a generation runs before its token rate is compared.
+const WARMUP_DURATION: Duration = Duration::from_secs(5);
 
-/// The share of a batch that must be whole before its rest is urgent: if all
-/// were, none would be.
-const CLOSING: f64 = 0.5;
+/// The share of a batch that must be complete before the rest is urgent. Otherwise all
+/// groups would be urgent.
+const URGENT_THRESHOLD: f64 = 0.5;
 
 impl Run {
-    /// Says whether the next batch, or one before, waits for this group.
+    /// Returns whether this group was meant for the next batch or an earlier one.
     pub(crate) fn is_due(&self, group: u64) -> bool {
         group / u64::from(self.spec.groups.max(1)) <= self.head().next_cursor
     }
 
+    /// Returns whether this group is overdue, or is needed for a batch that is mostly
+    /// complete.
     pub(crate) fn is_urgent(&self, group: u64) -> bool {
-        let per = u64::from(self.spec.groups.max(1));
-        let late = group / per < self.head().next_cursor;
-        late || self.is_due(group) && self.is_closing()
+        let batch_size = u64::from(self.spec.groups.max(1));
+        let is_overdue = group / batch_size < self.head().next_cursor;
+        is_overdue || self.is_due(group) && self.is_mostly_complete()
     }
 
-    fn is_closing(&self) -> bool {
-        let whole = self.groups.values().filter(|g| g.is_complete()).count();
-        whole as f64 >= CLOSING * f64::from(self.spec.groups)
+    fn is_mostly_complete(&self) -> bool {
+        let complete = self.groups.values().filter(|g| g.is_complete()).count();
+        complete as f64 >= URGENT_THRESHOLD * f64::from(self.spec.groups)
     }
 
-    /// Raises and moves what the next batch waits for.
+    /// Prioritizes what the next batch needs, and hedges slow generations.
     pub(crate) fn handle_stragglers(&mut self, now: Instant) {
-        let closing = self.is_closing();
-        let per = u64::from(self.spec.groups.max(1));
-        let next = self.head().next_cursor;
+        let mostly_complete = self.is_mostly_complete();
+        let batch_size = u64::from(self.spec.groups.max(1));
+        let next_cursor = self.head().next_cursor;
         let mut slow = Vec::new();
         for (key, generation) in &mut self.generations {
-            let step = generation.slot.group / per;
-            let urgent = step < next || step == next && closing;
+            let step = generation.slot.group / batch_size;
+            let urgent = step < next_cursor || step == next_cursor && mostly_complete;
             if urgent && !generation.urgent {
                 generation.urgent = true;
                 self.steps.push_back(Step::Raise(key));
@@ -71,18 +70,18 @@
                 slow.push((!urgent, generation.slot, key));
             }
         }
-        // Not only what is urgent: a long sample that spends two steps on a
-        // slow engine can't make it inside the bound any more when it is due.
+        // Also hedges samples that aren't urgent: a long one would exceed the
+        // staleness bound after two steps on a slow engine.
         slow.sort_unstable();
         for (_, _, key) in slow {
-            self.hedge(now, key);
+            self.start_hedge(now, key);
         }
     }
 
-    /// Starts a second copy within the budget: one for each so many
-    /// generations, and one at least, so that a small run is helped as well.
-    fn hedge(&mut self, now: Instant, key: GenKey) {
-        let running = self.groups.values().map(hedges).sum::<usize>();
+    /// Starts a hedge within the budget: a share of the running generations, and at
+    /// least one, for small runs.
+    fn start_hedge(&mut self, now: Instant, key: GenKey) {
+        let running = self.groups.values().map(count_hedges).sum::<usize>();
         let budget = (self.generations.len() as f64 * self.spec.hedge_share).max(1.0);
         if running as f64 + 1.0 > budget {
             return;
@@ -91,11 +90,11 @@
             return;
         };
         let (slot, text) = (generation.slot, generation.text.clone());
-        let free = Phase::Running {
+        let unhedged = Phase::Running {
             main: key,
             hedge: None,
         };
-        if self.sample_mut(slot).map(|s| &s.phase) != Some(&free) {
+        if self.sample_mut(slot).map(|s| &s.phase) != Some(&unhedged) {
             return;
         }
         self.counts.hedges += 1;
@@ -103,53 +102,58 @@
         self.set_phase(slot, Phase::Running { main: key, hedge });
     }
 
-    /// Lets a second copy take over once it is longer than the first.
-    pub(crate) fn overtake(&mut self, key: GenKey) {
-        let Some(copy) = self.generations.get(key) else {
+    /// Replaces the original by its hedge once the hedge is longer.
+    pub(crate) fn promote_hedge(&mut self, key: GenKey) {
+        let Some(hedge) = self.generations.get(key) else {
             return;
         };
-        let (slot, tokens, base) = (copy.slot, copy.text.tokens, copy.base.tokens);
-        let Some((main, true)) = self.passed(slot, key, tokens) else {
+        let (slot, tokens, base) = (hedge.slot, hedge.text.tokens, hedge.base.tokens);
+        let Some((main, true)) = self.compare_hedge(slot, key, tokens) else {
             return;
         };
-        if let Some(old) = self.generations.remove(main) {
-            // What the copy goes on from is not wasted.
-            self.counts.wasted += u64::from(old.text.tokens - base);
+        if let Some(original) = self.generations.remove(main) {
+            // The prefix that the hedge continues isn't wasted.
+            self.counts.wasted += u64::from(original.text.tokens - base);
         }
         self.steps.push_back(Step::Cancel(main));
         let main = key;
         self.set_phase(slot, Phase::Running { main, hedge: None });
     }
 
-    /// Returns the generation that `copy` is a second one of, and whether the
-    /// copy is longer.
-    fn passed(&mut self, slot: Slot, copy: GenKey, tokens: u32) -> Option<(GenKey, bool)> {
+    /// Returns the original of a hedge with this many tokens, and whether the hedge is
+    /// longer.
+    fn compare_hedge(&mut self, slot: Slot, key: GenKey, tokens: u32) -> Option<(GenKey, bool)> {
         let Phase::Running { main, hedge } = self.sample_mut(slot)?.phase else {
             return None;
         };
-        if hedge != Some(copy) {
+        if hedge != Some(key) {
             return None;
         }
-        let passed = self.generations.get(main)?.text.tokens < tokens;
-        Some((main, passed))
+        let is_longer = self.generations.get(main)?.text.tokens < tokens;
+        Some((main, is_longer))
     }
 }
 
-fn hedges(group: &Group) -> usize {
-    let hedged = |phase: &Phase| matches!(phase, Phase::Running { hedge: Some(_), .. });
-    group.samples.iter().filter(|s| hedged(&s.phase)).count()
+fn count_hedges(group: &Group) -> usize {
+    let is_hedged = |phase: &Phase| matches!(phase, Phase::Running { hedge: Some(_), .. });
+    group
+        .samples
+        .iter()
+        .filter(|sample| is_hedged(&sample.phase))
+        .count()
 }
 
-fn is_slow(generation: &Generation, usual: Option<f64>, now: Instant) -> bool {
+fn is_slow(generation: &Generation, usual_rate: Option<f64>, now: Instant) -> bool {
     let Some(reports) = generation.reports else {
         return false;
     };
-    if now.saturating_duration_since(reports.last) > SILENT {
+    if now.saturating_duration_since(reports.last) > REPORT_TIMEOUT {
         return true;
     }
-    let warm = now.saturating_duration_since(reports.first) > WARM;
+    let warmed_up = now.saturating_duration_since(reports.first) > WARMUP_DURATION;
     let rate = generation.token_rate(now);
-    warm && rate
-        .zip(usual)
-        .is_some_and(|(rate, usual)| rate < SLOW * usual)
+    warmed_up
+        && rate
+            .zip(usual_rate)
+            .is_some_and(|(rate, usual)| rate < SLOW_RATE_RATIO * usual)
 }
