--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -52,7 +52,7 @@
     run::{Counts, Run},
     share::shares,
     spec::Spec,
-    weights::{Fenced, Plan, Weights},
+    weights::{FencedOrder, RolloutPlan, Weights},
 };
 
 slotmap::new_key_type! {
--- a/src/train/weights.rs
+++ b/src/train/weights.rs
@@ -1,117 +1,120 @@
-//! New weights on a run's engines.
+//! Rollout of new weights to a run's engines.
 //!
-//! Waves, floor, the store's rate and repeated orders are the
-//! [`Shifter`]'s. What is added here is the run's: orders carry the holder's
-//! fencing number, and an engine is used for the run only while it reports a
-//! version that was meant.
-//!
-//! Load: new weights every few minutes, of which some swaps fail. Harm: samples
-//! of a version that nobody meant, which are dropped only after they cost their
-//! tokens. An engine that reports such a version therefore leaves the pool at
-//! once, and comes back when a further order shows in its report.
+//! The [`Shifter`] handles waves, the floor of serving engines, the store's rate and
+//! retries. This module adds the holder's fencing number to orders, and excludes engines
+//! that report an unintended version, for example after a failed swap. Samples of such a
+//! version would be dropped after they are generated. The engine is used again once it
+//! reports an intended version.
 
 use crate::route::shift::{EngineKey, Order, RoleKey, RoleSpec, Shifter};
 use slotmap::SecondaryMap;
 use std::time::{Duration, Instant};
 
-/// An order with the number that makes an older holder's void.
+/// An order with the fencing number of its holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Fenced {
+pub struct FencedOrder {
     /// The order.
     pub order: Order,
-    /// The holder's fencing number; the engine's side refuses a lower one.
+    /// The fencing number; the engine's sidecar refuses lower ones.
     pub fence: u64,
 }
 
-/// The weights of one run's engines.
+/// The weight versions of one run's engines.
 #[derive(Debug)]
 pub struct Weights {
     shifter: Shifter,
     role: RoleKey,
     fence: u64,
-    floor: usize,
-    /// The version that engines should serve, and the one before.
+    min_serving: usize,
+    /// The version that engines should serve.
     target: u64,
-    before: u64,
+    /// The target before this one.
+    previous: u64,
     reported: SecondaryMap<EngineKey, u64>,
 }
 
 impl Weights {
-    /// Creates the weights of engines that should serve `version`; at least
-    /// `floor` of them serve at any time, and the store gives `rate` loads a
-    /// second.
+    /// Creates the state for engines that should serve `version`. At least
+    /// `min_serving` of them serve at any time, and the weight store starts
+    /// `store_rate` loads per second.
     #[must_use]
-    pub fn new(now: Instant, fence: u64, version: u64, floor: usize, rate: f64) -> Self {
-        let mut shifter = Shifter::new(now, rate, burst(rate));
-        let role = shifter.add_role(RoleSpec::new(version).floor(floor));
+    pub fn new(
+        now: Instant,
+        fence: u64,
+        version: u64,
+        min_serving: usize,
+        store_rate: f64,
+    ) -> Self {
+        let mut shifter = Shifter::new(now, store_rate, burst(store_rate));
+        let role = shifter.add_role(RoleSpec::new(version).floor(min_serving));
         Self {
             shifter,
             role,
             fence,
-            floor,
+            min_serving,
             target: version,
-            before: version,
+            previous: version,
             reported: SecondaryMap::new(),
         }
     }
 
     /// Adds an engine that reports `version`.
-    pub fn add(&mut self, version: u64) -> EngineKey {
+    pub fn add_engine(&mut self, version: u64) -> EngineKey {
         let engine = self.shifter.add_engine(self.role, version);
         self.reported.insert(engine, version);
         engine
     }
 
-    /// Forgets an engine that has left or crashed.
-    pub fn remove(&mut self, engine: EngineKey) {
+    /// Removes an engine that has left or crashed.
+    pub fn remove_engine(&mut self, engine: EngineKey) {
         self.shifter.remove_engine(engine);
         self.reported.remove(engine);
     }
 
-    /// Has all engines serve a new version, in waves.
+    /// Starts the rollout of a new version to all engines, in waves.
     pub fn roll_out(&mut self, version: u64) {
-        self.before = self.target;
+        self.previous = self.target;
         self.target = version;
-        let spec = RoleSpec::new(version).floor(self.floor);
+        let spec = RoleSpec::new(version).floor(self.min_serving);
         self.shifter.set_role(self.role, spec);
     }
 
-    /// Takes in what an engine reports, after an order or unasked.
+    /// Handles the version that an engine reports, with or without an order.
     pub fn report(&mut self, now: Instant, engine: EngineKey, version: u64) {
         if self.reported.insert(engine, version).is_some() {
             self.shifter.done(now, engine, self.role, version);
         }
     }
 
-    /// Returns the orders that are due; to be called about once a second.
-    pub fn tick(&mut self, now: Instant) -> Vec<Fenced> {
+    /// Returns the orders that are due. Must be called about once per second.
+    pub fn tick(&mut self, now: Instant) -> Vec<FencedOrder> {
         let fence = self.fence;
         let orders = self.shifter.tick(now).into_iter();
-        orders.map(|order| Fenced { order, fence }).collect()
+        orders.map(|order| FencedOrder { order, fence }).collect()
     }
 
-    /// Says whether an engine may generate for the run: it reports the newest
-    /// version or the one before, and that is not under `floor`.
+    /// Returns whether an engine may generate for the run: it reports the target version
+    /// or the previous one, and at least `min_version`.
     #[must_use]
-    pub fn is_usable(&self, engine: EngineKey, floor: u64) -> bool {
+    pub fn is_usable(&self, engine: EngineKey, min_version: u64) -> bool {
         let version = self.reported.get(engine).copied();
-        version.is_some_and(|v| v >= floor && (v == self.target || v == self.before))
+        version.is_some_and(|v| v >= min_version && (v == self.target || v == self.previous))
     }
 
-    /// Returns how many engines serve while others change.
+    /// Returns the number of engines that are serving.
     #[must_use]
     pub fn serving(&self) -> usize {
         self.shifter.serving(self.role)
     }
 
-    /// Returns how many engines don't serve the newest version.
+    /// Returns the number of engines that don't serve the target version.
     #[must_use]
     pub fn stale(&self) -> usize {
         self.shifter.stale(self.role)
     }
 }
 
-// A second's worth may go out together, since that is how often orders are.
+// Allows the loads of one second together, since orders are issued once per second.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -121,62 +124,69 @@
     rate.ceil().max(1.0) as u32
 }
 
-/// The arithmetic of a rollout.
+/// A model of the duration of a rollout.
 ///
 /// # Example
 ///
 /// ```
-/// use hibiscusroad::train::Plan;
+/// use hibiscusroad::train::RolloutPlan;
 /// use std::time::Duration;
 ///
-/// let plan = Plan { engines: 8, wave: 2, load: Duration::from_secs(3), rate: 2.0, copies: 0 };
-/// assert_eq!(plan.time(), Duration::from_secs(12));
+/// let plan = RolloutPlan {
+///     engines: 8,
+///     wave_size: 2,
+///     load_time: Duration::from_secs(3),
+///     store_rate: 2.0,
+///     peer_copies: 0,
+/// };
+/// assert_eq!(plan.duration(), Duration::from_secs(12));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
-    /// Engines to change.
+pub struct RolloutPlan {
+    /// The number of engines to update.
     pub engines: u32,
-    /// Engines that change at once; the others serve.
-    pub wave: u32,
-    /// How long one engine takes, from the order to its report.
-    pub load: Duration,
-    /// Loads a second that the weight store begins.
-    pub rate: f64,
-    /// Copies that an engine with the new version gives to others at once.
-    pub copies: u32,
+    /// The number of engines that are updated at once, while the others serve.
+    pub wave_size: u32,
+    /// The time of one engine from its order to its report.
+    pub load_time: Duration,
+    /// The number of loads per second that the weight store starts.
+    pub store_rate: f64,
+    /// The number of concurrent copies that an updated engine serves to others.
+    pub peer_copies: u32,
 }
 
-impl Plan {
-    /// Returns how long the rollout takes, wave after wave: a wave lasts until
-    /// its last engine could begin, and one load more. The first engine of a
-    /// wave begins at once.
+impl RolloutPlan {
+    /// Returns the duration of the rollout.
+    ///
+    /// Each wave takes until its last engine starts to load, plus one load time. The
+    /// first engine of a wave starts at once.
     #[must_use]
-    pub fn time(&self) -> Duration {
-        let mut done = 0;
-        let mut time = Duration::ZERO;
-        while done < self.engines {
-            let wave = self.wave.max(1).min(self.engines - done);
-            let peers = done.saturating_mul(self.copies);
-            let store = wave.saturating_sub(peers);
-            // What a burst gives together begins within the same second.
-            let wait = (f64::from(store) / self.rate - 1.0).max(0.0);
-            time += self.load + Duration::from_secs_f64(wait);
-            done += wave;
+    pub fn duration(&self) -> Duration {
+        let mut updated = 0;
+        let mut duration = Duration::ZERO;
+        while updated < self.engines {
+            let wave_size = self.wave_size.max(1).min(self.engines - updated);
+            let peer_loads = updated.saturating_mul(self.peer_copies);
+            let store_loads = wave_size.saturating_sub(peer_loads);
+            // The loads of the first burst start within the same second.
+            let wait = (f64::from(store_loads) / self.store_rate - 1.0).max(0.0);
+            duration += self.load_time + Duration::from_secs_f64(wait);
+            updated += wave_size;
         }
-        time
+        duration
     }
 
-    /// Returns the lowest rate of the store, in loads a second, with which the
-    /// rollout takes at most `aim`; none if no rate is enough.
+    /// Returns the lowest rate of the weight store, in loads per second, at which the
+    /// rollout takes at most `max_duration`, or `None` if no rate is enough.
     #[must_use]
-    pub fn needed_rate(&self, aim: Duration) -> Option<u32> {
-        let fits = |rate: &u32| {
+    pub fn min_store_rate(&self, max_duration: Duration) -> Option<u32> {
+        let is_sufficient = |rate: &u32| {
             let plan = Self {
-                rate: f64::from(*rate),
+                store_rate: f64::from(*rate),
                 ..*self
             };
-            plan.time() <= aim
+            plan.duration() <= max_duration
         };
-        (1..=self.engines).find(fits)
+        (1..=self.engines).find(is_sufficient)
     }
 }
--- a/tests/train_weights.rs
+++ b/tests/train_weights.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     route::shift::EngineKey,
-    train::{Plan, Weights},
+    train::{RolloutPlan, Weights},
 };
 use std::time::{Duration, Instant};
 
@@ -45,7 +45,7 @@
 fn an_unintended_version_leaves_the_pool_until_put_right() {
     let mut now = Instant::now();
     let mut weights = Weights::new(now, FENCE, 5, 2, 4.0);
-    let engines: Vec<EngineKey> = (0..8).map(|_| weights.add(5)).collect();
+    let engines: Vec<EngineKey> = (0..8).map(|_| weights.add_engine(5)).collect();
     weights.roll_out(6);
     let bad = engines[3];
     let (mut failed, mut out, mut back) = (false, false, false);
@@ -70,7 +70,7 @@
 #[test]
 fn an_engine_behind_the_bound_is_not_used() {
     let mut weights = Weights::new(Instant::now(), FENCE, 5, 0, 4.0);
-    let engine = weights.add(5);
+    let engine = weights.add_engine(5);
     assert!(weights.is_usable(engine, 5));
     assert!(!weights.is_usable(engine, 6));
     weights.roll_out(6);
@@ -85,34 +85,39 @@
 // wave alone needs the store, at 15 a second.
 #[test]
 fn six_hundred_engines_within_33_seconds() {
-    let plan = Plan {
+    let plan = RolloutPlan {
         engines: 600,
-        wave: 150,
-        load: Duration::from_secs(6),
-        rate: 1.0,
-        copies: 0,
+        wave_size: 150,
+        load_time: Duration::from_secs(6),
+        store_rate: 1.0,
+        peer_copies: 0,
     };
-    let alone = plan.needed_rate(AIM).unwrap();
-    let copied = Plan { copies: 1, ..plan }.needed_rate(AIM).unwrap();
+    let alone = plan.min_store_rate(AIM).unwrap();
+    let copied = RolloutPlan {
+        peer_copies: 1,
+        ..plan
+    }
+    .min_store_rate(AIM)
+    .unwrap();
     println!("store alone {alone}/s, with copies {copied}/s");
-    let slow = Plan {
-        load: Duration::from_millis(8500),
+    let slow = RolloutPlan {
+        load_time: Duration::from_millis(8500),
         ..plan
     };
-    assert_eq!(slow.needed_rate(AIM), None);
+    assert_eq!(slow.min_store_rate(AIM), None);
     assert_eq!((alone, copied), (47, 15));
     for (copies, rate) in [(0, alone), (1, copied)] {
-        let plan = Plan {
-            copies,
-            rate: f64::from(rate),
+        let plan = RolloutPlan {
+            peer_copies: copies,
+            store_rate: f64::from(rate),
             ..plan
         };
-        assert!(plan.time() <= AIM);
-        let less = Plan {
-            rate: f64::from(rate - 1),
+        assert!(plan.duration() <= AIM);
+        let less = RolloutPlan {
+            store_rate: f64::from(rate - 1),
             ..plan
         };
-        assert!(less.time() > AIM);
+        assert!(less.duration() > AIM);
     }
 }
 
@@ -123,7 +128,7 @@
     let mut now = Instant::now();
     let mut weights = Weights::new(now, FENCE, 5, 450, 47.0);
     for _ in 0..600 {
-        weights.add(5);
+        weights.add_engine(5);
     }
     weights.roll_out(6);
     let (mut seconds, mut done) = (0, None);
