--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -1,36 +1,31 @@
-//! The steps of a trainer: fresh samples, each delivered exactly once.
+//! Training runs: batches of recent samples, each delivered exactly once.
 //!
-//! A run is a leased duty ([`crate::lease`]): one process holds it under a
-//! fencing number, feeds events into a [`Run`] and carries out the [`Step`]s
-//! that come out. Another takes over from the rows in the platform's table.
+//! A run is a leased duty ([`crate::lease`]). One process holds it under a fencing
+//! number, passes events to a [`Run`] and carries out the resulting [`Step`]s. Another
+//! process can take over from the rows in the platform's table.
 //!
 //! # Design
 //!
-//! * A step's batch is fixed once, written, and only then handed out. The same
-//!   cursor gives the same batch, whoever answers: a fixed batch never changes.
-//! * Every write of a holder carries the run's head row and holds only if the
-//!   head is as the holder last saw it. A new holder first writes its own
-//!   number there and then reads the rows, so nothing that an older one
-//!   recorded is overlooked, and the older one's next write fails.
-//! * A group is named by its prompt's number and delivered whole. A group that
-//!   isn't whole when its step closes is carried over to the next; it is never
-//!   dropped for being long. When it can't be carried over any more, the step
-//!   waits for it.
-//! * What generated a sample is what the engine reported, span by span, across
-//!   prefixes that moved from engine to engine.
+//! * A batch is written to the table before it is delivered, and never changes. The same
+//!   cursor returns the same batch from any holder.
+//! * Each write is conditional on the version of the run's head row. A new holder writes
+//!   its fencing number to the head before it reads the other rows, so it sees all that
+//!   older holders recorded, and their next write fails.
+//! * Samples are delivered in whole groups, one group per prompt. A group that is
+//!   incomplete when its step closes is carried over, not dropped for its length. If the
+//!   staleness bound rules that out, the step waits for the group.
+//! * The versions of a sample are those that engines reported, span by span, also across
+//!   engines.
 //!
 //! # Trade-offs
 //!
-//! * The record of delivery is a ledger in the table, not the trainer's cursor
-//!   alone. With the cursor alone, steps would go on while the table is down;
-//!   but a holder's loss would take every finished sample with it, and a pull
-//!   repeated at the next holder would get another batch. With the ledger a
-//!   trainer waits out the table's outage after the batch that it has; a minute
-//!   of outage costs it most of a minute, but loses nothing.
-//! * One transaction at a time for each run. At a few milliseconds each, with
-//!   tens of changes gathered, that is far above the samples that engines make.
-//! * A batch is fixed when the step before is done, not ahead of it, since the
-//!   version may rise with that step. It costs one write of waiting a step.
+//! * Delivery is recorded in the table, not only by the trainer's cursor. A trainer
+//!   therefore waits through an outage of the table, but a lost holder costs no finished
+//!   sample, and a repeated pull returns the same batch.
+//! * One transaction per run is in flight at a time, with up to tens of changes, which is
+//!   faster than engines produce samples.
+//! * A batch is assembled when the step before is done, not ahead, since that step may
+//!   raise the version. This costs each step the latency of one write.
 
 mod deliver;
 mod event;
@@ -56,6 +51,6 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a generation in a [`Run`].
+    /// The key of a generation in a [`Run`].
     pub struct GenKey;
 }
