--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -1,5 +1,5 @@
-//! Single situations of a run: refusals, and second copies that don't win by
-//! being short.
+//! Single scenarios of a run: refused requests, and the replacement of a generation by
+//! its hedge.
 
 use hibiscusroad::{
     ErrorKind,
@@ -9,57 +9,58 @@
 
 const OWNER: u64 = 3;
 
-struct Bench {
+struct Harness {
     run: Run,
     now: Instant,
-    version: u64,
-    starts: Vec<GenKey>,
-    cancels: Vec<GenKey>,
-    scores: Vec<GenKey>,
+    /// The version of the head row.
+    row_version: u64,
+    started: Vec<GenKey>,
+    cancelled: Vec<GenKey>,
+    scored: Vec<GenKey>,
     answers: Vec<Answer>,
 }
 
-impl Bench {
-    /// Creates a run whose table always answers.
+impl Harness {
+    /// Creates a run with an empty table that answers every call.
     fn new(spec: Spec) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             run: Run::new(spec, OWNER, 0, 1),
             now: Instant::now(),
-            version: 0,
-            starts: Vec::new(),
-            cancels: Vec::new(),
-            scores: Vec::new(),
+            row_version: 0,
+            started: Vec::new(),
+            cancelled: Vec::new(),
+            scored: Vec::new(),
             answers: Vec::new(),
         };
-        bench.carry_out();
-        bench
+        harness.run_steps();
+        harness
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.run.handle(self.now, event);
-        self.carry_out();
+        self.run_steps();
     }
 
-    fn carry_out(&mut self) {
+    fn run_steps(&mut self) {
         while let Some(step) = self.run.next_step() {
             let event = match step {
                 Step::ReadHead => Event::Head(None),
                 Step::ReadRows => Event::Rows(Vec::new()),
                 Step::Write(write) => {
-                    assert_eq!(write.expect, self.version);
-                    self.version += 1;
+                    assert_eq!(write.expect, self.row_version);
+                    self.row_version += 1;
                     Event::Committed
                 }
                 Step::Start { generation, .. } => {
-                    self.starts.push(generation);
+                    self.started.push(generation);
                     continue;
                 }
                 Step::Cancel(generation) => {
-                    self.cancels.push(generation);
+                    self.cancelled.push(generation);
                     continue;
                 }
                 Step::Score { generation, .. } => {
-                    self.scores.push(generation);
+                    self.scored.push(generation);
                     continue;
                 }
                 Step::Answer(_, answer) => {
@@ -75,7 +76,7 @@
     fn report(&mut self, generation: GenKey, first: u32, tokens: u32) {
         let version = 0;
         let spans = vec![Span { version, first }];
-        self.tell(Event::Progress {
+        self.handle(Event::Progress {
             generation,
             tokens,
             spans,
@@ -84,7 +85,7 @@
 
     fn pull(&mut self, owner: u64, cursor: u64) {
         let ticket = Ticket(0);
-        self.tell(Event::Pulled {
+        self.handle(Event::Pulled {
             ticket,
             owner,
             cursor,
@@ -92,7 +93,7 @@
     }
 
     fn done(&mut self, cursor: u64, version: u64) {
-        self.tell(Event::Done {
+        self.handle(Event::Done {
             ticket: Ticket(0),
             owner: OWNER,
             cursor,
@@ -100,87 +101,85 @@
         });
     }
 
-    /// Brings a generation to the point where it has a second copy.
-    fn hedged(&mut self) -> (GenKey, GenKey) {
-        let main = self.starts[0];
+    /// Reports 100 tokens of the first generation and waits until it is hedged. Returns
+    /// the generation and its hedge.
+    fn start_hedge(&mut self) -> (GenKey, GenKey) {
+        let main = self.started[0];
         self.report(main, 0, 100);
         self.now += Duration::from_secs(11);
-        self.tell(Event::Tick);
-        (main, *self.starts.last().unwrap())
+        self.handle(Event::Tick);
+        (main, *self.started.last().unwrap())
     }
 }
 
-fn single() -> Spec {
+fn single_sample_spec() -> Spec {
     Spec::new().size(1).groups(1)
 }
 
-// A generation has gone silent at 100 tokens and a copy runs from there. The
-// copy ends at 120 while the first one is at 150. Taking it would make every
-// straggler that is moved a short one; the first one goes on.
+// A hedge that ends earlier than its original must not replace it, or all hedged samples
+// would be short.
 #[test]
-fn a_copy_that_ends_short_is_thrown_away() {
-    let mut bench = Bench::new(single());
-    let (main, copy) = bench.hedged();
-    assert_ne!(main, copy);
-    bench.report(main, 0, 150);
-    bench.report(copy, 100, 120);
-    bench.tell(Event::Finished(copy));
-    assert_eq!(bench.scores, []);
-    bench.report(main, 0, 160);
-    bench.tell(Event::Finished(main));
-    assert_eq!(bench.scores, [main]);
+fn hedge_that_ends_early_is_discarded() {
+    let mut harness = Harness::new(single_sample_spec());
+    let (main, hedge) = harness.start_hedge();
+    assert_ne!(main, hedge);
+    harness.report(main, 0, 150);
+    harness.report(hedge, 100, 120);
+    harness.handle(Event::Finished(hedge));
+    assert_eq!(harness.scored, []);
+    harness.report(main, 0, 160);
+    harness.handle(Event::Finished(main));
+    assert_eq!(harness.scored, [main]);
 }
 
-// The copy passes the first one while both run: both are longer than that, and
-// the slow one is stopped.
+// A hedge that is longer than its running original replaces it.
 #[test]
-fn a_copy_that_passes_takes_over() {
-    let mut bench = Bench::new(single());
-    let (main, copy) = bench.hedged();
-    bench.report(copy, 100, 130);
-    assert_eq!(bench.cancels, [main]);
-    bench.tell(Event::Finished(copy));
-    assert_eq!(bench.scores, [copy]);
+fn longer_hedge_replaces_its_original() {
+    let mut harness = Harness::new(single_sample_spec());
+    let (main, hedge) = harness.start_hedge();
+    harness.report(hedge, 100, 130);
+    assert_eq!(harness.cancelled, [main]);
+    harness.handle(Event::Finished(hedge));
+    assert_eq!(harness.scored, [hedge]);
 }
 
-// Two trainers of one name, a cursor that is ahead, a step whose predecessor
-// isn't done, and weights that go back: each is refused, and the batch is the
-// same afterwards.
+// Requests with a wrong owner or cursor, or before the previous step is done, are refused
+// and don't change the batch.
 #[test]
-fn bad_requests_change_nothing() {
-    let mut bench = Bench::new(single());
-    bench.pull(OWNER + 1, 0);
-    bench.pull(OWNER, 7);
-    bench.done(0, 1);
-    let main = bench.starts[0];
-    bench.report(main, 0, 10);
-    bench.tell(Event::Finished(main));
-    bench.tell(Event::Scored {
+fn invalid_requests_are_refused_without_effect() {
+    let mut harness = Harness::new(single_sample_spec());
+    harness.pull(OWNER + 1, 0);
+    harness.pull(OWNER, 7);
+    harness.done(0, 1);
+    let main = harness.started[0];
+    harness.report(main, 0, 10);
+    harness.handle(Event::Finished(main));
+    harness.handle(Event::Scored {
         generation: main,
         score: 1.0,
     });
-    bench.pull(OWNER, 0);
-    bench.pull(OWNER, 1);
-    bench.done(0, 3);
-    bench.done(0, 3);
-    bench.pull(OWNER, 0);
+    harness.pull(OWNER, 0);
+    harness.pull(OWNER, 1);
+    harness.done(0, 3);
+    harness.done(0, 3);
+    harness.pull(OWNER, 0);
     let [
-        taken,
-        ahead,
-        early,
+        wrong_owner,
+        cursor_ahead,
+        done_without_batch,
         Answer::Batch(first),
-        open,
+        step_open,
         done,
-        again,
-        Answer::Batch(last),
-    ] = &*bench.answers
+        repeated_done,
+        Answer::Batch(repeated),
+    ] = &*harness.answers
     else {
-        panic!("{:?}", bench.answers);
+        panic!("{:?}", harness.answers);
     };
-    assert_eq!(*taken, Answer::Refused(ErrorKind::RunTaken));
-    assert_eq!(*ahead, Answer::Refused(ErrorKind::BadCursor));
-    assert_eq!(*early, Answer::Refused(ErrorKind::BadCursor));
-    assert_eq!(*open, Answer::Refused(ErrorKind::StepOpen));
-    assert_eq!([done, again], [&Answer::Noted, &Answer::Noted]);
-    assert_eq!(first, last);
+    assert_eq!(*wrong_owner, Answer::Refused(ErrorKind::RunTaken));
+    assert_eq!(*cursor_ahead, Answer::Refused(ErrorKind::BadCursor));
+    assert_eq!(*done_without_batch, Answer::Refused(ErrorKind::BadCursor));
+    assert_eq!(*step_open, Answer::Refused(ErrorKind::StepOpen));
+    assert_eq!([done, repeated_done], [&Answer::Noted, &Answer::Noted]);
+    assert_eq!(first, repeated);
 }
