--- a/tests/train_weights.rs
+++ b/tests/train_weights.rs
@@ -1,4 +1,4 @@
-//! New weights go out in waves, and what engines report decides who is used.
+//! Rollouts of new weights in waves, and the use of engines by the versions they report.
 
 use hibiscusroad::{
     route::shift::EngineKey,
@@ -6,69 +6,70 @@
 };
 use std::time::{Duration, Instant};
 
-const LOAD: Duration = Duration::from_secs(4);
-const AIM: Duration = Duration::from_secs(33);
+const LOAD_TIME: Duration = Duration::from_secs(4);
+const MAX_ROLLOUT_TIME: Duration = Duration::from_secs(33);
 const FENCE: u64 = 9;
 
-/// Lets seconds pass; engines report `outcome` of their order after a load.
-fn roll_out(
+/// Lets seconds pass. Engines report the version from `outcome` one load time after an
+/// order, and `inspect` is called every second. Returns the number of orders.
+fn run_rollout(
     weights: &mut Weights,
     now: &mut Instant,
     seconds: u32,
     mut outcome: impl FnMut(EngineKey, u64) -> u64,
-    mut look: impl FnMut(&Weights),
+    mut inspect: impl FnMut(&Weights),
 ) -> usize {
     let mut loading: Vec<(Instant, EngineKey, u64)> = Vec::new();
     let mut orders = 0;
     for _ in 0..seconds {
         *now += Duration::from_secs(1);
-        let (ready, later): (Vec<_>, Vec<_>) = loading.into_iter().partition(|job| job.0 <= *now);
-        loading = later;
-        for (_, engine, version) in ready {
+        let (loaded, remaining): (Vec<_>, Vec<_>) =
+            loading.into_iter().partition(|load| load.0 <= *now);
+        loading = remaining;
+        for (_, engine, version) in loaded {
             weights.report(*now, engine, outcome(engine, version));
         }
         for fenced in weights.tick(*now) {
             assert_eq!(fenced.fence, FENCE);
             orders += 1;
             let order = fenced.order;
-            loading.push((*now + LOAD, order.engine, order.version));
+            loading.push((*now + LOAD_TIME, order.engine, order.version));
         }
-        look(weights);
+        inspect(weights);
     }
     orders
 }
 
-// A swap fails and leaves the engine on a version that nobody ordered. Its
-// report shows it; no sample may start there until another order has put it
-// right, since a trainer can't use what that version generates.
+// A failed swap leaves an engine on an unintended version. It must not be used until
+// another order has corrected it.
 #[test]
-fn an_unintended_version_leaves_the_pool_until_put_right() {
+fn engine_with_an_unintended_version_is_unused_until_corrected() {
     let mut now = Instant::now();
     let mut weights = Weights::new(now, FENCE, 5, 2, 4.0);
     let engines: Vec<EngineKey> = (0..8).map(|_| weights.add_engine(5)).collect();
     weights.roll_out(6);
-    let bad = engines[3];
-    let (mut failed, mut out, mut back) = (false, false, false);
+    let faulty = engines[3];
+    let (mut failed, mut excluded, mut readmitted) = (false, false, false);
     let outcome = |engine, version| {
-        let odd = engine == bad && !failed;
-        failed |= odd;
-        if odd { 2 } else { version }
+        let fails = engine == faulty && !failed;
+        failed |= fails;
+        if fails { 2 } else { version }
     };
-    let orders = roll_out(&mut weights, &mut now, 60, outcome, |weights| {
+    let orders = run_rollout(&mut weights, &mut now, 60, outcome, |weights| {
         assert!(weights.serving() >= 2);
-        let usable = weights.is_usable(bad, 4);
-        out |= !usable;
-        back = out && usable;
+        let usable = weights.is_usable(faulty, 4);
+        excluded |= !usable;
+        readmitted = excluded && usable;
     });
-    assert!(out && back);
+    assert!(excluded && readmitted);
     assert_eq!(weights.stale(), 0);
     assert_eq!(orders, engines.len() + 1);
 }
 
-// A new version is out, and the trainer has gone on twice since: the one before
-// the last is not under any order, but under the bound no sample may use it.
+// An engine must not be used below the minimum version, nor more than one version behind
+// the target.
 #[test]
-fn an_engine_behind_the_bound_is_not_used() {
+fn engine_below_the_minimum_or_two_versions_behind_is_unused() {
     let mut weights = Weights::new(Instant::now(), FENCE, 5, 0, 4.0);
     let engine = weights.add_engine(5);
     assert!(weights.is_usable(engine, 5));
@@ -79,10 +80,8 @@
     assert!(!weights.is_usable(engine, 4));
 }
 
-// 600 engines in 33 s, a quarter changing at once: four waves, so that an
-// engine has at most 8 s from order to report. At 6 s a load the store alone
-// must begin 47 loads a second; where engines copy from each other, the first
-// wave alone needs the store, at 15 a second.
+// The weight store must reach the planned rate, which is lower where engines copy from each
+// other.
 #[test]
 fn six_hundred_engines_within_33_seconds() {
     let plan = RolloutPlan {
@@ -92,47 +91,47 @@
         store_rate: 1.0,
         peer_copies: 0,
     };
-    let alone = plan.min_store_rate(AIM).unwrap();
-    let copied = RolloutPlan {
+    let store_only = plan.min_store_rate(MAX_ROLLOUT_TIME).unwrap();
+    let with_copies = RolloutPlan {
         peer_copies: 1,
         ..plan
     }
-    .min_store_rate(AIM)
+    .min_store_rate(MAX_ROLLOUT_TIME)
     .unwrap();
-    println!("store alone {alone}/s, with copies {copied}/s");
-    let slow = RolloutPlan {
+    println!("store only {store_only}/s, with copies {with_copies}/s");
+    let slow_loads = RolloutPlan {
         load_time: Duration::from_millis(8500),
         ..plan
     };
-    assert_eq!(slow.min_store_rate(AIM), None);
-    assert_eq!((alone, copied), (47, 15));
-    for (copies, rate) in [(0, alone), (1, copied)] {
+    assert_eq!(slow_loads.min_store_rate(MAX_ROLLOUT_TIME), None);
+    assert_eq!((store_only, with_copies), (47, 15));
+    for (copies, rate) in [(0, store_only), (1, with_copies)] {
         let plan = RolloutPlan {
             peer_copies: copies,
             store_rate: f64::from(rate),
             ..plan
         };
-        assert!(plan.duration() <= AIM);
-        let less = RolloutPlan {
+        assert!(plan.duration() <= MAX_ROLLOUT_TIME);
+        let slower_store = RolloutPlan {
             store_rate: f64::from(rate - 1),
             ..plan
         };
-        assert!(less.duration() > AIM);
+        assert!(slower_store.duration() > MAX_ROLLOUT_TIME);
     }
 }
 
-// The same by the waves that are really ordered, at 4 s a load and 47 loads a
-// second: 600 engines report the new version in time, 450 serving all the while.
+// The orders of `Weights` must keep to the time of the plan, and to the floor of serving
+// engines.
 #[test]
-fn the_waves_keep_to_the_plan() {
+fn rollout_of_six_hundred_engines_keeps_to_the_plan() {
     let mut now = Instant::now();
     let mut weights = Weights::new(now, FENCE, 5, 450, 47.0);
     for _ in 0..600 {
         weights.add_engine(5);
     }
     weights.roll_out(6);
-    let (mut seconds, mut done) = (0, None);
-    roll_out(
+    let (mut seconds, mut completed_at) = (0, None);
+    run_rollout(
         &mut weights,
         &mut now,
         60,
@@ -141,10 +140,10 @@
             seconds += 1;
             assert!(weights.serving() >= 450);
             if weights.stale() == 0 {
-                done.get_or_insert(seconds);
+                completed_at.get_or_insert(seconds);
             }
         },
     );
-    println!("done after {done:?} s");
-    assert!(done.is_some_and(|done| done <= AIM.as_secs()));
+    println!("completed after {completed_at:?} s");
+    assert!(completed_at.is_some_and(|seconds| seconds <= MAX_ROLLOUT_TIME.as_secs()));
 }
