--- a/tests/train_model.rs
+++ b/tests/train_model.rs
@@ -1,4 +1,4 @@
-//! Histories of one run under lost answers, lost holders and failed swaps.
+//! Random histories of one run with lost answers, lost holders and failed swaps.
 
 #[path = "train_world/mod.rs"]
 mod world;
@@ -9,41 +9,37 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    // A trainer pulls through holders that are killed, paused, or taken over
-    // without knowing it, while the table loses answers and applies writes
-    // late, engines break, and swaps leave versions that nobody asked for. It
-    // restarts from checkpoints, and asks two holders at once. Each cursor has
-    // one batch, no sample is in two, versions are what ran, nothing is over
-    // the bound. When the trouble ends, steps go on.
+    // While holders, engines and the table fail, each cursor has one batch, no sample is
+    // delivered twice, versions are those that ran, and no sample exceeds the staleness
+    // bound. Steps continue once the faults end.
     #[test]
-    fn each_sample_once_and_true(seed: u64, turns in 50_u32..600) {
+    fn samples_are_delivered_once_with_true_versions(seed: u64, ticks in 50_u32..600) {
         let mut world = World::new(seed);
-        for _ in 0..turns {
-            world.turn();
+        for _ in 0..ticks {
+            world.tick();
         }
-        world.calm();
-        let before = world.steps();
+        world.end_faults();
+        let steps_before = world.steps();
         for _ in 0..400 {
-            world.turn();
+            world.tick();
         }
-        prop_assert!(world.steps() > before + 2, "{} then {}", before, world.steps());
+        prop_assert!(world.steps() > steps_before + 2, "{} then {}", steps_before, world.steps());
     }
 }
 
-// The histories above prove little if nothing in them is hedged, dropped or
-// delivered. Two hundred of them do all of it many times.
+// Guards against histories that exercise nothing: they must deliver, hedge and drop samples.
 #[test]
-fn histories_reach_what_they_are_for() {
+fn histories_cover_steps_hedges_and_drops() {
     let (mut steps, mut hedges, mut dropped) = (0, 0, 0);
     for seed in 0..200 {
         let mut world = World::new(seed);
         for _ in 0..400 {
-            world.turn();
+            world.tick();
         }
         steps += world.steps();
         hedges += world.counts().hedges;
         dropped += world.counts().dropped;
     }
-    println!("{steps} steps, {hedges} second copies, {dropped} dropped");
+    println!("{steps} steps, {hedges} hedges, {dropped} dropped samples");
     assert!(steps > 100 && hedges > 100 && dropped > 100);
 }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -1,9 +1,8 @@
-//! Holders, engines, a table and a trainer around one run, in virtual time.
+//! Simulates one run with its holders, engines, table and trainer in virtual time.
 //!
-//! Every message may be late or get no answer. Holders stand still, are killed,
-//! or go on without knowing that another took over. Engines break, and swap to
-//! versions that nobody asked for. What each token was made by is kept apart,
-//! and compared with what is delivered.
+//! Messages may be delayed or get no answer. Holders pause, are killed, or continue
+//! without noticing a takeover. Engines fail, and swap to unintended versions. The version
+//! that generated each token is recorded separately and compared with what is delivered.
 
 use hibiscusroad::{
     ErrorKind,
@@ -20,12 +19,12 @@
 };
 
 pub const SPEC: Spec = Spec::new().size(2).groups(2).bound(2).hedge_share(0.3);
-const TURN: Duration = Duration::from_millis(500);
+const TICK: Duration = Duration::from_millis(500);
 const OWNER: u64 = 7;
-const ENGINES: usize = 3;
+const ENGINE_COUNT: usize = 3;
 
-/// How long a holder waits for the table, in turns.
-const PATIENCE: u32 = 6;
+/// How long a holder waits for the table, in ticks.
+const CALL_TIMEOUT: u32 = 6;
 
 #[derive(Default)]
 struct Table {
@@ -35,24 +34,27 @@
 }
 
 impl Table {
-    fn write(&mut self, write: &Write) -> bool {
+    fn commit(&mut self, write: &Write) -> bool {
         if write.expect != self.version {
             return false;
         }
         if let Some(head) = &self.head {
-            assert!(head.fence <= write.head.fence, "an older holder wrote");
+            assert!(
+                head.fence <= write.head.fence,
+                "an older holder has written"
+            );
         }
         let names = write.puts.iter().map(Row::name);
         let names: Vec<RowName> = names.chain(write.deletes.iter().copied()).collect();
         let unique: BTreeSet<RowName> = names.iter().copied().collect();
-        assert_eq!(unique.len(), names.len(), "a row twice in a transaction");
+        assert_eq!(unique.len(), names.len(), "a transaction has a row twice");
         for name in &write.deletes {
-            self.check_lost(name, &write.head);
+            self.check_deletion(name, &write.head);
             self.rows.remove(name);
         }
         for row in &write.puts {
             if let (Row::Batch(new), Some(old)) = (row, self.rows.get(&row.name())) {
-                assert_eq!(Row::Batch(new.clone()), *old, "a batch changed");
+                assert_eq!(Row::Batch(new.clone()), *old, "a batch has changed");
             }
             self.rows.insert(row.name(), row.clone());
         }
@@ -61,48 +63,51 @@
         true
     }
 
-    // A recorded sample leaves the table only if it is in a batch, or over the
+    // A recorded sample may be deleted only if it is in a batch or exceeds the staleness
     // bound.
-    fn check_lost(&self, name: &RowName, head: &Head) {
+    fn check_deletion(&self, name: &RowName, head: &Head) {
         if let Some(Row::Sample(record)) = self.rows.get(name) {
-            let old = record.oldest().unwrap() + SPEC.bound < head.version;
+            let is_stale = record.oldest().unwrap() + SPEC.bound < head.version;
             assert!(
-                old || head.is_delivered(record.slot.group),
-                "a sample is lost"
+                is_stale || head.is_delivered(record.slot.group),
+                "a sample was lost"
             );
         }
     }
 }
 
 enum Call {
-    Head,
-    Rows,
+    ReadHead,
+    ReadRows,
     Write(Box<Write>),
 }
 
 struct Message {
     holder: usize,
     call: Call,
-    arrives: u32,
-    answered: Option<u32>,
+    /// The tick of arrival at the table.
+    arrives_at: u32,
+    /// The tick of the answer, unless it is lost.
+    answered_at: Option<u32>,
 }
 
 struct Job {
     holder: usize,
     key: GenKey,
     engine: usize,
-    /// The version of each token, from the sample's first.
-    truth: Vec<u64>,
-    first: usize,
+    /// The version that generated each token of the sample.
+    token_versions: Vec<u64>,
+    prefix_len: usize,
     length: usize,
-    over: bool,
+    finished: bool,
 }
 
 struct Holder {
     run: Run,
     fence: u64,
-    paused: u32,
-    waits: Option<u32>,
+    paused_ticks: u32,
+    /// The tick at which the call in flight times out.
+    call_deadline: Option<u32>,
     inbox: Vec<(u32, Event)>,
     scoring: Vec<GenKey>,
     alive: bool,
@@ -111,62 +116,66 @@
 #[derive(Default)]
 struct Trainer {
     cursor: u64,
-    /// The highest cursor that it ever had.
-    most: u64,
+    max_cursor: u64,
     version: u64,
-    seen: BTreeMap<u64, Batch>,
-    slots: BTreeMap<Slot, u64>,
-    has: bool,
+    batches: BTreeMap<u64, Batch>,
+    /// The cursor of the batch that each sample was delivered in.
+    delivered: BTreeMap<Slot, u64>,
+    has_batch: bool,
 }
 
 pub struct World {
     start: Instant,
-    turn: u32,
+    tick: u32,
     rng: Pcg64,
-    calm: bool,
+    faults_ended: bool,
     table: Table,
     holders: Vec<Holder>,
     messages: Vec<Message>,
     jobs: Vec<Job>,
-    ended: BTreeMap<(usize, GenKey), Vec<u64>>,
-    truths: BTreeMap<(u64, u64), Vec<u64>>,
+    /// The token versions of ended jobs, by holder and generation.
+    ended_jobs: BTreeMap<(usize, GenKey), Vec<u64>>,
+    /// The token versions of stored samples, by fencing number and serial number.
+    stored_samples: BTreeMap<(u64, u64), Vec<u64>>,
+    /// The version of each engine.
     engines: Vec<u64>,
-    /// The turn at which the table's outage ends.
-    outage: u32,
+    /// The tick at which the outage of the table ends.
+    outage_end: u32,
     trainer: Trainer,
-    ticket: u64,
-    asked: BTreeMap<Ticket, u64>,
+    last_ticket: u64,
+    /// The cursors of the trainer's requests.
+    requests: BTreeMap<Ticket, u64>,
 }
 
 impl World {
     pub fn new(seed: u64) -> Self {
         let mut world = Self {
             start: Instant::now(),
-            turn: 0,
+            tick: 0,
             rng: Pcg64::seed_from_u64(seed),
-            calm: false,
+            faults_ended: false,
             table: Table::default(),
             holders: Vec::new(),
             messages: Vec::new(),
             jobs: Vec::new(),
-            ended: BTreeMap::new(),
-            truths: BTreeMap::new(),
-            engines: vec![0; ENGINES],
-            outage: 0,
+            ended_jobs: BTreeMap::new(),
+            stored_samples: BTreeMap::new(),
+            engines: vec![0; ENGINE_COUNT],
+            outage_end: 0,
             trainer: Trainer::default(),
-            ticket: 0,
-            asked: BTreeMap::new(),
+            last_ticket: 0,
+            requests: BTreeMap::new(),
         };
         world.take_over();
         world
     }
 
-    /// Returns the steps that the trainer has done.
+    /// Returns the number of steps that the trainer has completed.
     pub fn steps(&self) -> u64 {
         self.trainer.cursor
     }
 
-    /// Returns what became of tokens and samples at all holders.
+    /// Returns the counters of all holders together.
     pub fn counts(&self) -> Counts {
         let mut sum = Counts::default();
         for counts in self.holders.iter().map(|holder| holder.run.counts()) {
@@ -180,14 +189,14 @@
     }
 
     fn now(&self) -> Instant {
-        self.start + TURN * self.turn
+        self.start + TICK * self.tick
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        !self.calm && self.rng.random_bool(share)
+    fn chance(&mut self, probability: f64) -> bool {
+        !self.faults_ended && self.rng.random_bool(probability)
     }
 
-    /// Another process becomes the holder; the one before may not know.
+    /// Makes another process the holder. The previous one may not notice.
     fn take_over(&mut self) {
         let fence = self.holders.len() as u64 + 1;
         let mut run = Run::new(SPEC, OWNER, 0, fence);
@@ -195,95 +204,97 @@
         self.holders.push(Holder {
             run,
             fence,
-            paused: 0,
-            waits: None,
+            paused_ticks: 0,
+            call_deadline: None,
             inbox: Vec::new(),
             scoring: Vec::new(),
             alive: true,
         });
     }
 
-    pub fn turn(&mut self) {
-        self.turn += 1;
-        self.trouble();
-        self.engines();
-        self.table();
+    pub fn tick(&mut self) {
+        self.tick += 1;
+        self.inject_faults();
+        self.run_engines();
+        self.run_table();
         for n in 0..self.holders.len() {
-            self.hold(n);
+            self.run_holder(n);
         }
-        self.train();
+        self.run_trainer();
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         if self.chance(0.02) {
             self.take_over();
         }
         let last = self.holders.len() - 1;
         if self.chance(0.02) {
             let n = self.rng.random_range(0..=last);
-            self.holders[n].paused = self.rng.random_range(1..60);
+            self.holders[n].paused_ticks = self.rng.random_range(1..60);
         }
         if self.chance(0.01) {
-            self.outage = self.turn + self.rng.random_range(1..40);
+            self.outage_end = self.tick + self.rng.random_range(1..40);
         }
         if self.chance(0.01) {
             self.holders[last].alive = false;
             self.take_over();
         }
         if self.chance(0.02) {
-            // A swap that failed: any version at all, also one not yet ordered.
-            let n = self.rng.random_range(0..ENGINES);
+            // A swap fails and leaves any version up to the trainer's, even one that was
+            // never ordered.
+            let n = self.rng.random_range(0..ENGINE_COUNT);
             self.engines[n] = self.rng.random_range(0..=self.trainer.version);
         }
-        if self.chance(0.3) || self.calm {
-            // A swap that went well.
-            let n = self.rng.random_range(0..ENGINES);
+        if self.chance(0.3) || self.faults_ended {
+            // A swap succeeds.
+            let n = self.rng.random_range(0..ENGINE_COUNT);
             self.engines[n] = self.trainer.version;
         }
         if self.chance(0.03) && !self.jobs.is_empty() {
             let n = self.rng.random_range(0..self.jobs.len());
             let job = self.jobs.swap_remove(n);
-            self.ended.insert((job.holder, job.key), job.truth);
-            self.tell(job.holder, Event::Failed(job.key));
+            self.ended_jobs
+                .insert((job.holder, job.key), job.token_versions);
+            self.send_event(job.holder, Event::Failed(job.key));
         }
     }
 
-    fn tell(&mut self, n: usize, event: Event) {
-        let late = if self.chance(0.2) {
+    fn send_event(&mut self, n: usize, event: Event) {
+        let delay = if self.chance(0.2) {
             self.rng.random_range(1..5)
         } else {
             0
         };
-        // Events of one process come in order.
+        // Events of one holder arrive in order.
         let last = self.holders[n].inbox.last().map_or(0, |(at, _)| *at);
         self.holders[n]
             .inbox
-            .push(((self.turn + late).max(last), event));
+            .push(((self.tick + delay).max(last), event));
     }
 
-    fn engines(&mut self) {
+    fn run_engines(&mut self) {
         for i in 0..self.jobs.len() {
             let job = &self.jobs[i];
             let (n, key, engine) = (job.holder, job.key, job.engine);
-            if job.over || engine == 0 && !self.calm && self.turn % 60 < 45 {
+            if job.finished || engine == 0 && !self.faults_ended && self.tick % 60 < 45 {
                 // The first engine is slow.
                 continue;
             }
             let speed = self.rng.random_range(1..6);
             let version = self.engines[engine];
             let job = &mut self.jobs[i];
-            let room = job.length.saturating_sub(job.truth.len());
-            job.truth
-                .extend(std::iter::repeat_n(version, speed.min(room)));
-            let mut spans = spans(&job.truth, job.first);
-            let tokens = u32::try_from(job.truth.len()).unwrap();
-            let over = job.truth.len() >= job.length;
+            let remaining = job.length.saturating_sub(job.token_versions.len());
+            job.token_versions
+                .extend(std::iter::repeat_n(version, speed.min(remaining)));
+            let mut spans = spans(&job.token_versions, job.prefix_len);
+            let tokens = u32::try_from(job.token_versions.len()).unwrap();
+            let finished = job.token_versions.len() >= job.length;
             if spans.len() > 1 && self.chance(0.1) {
-                // A report that doesn't say what made its first tokens.
+                // The report lacks the version of its first tokens.
                 spans.remove(0);
             }
             let generation = key;
-            self.tell(
+            self.send_event(
                 n,
                 Event::Progress {
                     generation,
@@ -291,34 +302,36 @@
                     spans,
                 },
             );
-            if over {
-                self.jobs[i].over = true;
-                self.tell(n, Event::Finished(key));
+            if finished {
+                self.jobs[i].finished = true;
+                self.send_event(n, Event::Finished(key));
             }
         }
-        let (over, going): (Vec<Job>, Vec<Job>) = std::mem::take(&mut self.jobs)
+        let (finished, running): (Vec<Job>, Vec<Job>) = std::mem::take(&mut self.jobs)
             .into_iter()
-            .partition(|job| job.over);
-        self.jobs = going;
-        for job in over {
-            self.ended.insert((job.holder, job.key), job.truth);
+            .partition(|job| job.finished);
+        self.jobs = running;
+        for job in finished {
+            self.ended_jobs
+                .insert((job.holder, job.key), job.token_versions);
         }
     }
 
-    fn table(&mut self) {
-        let (due, later): (Vec<Message>, Vec<Message>) = std::mem::take(&mut self.messages)
-            .into_iter()
-            .partition(|message| message.arrives <= self.turn);
-        self.messages = later;
-        for message in due {
+    fn run_table(&mut self) {
+        let (arrived, in_transit): (Vec<Message>, Vec<Message>) =
+            std::mem::take(&mut self.messages)
+                .into_iter()
+                .partition(|message| message.arrives_at <= self.tick);
+        self.messages = in_transit;
+        for message in arrived {
             let event = match message.call {
-                Call::Head => {
+                Call::ReadHead => {
                     let head = self.table.head.clone();
                     Event::Head(head.map(|head| (self.table.version, head)))
                 }
-                Call::Rows => Event::Rows(self.table.rows.values().cloned().collect()),
+                Call::ReadRows => Event::Rows(self.table.rows.values().cloned().collect()),
                 Call::Write(write) => {
-                    if self.table.write(&write) {
+                    if self.table.commit(&write) {
                         self.check_written(&write);
                         Event::Committed
                     } else {
@@ -327,8 +340,8 @@
                 }
             };
             let holder = &mut self.holders[message.holder];
-            if let Some(at) = message.answered
-                && holder.waits.take().is_some()
+            if let Some(at) = message.answered_at
+                && holder.call_deadline.take().is_some()
             {
                 holder.inbox.push((at, event));
                 holder.inbox.sort_by_key(|(at, _)| *at);
@@ -336,7 +349,7 @@
         }
     }
 
-    // What is in the table as generated by a version was generated by it.
+    // The versions in the table must be those that generated the tokens.
     fn check_written(&self, write: &Write) {
         for row in &write.puts {
             let records: &[Record] = match row {
@@ -344,36 +357,42 @@
                 Row::Batch(batch) => &batch.records,
             };
             for record in records {
-                let truth = &self.truths[&(record.fence, record.serial)];
-                assert_eq!(truth.len(), usize::try_from(record.tokens).unwrap());
-                assert_eq!(record.spans, spans(truth, 0), "a version is not true");
+                let token_versions = &self.stored_samples[&(record.fence, record.serial)];
+                assert_eq!(
+                    token_versions.len(),
+                    usize::try_from(record.tokens).unwrap()
+                );
+                assert_eq!(record.spans, spans(token_versions, 0), "a version is wrong");
             }
         }
     }
 
-    fn hold(&mut self, n: usize) {
+    fn run_holder(&mut self, n: usize) {
         let holder = &mut self.holders[n];
         if !holder.alive {
             return;
         }
-        if holder.paused > 0 {
-            holder.paused -= 1;
+        if holder.paused_ticks > 0 {
+            holder.paused_ticks -= 1;
             return;
         }
-        if holder.waits.is_some_and(|until| until <= self.turn) {
-            // The connection is given up with its answer.
-            holder.waits = None;
-            holder.inbox.push((self.turn, Event::Lost));
+        if holder
+            .call_deadline
+            .is_some_and(|deadline| deadline <= self.tick)
+        {
+            // The call times out; its answer is lost.
+            holder.call_deadline = None;
+            holder.inbox.push((self.tick, Event::Lost));
         }
-        let (now, turn) = (self.now(), self.turn);
+        let (now, tick) = (self.now(), self.tick);
         let holder = &mut self.holders[n];
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut holder.inbox)
             .into_iter()
-            .partition(|(at, _)| *at <= turn);
+            .partition(|(at, _)| *at <= tick);
         holder.inbox = later;
         for (_, event) in due {
             self.holders[n].run.handle(now, event);
-            self.carry_out(n);
+            self.run_steps(n);
         }
         for key in std::mem::take(&mut self.holders[n].scoring) {
             let event = if self.chance(0.1) {
@@ -384,132 +403,143 @@
                     score: 0.5,
                 }
             };
-            self.tell(n, event);
+            self.send_event(n, event);
         }
         self.holders[n].run.handle(now, Event::Tick);
-        self.carry_out(n);
+        self.run_steps(n);
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn run_steps(&mut self, n: usize) {
         while let Some(step) = self.holders[n].run.next_step() {
             match step {
-                Step::ReadHead => self.call(n, Call::Head),
-                Step::ReadRows => self.call(n, Call::Rows),
-                Step::Write(write) => self.call(n, Call::Write(write)),
+                Step::ReadHead => self.send_call(n, Call::ReadHead),
+                Step::ReadRows => self.send_call(n, Call::ReadRows),
+                Step::Write(write) => self.send_call(n, Call::Write(write)),
                 Step::Start {
                     generation, prefix, ..
                 } => {
-                    self.launch(n, generation, prefix);
+                    self.start_job(n, generation, prefix);
                 }
                 Step::Raise(_) | Step::Release(_) => {}
-                Step::Cancel(key) => self.cancel(n, key),
-                Step::Score { generation, .. } => self.note(n, generation),
-                Step::Answer(ticket, answer) => self.answer(ticket, &answer),
+                Step::Cancel(key) => self.cancel_job(n, key),
+                Step::Score { generation, .. } => self.store_sample(n, generation),
+                Step::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
             }
         }
     }
 
-    fn call(&mut self, n: usize, call: Call) {
-        assert!(self.holders[n].waits.is_none(), "two calls at once");
-        let there = if self.chance(0.1) {
+    fn send_call(&mut self, n: usize, call: Call) {
+        assert!(
+            self.holders[n].call_deadline.is_none(),
+            "two calls in flight"
+        );
+        let delay = if self.chance(0.1) {
             self.rng.random_range(0..20)
         } else {
             0
         };
-        if self.turn < self.outage {
-            self.holders[n].waits = Some(self.turn + 2);
+        if self.tick < self.outage_end {
+            self.holders[n].call_deadline = Some(self.tick + 2);
             return;
         }
-        let lost = self.chance(0.15);
-        let back = self.rng.random_range(0..2);
-        let arrives = self.turn + 1 + there;
-        let until = self.turn + PATIENCE;
-        let answered = (!lost && arrives + back < until).then_some(arrives + back);
-        self.holders[n].waits = Some(until);
+        let answer_lost = self.chance(0.15);
+        let answer_delay = self.rng.random_range(0..2);
+        let arrives_at = self.tick + 1 + delay;
+        let deadline = self.tick + CALL_TIMEOUT;
+        let answered_at = (!answer_lost && arrives_at + answer_delay < deadline)
+            .then_some(arrives_at + answer_delay);
+        self.holders[n].call_deadline = Some(deadline);
         self.messages.push(Message {
             holder: n,
             call,
-            arrives,
-            answered,
+            arrives_at,
+            answered_at,
         });
     }
 
-    fn launch(&mut self, n: usize, key: GenKey, prefix: Option<Prefix>) {
-        let mut truth = prefix.map_or_else(Vec::new, |p| self.truth(n, p.generation));
-        let prefix = prefix.map_or(0, |p| usize::try_from(p.tokens).unwrap());
-        truth.truncate(prefix);
-        assert_eq!(truth.len(), prefix, "a prefix that was never there");
-        let long = self.rng.random_bool(0.1);
-        let length = prefix + self.rng.random_range(1..20) * if long { 10 } else { 1 };
-        let engine = self.rng.random_range(0..ENGINES);
+    fn start_job(&mut self, n: usize, key: GenKey, prefix: Option<Prefix>) {
+        let mut token_versions =
+            prefix.map_or_else(Vec::new, |p| self.token_versions(n, p.generation));
+        let prefix_len = prefix.map_or(0, |p| usize::try_from(p.tokens).unwrap());
+        token_versions.truncate(prefix_len);
+        assert_eq!(
+            token_versions.len(),
+            prefix_len,
+            "a prefix was never generated"
+        );
+        let is_long = self.rng.random_bool(0.1);
+        let length = prefix_len + self.rng.random_range(1..20) * if is_long { 10 } else { 1 };
+        let engine = self.rng.random_range(0..ENGINE_COUNT);
         self.jobs.push(Job {
             holder: n,
             key,
             engine,
-            first: prefix,
-            truth,
+            prefix_len,
+            token_versions,
             length,
-            over: false,
+            finished: false,
         });
     }
 
-    fn truth(&self, n: usize, key: GenKey) -> Vec<u64> {
+    fn token_versions(&self, n: usize, key: GenKey) -> Vec<u64> {
         let job = self
             .jobs
             .iter()
             .find(|job| job.holder == n && job.key == key);
-        let ended = || self.ended[&(n, key)].clone();
-        job.map_or_else(ended, |job| job.truth.clone())
+        let ended_job = || self.ended_jobs[&(n, key)].clone();
+        job.map_or_else(ended_job, |job| job.token_versions.clone())
     }
 
-    fn cancel(&mut self, n: usize, key: GenKey) {
-        let found = self
+    fn cancel_job(&mut self, n: usize, key: GenKey) {
+        let position = self
             .jobs
             .iter()
             .position(|job| job.holder == n && job.key == key);
-        if let Some(i) = found {
+        if let Some(i) = position {
             let job = self.jobs.swap_remove(i);
-            self.ended.insert((n, key), job.truth);
+            self.ended_jobs.insert((n, key), job.token_versions);
         }
     }
 
-    /// Keeps a sample's text under its holder's name for it.
-    fn note(&mut self, n: usize, key: GenKey) {
-        let truth = self.ended[&(n, key)].clone();
+    /// Stores a finished sample and starts its scoring.
+    fn store_sample(&mut self, n: usize, key: GenKey) {
+        let token_versions = self.ended_jobs[&(n, key)].clone();
         let serial = self.holders[n].run.serial_of(key).unwrap();
-        self.truths.insert((self.holders[n].fence, serial), truth);
+        self.stored_samples
+            .insert((self.holders[n].fence, serial), token_versions);
         self.holders[n].scoring.push(key);
     }
 
-    /// The trainer asks any holders, at times two at once, and loses answers.
-    fn train(&mut self) {
+    /// Sends the trainer's next request, at times to two holders at once.
+    fn run_trainer(&mut self) {
         if self.chance(0.01) {
-            // It restarts from its last checkpoint, of at most three steps ago.
-            let back = self.rng.random_range(0..3);
-            let oldest = self.trainer.most.saturating_sub(3);
-            self.trainer.cursor = self.trainer.cursor.saturating_sub(back).max(oldest);
-            self.trainer.has = false;
-        }
-        if !self.turn.is_multiple_of(4) {
+            // The trainer restarts from a checkpoint, at most three steps behind its
+            // highest cursor.
+            let steps_back = self.rng.random_range(0..3);
+            let oldest = self.trainer.max_cursor.saturating_sub(3);
+            self.trainer.cursor = self.trainer.cursor.saturating_sub(steps_back).max(oldest);
+            self.trainer.has_batch = false;
+        }
+        if !self.tick.is_multiple_of(4) {
             return;
         }
-        let (cursor, has) = (self.trainer.cursor, self.trainer.has);
-        // Each step makes a new version; a repeated one makes the same.
+        let (cursor, has_batch) = (self.trainer.cursor, self.trainer.has_batch);
+        // Each step creates a new version; a repeated step creates the same one.
         let version = cursor + 1;
         let last = self.holders.len() - 1;
-        // An entry that has old news sends the trainer to the holder before.
-        let before = last.saturating_sub(1);
-        let asked = if self.chance(0.3) {
-            vec![before, last]
+        // An entry with stale information sends the request to the previous holder.
+        let previous = last.saturating_sub(1);
+        let recipients = if self.chance(0.3) {
+            vec![previous, last]
         } else {
             vec![last]
         };
-        for n in asked {
-            self.ticket += 1;
-            let ticket = Ticket(self.ticket);
-            self.asked.insert(ticket, cursor);
+        for n in recipients {
+            self.last_ticket += 1;
+            let ticket = Ticket(self.last_ticket);
+            self.requests.insert(ticket, cursor);
             let owner = OWNER;
-            let event = if has {
+            let event = if has_batch {
                 self.trainer.version = self.trainer.version.max(version);
                 Event::Done {
                     ticket,
@@ -524,14 +554,14 @@
                     cursor,
                 }
             };
-            self.tell(n, event);
+            self.send_event(n, event);
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: &Answer) {
-        let cursor = self.asked[&ticket];
+    fn handle_answer(&mut self, ticket: Ticket, answer: &Answer) {
+        let cursor = self.requests[&ticket];
         if let Answer::Batch(batch) = answer {
-            // Also what doesn't reach the trainer must be the same batch.
+            // Also checked for answers that don't reach the trainer.
             assert_eq!(batch.cursor, cursor);
             self.check_batch(batch);
         }
@@ -539,54 +569,55 @@
             return;
         }
         match answer {
-            Answer::Batch(_) => self.trainer.has = true,
-            Answer::Noted if self.trainer.has => {
+            Answer::Batch(_) => self.trainer.has_batch = true,
+            Answer::Noted if self.trainer.has_batch => {
                 self.trainer.cursor += 1;
-                self.trainer.most = self.trainer.most.max(self.trainer.cursor);
-                self.trainer.has = false;
+                self.trainer.max_cursor = self.trainer.max_cursor.max(self.trainer.cursor);
+                self.trainer.has_batch = false;
             }
             Answer::Refused(kind) => {
-                let known = [
+                let expected = [
                     ErrorKind::Fenced,
                     ErrorKind::StoreDown,
                     ErrorKind::BadCursor,
                     ErrorKind::StepOpen,
                 ];
-                assert!(known.contains(kind), "{kind:?}");
+                assert!(expected.contains(kind), "{kind:?}");
             }
             _ => {}
         }
     }
 
     fn check_batch(&mut self, batch: &Batch) {
-        if let Some(first) = self.trainer.seen.get(&batch.cursor) {
-            assert_eq!(first, batch, "the same cursor got two batches");
+        if let Some(first) = self.trainer.batches.get(&batch.cursor) {
+            assert_eq!(first, batch, "a cursor has two batches");
             return;
         }
         for record in &batch.records {
-            let other = self.trainer.slots.insert(record.slot, batch.cursor);
-            assert_eq!(other, None, "a sample in two batches");
+            let earlier_cursor = self.trainer.delivered.insert(record.slot, batch.cursor);
+            assert_eq!(earlier_cursor, None, "a sample is in two batches");
             let oldest = record.oldest().unwrap();
             assert!(
                 oldest + SPEC.bound >= self.trainer.version,
-                "over the bound"
+                "a sample exceeds the staleness bound"
             );
         }
         assert_eq!(
             batch.records.len(),
             usize::try_from(SPEC.size * SPEC.groups).unwrap()
         );
-        self.trainer.seen.insert(batch.cursor, batch.clone());
+        self.trainer.batches.insert(batch.cursor, batch.clone());
     }
 
-    /// Ends the trouble: a table that answers, engines that swap, and the
-    /// holder that there is, if it lives.
-    pub fn calm(&mut self) {
-        self.calm = true;
-        self.outage = 0;
+    /// Ends all faults, and makes sure that there is a live holder.
+    pub fn end_faults(&mut self) {
+        self.faults_ended = true;
+        self.outage_end = 0;
         if let Some(last) = self.holders.last_mut() {
-            last.paused = 0;
-            last.waits = last.waits.map(|until| until.max(self.turn + 1));
+            last.paused_ticks = 0;
+            last.call_deadline = last
+                .call_deadline
+                .map(|deadline| deadline.max(self.tick + 1));
         }
         if self.holders.last().is_none_or(|last| !last.alive) {
             self.take_over();
@@ -594,11 +625,11 @@
     }
 }
 
-fn spans(truth: &[u64], from: usize) -> Vec<Span> {
+fn spans(token_versions: &[u64], start: usize) -> Vec<Span> {
     let mut spans: Vec<Span> = Vec::new();
-    for (n, version) in truth.iter().enumerate().skip(from) {
+    for (position, version) in token_versions.iter().enumerate().skip(start) {
         if spans.last().is_none_or(|last| last.version != *version) {
-            let first = u32::try_from(n).unwrap();
+            let first = u32::try_from(position).unwrap();
             spans.push(Span {
                 version: *version,
                 first,
