--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -22,10 +22,10 @@
     pub(crate) fn assemble_batch(&mut self) {
         let head = self.head();
         let (cursor, version) = (head.next_cursor, head.version);
-        let is_assembled = self
+        let batch_pending = self
             .journal
             .has(|change| matches!(change, Change::AddBatch(_)));
-        if head.done_steps != cursor || is_assembled || self.must_wait() {
+        if head.done_steps != cursor || batch_pending || self.must_wait() {
             return;
         }
         let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
@@ -239,10 +239,10 @@
         if pull.cursor != head.next_cursor {
             return Some(Answer::Refused(ErrorKind::BadCursor));
         }
-        let is_closing = self
+        let step_closing = self
             .journal
             .has(|change| matches!(change, Change::CompleteStep { .. }));
-        if head.done_steps < head.next_cursor && !is_closing {
+        if head.done_steps < head.next_cursor && !step_closing {
             return Some(Answer::Refused(ErrorKind::StepOpen));
         }
         timed_out
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -86,7 +86,13 @@
     }
 
     /// Handles the progress that an engine reported.
-    pub(crate) fn progress(&mut self, now: Instant, key: GenKey, tokens: u32, spans: &[Span]) {
+    pub(crate) fn handle_progress(
+        &mut self,
+        now: Instant,
+        key: GenKey,
+        tokens: u32,
+        spans: &[Span],
+    ) {
         let min_version = self.min_version();
         let Some(generation) = self.generations.get_mut(key) else {
             return;
@@ -124,7 +130,7 @@
             generation.text = generation.base.clone();
         }
         self.steps.push_back(Step::Cancel(key));
-        self.fail(key);
+        self.handle_failed(key);
     }
 
     fn is_hedge(&mut self, slot: Slot, key: GenKey) -> bool {
@@ -142,7 +148,7 @@
         }
     }
 
-    pub(crate) fn finish(&mut self, now: Instant, key: GenKey) {
+    pub(crate) fn handle_finished(&mut self, now: Instant, key: GenKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -174,7 +180,7 @@
     }
 
     /// Handles a failed generation. The sample continues from its text.
-    pub(crate) fn fail(&mut self, key: GenKey) {
+    pub(crate) fn handle_failed(&mut self, key: GenKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -199,7 +205,7 @@
         }
     }
 
-    pub(crate) fn score(&mut self, key: GenKey, score: f64) {
+    pub(crate) fn handle_score(&mut self, key: GenKey, score: f64) {
         if !score.is_finite() {
             self.retry_score(key);
             return;
--- a/src/train/row.rs
+++ b/src/train/row.rs
@@ -19,7 +19,7 @@
     pub index: u32,
 }
 
-/// A run of tokens that one weight version generated, as reported by the engine.
+/// Consecutive tokens that one weight version generated, as reported by the engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Span {
     /// The weight version.
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -162,12 +162,12 @@
                 tokens,
                 spans,
             } => {
-                self.progress(now, generation, tokens, &spans);
+                self.handle_progress(now, generation, tokens, &spans);
                 return;
             }
-            Event::Finished(generation) => self.finish(now, generation),
-            Event::Failed(generation) => self.fail(generation),
-            Event::Scored { generation, score } => self.score(generation, score),
+            Event::Finished(generation) => self.handle_finished(now, generation),
+            Event::Failed(generation) => self.handle_failed(generation),
+            Event::Scored { generation, score } => self.handle_score(generation, score),
             Event::ScoreLost(generation) => self.retry_score(generation),
             Event::Pulled {
                 ticket,
@@ -186,7 +186,8 @@
         self.advance(now);
     }
 
-    /// Does all that has become possible after an event.
+    /// Updates the run after an event: assembles a batch, starts samples and answers pulls
+    /// where possible.
     fn advance(&mut self, now: Instant) {
         if self.is_fenced() {
             self.stop();
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct Value {
+struct RowValue {
     counts: Counts,
 }
 
@@ -49,7 +49,8 @@
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let counts = self.counts.clone();
-        serde_json::to_vec(&Value { counts }).expect("strings and integers can be encoded as JSON")
+        serde_json::to_vec(&RowValue { counts })
+            .expect("strings and integers can be encoded as JSON")
     }
 }
 
@@ -74,17 +75,17 @@
 #[must_use]
 pub fn merge<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
     let mut sums = Counts::new();
-    let mut broken = 0;
+    let mut invalid_rows = 0;
     for value in values {
-        let Ok(Value { counts }) = serde_json::from_slice(value) else {
-            broken += 1;
+        let Ok(RowValue { counts }) = serde_json::from_slice(value) else {
+            invalid_rows += 1;
             continue;
         };
         for (account, count) in counts {
             *sums.entry(account).or_default() += count;
         }
     }
-    (sums, broken)
+    (sums, invalid_rows)
 }
 
 /// Counts of one process that aren't confirmed to be in the store.
