--- a/hibiscusroad-daemon/src/entry/mod.rs
+++ b/hibiscusroad-daemon/src/entry/mod.rs
@@ -42,11 +42,11 @@
     tables::{TICK, Tables},
 };
 use crate::{
+    event_loop,
     metrics::Metrics,
     platform::{Budget, HostList, Table},
     settings::{Entry as Part, Settings},
     stop::Caught,
-    turn,
 };
 use flume::{Receiver, Sender};
 use hibiscusroad::Incarnation;
@@ -247,7 +247,7 @@
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
     let entry = actor!(s, Entry::init(tables, shared, limit), ret_nop!());
-    turn::run(
+    event_loop::run(
         s,
         events,
         |_, event| call!([entry], handle(event)),
--- a/hibiscusroad-daemon/src/lib.rs
+++ b/hibiscusroad-daemon/src/lib.rs
@@ -9,9 +9,10 @@
 //!
 //! In an entry and a sidecar, one thread owns all state and runs the stakker actor of the
 //! role. Other threads (HTTP, tonic's runtime, the platform's client) hold no state and
-//! send typed events to it through one bounded channel. See [`turn`].
+//! send typed events to it through one bounded channel. See [`event_loop`].
 
 pub mod entry;
+pub mod event_loop;
 pub mod gateway;
 mod headers;
 pub mod logs;
@@ -20,4 +21,3 @@
 pub mod settings;
 pub mod side;
 pub mod stop;
-pub mod turn;
--- a/hibiscusroad-daemon/src/side/mod.rs
+++ b/hibiscusroad-daemon/src/side/mod.rs
@@ -43,11 +43,11 @@
 
 use self::{event::Event, role::Role, setup::Setup};
 use crate::{
+    event_loop,
     logs::SIDE as LOG,
     metrics::Metrics,
     settings::{self, Settings},
     stop::Caught,
-    turn,
 };
 use flume::Sender;
 use hibiscusroad::Incarnation;
@@ -169,7 +169,7 @@
 fn own_tables(setup: Setup, events: &flume::Receiver<Event>) {
     let mut stakker = Stakker::new(Instant::now());
     let role = actor!(stakker, Role::init(setup), ret_shutdown!(stakker));
-    turn::run(
+    event_loop::run(
         &mut stakker,
         events,
         |stakker, event| call!([role, stakker], take(event)),
