--- a/hibiscusroad-daemon/src/entry/mod.rs
+++ b/hibiscusroad-daemon/src/entry/mod.rs
@@ -46,7 +46,7 @@
     metrics::Metrics,
     platform::{Budget, HostList, Table},
     settings::{Entry as Part, Settings},
-    stop::Caught,
+    stop::SignalHandler,
 };
 use flume::{Receiver, Sender};
 use hibiscusroad::Incarnation;
@@ -100,10 +100,10 @@
 ///
 /// Returns an [`Error`] if it can't start.
 pub fn run(settings: &Settings) -> Result<(), Error> {
-    let caught = Caught::new()?;
+    let signals = SignalHandler::new()?;
     let entry = start(settings)?;
     let stopper = entry.stopper();
-    caught.watch(move || stopper.stop())?;
+    signals.watch(move || stopper.stop())?;
     entry.join();
     Ok(())
 }
--- a/hibiscusroad-daemon/src/side/mod.rs
+++ b/hibiscusroad-daemon/src/side/mod.rs
@@ -47,7 +47,7 @@
     logs::SIDE as LOG,
     metrics::Metrics,
     settings::{self, Settings},
-    stop::Caught,
+    stop::SignalHandler,
 };
 use flume::Sender;
 use hibiscusroad::Incarnation;
@@ -109,10 +109,10 @@
 ///
 /// Returns an [`Error`] if the side can't start.
 pub fn run(settings: &Settings, lease: ReadLease) -> Result<(), Error> {
-    let caught = Caught::new()?;
+    let signals = SignalHandler::new()?;
     let mut watched = Ok(());
     serve(settings, lease, |handle| {
-        watched = caught.watch(move || handle.stop());
+        watched = signals.watch(move || handle.stop());
     })?;
     Ok(watched?)
 }
--- a/hibiscusroad-daemon/src/stop.rs
+++ b/hibiscusroad-daemon/src/stop.rs
@@ -20,11 +20,11 @@
 ///
 /// [`watch`]: Self::watch
 #[derive(Debug)]
-pub struct Caught {
+pub struct SignalHandler {
     signals: Signals,
 }
 
-impl Caught {
+impl SignalHandler {
     /// Installs the signal handlers.
     ///
     /// # Errors
