--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -62,7 +62,7 @@
 
     /// Reports the gauges, once a second.
     pub(super) fn report_numbers(&mut self, now: Instant) {
-        if !self.metrics.is_on() || now < self.reported + metrics::EVERY {
+        if !self.metrics.is_on() || now < self.reported + metrics::REPORT_INTERVAL {
             return;
         }
         self.reported = now;
--- a/hibiscusroad-daemon/src/metrics.rs
+++ b/hibiscusroad-daemon/src/metrics.rs
@@ -87,7 +87,7 @@
 ];
 
 /// Time between two reports of gauges, each followed by a flush.
-pub const EVERY: Duration = Duration::from_secs(1);
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Key and value of a tag.
 pub type Tag<'a> = (&'a str, &'a str);
--- a/hibiscusroad-daemon/src/side/numbers.rs
+++ b/hibiscusroad-daemon/src/side/numbers.rs
@@ -16,7 +16,7 @@
     /// Reports the gauges, once a second.
     pub(super) fn report_numbers(&mut self, now: Instant) {
         let metrics = &self.setup.metrics;
-        if !metrics.is_on() || now < self.reported + metrics::EVERY {
+        if !metrics.is_on() || now < self.reported + metrics::REPORT_INTERVAL {
             return;
         }
         self.reported = now;
