--- a/hibiscusroad-daemon/src/gateway/exposition.rs
+++ b/hibiscusroad-daemon/src/gateway/exposition.rs
@@ -4,7 +4,7 @@
     Gateway,
     answer::{Out, whole},
 };
-use crate::logs::{PROCESS, dropped};
+use crate::logs::{PROCESS, dropped_lines};
 use hyper::{Response, StatusCode};
 
 impl Gateway {
@@ -13,7 +13,7 @@
         let meters = &self.meters;
         let count = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
         meters.connections.set(count(self.line.channels.opened()));
-        meters.dropped.set(count(dropped()));
+        meters.dropped.set(count(dropped_lines()));
         let version = self.known.catalog().map_or(0, |catalog| catalog.version);
         meters.config.set(count(version));
         meters.running.set(count(self.batches.running() as u64));
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -145,7 +145,7 @@
         None => None,
     };
     let gateway = assemble(settings, own, meters);
-    spawn_local(logs::flush());
+    spawn_local(logs::write_loop());
     spawn_local(reload(
         file.to_owned(),
         settings.clone(),
--- a/hibiscusroad-daemon/src/logs/mod.rs
+++ b/hibiscusroad-daemon/src/logs/mod.rs
@@ -12,7 +12,7 @@
 mod output;
 
 pub use self::budget::{Budget, Rank};
-pub use self::output::{dropped, flush, flush_now};
+pub use self::output::{dropped_lines, flush_now, write_loop};
 
 use crate::settings::Log;
 use fern::{Dispatch, FormatCallback};
@@ -93,7 +93,7 @@
 
 /// Initialises the logging of a gateway: JSON lines on standard output.
 ///
-/// Lines are buffered and written by [`flush`], so that a blocked standard output doesn't
+/// Lines are buffered and written by [`write_loop`], so that a blocked standard output doesn't
 /// block requests.
 ///
 /// # Errors
--- a/hibiscusroad-daemon/src/logs/output.rs
+++ b/hibiscusroad-daemon/src/logs/output.rs
@@ -65,12 +65,12 @@
 }
 
 /// Returns the number of lines dropped since the process started.
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED_TOTAL.load(Ordering::Relaxed)
 }
 
 /// Writes buffered lines in an endless loop.
-pub async fn flush() {
+pub async fn write_loop() {
     if let Err(error) =
         fcntl_getfl(stdout()).and_then(|flags| fcntl_setfl(stdout(), flags | OFlags::NONBLOCK))
     {
