--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -5,7 +5,7 @@
 //! in one transaction, on the condition that the document's row still is the
 //! one that the change was planned on and that the command has no row yet.
 
-use crate::platform::{Backoff, Cond, Fault, Op, Outcome, Row, Table, Transaction};
+use crate::platform::{Backoff, Cond, Op, Outcome, PlatformError, Row, Table, Transaction};
 use hibiscusroad::config::{Attempt, Audit, Command, Document, Next, Plan, Rows, Verdict};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -38,9 +38,9 @@
     /// It is decided for good; with the document, if this call wrote it.
     Decided(Verdict, Option<Box<Document>>),
     /// Nothing was written, because the table gave no answer.
-    Down(Fault),
+    Down(PlatformError),
     /// It may or may not have been accepted.
-    Unknown(Fault),
+    Unknown(PlatformError),
 }
 
 /// Makes a command's change, once.
@@ -66,19 +66,25 @@
 }
 
 /// Takes one step: read, decide, write. An error means "look again".
-fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, Fault> {
+fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, PlatformError> {
     let rows = read(table, id)?;
     let plan = match attempt.look(&rows, now_ms()) {
         Next::Tell(verdict) => return Ok(Reply::Decided(verdict, None)),
         Next::Write(plan) => *plan,
-        Next::Wait => return Err(Fault::Odd("the base version has not come yet".to_owned())),
+        Next::Wait => {
+            return Err(PlatformError::InvalidResponse(
+                "the base version has not come yet".to_owned(),
+            ));
+        }
     };
     match table.transact(&transaction(&plan)) {
         Outcome::Committed(_) => {
             let verdict = Verdict::Done(plan.next.version);
             Ok(Reply::Decided(verdict, Some(Box::new(plan.next))))
         }
-        Outcome::Conflict(_) => Err(Fault::Odd("another change came first".to_owned())),
+        Outcome::Conflict(_) => Err(PlatformError::InvalidResponse(
+            "another change came first".to_owned(),
+        )),
         Outcome::NotSent(fault) => Err(fault),
         Outcome::Unknown(fault) => {
             attempt.lost(plan);
@@ -104,7 +110,7 @@
     format!("{TRAIL}{version:020}")
 }
 
-fn read(table: &Table, command: &str) -> Result<Rows, Fault> {
+fn read(table: &Table, command: &str) -> Result<Rows, PlatformError> {
     let command = format!("{COMMANDS}{command}");
     let mut rows = Rows::default();
     for row in table.read(&[CURRENT, &command])? {
@@ -121,8 +127,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table gave no usable answer.
-pub fn trail(table: &Table) -> Result<Vec<Audit>, Fault> {
+/// Returns a [`PlatformError`] if the table gave no usable answer.
+pub fn trail(table: &Table) -> Result<Vec<Audit>, PlatformError> {
     table.list(TRAIL, 0)?.iter().map(parse).collect()
 }
 
@@ -130,8 +136,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table gave no usable answer.
-pub fn line(table: &Table, version: u64) -> Result<Option<Audit>, Fault> {
+/// Returns a [`PlatformError`] if the table gave no usable answer.
+pub fn line(table: &Table, version: u64) -> Result<Option<Audit>, PlatformError> {
     table
         .get(&trail_key(version))?
         .as_ref()
@@ -167,15 +173,16 @@
     }
 }
 
-fn look(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, Fault> {
+fn look(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, PlatformError> {
     let Some(row) = table.get_since(CURRENT, revision)? else {
         return Ok(None);
     };
     Ok(Some((row.revision, parse(&row)?)))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(row: &Row) -> Result<T, Fault> {
-    serde_json::from_slice(&row.value).map_err(|e| Fault::Odd(format!("row {}: {e}", row.key)))
+fn parse<T: serde::de::DeserializeOwned>(row: &Row) -> Result<T, PlatformError> {
+    serde_json::from_slice(&row.value)
+        .map_err(|e| PlatformError::InvalidResponse(format!("row {}: {e}", row.key)))
 }
 
 fn json(value: &impl serde::Serialize) -> Vec<u8> {
--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     metrics::{self, Metrics},
-    platform::{Fault, agent, parse},
+    platform::{PlatformError, agent, parse},
 };
 use serde::Deserialize;
 use std::{
@@ -105,8 +105,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
-    pub fn fetch(&self) -> Result<Vec<Host>, Fault> {
+    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    pub fn fetch(&self) -> Result<Vec<Host>, PlatformError> {
         let hosts = self.fetch_cached();
         if hosts.is_err() {
             let part = [("part", "hosts")];
@@ -115,7 +115,7 @@
         hosts
     }
 
-    fn fetch_cached(&self) -> Result<Vec<Host>, Fault> {
+    fn fetch_cached(&self) -> Result<Vec<Host>, PlatformError> {
         let cached = self.lock_cache().clone();
         let mut request = self.agent.get(&self.url);
         if let Some(cached) = &cached {
@@ -123,7 +123,7 @@
         }
         let response = request
             .call()
-            .map_err(|e| Fault::Unreachable(e.to_string()))?;
+            .map_err(|e| PlatformError::Unreachable(e.to_string()))?;
         if let Some(cached) = cached.filter(|_| response.status() == 304) {
             return Ok(cached.hosts);
         }
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -1,6 +1,6 @@
 //! Leases of duties in the table service.
 
-use crate::platform::{Fault, Table};
+use crate::platform::{PlatformError, Table};
 use hibiscusroad::lease::Row;
 
 const PREFIX: &str = "lease/";
@@ -15,8 +15,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table service can't be reached or a row is invalid.
-pub fn all(table: &Table) -> Result<Vec<(String, Row)>, Fault> {
+/// Returns a [`PlatformError`] if the table service can't be reached or a row is invalid.
+pub fn all(table: &Table) -> Result<Vec<(String, Row)>, PlatformError> {
     let rows = table.list(PREFIX, 0)?;
     let leases = rows.iter().map(|row| {
         let duty = row.key.strip_prefix(PREFIX).unwrap_or(&row.key);
@@ -32,14 +32,14 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] if the table service can't be reached or the row is invalid.
-pub fn fencing_token(table: &Table, duty: &str) -> Result<u64, Fault> {
+/// Returns a [`PlatformError`] if the table service can't be reached or the row is invalid.
+pub fn fencing_token(table: &Table, duty: &str) -> Result<u64, PlatformError> {
     let Some(row) = table.get(&key(duty))? else {
         return Ok(0);
     };
     Ok(parse(&row.value)?.fence)
 }
 
-fn parse(value: &[u8]) -> Result<Row, Fault> {
-    serde_json::from_slice(value).map_err(|e| Fault::Odd(e.to_string()))
+fn parse(value: &[u8]) -> Result<Row, PlatformError> {
+    serde_json::from_slice(value).map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
--- a/hibiscusroad-daemon/src/platform/mod.rs
+++ b/hibiscusroad-daemon/src/platform/mod.rs
@@ -19,7 +19,7 @@
     backoff::Backoff,
     budget::Budget,
     hosts::{Host, HostList, State},
-    table::{Cond, Fault, Op, Outcome, Row, Table, Transaction},
+    table::{Cond, Op, Outcome, PlatformError, Row, Table, Transaction},
 };
 
 use serde::de::DeserializeOwned;
@@ -44,13 +44,16 @@
 }
 
 /// Decodes the JSON body of a response with the status 200.
-fn parse<T: DeserializeOwned>(mut response: Response<Body>) -> Result<T, Fault> {
+fn parse<T: DeserializeOwned>(mut response: Response<Body>) -> Result<T, PlatformError> {
     if response.status() != 200 {
-        return Err(Fault::Odd(format!("status {}", response.status())));
+        return Err(PlatformError::InvalidResponse(format!(
+            "status {}",
+            response.status()
+        )));
     }
     let bytes = response
         .body_mut()
         .read_to_vec()
-        .map_err(|e| Fault::Silent(e.to_string()))?;
-    serde_json::from_slice(&bytes).map_err(|e| Fault::Odd(e.to_string()))
+        .map_err(|e| PlatformError::NoResponse(e.to_string()))?;
+    serde_json::from_slice(&bytes).map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
--- a/hibiscusroad-daemon/src/platform/table.rs
+++ b/hibiscusroad-daemon/src/platform/table.rs
@@ -90,19 +90,19 @@
 
 /// Why a call to a service of the platform failed.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
-pub enum Fault {
+pub enum PlatformError {
     /// The process exceeded its rate limit.
     #[error("the request budget of the table service is used up")]
-    Budget,
+    RateLimited,
     /// No connection could be opened; the request wasn't sent.
     #[error("can't connect to the platform: {0}")]
     Unreachable(String),
     /// The connection failed or the call timed out after the request may have been sent.
     #[error("no response from the platform: {0}")]
-    Silent(String),
+    NoResponse(String),
     /// The response has an unexpected status or an invalid body.
     #[error("unexpected response from the platform: {0}")]
-    Odd(String),
+    InvalidResponse(String),
 }
 
 /// Outcome of a transaction.
@@ -115,9 +115,9 @@
     Conflict(Vec<Row>),
     /// The transaction may have taken effect, or may still do so. The caller must read the
     /// rows before it reports a result.
-    Unknown(Fault),
+    Unknown(PlatformError),
     /// The transaction had no effect.
-    NotSent(Fault),
+    NotSent(PlatformError),
 }
 
 /// Client of the table service; cheap to clone.
@@ -158,8 +158,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
-    pub fn get(&self, key: &str) -> Result<Option<Row>, Fault> {
+    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    pub fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         Ok(self.range(&point_request(key))?.pop())
     }
 
@@ -167,8 +167,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
-    pub fn get_since(&self, key: &str, revision: u64) -> Result<Option<Row>, Fault> {
+    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    pub fn get_since(&self, key: &str, revision: u64) -> Result<Option<Row>, PlatformError> {
         let mut request = point_request(key);
         request.min_revision = revision;
         let rows = self.range(&request)?;
@@ -179,8 +179,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
-    pub fn list(&self, prefix: &str, limit: u64) -> Result<Vec<Row>, Fault> {
+    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    pub fn list(&self, prefix: &str, limit: u64) -> Result<Vec<Row>, PlatformError> {
         let mut request = point_request(prefix);
         request.range_end = Some(encode(&prefix_end(prefix.as_bytes())));
         request.limit = limit;
@@ -191,8 +191,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the service can't be reached or the response is invalid.
-    pub fn read(&self, keys: &[&str]) -> Result<Vec<Row>, Fault> {
+    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    pub fn read(&self, keys: &[&str]) -> Result<Vec<Row>, PlatformError> {
         acquire(|now| self.budget.take_read(now))?;
         let request = TxnRequest {
             compare: Vec::new(),
@@ -205,8 +205,8 @@
 
     /// Executes a transaction.
     pub fn transact(&self, transaction: &Transaction) -> Outcome {
-        if let Err(fault) = acquire(|now| self.budget.take_write(now)) {
-            return Outcome::NotSent(fault);
+        if let Err(error) = acquire(|now| self.budget.take_write(now)) {
+            return Outcome::NotSent(error);
         }
         let request = TxnRequest {
             compare: transaction.conds.iter().map(compare).collect(),
@@ -215,25 +215,29 @@
         };
         let response: TxnResponse = match self.post("/v3/kv/txn", &request) {
             Ok(response) => response,
-            Err(fault @ Fault::Unreachable(_)) => return Outcome::NotSent(fault),
-            Err(fault) => return Outcome::Unknown(fault),
+            Err(error @ PlatformError::Unreachable(_)) => return Outcome::NotSent(error),
+            Err(error) => return Outcome::Unknown(error),
         };
         if response.succeeded {
             return Outcome::Committed(response.header.revision);
         }
         match read_rows(response) {
             Ok(rows) => Outcome::Conflict(rows),
-            Err(fault) => Outcome::Unknown(fault),
+            Err(error) => Outcome::Unknown(error),
         }
     }
 
-    fn range(&self, request: &RangeRequest) -> Result<Vec<Row>, Fault> {
+    fn range(&self, request: &RangeRequest) -> Result<Vec<Row>, PlatformError> {
         acquire(|now| self.budget.take_read(now))?;
         let response: RangeResponse = self.post("/v3/kv/range", request)?;
         response.kvs.into_iter().map(decode_row).collect()
     }
 
-    fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Fault> {
+    fn post<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<T, PlatformError> {
         let response = self.send(path, body);
         if response.is_err() {
             let part = [("part", "table")];
@@ -242,8 +246,13 @@
         response
     }
 
-    fn send<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Fault> {
-        let body = serde_json::to_vec(body).map_err(|e| Fault::Odd(e.to_string()))?;
+    fn send<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<T, PlatformError> {
+        let body =
+            serde_json::to_vec(body).map_err(|e| PlatformError::InvalidResponse(e.to_string()))?;
         let url = format!("{}{path}", self.url);
         let request = self.agent.post(&url).content_type("application/json");
         let response = request.send(&body).map_err(|e| classify(&e))?;
@@ -253,11 +262,11 @@
 
 /// Waits for a token of the budget, for at most [`MAX_BUDGET_WAIT`] because callers have
 /// deadlines.
-fn acquire(take_token: impl Fn(Instant) -> Result<(), Duration>) -> Result<(), Fault> {
+fn acquire(take_token: impl Fn(Instant) -> Result<(), Duration>) -> Result<(), PlatformError> {
     let start = Instant::now();
     while let Err(wait) = take_token(Instant::now()) {
         if start.elapsed() + wait > MAX_BUDGET_WAIT {
-            return Err(Fault::Budget);
+            return Err(PlatformError::RateLimited);
         }
         thread::sleep(wait);
     }
@@ -268,18 +277,18 @@
 ///
 /// Only errors before the connection is established guarantee that it had no effect. A
 /// connection may also be reset after the write.
-fn classify(error: &ureq::Error) -> Fault {
+fn classify(error: &ureq::Error) -> PlatformError {
     let text = error.to_string();
     match error {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
         | ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => {
-            Fault::Unreachable(text)
+            PlatformError::Unreachable(text)
         }
         ureq::Error::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
-            Fault::Unreachable(text)
+            PlatformError::Unreachable(text)
         }
-        _ => Fault::Silent(text),
+        _ => PlatformError::NoResponse(text),
     }
 }
 
@@ -323,7 +332,7 @@
     }
 }
 
-fn read_rows(response: TxnResponse) -> Result<Vec<Row>, Fault> {
+fn read_rows(response: TxnResponse) -> Result<Vec<Row>, PlatformError> {
     let ranges = response
         .responses
         .into_iter()
@@ -331,8 +340,9 @@
     ranges.flat_map(|range| range.kvs).map(decode_row).collect()
 }
 
-fn decode_row(kv: KeyValue) -> Result<Row, Fault> {
-    let key = String::from_utf8(kv.key).map_err(|e| Fault::Odd(e.to_string()))?;
+fn decode_row(kv: KeyValue) -> Result<Row, PlatformError> {
+    let key =
+        String::from_utf8(kv.key).map_err(|e| PlatformError::InvalidResponse(e.to_string()))?;
     Ok(Row {
         key,
         value: kv.value,
