--- a/hibiscusroad-daemon/src/side/link.rs
+++ b/hibiscusroad-daemon/src/side/link.rs
@@ -2,7 +2,7 @@
 
 use crate::side::{LOG, event::Event, request::Inbound, wire};
 use flume::Sender;
-use hibiscusroad::gate::{LINK_SILENCE, LinkKey};
+use hibiscusroad::gate::{LINK_TIMEOUT, LinkKey};
 use hibiscusroad_wire::{
     ToEntry, ToSide, VERSION,
     link_server::{Link, LinkServer},
@@ -33,7 +33,7 @@
 
 /// How long a link may be silent until its task gives up. The gate closes it
 /// earlier; this ends the task of a connection that broke without a word.
-const TASK_SILENCE: Duration = LINK_SILENCE.saturating_mul(2);
+const TASK_SILENCE: Duration = LINK_TIMEOUT.saturating_mul(2);
 
 /// How long the last frames may take to leave when the side stops.
 const FLUSH_LIMIT: Duration = Duration::from_secs(1);
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Frame, Gate, GateLoad, Head, LINK_SILENCE, Run, attempt::Attempt},
+    gate::{Frame, Gate, GateLoad, Head, LINK_TIMEOUT, Run, attempt::Attempt},
     id::RequestId,
 };
 use std::{sync::Arc, time::Instant};
@@ -76,7 +76,7 @@
 
     /// Returns whether nothing is in flight and no entry waits for an answer.
     ///
-    /// A linked entry that doesn't acknowledge counts as served [`LINK_SILENCE`]
+    /// A linked entry that doesn't acknowledge counts as served [`LINK_TIMEOUT`]
     /// after the answer was complete: a link that does not deliver would have
     /// been closed by then.
     #[must_use]
@@ -84,7 +84,7 @@
         let is_served = |attempt: &Attempt| {
             let linked = attempt.readers.iter().all(|reader| reader.link.is_some());
             attempt.readers.is_empty()
-                || (attempt.done && linked && attempt.retained_since + LINK_SILENCE <= now)
+                || (attempt.done && linked && attempt.retained_since + LINK_TIMEOUT <= now)
         };
         self.open_calls.is_empty() && self.attempts.values().all(is_served)
     }
--- a/src/gate/maintenance.rs
+++ b/src/gate/maintenance.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Frame, Gate, LINK_SILENCE, LinkKey, Step, attempt::Body, tombstone::Tombstone},
+    gate::{Frame, Gate, LINK_TIMEOUT, LinkKey, Step, attempt::Body, tombstone::Tombstone},
     id::RequestId,
 };
 use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
 
     pub(super) fn is_silent(&self, now: Instant, link: LinkKey) -> bool {
         let link = self.links.get(link);
-        link.is_some_and(|link| now >= link.last_frame + LINK_SILENCE)
+        link.is_some_and(|link| now >= link.last_frame + LINK_TIMEOUT)
     }
 
     pub(super) fn close_link(&mut self, now: Instant, link: LinkKey) {
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -16,7 +16,7 @@
 ///
 /// A little more than three heartbeats, so that one missed heartbeat does not
 /// close the link.
-pub const LINK_SILENCE: Duration = Duration::from_millis(800);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long the tombstone of an attempt is kept.
 ///
