--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -15,7 +15,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    gate::{Admission, Gate, GateSpec, LinkKey, Run, Step},
+    gate::{Admission, Gate, GateLimits, LinkKey, Run, Step},
 };
 use hibiscusroad_wire::{ToEntry, to_entry::Frame};
 use slotmap::SecondaryMap;
@@ -76,7 +76,7 @@
         after!(BEAT, [cx], beat());
         let side = &setup.side;
         Some(Self {
-            gate: Gate::new(GateSpec::new(side.limit, side.buffer)),
+            gate: Gate::new(GateLimits::new(side.limit, side.buffer)),
             links: SecondaryMap::new(),
             pool: Pool::new(side, setup.events.clone()),
             report: Report::new(&setup),
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -60,7 +60,7 @@
 
     /// Sets the number of requests that the endpoint runs at once.
     pub fn set_limit(&mut self, limit: u32) {
-        self.spec.max_running = limit;
+        self.limits.max_running = limit;
     }
 
     /// Sets whether new work is refused; attempts in flight continue.
@@ -94,7 +94,7 @@
     pub fn load(&self) -> GateLoad {
         GateLoad {
             running: u32::try_from(self.open_calls.len()).unwrap_or(u32::MAX),
-            limit: self.spec.max_running,
+            limit: self.limits.max_running,
             held: self.buffered,
             tombstones: self.tombstones.len(),
             attempts: self.attempts.len() + self.retained.len(),
--- a/src/gate/maintenance.rs
+++ b/src/gate/maintenance.rs
@@ -88,7 +88,7 @@
             self.paused.remove(&id);
             self.retained.insert(now, id, attempt.body);
         }
-        if self.retained.len() > self.spec.max_retained {
+        if self.retained.len() > self.limits.max_retained {
             self.evict_oldest();
         }
     }
@@ -140,7 +140,7 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.replayable &= attempt.body.buffered() <= self.spec.max_replay;
+        attempt.replayable &= attempt.body.buffered() <= self.limits.max_replay;
         if attempt.replayable {
             return;
         }
@@ -154,8 +154,8 @@
     /// those that callers wait for. A caller that repeats a request whose answer
     /// was evicted is told that the outcome is unknown.
     pub(super) fn make_room(&mut self, id: RequestId) {
-        while self.buffered > self.spec.max_buffered && self.evict_oldest() {}
-        let is_full = self.buffered > self.spec.max_buffered;
+        while self.buffered > self.limits.max_buffered && self.evict_oldest() {}
+        let is_full = self.buffered > self.limits.max_buffered;
         if let Some(attempt) = self.attempts.get_mut(&id).filter(|_| is_full) {
             attempt.replayable = false;
             self.drop_acked(id);
@@ -169,8 +169,8 @@
     /// alternate with each chunk. An answer without readers never pauses: its
     /// bytes are dropped, so that the call can end.
     pub(super) fn update_flow(&mut self, id: RequestId) {
-        let is_full = self.buffered > self.spec.max_buffered;
-        let window = self.spec.max_unacked as u64;
+        let is_full = self.buffered > self.limits.max_buffered;
+        let window = self.limits.max_unacked as u64;
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
@@ -192,7 +192,7 @@
 
     /// Resumes paused answers once the buffer has room.
     fn resume_paused(&mut self) {
-        if self.buffered > self.spec.max_buffered || self.paused.is_empty() {
+        if self.buffered > self.limits.max_buffered || self.paused.is_empty() {
             return;
         }
         let paused: Vec<RequestId> = self.paused.iter().copied().collect();
@@ -261,7 +261,7 @@
 
     /// Drops the answers whose retention is over.
     fn expire_answers(&mut self, now: Instant) {
-        let retention = self.spec.retention;
+        let retention = self.limits.retention;
         let done = self.attempts.iter().filter(|(_, attempt)| attempt.done);
         let expired = done.filter(|(_, attempt)| attempt.retained_since + retention <= now);
         let expired: Vec<RequestId> = expired.map(|(id, _)| *id).collect();
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -39,7 +39,7 @@
     fence::{FencingTokens, OrderRefusal},
     state::Gate,
     types::{
-        Admission, Ask, Chunk, Frame, GateLoad, GateSpec, Head, Header, LINK_TIMEOUT, Run,
+        Admission, Ask, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT, Run,
         Standing, Step, TOMBSTONE_TTL,
     },
 };
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -4,7 +4,7 @@
     class::Repeat,
     error::ErrorKind,
     gate::{
-        Admission, Ask, FencingTokens, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
+        Admission, Ask, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal, Standing, Step,
         attempt::{Attempt, Body, Reader},
         retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
@@ -32,7 +32,7 @@
 /// Decides which attempts start at one endpoint, and buffers the answers.
 #[derive(Debug)]
 pub struct Gate {
-    pub(super) spec: GateSpec,
+    pub(super) limits: GateLimits,
     /// Whether new work is refused.
     pub(super) draining: bool,
     pub(super) links: SlotMap<LinkKey, Link>,
@@ -53,9 +53,9 @@
 impl Gate {
     /// Creates a gate that admits work and knows no attempts.
     #[must_use]
-    pub fn new(spec: GateSpec) -> Self {
+    pub fn new(limits: GateLimits) -> Self {
         Self {
-            spec,
+            limits,
             draining: false,
             links: SlotMap::with_key(),
             attempts: BTreeMap::new(),
@@ -114,7 +114,7 @@
         if self.links.remove(link).is_none() {
             return;
         }
-        let expires_at = now + self.spec.reattach_timeout;
+        let expires_at = now + self.limits.reattach_timeout;
         let readers = self
             .attempts
             .values_mut()
@@ -342,7 +342,7 @@
             return Err(ErrorKind::EndpointDown);
         }
         if self.tombstones.may_be_sealed(ask.id)
-            || self.open_calls.len() >= self.spec.max_running as usize
+            || self.open_calls.len() >= self.limits.max_running as usize
         {
             return Err(ErrorKind::Saturated);
         }
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -26,7 +26,7 @@
 
 /// Limits of a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct GateSpec {
+pub struct GateLimits {
     /// Requests that the endpoint runs at once.
     pub max_running: u32,
     /// Bytes of all buffered answers.
@@ -43,7 +43,7 @@
     pub retention: Duration,
 }
 
-impl GateSpec {
+impl GateLimits {
     /// Creates limits with default values.
     ///
     /// The time to attach again is longer than an entry needs to notice a silent
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -6,7 +6,7 @@
 use self::gate_world::{EntryFrame, MAX_CHUNK_BYTES, Op, World};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateSpec, LinkKey, OrderRefusal, Standing, Step},
+    gate::{Admission, Ask, Frame, Gate, GateLimits, LinkKey, OrderRefusal, Standing, Step},
 };
 use std::time::{Duration, Instant};
 
@@ -111,7 +111,7 @@
 #[test]
 fn start_received_before_a_pause_is_refused() {
     let mut now = Instant::now();
-    let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
+    let mut gate = Gate::new(GateLimits::new(4, 1 << 20));
     let link = open_link(&mut gate, now, ENTRY, 1);
     now += Duration::from_secs(20);
     assert!(!gate.heard(now, link));
@@ -231,7 +231,7 @@
 #[test]
 fn slow_reader_pauses_only_its_own_answer() {
     let now = Instant::now();
-    let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
+    let mut gate = Gate::new(GateLimits::new(4, 1 << 20));
     let (slow, fast) = (
         open_link(&mut gate, now, ENTRY, 1),
         open_link(&mut gate, now, Incarnation(2), 1),
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -6,7 +6,7 @@
 
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateLoad, GateSpec, Head, LinkKey, Standing, Step},
+    gate::{Admission, Ask, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, Standing, Step},
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -17,7 +17,7 @@
 pub const MAX_CHUNK_BYTES: u64 = 64;
 
 /// Small limits, which short histories reach.
-pub const LIMITS: GateSpec = GateSpec {
+pub const LIMITS: GateLimits = GateLimits {
     max_running: 3,
     max_buffered: 256,
     max_unacked: 160,
