--- a/hibiscusroad-daemon/src/side/numbers.rs
+++ b/hibiscusroad-daemon/src/side/numbers.rs
@@ -23,7 +23,7 @@
         let tags = [("service", self.setup.side.service.as_str())];
         let load = self.gate.load();
         metrics.gauge(metrics::GATE_RUNNING, load.running.into(), &tags);
-        metrics.gauge(metrics::BUFFERED, load.held as u64, &tags);
+        metrics.gauge(metrics::BUFFERED, load.buffered as u64, &tags);
         metrics.gauge(metrics::LINKS, self.links.len() as u64, &[]);
         metrics.gauge(metrics::CONFIG_VERSION, self.report.version(), &[]);
         metrics.flush();
--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -74,7 +74,7 @@
             incarnation: self.names.incarnation,
             service: self.names.service.clone(),
             place: self.names.place.clone(),
-            limit: gate.load().limit,
+            limit: gate.load().max_running,
             config_version: self.version(),
         }
     }
@@ -99,14 +99,14 @@
         let Some(age) = age.filter(|age| *age < STALE) else {
             return Load {
                 running: own.running,
-                limit: own.limit,
+                limit: own.max_running,
                 ..Load::default()
             };
         };
         // More than the endpoint can work on would wait inside it.
         let limit = match self.load.limit {
-            0 => own.limit,
-            theirs => theirs.min(own.limit),
+            0 => own.max_running,
+            theirs => theirs.min(own.max_running),
         };
         Load {
             running: self.load.running,
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -94,8 +94,8 @@
     pub fn load(&self) -> GateLoad {
         GateLoad {
             running: u32::try_from(self.open_calls.len()).unwrap_or(u32::MAX),
-            limit: self.limits.max_running,
-            held: self.buffered,
+            max_running: self.limits.max_running,
+            buffered: self.buffered,
             tombstones: self.tombstones.len(),
             attempts: self.attempts.len() + self.retained.len(),
         }
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -216,9 +216,9 @@
     /// Calls open at the endpoint, those being aborted included.
     pub running: u32,
     /// Calls that the endpoint may run at once.
-    pub limit: u32,
+    pub max_running: u32,
     /// Bytes of buffered answers.
-    pub held: usize,
+    pub buffered: usize,
     /// Number of tombstones.
     pub tombstones: usize,
     /// Attempts that are running or done, retained answers included.
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -438,13 +438,17 @@
         let load = self.gate.load();
         let max_buffered = LIMITS.max_buffered
             + LIMITS.max_running as usize * usize::try_from(MAX_CHUNK_BYTES).unwrap();
-        assert!(load.held <= max_buffered, "{} bytes are held", load.held);
+        assert!(
+            load.buffered <= max_buffered,
+            "{} bytes are held",
+            load.buffered
+        );
         assert!(load.running <= LIMITS.max_running, "{} calls", load.running);
         let open_calls = self.calls.values().filter(|call| call.open).count();
         assert_eq!(load.running as usize, open_calls);
         let any_paused = self.calls.values().any(|call| call.paused && call.open);
         assert!(
-            !any_paused || load.held > LIMITS.max_unacked / 2,
+            !any_paused || load.buffered > LIMITS.max_unacked / 2,
             "paused for no reason"
         );
     }
@@ -467,11 +471,11 @@
         }
         self.wait(LIMITS.retention + Duration::from_mins(1), false);
         self.wait(Duration::from_mins(2), false);
-        let limit = LIMITS.max_running;
+        let max_running = LIMITS.max_running;
         assert_eq!(
             self.gate.load(),
             GateLoad {
-                limit,
+                max_running,
                 ..GateLoad::default()
             }
         );
