--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -12,7 +12,7 @@
 use flume::Sender;
 use hibiscusroad::{
     ErrorKind, Repeat, RequestId,
-    gate::{Ask, Head, Header, Run},
+    gate::{Head, Header, Run, StartRequest},
 };
 use std::{
     io::{self, Read},
@@ -83,7 +83,7 @@
 ///
 /// Returns why there is no whole answer. A kind that says "not run" is returned
 /// only if nothing was sent.
-pub fn run(line: Line<'_>, ask: Ask, http: Http) -> Result<Vec<Run>, ErrorKind> {
+pub fn run(line: Line<'_>, ask: StartRequest, http: Http) -> Result<Vec<Run>, ErrorKind> {
     let left = ask.deadline.saturating_duration_since(Instant::now());
     let limit = match ask.repeat {
         Repeat::Free => left,
--- a/hibiscusroad-daemon/src/side/request.rs
+++ b/hibiscusroad-daemon/src/side/request.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     RequestId,
-    gate::{Ask, Header},
+    gate::{Header, StartRequest},
 };
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The attempt and how it may run.
-    pub ask: Ask,
+    pub ask: StartRequest,
     /// The HTTP part.
     pub http: Http,
 }
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -3,7 +3,7 @@
 use crate::side::request::{Hello, Http, Inbound, Order, Request};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Ask, Frame, Head, Header, Run, Standing},
+    gate::{Frame, Head, Header, Run, Standing, StartRequest},
 };
 use hibiscusroad_wire::{
     self as wire, State, ToEntry, to_entry::Frame as Out, to_side::Frame as In,
@@ -78,7 +78,7 @@
         value: header.value,
     });
     Ok(Request {
-        ask: Ask {
+        ask: StartRequest {
             id: id(start.id)?,
             deadline: now + left,
             repeat,
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -39,8 +39,8 @@
     fence::{FencingTokens, OrderRefusal},
     state::Gate,
     types::{
-        Admission, Ask, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT, Run,
-        Standing, Step, TOMBSTONE_TTL,
+        Admission, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT, Run, Standing,
+        StartRequest, Step, TOMBSTONE_TTL,
     },
 };
 
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -4,7 +4,8 @@
     class::Repeat,
     error::ErrorKind,
     gate::{
-        Admission, Ask, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal, Standing, Step,
+        Admission, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal, Standing, StartRequest,
+        Step,
         attempt::{Attempt, Body, Reader},
         retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
@@ -130,33 +131,39 @@
     /// Several entries share the endpoint and know of each other's load only
     /// late, so the limit is enforced here. A refusal costs the entry one round
     /// trip, after which it places the call elsewhere.
-    pub fn start(&mut self, now: Instant, link: LinkKey, ask: Ask) -> Admission {
-        if self.is_known(ask.id) {
-            if !self.is_reading(link, ask.id) {
-                self.attach(now, link, ask.id, 0);
+    pub fn start(&mut self, now: Instant, link: LinkKey, request: StartRequest) -> Admission {
+        if self.is_known(request.id) {
+            if !self.is_reading(link, request.id) {
+                self.attach(now, link, request.id, 0);
             }
             return Admission::Known;
         }
-        if let Err(kind) = self.check_start(now, link, ask) {
+        if let Err(kind) = self.check_start(now, link, request) {
             if kind.answer().not_run {
-                self.add_seal(now, ask.id, kind);
+                self.add_seal(now, request.id, kind);
             }
-            self.send(link, Frame::Refused { id: ask.id, kind });
+            self.send(
+                link,
+                Frame::Refused {
+                    id: request.id,
+                    kind,
+                },
+            );
             return Admission::Refused(kind);
         }
-        let run_once = ask.repeat == Repeat::Once;
+        let run_once = request.repeat == Repeat::Once;
         let mut attempt = Attempt {
             run_once,
             done: false,
             replayable: run_once,
-            deadline: Some(ask.deadline),
+            deadline: Some(request.deadline),
             retained_since: now,
             body: Body::default(),
             readers: Vec::new(),
         };
         attempt.readers.extend(self.reader_on(link, 0));
-        self.attempts.insert(ask.id, attempt);
-        self.open_calls.insert(ask.id);
+        self.attempts.insert(request.id, attempt);
+        self.open_calls.insert(request.id);
         Admission::Run
     }
 
@@ -324,24 +331,29 @@
         })
     }
 
-    fn check_start(&self, now: Instant, link: LinkKey, ask: Ask) -> Result<(), ErrorKind> {
-        if self.tombstones.may_have_run(ask.id) {
+    fn check_start(
+        &self,
+        now: Instant,
+        link: LinkKey,
+        request: StartRequest,
+    ) -> Result<(), ErrorKind> {
+        if self.tombstones.may_have_run(request.id) {
             return Err(ErrorKind::OutcomeUnknown);
         }
         if self.draining {
             return Err(ErrorKind::Stopping);
         }
         let origin = self.links.get(link).map(|link| link.entry);
-        if origin.is_some_and(|entry| entry != ask.id.origin) {
+        if origin.is_some_and(|entry| entry != request.id.origin) {
             return Err(ErrorKind::BadRequest);
         }
-        if ask.deadline <= now {
+        if request.deadline <= now {
             return Err(ErrorKind::Expired);
         }
         if !self.is_newest(link) {
             return Err(ErrorKind::EndpointDown);
         }
-        if self.tombstones.may_be_sealed(ask.id)
+        if self.tombstones.may_be_sealed(request.id)
             || self.open_calls.len() >= self.limits.max_running as usize
         {
             return Err(ErrorKind::Saturated);
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -65,7 +65,7 @@
 
 /// A request to start an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct StartRequest {
     /// The attempt.
     pub id: RequestId,
     /// When its caller stops waiting.
@@ -74,7 +74,7 @@
     pub repeat: Repeat,
 }
 
-/// The gate's decision about an [`Ask`].
+/// The gate's decision about an [`StartRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// The sidecar has to call the endpoint, exactly once.
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -6,7 +6,9 @@
 use self::gate_world::{EntryFrame, MAX_CHUNK_BYTES, Op, World};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateLimits, LinkKey, OrderRefusal, Standing, Step},
+    gate::{
+        Admission, Frame, Gate, GateLimits, LinkKey, OrderRefusal, Standing, StartRequest, Step,
+    },
 };
 use std::time::{Duration, Instant};
 
@@ -26,10 +28,10 @@
     }
 }
 
-fn start_request(now: Instant, seq: u64, repeat: Repeat) -> Ask {
+fn start_request(now: Instant, seq: u64, repeat: Repeat) -> StartRequest {
     let id = RequestId { origin: ENTRY, seq };
     let deadline = now + Duration::from_secs(9);
-    Ask {
+    StartRequest {
         id,
         deadline,
         repeat,
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -6,7 +6,9 @@
 
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, Standing, Step},
+    gate::{
+        Admission, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, Standing, StartRequest, Step,
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -256,7 +258,7 @@
     fn start(&mut self, key: LinkKey, newest: bool, id: RequestId, once: bool, timeout_ms: u64) {
         let deadline = self.now + Duration::from_millis(timeout_ms);
         let repeat = if once { Repeat::Once } else { Repeat::Free };
-        let ask = Ask {
+        let request = StartRequest {
             id,
             deadline,
             repeat,
@@ -265,7 +267,7 @@
             link.next_offsets.entry(id).or_insert(0);
             link.restartable.insert(id);
         }
-        if self.gate.start(self.now, key, ask) != Admission::Run {
+        if self.gate.start(self.now, key, request) != Admission::Run {
             return;
         }
         assert!(newest, "{id} started from an old link");
