--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -3,7 +3,7 @@
 use crate::side::request::{Hello, Http, Inbound, Order, Request};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Frame, Head, Header, Run, Standing, StartRequest},
+    gate::{AttemptState, Frame, Head, Header, Run, StartRequest},
 };
 use hibiscusroad_wire::{
     self as wire, State, ToEntry, to_entry::Frame as Out, to_side::Frame as In,
@@ -134,9 +134,9 @@
             runs: runs.iter().map(wire_run).collect(),
         }),
         Frame::Refused { id, kind } => Out::Refused(refused(*id, *kind, retry)),
-        Frame::Standing { id, standing } => Out::Standing(wire::Standing {
+        Frame::State { id, state } => Out::Standing(wire::Standing {
             id: wire_id(*id),
-            state: state(*standing).into(),
+            state: wire_state(*state).into(),
         }),
     })
 }
@@ -179,12 +179,12 @@
     })
 }
 
-const fn state(standing: Standing) -> State {
-    match standing {
-        Standing::Sealed => State::Sealed,
-        Standing::Running => State::Running,
-        Standing::Done => State::Done,
-        Standing::Lost => State::Lost,
+const fn wire_state(state: AttemptState) -> State {
+    match state {
+        AttemptState::Sealed => State::Sealed,
+        AttemptState::Running => State::Running,
+        AttemptState::Done => State::Done,
+        AttemptState::Lost => State::Lost,
     }
 }
 
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -8,7 +8,7 @@
 //! The sidecar's I/O calls a method for each event and carries out the [`Step`]s
 //! that the gate queues. [`Gate::tick`] handles timeouts.
 //!
-//! An attempt is in one of four states, its [`Standing`]:
+//! An attempt is in one of four states, its [`AttemptState`]:
 //!
 //! * *running*: in flight at the endpoint; bytes are buffered until acknowledged.
 //! * *done*: the complete answer is buffered until acknowledged. If the attempt
@@ -39,8 +39,8 @@
     fence::{FencingTokens, OrderRefusal},
     state::Gate,
     types::{
-        Admission, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT, Run, Standing,
-        StartRequest, Step, TOMBSTONE_TTL,
+        Admission, AttemptState, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT,
+        Run, StartRequest, Step, TOMBSTONE_TTL,
     },
 };
 
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -4,8 +4,8 @@
     class::Repeat,
     error::ErrorKind,
     gate::{
-        Admission, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal, Standing, StartRequest,
-        Step,
+        Admission, AttemptState, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal,
+        StartRequest, Step,
         attempt::{Attempt, Body, Reader},
         retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
@@ -187,8 +187,8 @@
         };
         attempt.readers.retain(|other| other.entry != reader.entry);
         if offset < attempt.body.start() || offset > attempt.body.length() {
-            let standing = Standing::Lost;
-            self.send(link, Frame::Standing { id, standing });
+            let state = AttemptState::Lost;
+            self.send(link, Frame::State { id, state });
             self.update_attempt(now, id);
             return;
         }
@@ -240,31 +240,31 @@
     }
 
     /// Returns the state of an attempt; seals it if it is unknown.
-    pub fn seal(&mut self, now: Instant, id: RequestId) -> Standing {
+    pub fn seal(&mut self, now: Instant, id: RequestId) -> AttemptState {
         if let Some(attempt) = self.attempts.get(&id) {
             return if attempt.done {
-                Standing::Done
+                AttemptState::Done
             } else {
-                Standing::Running
+                AttemptState::Running
             };
         }
         if self.retained.contains(id) {
-            return Standing::Done;
+            return AttemptState::Done;
         }
         if let Some(tombstone) = self.tombstones.get(id) {
-            return tombstone.standing();
+            return tombstone.state();
         }
         if self.tombstones.may_have_run(id) {
-            return Standing::Lost;
+            return AttemptState::Lost;
         }
         self.add_seal(now, id, ErrorKind::EndpointDown);
-        Standing::Sealed
+        AttemptState::Sealed
     }
 
     /// Seals an attempt if it is unknown, and sends its state to the entry.
     pub fn ask(&mut self, now: Instant, link: LinkKey, id: RequestId) {
-        let standing = self.seal(now, id);
-        self.send(link, Frame::Standing { id, standing });
+        let state = self.seal(now, id);
+        self.send(link, Frame::State { id, state });
     }
 
     /// Decides whether an order may reach the engine.
@@ -389,10 +389,10 @@
 
     /// Sends the outcome of an attempt that has no buffered answer.
     fn report_ended(&mut self, now: Instant, link: LinkKey, id: RequestId) {
-        let standing = self.seal(now, id);
+        let state = self.seal(now, id);
         let frame = match self.tombstones.get(id) {
             Some(Tombstone { kind, .. }) => Frame::Refused { id, kind },
-            None => Frame::Standing { id, standing },
+            None => Frame::State { id, state },
         };
         self.send(link, frame);
     }
--- a/src/gate/tombstone.rs
+++ b/src/gate/tombstone.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Standing, TOMBSTONE_TTL},
+    gate::{AttemptState, TOMBSTONE_TTL},
     id::{Incarnation, RequestId},
 };
 use std::{
@@ -24,11 +24,11 @@
 }
 
 impl Tombstone {
-    pub(crate) const fn standing(self) -> Standing {
+    pub(crate) const fn state(self) -> AttemptState {
         if self.started {
-            Standing::Lost
+            AttemptState::Lost
         } else {
-            Standing::Sealed
+            AttemptState::Sealed
         }
     }
 }
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -87,7 +87,7 @@
 
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum AttemptState {
     /// Never started, and never will.
     Sealed,
     /// In flight at the endpoint.
@@ -168,11 +168,11 @@
         kind: ErrorKind,
     },
     /// The state of the attempt.
-    Standing {
+    State {
         /// The attempt.
         id: RequestId,
         /// Its state.
-        standing: Standing,
+        state: AttemptState,
     },
 }
 
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -7,7 +7,7 @@
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
     gate::{
-        Admission, Frame, Gate, GateLimits, LinkKey, OrderRefusal, Standing, StartRequest, Step,
+        Admission, AttemptState, Frame, Gate, GateLimits, LinkKey, OrderRefusal, StartRequest, Step,
     },
 };
 use std::time::{Duration, Instant};
@@ -153,21 +153,21 @@
     assert!(matches!(*sent, [Step::Send { .. }]), "{sent:?}");
     assert_eq!(
         gate.seal(now, start_request(now, 0, Repeat::Once).id),
-        Standing::Lost
+        AttemptState::Lost
     );
     assert_eq!(
         gate.seal(now, start_request(now, 2, Repeat::Once).id),
-        Standing::Done
+        AttemptState::Done
     );
 }
 
 fn retain_answer(gate: &mut Gate, now: Instant, link: LinkKey, seq: u64) {
     let now = now + Duration::from_millis(seq);
-    let ask = start_request(now, seq, Repeat::Once);
-    assert_eq!(gate.start(now, link, ask), Admission::Run);
-    gate.bytes(ask.id, vec![0; 80].into());
-    gate.finish(now, ask.id, Vec::new());
-    gate.ack(now, link, ask.id, 80, true);
+    let request = start_request(now, seq, Repeat::Once);
+    assert_eq!(gate.start(now, link, request), Admission::Run);
+    gate.bytes(request.id, vec![0; 80].into());
+    gate.finish(now, request.id, Vec::new());
+    gate.ack(now, link, request.id, 80, true);
 }
 
 /// A request that may run only once, repeated through another entry, must be
@@ -181,7 +181,7 @@
     gate.lost(now, link);
     let other = open_link(&mut gate, now, Incarnation(2), 1);
     let id = start_request(now, 1, Repeat::Once).id;
-    assert_eq!(gate.seal(now, id), Standing::Done);
+    assert_eq!(gate.seal(now, id), AttemptState::Done);
     take_steps(&mut gate);
     gate.attach(now, other, id, 0);
     let sent = take_steps(&mut gate);
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -7,7 +7,8 @@
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
     gate::{
-        Admission, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, Standing, StartRequest, Step,
+        Admission, AttemptState, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, StartRequest,
+        Step,
     },
 };
 use std::{
@@ -415,17 +416,17 @@
             }
             Frame::Refused { id, kind } if kind.answer().not_run => self.check_not_run(id),
             Frame::Refused { .. } => {}
-            Frame::Standing { id, standing } => self.check_standing(id, standing),
+            Frame::State { id, state } => self.check_state(id, state),
         }
     }
 
-    fn check_standing(&mut self, id: RequestId, standing: Standing) {
+    fn check_state(&mut self, id: RequestId, state: AttemptState) {
         let call = self.calls.get(&id);
-        match standing {
-            Standing::Sealed => self.check_not_run(id),
-            Standing::Running => assert!(call.is_some_and(|call| call.open)),
-            Standing::Done => assert!(call.is_some_and(|call| call.finished)),
-            Standing::Lost => {}
+        match state {
+            AttemptState::Sealed => self.check_not_run(id),
+            AttemptState::Running => assert!(call.is_some_and(|call| call.open)),
+            AttemptState::Done => assert!(call.is_some_and(|call| call.finished)),
+            AttemptState::Lost => {}
         }
     }
 
