--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -12,7 +12,7 @@
 use flume::Sender;
 use hibiscusroad::{
     ErrorKind, Repeat, RequestId,
-    gate::{Head, Header, Run, StartRequest},
+    gate::{Head, Header, StartRequest, VersionRun},
 };
 use std::{
     io::{self, Read},
@@ -83,7 +83,7 @@
 ///
 /// Returns why there is no whole answer. A kind that says "not run" is returned
 /// only if nothing was sent.
-pub fn run(line: Line<'_>, ask: StartRequest, http: Http) -> Result<Vec<Run>, ErrorKind> {
+pub fn run(line: Line<'_>, ask: StartRequest, http: Http) -> Result<Vec<VersionRun>, ErrorKind> {
     let left = ask.deadline.saturating_duration_since(Instant::now());
     let limit = match ask.repeat {
         Repeat::Free => left,
@@ -215,7 +215,7 @@
     }
 
     /// Decides whether the answer is whole.
-    fn end(self, bounded: bool) -> Result<Vec<Run>, ErrorKind> {
+    fn end(self, bounded: bool) -> Result<Vec<VersionRun>, ErrorKind> {
         match self.scanner {
             Some(scanner) if scanner.is_done() => Ok(scanner.into_runs()),
             None if bounded => Ok(sse::whole_runs(&self.whole)),
--- a/hibiscusroad-daemon/src/side/event.rs
+++ b/hibiscusroad-daemon/src/side/event.rs
@@ -3,7 +3,7 @@
 use crate::side::request::{EndpointLoad, Hello, Inbound, WorkerKey};
 use hibiscusroad::{
     ErrorKind, RequestId,
-    gate::{Head, LinkKey, Run},
+    gate::{Head, LinkKey, VersionRun},
 };
 use hibiscusroad_wire::ToEntry;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
         /// The attempt.
         id: RequestId,
         /// The weight versions, or why there is no whole answer.
-        outcome: Result<Vec<Run>, ErrorKind>,
+        outcome: Result<Vec<VersionRun>, ErrorKind>,
     },
     /// An order ended, and its worker is free.
     Ordered {
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -15,7 +15,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    gate::{Admission, Gate, GateLimits, LinkKey, Run, Step},
+    gate::{Admission, Gate, GateLimits, LinkKey, Step, VersionRun},
 };
 use hibiscusroad_wire::{ToEntry, to_entry::Frame};
 use slotmap::SecondaryMap;
@@ -241,7 +241,7 @@
         now: Instant,
         worker: WorkerKey,
         id: RequestId,
-        outcome: Result<Vec<Run>, ErrorKind>,
+        outcome: Result<Vec<VersionRun>, ErrorKind>,
     ) {
         self.pool.ended(now, worker, id);
         match outcome {
--- a/hibiscusroad-daemon/src/side/sse.rs
+++ b/hibiscusroad-daemon/src/side/sse.rs
@@ -4,7 +4,7 @@
 //! produced which token, and whether the stream came to its end: an engine that
 //! crashes closes its connection just as one that has finished.
 
-use hibiscusroad::gate::Run;
+use hibiscusroad::gate::VersionRun;
 use serde::Deserialize;
 
 /// The longest event that is looked into. Longer ones pass unread, so that an
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Scanner {
     line: Vec<u8>,
-    runs: Vec<Run>,
+    runs: Vec<VersionRun>,
     tokens: u64,
     done: bool,
 }
@@ -60,7 +60,7 @@
 
     /// Returns the weight versions and the first token of each.
     #[must_use]
-    pub fn into_runs(self) -> Vec<Run> {
+    pub fn into_runs(self) -> Vec<VersionRun> {
         self.runs
     }
 
@@ -87,24 +87,30 @@
         if event.choices.iter().all(|choice| choice.text.is_empty()) {
             return;
         }
-        let first = event.offset.unwrap_or(self.tokens);
-        self.tokens = first + 1;
+        let first_token = event.offset.unwrap_or(self.tokens);
+        self.tokens = first_token + 1;
         let Some(version) = event.system_fingerprint else {
             return;
         };
         if self.runs.last().is_none_or(|run| run.version != version) {
-            self.runs.push(Run { version, first });
+            self.runs.push(VersionRun {
+                version,
+                first_token,
+            });
         }
     }
 }
 
 /// Returns the weight version of an answer that came in one piece.
 #[must_use]
-pub fn whole_runs(body: &[u8]) -> Vec<Run> {
+pub fn whole_runs(body: &[u8]) -> Vec<VersionRun> {
     let answer = serde_json::from_slice::<Completion>(body).ok();
     let version = answer.and_then(|answer| answer.system_fingerprint);
     version
-        .map(|version| Run { version, first: 0 })
+        .map(|version| VersionRun {
+            version,
+            first_token: 0,
+        })
         .into_iter()
         .collect()
 }
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -3,7 +3,7 @@
 use crate::side::request::{Hello, Http, Inbound, Order, Request};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{AttemptState, Frame, Head, Header, Run, StartRequest},
+    gate::{AttemptState, Frame, Head, Header, StartRequest, VersionRun},
 };
 use hibiscusroad_wire::{
     self as wire, State, ToEntry, to_entry::Frame as Out, to_side::Frame as In,
@@ -161,10 +161,10 @@
     }
 }
 
-fn wire_run(run: &Run) -> wire::Run {
+fn wire_run(run: &VersionRun) -> wire::Run {
     wire::Run {
         version: run.version.clone(),
-        first: run.first,
+        first: run.first_token,
     }
 }
 
--- a/src/gate/attempt.rs
+++ b/src/gate/attempt.rs
@@ -1,7 +1,7 @@
 //! An attempt, the buffered part of its answer and the entries that read it.
 
 use crate::{
-    gate::{Chunk, Frame, Head, LinkKey, Run},
+    gate::{Chunk, Frame, Head, LinkKey, VersionRun},
     id::{Incarnation, RequestId},
 };
 use std::{collections::VecDeque, mem, sync::Arc, time::Instant};
@@ -58,7 +58,7 @@
     /// Bytes received from the endpoint so far.
     length: u64,
     /// Weight versions of the answer; set when it is complete.
-    runs: Option<Arc<[Run]>>,
+    runs: Option<Arc<[VersionRun]>>,
 }
 
 impl Body {
@@ -80,7 +80,7 @@
     }
 
     /// Sets the weight versions, which completes the answer.
-    pub(crate) fn set_runs(&mut self, runs: Vec<Run>) -> Arc<[Run]> {
+    pub(crate) fn set_runs(&mut self, runs: Vec<VersionRun>) -> Arc<[VersionRun]> {
         Arc::clone(self.runs.insert(runs.into()))
     }
 
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Frame, Gate, GateLoad, Head, LINK_TIMEOUT, Run, attempt::Attempt},
+    gate::{Frame, Gate, GateLoad, Head, LINK_TIMEOUT, VersionRun, attempt::Attempt},
     id::RequestId,
 };
 use std::{sync::Arc, time::Instant};
@@ -34,7 +34,7 @@
     }
 
     /// Handles the end of the endpoint's answer.
-    pub fn finish(&mut self, now: Instant, id: RequestId, runs: Vec<Run>) {
+    pub fn finish(&mut self, now: Instant, id: RequestId, runs: Vec<VersionRun>) {
         self.open_calls.remove(&id);
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -40,7 +40,7 @@
     state::Gate,
     types::{
         Admission, AttemptState, Chunk, Frame, GateLimits, GateLoad, Head, Header, LINK_TIMEOUT,
-        Run, StartRequest, Step, TOMBSTONE_TTL,
+        StartRequest, Step, TOMBSTONE_TTL, VersionRun,
     },
 };
 
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -127,11 +127,11 @@
 
 /// A weight version and the first token that it produced.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Run {
+pub struct VersionRun {
     /// The version that the engine reported with the token.
     pub version: String,
     /// Index of the token, from 0.
-    pub first: u64,
+    pub first_token: u64,
 }
 
 /// A frame to an entry about an attempt.
@@ -158,7 +158,7 @@
         /// Bytes of the body.
         length: u64,
         /// Weight versions that produced it.
-        runs: Arc<[Run]>,
+        runs: Arc<[VersionRun]>,
     },
     /// There is no answer, and there will be none.
     Refused {
