--- a/hibiscusroad-daemon/src/side/orders.rs
+++ b/hibiscusroad-daemon/src/side/orders.rs
@@ -19,7 +19,7 @@
     pub(super) fn order(&mut self, now: Instant, link: LinkKey, order: Order) {
         let seq = order.seq;
         let passed = self.gate.order(link, &order.duty, order.fence);
-        if passed == Err(OrderRefusal::Unlearned) {
+        if passed == Err(OrderRefusal::TokenUnknown) {
             self.read_lease(&order.duty);
         }
         let sent = passed
--- a/src/gate/fence.rs
+++ b/src/gate/fence.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderRefusal {
     /// The duty's fencing token has not been read from its lease row yet.
-    Unlearned,
+    TokenUnknown,
     /// This higher fencing token is known for the duty.
     Fenced(u64),
     /// The order came over a link that a newer one has replaced.
@@ -30,7 +30,7 @@
     #[must_use]
     pub const fn kind(self) -> ErrorKind {
         match self {
-            Self::Unlearned => ErrorKind::StoreDown,
+            Self::TokenUnknown => ErrorKind::StoreDown,
             Self::Fenced(_) => ErrorKind::Fenced,
             Self::SupersededLink => ErrorKind::Expired,
             Self::InvalidDuty => ErrorKind::BadRequest,
@@ -64,7 +64,10 @@
             return Err(OrderRefusal::InvalidDuty);
         }
 
-        let highest = self.by_duty.get_mut(duty).ok_or(OrderRefusal::Unlearned)?;
+        let highest = self
+            .by_duty
+            .get_mut(duty)
+            .ok_or(OrderRefusal::TokenUnknown)?;
         if token < *highest {
             return Err(OrderRefusal::Fenced(*highest));
         }
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -204,13 +204,16 @@
     let now = Instant::now();
     let mut gate = Gate::new(gate_world::LIMITS);
     let old = open_link(&mut gate, now, ENTRY, 1);
-    assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Unlearned));
+    assert_eq!(
+        gate.order(old, "rollout", 7),
+        Err(OrderRefusal::TokenUnknown)
+    );
     gate.learn("rollout", 8);
     assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Fenced(8)));
     assert_eq!(gate.order(old, "rollout", 8), Ok(()));
     assert_eq!(gate.order(old, "rollout", 9), Ok(()));
     assert_eq!(gate.order(old, "rollout", 8), Err(OrderRefusal::Fenced(9)));
-    assert_eq!(gate.order(old, "other", 1), Err(OrderRefusal::Unlearned));
+    assert_eq!(gate.order(old, "other", 1), Err(OrderRefusal::TokenUnknown));
     let new = gate.open(now, ENTRY, 2);
     assert_eq!(gate.order(old, "rollout", 9), Ok(()));
     gate.heard(now, new);
@@ -220,7 +223,7 @@
     );
     assert_eq!(gate.order(new, "rollout", 9), Ok(()));
     for refusal in [
-        OrderRefusal::Unlearned,
+        OrderRefusal::TokenUnknown,
         OrderRefusal::Fenced(1),
         OrderRefusal::SupersededLink,
     ] {
