--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -163,7 +163,7 @@
     }
 
     fn open(&mut self, now: Instant, hello: Hello, out: Outbound, reply: oneshot::Sender<LinkKey>) {
-        let link = self.gate.open(now, hello.incarnation, hello.epoch);
+        let link = self.gate.open_link(now, hello.incarnation, hello.epoch);
         log::info!(target: LOG, "Link {} of {} is open.", hello.epoch, hello.entry);
         let row = Link {
             out,
@@ -187,11 +187,11 @@
         if let Some(row) = self.links.remove(link) {
             log::info!(target: LOG, "A link of {} is lost.", row.entry);
         }
-        self.gate.lost(now, link);
+        self.gate.remove_link(now, link);
     }
 
     fn frame(&mut self, now: Instant, link: LinkKey, frame: Inbound) {
-        if !self.gate.heard(now, link) {
+        if !self.gate.receive_frame(now, link) {
             return;
         }
         match frame {
--- a/src/gate/maintenance.rs
+++ b/src/gate/maintenance.rs
@@ -58,7 +58,7 @@
     pub(super) fn close_link(&mut self, now: Instant, link: LinkKey) {
         if let Some(entry) = self.links.get(link).map(|link| link.entry) {
             self.push_step(Step::Close { link, entry });
-            self.lost(now, link);
+            self.remove_link(now, link);
         }
     }
 
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -80,7 +80,7 @@
     /// The epoch takes effect with the first frame after Hello, which shows that
     /// the entry received the welcome. An entry that timed out waiting for it
     /// continues on the older link, whose Starts must be admitted.
-    pub fn open(&mut self, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
+    pub fn open_link(&mut self, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
         self.links.insert(Link {
             entry,
             epoch,
@@ -95,7 +95,7 @@
     /// Closes the link if it was silent for too long. A process that was
     /// suspended finds frames of any age in its sockets when it resumes, and
     /// must not act on them.
-    pub fn heard(&mut self, now: Instant, link: LinkKey) -> bool {
+    pub fn receive_frame(&mut self, now: Instant, link: LinkKey) -> bool {
         if self.is_silent(now, link) {
             self.close_link(now, link);
         }
@@ -111,7 +111,7 @@
 
     /// Handles the loss of a link. Its entry may attach to its attempts again
     /// for a limited time.
-    pub fn lost(&mut self, now: Instant, link: LinkKey) {
+    pub fn remove_link(&mut self, now: Instant, link: LinkKey) {
         if self.links.remove(link).is_none() {
             return;
         }
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -40,8 +40,8 @@
 
 /// Opens a link and delivers its first frame.
 fn open_link(gate: &mut Gate, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
-    let link = gate.open(now, entry, epoch);
-    assert!(gate.heard(now, link));
+    let link = gate.open_link(now, entry, epoch);
+    assert!(gate.receive_frame(now, link));
     link
 }
 
@@ -116,7 +116,7 @@
     let mut gate = Gate::new(GateLimits::new(4, 1 << 20));
     let link = open_link(&mut gate, now, ENTRY, 1);
     now += Duration::from_secs(20);
-    assert!(!gate.heard(now, link));
+    assert!(!gate.receive_frame(now, link));
     assert_eq!(take_steps(&mut gate), [Step::Close { link, entry: ENTRY }]);
     let late = gate.start(now, link, start_request(now, 1, Repeat::Free));
     assert_eq!(late, Admission::Refused(ErrorKind::EndpointDown));
@@ -129,8 +129,8 @@
     let now = Instant::now();
     let mut gate = Gate::new(gate_world::LIMITS);
     let old = open_link(&mut gate, now, ENTRY, 1);
-    let unused = gate.open(now, ENTRY, 2);
-    gate.lost(now, unused);
+    let unused = gate.open_link(now, ENTRY, 2);
+    gate.remove_link(now, unused);
     let call = start_request(now, 1, Repeat::Free);
     assert_eq!(gate.start(now, old, call), Admission::Run);
 }
@@ -178,7 +178,7 @@
     let mut gate = Gate::new(gate_world::LIMITS);
     let link = open_link(&mut gate, now, ENTRY, 1);
     retain_answer(&mut gate, now, link, 1);
-    gate.lost(now, link);
+    gate.remove_link(now, link);
     let other = open_link(&mut gate, now, Incarnation(2), 1);
     let id = start_request(now, 1, Repeat::Once).id;
     assert_eq!(gate.seal(now, id), AttemptState::Done);
@@ -214,9 +214,9 @@
     assert_eq!(gate.order(old, "rollout", 9), Ok(()));
     assert_eq!(gate.order(old, "rollout", 8), Err(OrderRefusal::Fenced(9)));
     assert_eq!(gate.order(old, "other", 1), Err(OrderRefusal::TokenUnknown));
-    let new = gate.open(now, ENTRY, 2);
+    let new = gate.open_link(now, ENTRY, 2);
     assert_eq!(gate.order(old, "rollout", 9), Ok(()));
-    gate.heard(now, new);
+    gate.receive_frame(now, new);
     assert_eq!(
         gate.order(old, "rollout", 9),
         Err(OrderRefusal::SupersededLink)
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -206,7 +206,7 @@
     fn open(&mut self, entry: usize) {
         self.epochs[entry] += 1;
         let epoch = self.epochs[entry];
-        let key = self.gate.open(self.now, incarnation(entry), epoch);
+        let key = self.gate.open_link(self.now, incarnation(entry), epoch);
         self.links.push(Link {
             key,
             entry,
@@ -236,7 +236,7 @@
         let Some((id, frame)) = link.in_transit.pop_front() else {
             return;
         };
-        let is_open = self.gate.heard(self.now, key);
+        let is_open = self.gate.receive_frame(self.now, key);
         self.run_steps();
         if !is_open {
             return;
@@ -305,7 +305,7 @@
     fn break_link(&mut self, link: usize) {
         if let Some(index) = link.checked_rem(self.links.len()) {
             let link = self.links.remove(index);
-            self.gate.lost(self.now, link.key);
+            self.gate.remove_link(self.now, link.key);
         }
     }
 
@@ -360,7 +360,7 @@
             self.now = until.min(self.now + step);
             if heartbeats {
                 for link in &self.links {
-                    if self.gate.heard(self.now, link.key) {
+                    if self.gate.receive_frame(self.now, link.key) {
                         let newest = &mut self.newest_epochs[link.entry];
                         *newest = link.epoch.max(*newest);
                     }
