--- a/hibiscusroad-daemon/src/side/orders.rs
+++ b/hibiscusroad-daemon/src/side/orders.rs
@@ -18,7 +18,7 @@
 impl Role {
     pub(super) fn order(&mut self, now: Instant, link: LinkKey, order: Order) {
         let seq = order.seq;
-        let passed = self.gate.order(link, &order.duty, order.fence);
+        let passed = self.gate.admit_order(link, &order.duty, order.fence);
         if passed == Err(OrderRefusal::TokenUnknown) {
             self.read_lease(&order.duty);
         }
@@ -61,7 +61,7 @@
             problem: problem.unwrap_or_default().to_owned(),
             status: status.into(),
             body,
-            fence: self.gate.fence(),
+            fence: self.gate.highest_token(),
         };
         self.push(now, link, Frame::OrderDone(done).into());
     }
@@ -88,7 +88,7 @@
     pub(super) fn learn(&mut self, duty: &str, number: Option<u64>) {
         self.learning.remove(duty);
         match number {
-            Some(number) => self.gate.learn(duty, number),
+            Some(number) => self.gate.record_token(duty, number),
             None => log::warn!(target: LOG, "The lease row of {duty} can't be read."),
         }
     }
--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -87,7 +87,7 @@
             config_version: self.version(),
             load: Some(self.load_at(now, gate)),
             leaving: gate.is_leaving(),
-            fence: gate.fence(),
+            fence: gate.highest_token(),
             unreachable: self.unreachable,
         }
     }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -199,7 +199,7 @@
             Inbound::Attach(id, offset) => self.gate.attach(now, link, id, offset),
             Inbound::Ack(id, offset, done) => self.gate.ack(now, link, id, offset, done),
             Inbound::Cancel(id) => self.gate.cancel(now, link, id),
-            Inbound::Seal(id) => self.gate.ask(now, link, id),
+            Inbound::Seal(id) => self.gate.seal_and_report(now, link, id),
             Inbound::Beat(version, quiet) => {
                 if let Some(row) = self.links.get_mut(link) {
                     row.quiet = quiet;
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -262,7 +262,7 @@
     }
 
     /// Seals an attempt if it is unknown, and sends its state to the entry.
-    pub fn ask(&mut self, now: Instant, link: LinkKey, id: RequestId) {
+    pub fn seal_and_report(&mut self, now: Instant, link: LinkKey, id: RequestId) {
         let state = self.seal(now, id);
         self.send(link, Frame::State { id, state });
     }
@@ -272,7 +272,12 @@
     /// # Errors
     ///
     /// Returns why the order is refused; it had no effect then.
-    pub fn order(&mut self, link: LinkKey, duty: &str, token: u64) -> Result<(), OrderRefusal> {
+    pub fn admit_order(
+        &mut self,
+        link: LinkKey,
+        duty: &str,
+        token: u64,
+    ) -> Result<(), OrderRefusal> {
         if !self.is_newest(link) {
             return Err(OrderRefusal::SupersededLink);
         }
@@ -280,13 +285,13 @@
     }
 
     /// Records the fencing token in a duty's lease row.
-    pub fn learn(&mut self, duty: &str, token: u64) {
+    pub fn record_token(&mut self, duty: &str, token: u64) {
         self.fencing_tokens.record(duty, token);
     }
 
     /// Returns the highest known fencing token of any duty, or 0.
     #[must_use]
-    pub fn fence(&self) -> u64 {
+    pub fn highest_token(&self) -> u64 {
         self.fencing_tokens.highest()
     }
 
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -205,23 +205,32 @@
     let mut gate = Gate::new(gate_world::LIMITS);
     let old = open_link(&mut gate, now, ENTRY, 1);
     assert_eq!(
-        gate.order(old, "rollout", 7),
+        gate.admit_order(old, "rollout", 7),
+        Err(OrderRefusal::TokenUnknown)
+    );
+    gate.record_token("rollout", 8);
+    assert_eq!(
+        gate.admit_order(old, "rollout", 7),
+        Err(OrderRefusal::Fenced(8))
+    );
+    assert_eq!(gate.admit_order(old, "rollout", 8), Ok(()));
+    assert_eq!(gate.admit_order(old, "rollout", 9), Ok(()));
+    assert_eq!(
+        gate.admit_order(old, "rollout", 8),
+        Err(OrderRefusal::Fenced(9))
+    );
+    assert_eq!(
+        gate.admit_order(old, "other", 1),
         Err(OrderRefusal::TokenUnknown)
     );
-    gate.learn("rollout", 8);
-    assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Fenced(8)));
-    assert_eq!(gate.order(old, "rollout", 8), Ok(()));
-    assert_eq!(gate.order(old, "rollout", 9), Ok(()));
-    assert_eq!(gate.order(old, "rollout", 8), Err(OrderRefusal::Fenced(9)));
-    assert_eq!(gate.order(old, "other", 1), Err(OrderRefusal::TokenUnknown));
     let new = gate.open_link(now, ENTRY, 2);
-    assert_eq!(gate.order(old, "rollout", 9), Ok(()));
+    assert_eq!(gate.admit_order(old, "rollout", 9), Ok(()));
     gate.receive_frame(now, new);
     assert_eq!(
-        gate.order(old, "rollout", 9),
+        gate.admit_order(old, "rollout", 9),
         Err(OrderRefusal::SupersededLink)
     );
-    assert_eq!(gate.order(new, "rollout", 9), Ok(()));
+    assert_eq!(gate.admit_order(new, "rollout", 9), Ok(()));
     for refusal in [
         OrderRefusal::TokenUnknown,
         OrderRefusal::Fenced(1),
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -245,7 +245,7 @@
         let newest = self.newest_epochs[entry] == epoch;
         match frame {
             EntryFrame::Start { once, timeout_ms } => self.start(key, newest, id, once, timeout_ms),
-            EntryFrame::Seal => self.gate.ask(self.now, key, id),
+            EntryFrame::Seal => self.gate.seal_and_report(self.now, key, id),
             EntryFrame::Attach { offset } => self.attach(key, newest, id, offset),
             EntryFrame::Ack { unacked, done } => {
                 let length = self.calls.get(&id).map_or(0, |call| call.length);
