--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -86,7 +86,7 @@
             seq: self.beats,
             config_version: self.version(),
             load: Some(self.load_at(now, gate)),
-            leaving: gate.is_leaving(),
+            leaving: gate.is_draining(),
             fence: gate.highest_token(),
             unreachable: self.unreachable,
         }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -97,7 +97,7 @@
             Event::Open { hello, out, reply } => self.open(now, hello, out, reply),
             Event::Frame(link, frame) => self.frame(now, link, frame),
             Event::Lost(link) => self.lost(now, link),
-            Event::Head(id, head) => self.gate.head(id, head),
+            Event::Head(id, head) => self.gate.receive_head(id, head),
             Event::Bytes(id, data) => self.bytes(now, id, data),
             Event::Ended {
                 worker,
@@ -123,7 +123,7 @@
     pub fn settle(&mut self, cx: CX![], now: Instant) {
         self.gate.tick(now);
         self.carry_out(now);
-        if let Some(due) = self.gate.next_due() {
+        if let Some(due) = self.gate.next_tick() {
             timer_min!(&mut self.timer, due, [cx], wake());
         }
         let Some(ends) = self.ends else {
@@ -228,7 +228,7 @@
     }
 
     fn bytes(&mut self, now: Instant, id: RequestId, data: Arc<[u8]>) {
-        self.gate.bytes(id, data);
+        self.gate.receive_bytes(id, data);
         // A pause has to take hold before the worker may read on.
         self.carry_out(now);
         if let Some(throttle) = self.pool.throttle(id) {
@@ -278,7 +278,7 @@
         }
         if self.report.offer(version, document) {
             log::info!(target: LOG, "Configuration {version} is in force.");
-            self.gate.set_limit(self.report.limit());
+            self.gate.set_max_running(self.report.limit());
             self.show_leaving(now);
         }
     }
@@ -313,10 +313,10 @@
     /// Shuts or opens the gate and tells all entries at once.
     fn show_leaving(&mut self, now: Instant) {
         let leaving = self.report.is_leaving();
-        if leaving != self.gate.is_leaving() {
+        if leaving != self.gate.is_draining() {
             log::info!(target: LOG, "Takes new work: {}.", !leaving);
         }
-        self.gate.set_leaving(leaving);
+        self.gate.set_draining(leaving);
         self.beat_all(now);
     }
 
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -9,7 +9,7 @@
 
 impl Gate {
     /// Handles the status and headers of the endpoint's answer.
-    pub fn head(&mut self, id: RequestId, head: Head) {
+    pub fn receive_head(&mut self, id: RequestId, head: Head) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -18,7 +18,7 @@
     }
 
     /// Handles bytes of the endpoint's answer.
-    pub fn bytes(&mut self, id: RequestId, data: Arc<[u8]>) {
+    pub fn receive_bytes(&mut self, id: RequestId, data: Arc<[u8]>) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -59,18 +59,18 @@
     }
 
     /// Sets the number of requests that the endpoint runs at once.
-    pub fn set_limit(&mut self, limit: u32) {
-        self.limits.max_running = limit;
+    pub fn set_max_running(&mut self, max_running: u32) {
+        self.limits.max_running = max_running;
     }
 
     /// Sets whether new work is refused; attempts in flight continue.
-    pub fn set_leaving(&mut self, leaving: bool) {
-        self.draining = leaving;
+    pub fn set_draining(&mut self, draining: bool) {
+        self.draining = draining;
     }
 
     /// Returns whether new work is refused.
     #[must_use]
-    pub const fn is_leaving(&self) -> bool {
+    pub const fn is_draining(&self) -> bool {
         self.draining
     }
 
--- a/src/gate/maintenance.rs
+++ b/src/gate/maintenance.rs
@@ -36,7 +36,7 @@
     /// Returns when [`Gate::tick`] is due next; none if there is nothing to check
     /// or it never ran.
     #[must_use]
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_tick(&self) -> Option<Instant> {
         let lengths = [
             self.links.len(),
             self.attempts.len(),
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -148,7 +148,7 @@
     let new = start_request(now, 9, Repeat::Free);
     assert_eq!(gate.start(now, link, new), Admission::Run);
     take_steps(&mut gate);
-    gate.bytes(new.id, vec![0; 64].into());
+    gate.receive_bytes(new.id, vec![0; 64].into());
     let sent = take_steps(&mut gate);
     assert!(matches!(*sent, [Step::Send { .. }]), "{sent:?}");
     assert_eq!(
@@ -165,7 +165,7 @@
     let now = now + Duration::from_millis(seq);
     let request = start_request(now, seq, Repeat::Once);
     assert_eq!(gate.start(now, link, request), Admission::Run);
-    gate.bytes(request.id, vec![0; 80].into());
+    gate.receive_bytes(request.id, vec![0; 80].into());
     gate.finish(now, request.id, Vec::new());
     gate.ack(now, link, request.id, 80, true);
 }
@@ -256,8 +256,8 @@
     assert_eq!(gate.start(now, slow, first), Admission::Run);
     assert_eq!(gate.start(now, fast, second), Admission::Run);
     for _ in 0..=(256 << 10) / MAX_CHUNK_BYTES {
-        gate.bytes(first.id, vec![0; 64].into());
-        gate.bytes(second.id, vec![0; 64].into());
+        gate.receive_bytes(first.id, vec![0; 64].into());
+        gate.receive_bytes(second.id, vec![0; 64].into());
         gate.ack(now, fast, second.id, u64::MAX, false);
     }
     let paused = take_steps(&mut gate);
--- a/tests/gate_model.rs
+++ b/tests/gate_model.rs
@@ -44,7 +44,7 @@
         3 => (wait, prop::bool::weighted(0.7)).prop_map(|(duration_ms, heartbeats)| {
             Op::Wait { duration_ms, heartbeats }
         }),
-        1 => prop::bool::weighted(0.3).prop_map(|leaving| Op::SetLeaving { leaving }),
+        1 => prop::bool::weighted(0.3).prop_map(|draining| Op::SetDraining { draining }),
     ]
 }
 
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -70,7 +70,7 @@
     /// Time passes, with or without heartbeats.
     Wait { duration_ms: u64, heartbeats: bool },
     /// The sidecar starts or stops refusing new work.
-    SetLeaving { leaving: bool },
+    SetDraining { draining: bool },
 }
 
 #[derive(Debug)]
@@ -176,7 +176,7 @@
                     headers: Vec::new(),
                 };
                 if let Some(id) = self.open_call(call) {
-                    self.gate.head(id, head);
+                    self.gate.receive_head(id, head);
                 }
             }
             Op::Bytes { call, chunks, size } => {
@@ -195,9 +195,9 @@
                 duration_ms,
                 heartbeats,
             } => self.wait(Duration::from_millis(duration_ms), heartbeats),
-            Op::SetLeaving { leaving } => {
-                self.draining = leaving;
-                self.gate.set_leaving(leaving);
+            Op::SetDraining { draining } => {
+                self.draining = draining;
+                self.gate.set_draining(draining);
             }
         }
         self.run_steps();
@@ -272,7 +272,7 @@
             return;
         }
         assert!(newest, "{id} started from an old link");
-        assert!(!self.draining, "{id} started while leaving");
+        assert!(!self.draining, "{id} started while draining");
         assert!(timeout_ms > 0, "{id} started past its deadline");
         assert!(
             !self.reported_not_run.contains(&id),
@@ -320,7 +320,7 @@
         }
         let data = answer_bytes(id, call.length, size);
         call.length += size;
-        self.gate.bytes(id, data.into());
+        self.gate.receive_bytes(id, data.into());
     }
 
     fn finish(&mut self, id: RequestId) {
@@ -443,7 +443,7 @@
             + LIMITS.max_running as usize * usize::try_from(MAX_CHUNK_BYTES).unwrap();
         assert!(
             load.buffered <= max_buffered,
-            "{} bytes are held",
+            "{} bytes are buffered",
             load.buffered
         );
         assert!(load.running <= LIMITS.max_running, "{} calls", load.running);
@@ -482,7 +482,7 @@
                 ..GateLoad::default()
             }
         );
-        assert_eq!(self.gate.next_due(), None);
+        assert_eq!(self.gate.next_tick(), None);
         assert!(self.gate.is_idle(self.now));
     }
 }
