--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use hibiscusroad::{
     RequestId,
-    claim::{BATCH, Batch, GATHER, Job, Said, Verdict},
+    claim::{BATCH_DELAY, Batch, Job, MAX_BATCH_CLAIMS, Said, Verdict},
 };
 use std::{
     io, mem, thread,
@@ -96,8 +96,8 @@
         if writes.is_empty() {
             writes.push(self.queue.recv().ok()?);
         }
-        let until = Instant::now() + GATHER;
-        while writes.len() < BATCH {
+        let until = Instant::now() + BATCH_DELAY;
+        while writes.len() < MAX_BATCH_CLAIMS {
             match self.queue.recv_deadline(until) {
                 Ok(write) => writes.push(write),
                 Err(_) => break,
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -23,7 +23,7 @@
 //! * A claim costs a write before the run. While the table is down, such requests
 //!   are refused without running. An owner for each key among the entries would
 //!   not need the table, but the outcomes of its keys would be lost with it.
-//! * Up to [`BATCH`] claims share a transaction, since entries take more requests
+//! * Up to [`MAX_BATCH_CLAIMS`] claims share a transaction, since entries take more requests
 //!   than the table takes writes. One conflict fails the whole transaction, and
 //!   the other claims are written again. Only repeats cause conflicts.
 //! * If the sidecar's incarnation has ended, the outcome is unknown, even if
@@ -45,10 +45,10 @@
 ///
 /// A claim is a condition, a write, and a read if it fails; etcd allows 128
 /// operations in a transaction by default.
-pub const BATCH: usize = 64;
+pub const MAX_BATCH_CLAIMS: usize = 64;
 
 /// How long the first claim of a batch waits for others.
-pub const GATHER: Duration = Duration::from_millis(2);
+pub const BATCH_DELAY: Duration = Duration::from_millis(2);
 
 /// How long a claim holds its idempotency key.
 ///
