--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -17,7 +17,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    claim::{Action, Claim, Fate, Holder, Job, Verdict, fingerprint, row_key},
+    claim::{Action, Claim, ClaimWrite, Fate, Holder, Verdict, fingerprint, row_key},
     route::{EndpointKey, Outcome},
 };
 use hibiscusroad_wire::{Seal, to_side::Frame};
@@ -147,7 +147,7 @@
 
     fn act(&mut self, now: Instant, call: RequestId, action: Action) {
         match action {
-            Action::Write(claim, expect) => self.write_claim(now, call, claim, expect),
+            Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
             Action::Ask(claim) => self.ask(now, call, &claim),
             // The frame that said so asks for the answer.
@@ -162,15 +162,23 @@
         now: Instant,
         call: RequestId,
         claim: Claim,
-        expect: Option<Vec<u8>>,
+        expected: Option<Vec<u8>>,
     ) {
         let row = self.calls.get_mut(&call);
         let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) else {
             return;
         };
         let key = keyed.row.clone();
-        let job = Box::new(Job { key, claim, expect });
-        if self.writes.try_send(Write::Claim(call, job)).is_err() {
+        let claim_write = Box::new(ClaimWrite {
+            key,
+            claim,
+            expected,
+        });
+        if self
+            .writes
+            .try_send(Write::Claim(call, claim_write))
+            .is_err()
+        {
             self.refuse(now, call, ErrorKind::HandoverFull, come_back());
         }
     }
--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use hibiscusroad::{
     RequestId,
-    claim::{BATCH_DELAY, Batch, Job, MAX_BATCH_CLAIMS, Said, Verdict},
+    claim::{BATCH_DELAY, Batch, ClaimWrite, MAX_BATCH_CLAIMS, Said, Verdict},
 };
 use std::{
     io, mem, thread,
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub enum Write {
     /// A claim, for this call.
-    Claim(RequestId, Box<Job>),
+    Claim(RequestId, Box<ClaimWrite>),
     /// The row of this key is to be removed if it has this content.
     Release(String, Vec<u8>),
 }
@@ -111,11 +111,13 @@
         let mut calls = Vec::new();
         for write in writes {
             match write {
-                Write::Claim(call, job) => {
-                    let attempt = job.claim.attempt;
-                    match batch.add(*job) {
+                Write::Claim(call, claim_write) => {
+                    let attempt = claim_write.claim.attempt;
+                    match batch.add(*claim_write) {
                         None => calls.push((attempt, call)),
-                        Some(job) => self.left.push(Write::Claim(call, Box::new(job))),
+                        Some(claim_write) => {
+                            self.left.push(Write::Claim(call, Box::new(claim_write)))
+                        }
                     }
                 }
                 Write::Release(key, bytes) => self.release(key, bytes),
@@ -129,7 +131,7 @@
         let start = Instant::now();
         let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
         let mut tries = 0;
-        while !batch.jobs().is_empty() {
+        while !batch.writes().is_empty() {
             tries += 1;
             let late = tries > TRIES || start.elapsed() > PATIENCE;
             let said = self.say(&batch, late);
@@ -137,8 +139,8 @@
                 tries = 0;
             }
             let unsure = said == Said::Unknown;
-            for (job, verdict) in batch.settle(said) {
-                self.tell(&job, verdict, calls);
+            for (claim_write, verdict) in batch.apply(said) {
+                self.tell(&claim_write, verdict, calls);
             }
             if unsure {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
@@ -171,8 +173,8 @@
         }
     }
 
-    fn tell(&self, job: &Job, verdict: Verdict, calls: &[(RequestId, RequestId)]) {
-        let attempt = job.claim.attempt;
+    fn tell(&self, claim_write: &ClaimWrite, verdict: Verdict, calls: &[(RequestId, RequestId)]) {
+        let attempt = claim_write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
             let event = Event::Claimed(*call, attempt, Box::new(verdict));
@@ -196,16 +198,16 @@
 
 fn transaction(batch: &Batch) -> Transaction {
     let mut transaction = Transaction::new();
-    for job in batch.jobs() {
-        let key = job.key.clone();
-        let cond = match &job.expect {
+    for claim_write in batch.writes() {
+        let key = claim_write.key.clone();
+        let cond = match &claim_write.expected {
             None => Cond::Version(key.clone(), 0),
             Some(bytes) => Cond::Value(key.clone(), bytes.clone()),
         };
         transaction = transaction
             .when(cond)
             .or_read(&key)
-            .then(Op::Put(key, job.claim.encode()));
+            .then(Op::Put(key, claim_write.claim.encode()));
     }
     transaction
 }
--- a/src/claim/batch.rs
+++ b/src/claim/batch.rs
@@ -5,13 +5,13 @@
 
 /// One claim to be written.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Job {
+pub struct ClaimWrite {
     /// The row's key.
     pub key: String,
     /// The row's new content.
     pub claim: Claim,
     /// The content that the row must have; none if it must be absent.
-    pub expect: Option<Vec<u8>>,
+    pub expected: Option<Vec<u8>>,
 }
 
 /// The table's answer to a transaction.
@@ -44,7 +44,7 @@
 /// Claims that are written in one transaction. No two have the same key.
 #[derive(Debug, Default)]
 pub struct Batch {
-    jobs: Vec<Job>,
+    writes: Vec<ClaimWrite>,
 }
 
 impl Batch {
@@ -57,27 +57,27 @@
     /// Adds a claim, or returns it if the batch has one with the same key,
     /// because a transaction may write a row only once.
     #[must_use]
-    pub fn add(&mut self, job: Job) -> Option<Job> {
-        if self.jobs.iter().any(|other| other.key == job.key) {
-            return Some(job);
+    pub fn add(&mut self, write: ClaimWrite) -> Option<ClaimWrite> {
+        if self.writes.iter().any(|other| other.key == write.key) {
+            return Some(write);
         }
-        self.jobs.push(job);
+        self.writes.push(write);
         None
     }
 
     /// Returns the undecided claims, which have to be written.
     #[must_use]
-    pub fn jobs(&self) -> &[Job] {
-        &self.jobs
+    pub fn writes(&self) -> &[ClaimWrite] {
+        &self.writes
     }
 
-    /// Applies the table's answer to a transaction with all [`Batch::jobs`];
+    /// Applies the table's answer to a transaction with all [`Batch::writes`];
     /// removes and returns the claims that it decides.
     ///
     /// The remaining ones have to be written again. That is safe after
     /// [`Said::Unknown`] too: if the first write takes effect, the second one
     /// finds the request's own claim.
-    pub fn settle(&mut self, said: Said) -> Vec<(Job, Verdict)> {
+    pub fn apply(&mut self, said: Said) -> Vec<(ClaimWrite, Verdict)> {
         match said {
             Said::Committed => self.decide_all(&Verdict::Won),
             Said::Down => self.decide_all(&Verdict::Down),
@@ -86,19 +86,22 @@
         }
     }
 
-    fn decide_all(&mut self, verdict: &Verdict) -> Vec<(Job, Verdict)> {
-        let jobs = mem::take(&mut self.jobs);
-        jobs.into_iter().map(|j| (j, verdict.clone())).collect()
+    fn decide_all(&mut self, verdict: &Verdict) -> Vec<(ClaimWrite, Verdict)> {
+        let writes = mem::take(&mut self.writes);
+        writes
+            .into_iter()
+            .map(|write| (write, verdict.clone()))
+            .collect()
     }
 
-    fn apply_conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(Job, Verdict)> {
+    fn apply_conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(ClaimWrite, Verdict)> {
         let mut decided = Vec::new();
-        for job in mem::take(&mut self.jobs) {
-            let position = rows.iter().position(|(key, _)| *key == job.key);
+        for write in mem::take(&mut self.writes) {
+            let position = rows.iter().position(|(key, _)| *key == write.key);
             let row = position.map(|i| rows.swap_remove(i).1);
-            match decide(&job, row) {
-                Some(verdict) => decided.push((job, verdict)),
-                None => self.jobs.push(job),
+            match decide(&write, row) {
+                Some(verdict) => decided.push((write, verdict)),
+                None => self.writes.push(write),
             }
         }
         decided
@@ -106,15 +109,15 @@
 }
 
 /// Decides one claim by the row that exists; none if it can still be written.
-fn decide(job: &Job, row: Option<Vec<u8>>) -> Option<Verdict> {
-    if row == job.expect {
+fn decide(write: &ClaimWrite, row: Option<Vec<u8>>) -> Option<Verdict> {
+    if row == write.expected {
         return None;
     }
     let Some(bytes) = row else {
         return Some(Verdict::Free);
     };
     let stored = StoredClaim::new(bytes);
-    if stored.is_for(job.claim.attempt) {
+    if stored.is_for(write.claim.attempt) {
         return Some(Verdict::Won);
     }
     Some(Verdict::Held(stored))
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -7,7 +7,7 @@
 
 use hibiscusroad::{
     Incarnation, RequestId,
-    claim::{Action, Batch, Claim, Fate, Holder, Job, Said, Verdict, row_key},
+    claim::{Action, Batch, Claim, ClaimWrite, Fate, Holder, Said, Verdict, row_key},
 };
 use proptest::{collection::vec, prelude::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -99,7 +99,7 @@
 #[derive(Default)]
 struct World {
     row: Option<Vec<u8>>,
-    delayed_writes: Vec<Job>,
+    delayed_writes: Vec<ClaimWrite>,
     starts_in_transit: Vec<Claim>,
     sides: [Side; SIDES],
     /// Open requests, each with its entry.
@@ -124,8 +124,8 @@
                 self.deliver(&start);
             }
             Event::DelayedWrite(i) if !self.delayed_writes.is_empty() => {
-                let job = self.delayed_writes.remove(i % self.delayed_writes.len());
-                self.write(&job);
+                let claim_write = self.delayed_writes.remove(i % self.delayed_writes.len());
+                self.write(&claim_write);
             }
             Event::Finish(i) => {
                 for state in self.sides[i % SIDES].attempts.values_mut() {
@@ -163,7 +163,7 @@
         let (entry, mut request) = self.requests.swap_remove(i);
         match request.next_action.clone() {
             Action::Place => self.place(entry, &mut request),
-            Action::Write(claim, expect) => self.claim(&mut request, &claim, expect, outcome),
+            Action::Write(claim, expected) => self.claim(&mut request, &claim, expected, outcome),
             Action::Run(claim) => self.run(&mut request, claim),
             Action::Ask(claim) => self.ask(&mut request, &claim),
             Action::Follow(_) => request.reported_not_run = Some(false),
@@ -198,43 +198,49 @@
         &mut self,
         request: &mut Request,
         claim: &Claim,
-        expect: Option<Vec<u8>>,
+        expected: Option<Vec<u8>>,
         outcome: WriteOutcome,
     ) {
-        if request.batch.jobs().is_empty() {
+        if request.batch.writes().is_empty() {
             let key = row_key("hut-desk", "k");
             let claim = claim.clone();
-            let job = Job { key, claim, expect };
-            assert_eq!(request.batch.add(job), None);
+            let claim_write = ClaimWrite {
+                key,
+                claim,
+                expected,
+            };
+            assert_eq!(request.batch.add(claim_write), None);
         }
-        let job = request.batch.jobs()[0].clone();
+        let claim_write = request.batch.writes()[0].clone();
         let response = match outcome {
-            WriteOutcome::Success if self.write(&job) => Said::Committed,
+            WriteOutcome::Success if self.write(&claim_write) => Said::Committed,
             WriteOutcome::Success => {
-                let row = self.row.clone().map(|row| (job.key.clone(), row));
+                let row = self.row.clone().map(|row| (claim_write.key.clone(), row));
                 Said::Conflict(row.into_iter().collect())
             }
             WriteOutcome::AnswerLost => {
-                self.write(&job);
+                self.write(&claim_write);
                 Said::Unknown
             }
             WriteOutcome::Delayed => {
-                self.delayed_writes.push(job);
+                self.delayed_writes.push(claim_write);
                 Said::Unknown
             }
             WriteOutcome::RequestLost => Said::Unknown,
             WriteOutcome::Down => Said::Down,
         };
-        for (job, verdict) in request.batch.settle(response) {
-            let action = request.holder.written(job.claim.attempt, verdict, NOW);
+        for (claim_write, verdict) in request.batch.apply(response) {
+            let action = request
+                .holder
+                .written(claim_write.claim.attempt, verdict, NOW);
             request.next_action = action.expect("the claim was being written");
         }
     }
 
-    fn write(&mut self, job: &Job) -> bool {
-        let matches = self.row == job.expect;
+    fn write(&mut self, claim_write: &ClaimWrite) -> bool {
+        let matches = self.row == claim_write.expected;
         if matches {
-            self.row = Some(job.claim.encode());
+            self.row = Some(claim_write.claim.encode());
         }
         matches
     }
@@ -346,7 +352,7 @@
 // own row, found after a lost answer, counts as won.
 #[test]
 fn batch_decides_each_claim_by_its_own_row() {
-    let job = |index: u64| Job {
+    let claim_write = |index: u64| ClaimWrite {
         key: index.to_string(),
         claim: Claim {
             attempt: RequestId {
@@ -359,22 +365,27 @@
             body: FINGERPRINT,
             created: NOW,
         },
-        expect: None,
+        expected: None,
     };
     let mut batch = Batch::new();
     for index in 0..3 {
-        assert_eq!(batch.add(job(index)), None);
+        assert_eq!(batch.add(claim_write(index)), None);
     }
-    assert_eq!(batch.add(job(1)), Some(job(1)));
-    assert_eq!(batch.settle(Said::Unknown), []);
-    let other = job(9).claim.encode();
+    assert_eq!(batch.add(claim_write(1)), Some(claim_write(1)));
+    assert_eq!(batch.apply(Said::Unknown), []);
+    let other = claim_write(9).claim.encode();
     let rows = vec![
-        ("0".to_owned(), job(0).claim.encode()),
+        ("0".to_owned(), claim_write(0).claim.encode()),
         ("1".to_owned(), other),
     ];
-    let decided = batch.settle(Said::Conflict(rows));
-    assert_eq!(decided[0], (job(0), Verdict::Won));
-    assert!(matches!(&decided[1].1, Verdict::Held(stored) if stored.is_for(job(9).claim.attempt)));
-    assert_eq!(batch.jobs(), [job(2)]);
-    assert_eq!(batch.settle(Said::Committed), [(job(2), Verdict::Won)]);
+    let decided = batch.apply(Said::Conflict(rows));
+    assert_eq!(decided[0], (claim_write(0), Verdict::Won));
+    assert!(
+        matches!(&decided[1].1, Verdict::Held(stored) if stored.is_for(claim_write(9).claim.attempt))
+    );
+    assert_eq!(batch.writes(), [claim_write(2)]);
+    assert_eq!(
+        batch.apply(Said::Committed),
+        [(claim_write(2), Verdict::Won)]
+    );
 }
