--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use hibiscusroad::{
     RequestId,
-    claim::{BATCH_DELAY, Batch, ClaimWrite, MAX_BATCH_CLAIMS, Said, Verdict},
+    claim::{BATCH_DELAY, Batch, ClaimWrite, MAX_BATCH_CLAIMS, TableAnswer, Verdict},
 };
 use std::{
     io, mem, thread,
@@ -134,12 +134,12 @@
         while !batch.writes().is_empty() {
             tries += 1;
             let late = tries > TRIES || start.elapsed() > PATIENCE;
-            let said = self.say(&batch, late);
-            if said != Said::Unknown {
+            let answer = self.say(&batch, late);
+            if answer != TableAnswer::Unknown {
                 tries = 0;
             }
-            let unsure = said == Said::Unknown;
-            for (claim_write, verdict) in batch.apply(said) {
+            let unsure = answer == TableAnswer::Unknown;
+            for (claim_write, verdict) in batch.apply(answer) {
                 self.tell(&claim_write, verdict, calls);
             }
             if unsure {
@@ -148,27 +148,27 @@
         }
     }
 
-    fn say(&mut self, batch: &Batch, late: bool) -> Said {
+    fn say(&mut self, batch: &Batch, late: bool) -> TableAnswer {
         if self.down.is_some_and(|until| Instant::now() < until) {
-            return Said::Down;
+            return TableAnswer::Down;
         }
         if late {
             log::warn!(target: "calls", "The table gives no answer; claims are refused.");
             self.down = Some(Instant::now() + DOWN);
-            return Said::Down;
+            return TableAnswer::Down;
         }
         match self.table.transact(&transaction(batch)) {
-            Outcome::Committed(_) => Said::Committed,
+            Outcome::Committed(_) => TableAnswer::Committed,
             Outcome::Conflict(rows) => {
-                Said::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
+                TableAnswer::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
             }
             Outcome::Unknown(fault) => {
                 log::debug!(target: "calls", "Not known whether claims were written: {fault}.");
-                Said::Unknown
+                TableAnswer::Unknown
             }
             Outcome::NotSent(fault) => {
                 log::warn!(target: "calls", "Claims are refused: {fault}.");
-                Said::Down
+                TableAnswer::Down
             }
         }
     }
--- a/src/claim/batch.rs
+++ b/src/claim/batch.rs
@@ -16,7 +16,7 @@
 
 /// The table's answer to a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Said {
+pub enum TableAnswer {
     /// Everything was written.
     Committed,
     /// Nothing was written; the rows that exist, by key.
@@ -75,14 +75,14 @@
     /// removes and returns the claims that it decides.
     ///
     /// The remaining ones have to be written again. That is safe after
-    /// [`Said::Unknown`] too: if the first write takes effect, the second one
+    /// [`TableAnswer::Unknown`] too: if the first write takes effect, the second one
     /// finds the request's own claim.
-    pub fn apply(&mut self, said: Said) -> Vec<(ClaimWrite, Verdict)> {
-        match said {
-            Said::Committed => self.decide_all(&Verdict::Won),
-            Said::Down => self.decide_all(&Verdict::Down),
-            Said::Unknown => Vec::new(),
-            Said::Conflict(rows) => self.apply_conflict(rows),
+    pub fn apply(&mut self, answer: TableAnswer) -> Vec<(ClaimWrite, Verdict)> {
+        match answer {
+            TableAnswer::Committed => self.decide_all(&Verdict::Won),
+            TableAnswer::Down => self.decide_all(&Verdict::Down),
+            TableAnswer::Unknown => Vec::new(),
+            TableAnswer::Conflict(rows) => self.apply_conflict(rows),
         }
     }
 
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -7,7 +7,7 @@
 
 use hibiscusroad::{
     Incarnation, RequestId,
-    claim::{Action, Batch, Claim, ClaimWrite, Fate, Holder, Said, Verdict, row_key},
+    claim::{Action, Batch, Claim, ClaimWrite, Fate, Holder, TableAnswer, Verdict, row_key},
 };
 use proptest::{collection::vec, prelude::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -212,24 +212,24 @@
             assert_eq!(request.batch.add(claim_write), None);
         }
         let claim_write = request.batch.writes()[0].clone();
-        let response = match outcome {
-            WriteOutcome::Success if self.write(&claim_write) => Said::Committed,
+        let answer = match outcome {
+            WriteOutcome::Success if self.write(&claim_write) => TableAnswer::Committed,
             WriteOutcome::Success => {
                 let row = self.row.clone().map(|row| (claim_write.key.clone(), row));
-                Said::Conflict(row.into_iter().collect())
+                TableAnswer::Conflict(row.into_iter().collect())
             }
             WriteOutcome::AnswerLost => {
                 self.write(&claim_write);
-                Said::Unknown
+                TableAnswer::Unknown
             }
             WriteOutcome::Delayed => {
                 self.delayed_writes.push(claim_write);
-                Said::Unknown
+                TableAnswer::Unknown
             }
-            WriteOutcome::RequestLost => Said::Unknown,
-            WriteOutcome::Down => Said::Down,
+            WriteOutcome::RequestLost => TableAnswer::Unknown,
+            WriteOutcome::Down => TableAnswer::Down,
         };
-        for (claim_write, verdict) in request.batch.apply(response) {
+        for (claim_write, verdict) in request.batch.apply(answer) {
             let action = request
                 .holder
                 .written(claim_write.claim.attempt, verdict, NOW);
@@ -372,20 +372,20 @@
         assert_eq!(batch.add(claim_write(index)), None);
     }
     assert_eq!(batch.add(claim_write(1)), Some(claim_write(1)));
-    assert_eq!(batch.apply(Said::Unknown), []);
+    assert_eq!(batch.apply(TableAnswer::Unknown), []);
     let other = claim_write(9).claim.encode();
     let rows = vec![
         ("0".to_owned(), claim_write(0).claim.encode()),
         ("1".to_owned(), other),
     ];
-    let decided = batch.apply(Said::Conflict(rows));
+    let decided = batch.apply(TableAnswer::Conflict(rows));
     assert_eq!(decided[0], (claim_write(0), Verdict::Won));
     assert!(
         matches!(&decided[1].1, Verdict::Held(stored) if stored.is_for(claim_write(9).claim.attempt))
     );
     assert_eq!(batch.writes(), [claim_write(2)]);
     assert_eq!(
-        batch.apply(Said::Committed),
+        batch.apply(TableAnswer::Committed),
         [(claim_write(2), Verdict::Won)]
     );
 }
