--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -17,7 +17,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    claim::{Action, Claim, ClaimWrite, Fate, Holder, Verdict, fingerprint, row_key},
+    claim::{Action, Claim, ClaimOutcome, ClaimWrite, Fate, Holder, fingerprint, row_key},
     route::{EndpointKey, Outcome},
 };
 use hibiscusroad_wire::{Seal, to_side::Frame};
@@ -125,12 +125,12 @@
         now: Instant,
         call: RequestId,
         attempt: RequestId,
-        verdict: Verdict,
+        outcome: ClaimOutcome,
     ) {
-        self.count_claim(&verdict);
+        self.count_claim(&outcome);
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        let action = keyed.and_then(|k| k.holder.written(attempt, verdict, wall_ms()));
+        let action = keyed.and_then(|k| k.holder.written(attempt, outcome, wall_ms()));
         if let Some(action) = action {
             self.act(now, call, action);
         }
--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use hibiscusroad::{
     RequestId,
-    claim::{BATCH_DELAY, Batch, ClaimWrite, MAX_BATCH_CLAIMS, TableAnswer, Verdict},
+    claim::{BATCH_DELAY, Batch, ClaimOutcome, ClaimWrite, MAX_BATCH_CLAIMS, TableAnswer},
 };
 use std::{
     io, mem, thread,
@@ -139,8 +139,8 @@
                 tries = 0;
             }
             let unsure = answer == TableAnswer::Unknown;
-            for (claim_write, verdict) in batch.apply(answer) {
-                self.tell(&claim_write, verdict, calls);
+            for (claim_write, outcome) in batch.apply(answer) {
+                self.tell(&claim_write, outcome, calls);
             }
             if unsure {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
@@ -173,11 +173,16 @@
         }
     }
 
-    fn tell(&self, claim_write: &ClaimWrite, verdict: Verdict, calls: &[(RequestId, RequestId)]) {
+    fn tell(
+        &self,
+        claim_write: &ClaimWrite,
+        outcome: ClaimOutcome,
+        calls: &[(RequestId, RequestId)],
+    ) {
         let attempt = claim_write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
-            let event = Event::Claimed(*call, attempt, Box::new(verdict));
+            let event = Event::Claimed(*call, attempt, Box::new(outcome));
             // The tables are gone only when the process ends.
             let _ = self.events.send(event);
         }
--- a/hibiscusroad-daemon/src/entry/event.rs
+++ b/hibiscusroad-daemon/src/entry/event.rs
@@ -6,7 +6,9 @@
     platform::Host,
 };
 use flume::Sender;
-use hibiscusroad::{Class, ErrorKind, Incarnation, RequestId, claim::Verdict, config::Document};
+use hibiscusroad::{
+    Class, ErrorKind, Incarnation, RequestId, claim::ClaimOutcome, config::Document,
+};
 use hibiscusroad_wire::{Header, to_entry::Frame};
 use std::{
     sync::{
@@ -146,7 +148,7 @@
     /// The host list was fetched.
     Hosts(Vec<Host>),
     /// What became of a call's claim for an attempt.
-    Claimed(RequestId, RequestId, Box<Verdict>),
+    Claimed(RequestId, RequestId, Box<ClaimOutcome>),
     /// A configuration was read or accepted.
     Config(Box<Document>),
     /// An operator asks about a subject.
--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -4,7 +4,7 @@
     entry::{call::CallRow, event::Inbound, tables::Tables},
     metrics::{self, Tag},
 };
-use hibiscusroad::{Class, ErrorKind, claim::Verdict};
+use hibiscusroad::{Class, ErrorKind, claim::ClaimOutcome};
 use std::{collections::BTreeSet, time::Instant};
 
 impl Tables {
@@ -50,14 +50,14 @@
     }
 
     /// Counts what became of a claim.
-    pub(super) fn count_claim(&self, verdict: &Verdict) {
-        let verdict = match verdict {
-            Verdict::Won => "won",
-            Verdict::Held(_) => "held",
-            Verdict::Free => "free",
-            Verdict::Down => "down",
+    pub(super) fn count_claim(&self, outcome: &ClaimOutcome) {
+        let outcome = match outcome {
+            ClaimOutcome::Won => "won",
+            ClaimOutcome::Held(_) => "held",
+            ClaimOutcome::Free => "free",
+            ClaimOutcome::Down => "down",
         };
-        self.metrics.count(metrics::CLAIMS, &[("verdict", verdict)]);
+        self.metrics.count(metrics::CLAIMS, &[("verdict", outcome)]);
     }
 
     /// Reports the gauges, once a second.
--- a/src/claim/batch.rs
+++ b/src/claim/batch.rs
@@ -29,7 +29,7 @@
 
 /// The outcome of one claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// The row is the request's own claim.
     Won,
     /// The row is another request's claim.
@@ -77,30 +77,33 @@
     /// The remaining ones have to be written again. That is safe after
     /// [`TableAnswer::Unknown`] too: if the first write takes effect, the second one
     /// finds the request's own claim.
-    pub fn apply(&mut self, answer: TableAnswer) -> Vec<(ClaimWrite, Verdict)> {
+    pub fn apply(&mut self, answer: TableAnswer) -> Vec<(ClaimWrite, ClaimOutcome)> {
         match answer {
-            TableAnswer::Committed => self.decide_all(&Verdict::Won),
-            TableAnswer::Down => self.decide_all(&Verdict::Down),
+            TableAnswer::Committed => self.decide_all(&ClaimOutcome::Won),
+            TableAnswer::Down => self.decide_all(&ClaimOutcome::Down),
             TableAnswer::Unknown => Vec::new(),
             TableAnswer::Conflict(rows) => self.apply_conflict(rows),
         }
     }
 
-    fn decide_all(&mut self, verdict: &Verdict) -> Vec<(ClaimWrite, Verdict)> {
+    fn decide_all(&mut self, outcome: &ClaimOutcome) -> Vec<(ClaimWrite, ClaimOutcome)> {
         let writes = mem::take(&mut self.writes);
         writes
             .into_iter()
-            .map(|write| (write, verdict.clone()))
+            .map(|write| (write, outcome.clone()))
             .collect()
     }
 
-    fn apply_conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(ClaimWrite, Verdict)> {
+    fn apply_conflict(
+        &mut self,
+        mut rows: Vec<(String, Vec<u8>)>,
+    ) -> Vec<(ClaimWrite, ClaimOutcome)> {
         let mut decided = Vec::new();
         for write in mem::take(&mut self.writes) {
             let position = rows.iter().position(|(key, _)| *key == write.key);
             let row = position.map(|i| rows.swap_remove(i).1);
             match decide(&write, row) {
-                Some(verdict) => decided.push((write, verdict)),
+                Some(outcome) => decided.push((write, outcome)),
                 None => self.writes.push(write),
             }
         }
@@ -109,16 +112,16 @@
 }
 
 /// Decides one claim by the row that exists; none if it can still be written.
-fn decide(write: &ClaimWrite, row: Option<Vec<u8>>) -> Option<Verdict> {
+fn decide(write: &ClaimWrite, row: Option<Vec<u8>>) -> Option<ClaimOutcome> {
     if row == write.expected {
         return None;
     }
     let Some(bytes) = row else {
-        return Some(Verdict::Free);
+        return Some(ClaimOutcome::Free);
     };
     let stored = StoredClaim::new(bytes);
     if stored.is_for(write.claim.attempt) {
-        return Some(Verdict::Won);
+        return Some(ClaimOutcome::Won);
     }
-    Some(Verdict::Held(stored))
+    Some(ClaimOutcome::Held(stored))
 }
--- a/src/claim/holder.rs
+++ b/src/claim/holder.rs
@@ -1,7 +1,7 @@
 //! The state machine of one request with an idempotency key.
 
 use crate::{
-    claim::{Claim, StoredClaim, Verdict},
+    claim::{Claim, ClaimOutcome, StoredClaim},
     error::ErrorKind,
     id::RequestId,
 };
@@ -101,7 +101,12 @@
     /// since 1970.
     ///
     /// Returns none if the claim was discarded or replaced by another one.
-    pub fn written(&mut self, attempt: RequestId, verdict: Verdict, now: u64) -> Option<Action> {
+    pub fn written(
+        &mut self,
+        attempt: RequestId,
+        outcome: ClaimOutcome,
+        now: u64,
+    ) -> Option<Action> {
         let Phase::Writing(own) = &self.phase else {
             return None;
         };
@@ -109,20 +114,20 @@
             return None;
         }
         let own = own.clone();
-        Some(match verdict {
-            Verdict::Won => {
+        Some(match outcome {
+            ClaimOutcome::Won => {
                 self.phase = Phase::Running(own.clone());
                 Action::Run(own)
             }
-            Verdict::Free => {
+            ClaimOutcome::Free => {
                 self.replaceable = None;
                 Action::Write(own, None)
             }
-            Verdict::Down => {
+            ClaimOutcome::Down => {
                 self.phase = Phase::Idle;
                 Action::Refuse(ErrorKind::StoreDown)
             }
-            Verdict::Held(stored) => self.resolve_conflict(own, stored, now),
+            ClaimOutcome::Held(stored) => self.resolve_conflict(own, stored, now),
         })
     }
 
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -34,7 +34,7 @@
 mod row;
 
 pub use self::{
-    batch::{Batch, ClaimWrite, TableAnswer, Verdict},
+    batch::{Batch, ClaimOutcome, ClaimWrite, TableAnswer},
     holder::{Action, Fate, Holder},
     row::{Claim, StoredClaim, fingerprint, row_key},
 };
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -7,7 +7,7 @@
 
 use hibiscusroad::{
     Incarnation, RequestId,
-    claim::{Action, Batch, Claim, ClaimWrite, Fate, Holder, TableAnswer, Verdict, row_key},
+    claim::{Action, Batch, Claim, ClaimOutcome, ClaimWrite, Fate, Holder, TableAnswer, row_key},
 };
 use proptest::{collection::vec, prelude::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -229,10 +229,10 @@
             WriteOutcome::RequestLost => TableAnswer::Unknown,
             WriteOutcome::Down => TableAnswer::Down,
         };
-        for (claim_write, verdict) in request.batch.apply(answer) {
+        for (claim_write, claim_outcome) in request.batch.apply(answer) {
             let action = request
                 .holder
-                .written(claim_write.claim.attempt, verdict, NOW);
+                .written(claim_write.claim.attempt, claim_outcome, NOW);
             request.next_action = action.expect("the claim was being written");
         }
     }
@@ -379,13 +379,13 @@
         ("1".to_owned(), other),
     ];
     let decided = batch.apply(TableAnswer::Conflict(rows));
-    assert_eq!(decided[0], (claim_write(0), Verdict::Won));
+    assert_eq!(decided[0], (claim_write(0), ClaimOutcome::Won));
     assert!(
-        matches!(&decided[1].1, Verdict::Held(stored) if stored.is_for(claim_write(9).claim.attempt))
+        matches!(&decided[1].1, ClaimOutcome::Held(stored) if stored.is_for(claim_write(9).claim.attempt))
     );
     assert_eq!(batch.writes(), [claim_write(2)]);
     assert_eq!(
         batch.apply(TableAnswer::Committed),
-        [(claim_write(2), Verdict::Won)]
+        [(claim_write(2), ClaimOutcome::Won)]
     );
 }
