--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -17,7 +17,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    claim::{Action, Claim, ClaimOutcome, ClaimWrite, Fate, Holder, fingerprint, row_key},
+    claim::{Action, Claim, ClaimOutcome, ClaimWrite, Holder, ReportedState, fingerprint, row_key},
     route::{EndpointKey, Outcome},
 };
 use hibiscusroad_wire::{Seal, to_side::Frame};
@@ -137,10 +137,10 @@
     }
 
     /// Takes in what the side says of the attempt that a call asked for.
-    pub(super) fn fate(&mut self, now: Instant, call: RequestId, fate: Fate) {
+    pub(super) fn fate(&mut self, now: Instant, call: RequestId, state: ReportedState) {
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        if let Some(action) = keyed.and_then(|keyed| keyed.holder.fate(fate)) {
+        if let Some(action) = keyed.and_then(|keyed| keyed.holder.fate(state)) {
             self.act(now, call, action);
         }
     }
@@ -216,11 +216,11 @@
             .side(&service, &claim.side)
             .or_else(|| self.add_guest(now, &service, claim));
         let Some(key) = key else {
-            return self.fate(now, call, Fate::Gone);
+            return self.fate(now, call, ReportedState::SidecarGone);
         };
         let side = &self.sides[key];
         if side.link.is_some() && side.incarnation != claim.incarnation {
-            return self.fate(now, call, Fate::Gone);
+            return self.fate(now, call, ReportedState::SidecarGone);
         }
         let linked = side.link.is_some();
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
@@ -255,7 +255,7 @@
     pub(super) fn end_guest(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {}
-            Outcome::NotRun(_) => self.fate(now, attempt.call, Fate::Sealed),
+            Outcome::NotRun(_) => self.fate(now, attempt.call, ReportedState::Sealed),
             Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, come_back()),
         }
     }
--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -11,7 +11,7 @@
     tables::Tables,
     trace::Decision,
 };
-use hibiscusroad::{ErrorKind, Repeat, RequestId, claim::Fate, route::Outcome};
+use hibiscusroad::{ErrorKind, Repeat, RequestId, claim::ReportedState, route::Outcome};
 use hibiscusroad_wire::{Ack, Chunk, End, Refused, Standing, State, to_side::Frame};
 use std::{mem, sync::atomic::Ordering, time::Instant};
 
@@ -218,7 +218,7 @@
                     attempt.phase = Phase::Sent;
                     let call = attempt.call;
                     self.attach(now, id);
-                    self.fate(now, call, Fate::Kept);
+                    self.fate(now, call, ReportedState::Readable);
                 }
             }
             State::Lost | State::Unspecified => self.lose(now, id),
--- a/src/claim/holder.rs
+++ b/src/claim/holder.rs
@@ -8,15 +8,15 @@
 
 /// What is known of an attempt that another request's claim names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum ReportedState {
     /// It never started, and never will.
     Sealed,
     /// It is running, or its complete answer is retained.
-    Kept,
+    Readable,
     /// It started, and there is no complete answer.
     Lost,
     /// The incarnation of the sidecar that knew it has ended.
-    Gone,
+    SidecarGone,
 }
 
 /// The next action of the entry.
@@ -152,22 +152,22 @@
 
     /// Handles the state of the attempt that the sidecar was asked for; returns
     /// none if it was not asked.
-    pub fn fate(&mut self, fate: Fate) -> Option<Action> {
+    pub fn fate(&mut self, state: ReportedState) -> Option<Action> {
         let Phase::Asking(stored, claim) = &self.phase else {
             return None;
         };
         let (bytes, claim) = (stored.bytes.clone(), claim.clone());
-        Some(match fate {
-            Fate::Sealed => {
+        Some(match state {
+            ReportedState::Sealed => {
                 self.replaceable = Some(bytes);
                 self.phase = Phase::Idle;
                 Action::Place
             }
-            Fate::Kept => {
+            ReportedState::Readable => {
                 self.phase = Phase::Following;
                 Action::Follow(claim)
             }
-            Fate::Lost | Fate::Gone => {
+            ReportedState::Lost | ReportedState::SidecarGone => {
                 self.phase = Phase::Idle;
                 Action::Refuse(ErrorKind::OutcomeUnknown)
             }
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -35,7 +35,7 @@
 
 pub use self::{
     batch::{Batch, ClaimOutcome, ClaimWrite, TableAnswer},
-    holder::{Action, Fate, Holder},
+    holder::{Action, Holder, ReportedState},
     row::{Claim, StoredClaim, fingerprint, row_key},
 };
 
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -7,7 +7,9 @@
 
 use hibiscusroad::{
     Incarnation, RequestId,
-    claim::{Action, Batch, Claim, ClaimOutcome, ClaimWrite, Fate, Holder, TableAnswer, row_key},
+    claim::{
+        Action, Batch, Claim, ClaimOutcome, ClaimWrite, Holder, ReportedState, TableAnswer, row_key,
+    },
 };
 use proptest::{collection::vec, prelude::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -270,19 +272,19 @@
 
     fn ask(&mut self, request: &mut Request, claim: &Claim) {
         let side = &mut self.sides[side(claim)];
-        let fate = if side.incarnation == claim.incarnation {
+        let reported = if side.incarnation == claim.incarnation {
             let state = side
                 .attempts
                 .entry(claim.attempt)
                 .or_insert(AttemptState::Sealed);
             match state {
-                AttemptState::Sealed => Fate::Sealed,
-                AttemptState::Running | AttemptState::Done => Fate::Kept,
+                AttemptState::Sealed => ReportedState::Sealed,
+                AttemptState::Running | AttemptState::Done => ReportedState::Readable,
             }
         } else {
-            Fate::Gone
+            ReportedState::SidecarGone
         };
-        let action = request.holder.fate(fate);
+        let action = request.holder.fate(reported);
         request.next_action = action.expect("the attempt was asked for");
     }
 
