--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -59,7 +59,7 @@
     /// Says whether it waits for the attempt of another request of its key.
     pub(super) fn is_guest(&self) -> bool {
         let keyed = self.keyed.as_ref();
-        keyed.is_some_and(|keyed| keyed.holder.is_guest())
+        keyed.is_some_and(|keyed| keyed.request.follows_other())
     }
 }
 
--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -1,6 +1,6 @@
 //! Calls that carry an idempotency key, on their way to a single run.
 //!
-//! What has to happen is decided by [`Holder`]; this carries it out. Calls of
+//! What has to happen is decided by [`KeyedRequest`]; this carries it out. Calls of
 //! one key at this entry take turns: a side has one viewer of an attempt an
 //! entry, and a repeat that waits for the first needs no write at all. When its
 //! turn comes it finds the first one's row and gets its answer from the side.
@@ -17,7 +17,9 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    claim::{Action, Claim, ClaimOutcome, ClaimWrite, Holder, ReportedState, fingerprint, row_key},
+    claim::{
+        Action, Claim, ClaimOutcome, ClaimWrite, KeyedRequest, ReportedState, fingerprint, row_key,
+    },
     route::{EndpointKey, Outcome},
 };
 use hibiscusroad_wire::{Seal, to_side::Frame};
@@ -28,7 +30,7 @@
 pub(super) struct Keyed {
     /// The key of its row.
     pub(super) row: String,
-    pub(super) holder: Holder,
+    pub(super) request: KeyedRequest,
     /// The endpoint that the router chose.
     slot: Option<(EndpointKey, SideKey)>,
 }
@@ -40,7 +42,7 @@
         let print = fingerprint(&request.method, &request.path, &request.body);
         Some(Self {
             row: row_key(&request.service, key),
-            holder: Holder::new(print),
+            request: KeyedRequest::new(print),
             slot: None,
         })
     }
@@ -72,7 +74,7 @@
         if line.is_empty() {
             self.keys.remove(&keyed.row);
         }
-        if let Some(bytes) = keyed.holder.stale() {
+        if let Some(bytes) = keyed.request.into_stale_row() {
             // Best done, not needed: see the writer.
             let _ = self.writes.try_send(Write::Release(keyed.row, bytes));
         }
@@ -106,7 +108,7 @@
             return;
         };
         keyed.slot = Some((endpoint, key));
-        let action = keyed.holder.place(claim);
+        let action = keyed.request.start_claim(claim);
         self.act(now, call, action);
     }
 
@@ -115,7 +117,7 @@
         let row = self.calls.get_mut(&call);
         if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
             keyed.slot = None;
-            keyed.holder.displace();
+            keyed.request.discard_claim();
         }
     }
 
@@ -130,7 +132,7 @@
         self.count_claim(&outcome);
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        let action = keyed.and_then(|k| k.holder.written(attempt, outcome, wall_ms()));
+        let action = keyed.and_then(|k| k.request.apply_outcome(attempt, outcome, wall_ms()));
         if let Some(action) = action {
             self.act(now, call, action);
         }
@@ -140,7 +142,7 @@
     pub(super) fn fate(&mut self, now: Instant, call: RequestId, state: ReportedState) {
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        if let Some(action) = keyed.and_then(|keyed| keyed.holder.fate(state)) {
+        if let Some(action) = keyed.and_then(|keyed| keyed.request.apply_state(state)) {
             self.act(now, call, action);
         }
     }
@@ -264,7 +266,7 @@
 /// Notes that a call's own attempt surely never runs.
 pub(super) fn keyed_not_run(row: Option<&mut CallRow>) {
     if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
-        keyed.holder.not_run();
+        keyed.request.mark_not_run();
     }
 }
 
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -10,7 +10,7 @@
 //! # Design
 //!
 //! Two state machines without I/O: a [`Batch`] writes many claims in one
-//! transaction and determines the outcome of each, and a [`Holder`] takes one
+//! transaction and determines the outcome of each, and a [`KeyedRequest`] takes one
 //! request from a chosen endpoint to its own attempt or to another's.
 //!
 //! A write whose answer was lost is repeated. If it had taken effect, the row
@@ -30,12 +30,12 @@
 //!   nothing had been sent to it.
 
 mod batch;
-mod holder;
+mod request;
 mod row;
 
 pub use self::{
     batch::{Batch, ClaimOutcome, ClaimWrite, TableAnswer},
-    holder::{Action, Holder, ReportedState},
+    request::{Action, KeyedRequest, ReportedState},
     row::{Claim, StoredClaim, fingerprint, row_key},
 };
 
--- a/src/claim/holder.rs
+++ b/src/claim/request.rs
@@ -55,14 +55,14 @@
 
 /// One request with an idempotency key, at one entry.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct KeyedRequest {
     fingerprint: u64,
     phase: Phase,
     /// The row that may be replaced, because its attempt never runs.
     replaceable: Option<Vec<u8>>,
 }
 
-impl Holder {
+impl KeyedRequest {
     /// Creates the state of a request with this fingerprint.
     #[must_use]
     pub const fn new(fingerprint: u64) -> Self {
@@ -76,7 +76,7 @@
     /// Returns the content of a row that may be removed: its attempt never runs,
     /// and this request does not replace it.
     #[must_use]
-    pub fn stale(self) -> Option<Vec<u8>> {
+    pub fn into_stale_row(self) -> Option<Vec<u8>> {
         match self.phase {
             Phase::Idle => self.replaceable,
             _ => None,
@@ -84,14 +84,14 @@
     }
 
     /// Starts the claim of a new attempt for which an endpoint was selected.
-    pub fn place(&mut self, claim: Claim) -> Action {
+    pub fn start_claim(&mut self, claim: Claim) -> Action {
         self.phase = Phase::Writing(claim.clone());
         Action::Write(claim, self.replaceable.clone())
     }
 
     /// Discards the claim that is being written, because its endpoint is no
     /// longer available.
-    pub fn displace(&mut self) {
+    pub fn discard_claim(&mut self) {
         if let Phase::Writing(_) = self.phase {
             self.phase = Phase::Idle;
         }
@@ -101,7 +101,7 @@
     /// since 1970.
     ///
     /// Returns none if the claim was discarded or replaced by another one.
-    pub fn written(
+    pub fn apply_outcome(
         &mut self,
         attempt: RequestId,
         outcome: ClaimOutcome,
@@ -152,7 +152,7 @@
 
     /// Handles the state of the attempt that the sidecar was asked for; returns
     /// none if it was not asked.
-    pub fn fate(&mut self, state: ReportedState) -> Option<Action> {
+    pub fn apply_state(&mut self, state: ReportedState) -> Option<Action> {
         let Phase::Asking(stored, claim) = &self.phase else {
             return None;
         };
@@ -176,7 +176,7 @@
 
     /// Handles that the request's own attempt never runs, so that its row may be
     /// replaced.
-    pub fn not_run(&mut self) {
+    pub fn mark_not_run(&mut self) {
         if let Phase::Running(own) = &self.phase {
             self.replaceable = Some(own.encode());
             self.phase = Phase::Idle;
@@ -185,7 +185,7 @@
 
     /// Returns whether another's attempt is being asked for or followed.
     #[must_use]
-    pub const fn is_guest(&self) -> bool {
+    pub const fn follows_other(&self) -> bool {
         matches!(self.phase, Phase::Asking(..) | Phase::Following)
     }
 }
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -8,7 +8,8 @@
 use hibiscusroad::{
     Incarnation, RequestId,
     claim::{
-        Action, Batch, Claim, ClaimOutcome, ClaimWrite, Holder, ReportedState, TableAnswer, row_key,
+        Action, Batch, Claim, ClaimOutcome, ClaimWrite, KeyedRequest, ReportedState, TableAnswer,
+        row_key,
     },
 };
 use proptest::{collection::vec, prelude::*};
@@ -87,7 +88,7 @@
 }
 
 struct Request {
-    holder: Holder,
+    keyed: KeyedRequest,
     next_action: Action,
     batch: Batch,
     /// Its own attempts, as opposed to those of other requests.
@@ -151,7 +152,7 @@
 
     fn arrive(&mut self, entry: usize) {
         let request = Request {
-            holder: Holder::new(FINGERPRINT),
+            keyed: KeyedRequest::new(FINGERPRINT),
             next_action: Action::Place,
             batch: Batch::new(),
             attempts: BTreeSet::new(),
@@ -186,7 +187,7 @@
         };
         let side = usize::try_from(self.seq).unwrap_or_default() % SIDES;
         request.attempts.insert(attempt);
-        request.next_action = request.holder.place(Claim {
+        request.next_action = request.keyed.start_claim(Claim {
             attempt,
             side: side.to_string(),
             incarnation: self.sides[side].incarnation,
@@ -233,8 +234,8 @@
         };
         for (claim_write, claim_outcome) in request.batch.apply(answer) {
             let action = request
-                .holder
-                .written(claim_write.claim.attempt, claim_outcome, NOW);
+                .keyed
+                .apply_outcome(claim_write.claim.attempt, claim_outcome, NOW);
             request.next_action = action.expect("the claim was being written");
         }
     }
@@ -262,7 +263,7 @@
         match side.attempts.get(&sent.attempt) {
             Some(AttemptState::Sealed) => {
                 request.sent_claim = None;
-                request.holder.not_run();
+                request.keyed.mark_not_run();
                 request.next_action = Action::Place;
             }
             Some(AttemptState::Done) => request.reported_not_run = Some(false),
@@ -284,7 +285,7 @@
         } else {
             ReportedState::SidecarGone
         };
-        let action = request.holder.fate(reported);
+        let action = request.keyed.apply_state(reported);
         request.next_action = action.expect("the attempt was asked for");
     }
 
