--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -151,10 +151,10 @@
         match action {
             Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
-            Action::Ask(claim) => self.ask(now, call, &claim),
+            Action::QuerySidecar(claim) => self.ask(now, call, &claim),
             // The frame that said so asks for the answer.
             Action::Follow(_) => {}
-            Action::Place => self.admit(now, call),
+            Action::SelectEndpoint => self.admit(now, call),
             Action::Refuse(kind) => self.refuse(now, call, kind, come_back()),
         }
     }
--- a/src/claim/request.rs
+++ b/src/claim/request.rs
@@ -29,11 +29,11 @@
     Run(Claim),
     /// Ask the sidecar that another's claim names to seal its attempt, or to
     /// report its state.
-    Ask(Claim),
+    QuerySidecar(Claim),
     /// Forward the answer to the attempt that another's claim names.
     Follow(Claim),
-    /// Choose an endpoint for a new attempt.
-    Place,
+    /// Select an endpoint for a new attempt.
+    SelectEndpoint,
     /// Answer the caller with this error.
     Refuse(ErrorKind),
 }
@@ -48,7 +48,7 @@
     /// Its attempt was sent.
     Running(Claim),
     /// The sidecar is being asked for the state of another's attempt.
-    Asking(StoredClaim, Claim),
+    Querying(StoredClaim, Claim),
     /// The answer to another's attempt is being forwarded.
     Following,
 }
@@ -146,14 +146,14 @@
             self.phase = Phase::Idle;
             return Action::Refuse(ErrorKind::KeyReused);
         }
-        self.phase = Phase::Asking(stored, claim.clone());
-        Action::Ask(claim)
+        self.phase = Phase::Querying(stored, claim.clone());
+        Action::QuerySidecar(claim)
     }
 
     /// Handles the state of the attempt that the sidecar was asked for; returns
     /// none if it was not asked.
     pub fn apply_state(&mut self, state: ReportedState) -> Option<Action> {
-        let Phase::Asking(stored, claim) = &self.phase else {
+        let Phase::Querying(stored, claim) = &self.phase else {
             return None;
         };
         let (bytes, claim) = (stored.bytes.clone(), claim.clone());
@@ -161,7 +161,7 @@
             ReportedState::Sealed => {
                 self.replaceable = Some(bytes);
                 self.phase = Phase::Idle;
-                Action::Place
+                Action::SelectEndpoint
             }
             ReportedState::Readable => {
                 self.phase = Phase::Following;
@@ -186,6 +186,6 @@
     /// Returns whether another's attempt is being asked for or followed.
     #[must_use]
     pub const fn follows_other(&self) -> bool {
-        matches!(self.phase, Phase::Asking(..) | Phase::Following)
+        matches!(self.phase, Phase::Querying(..) | Phase::Following)
     }
 }
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -153,7 +153,7 @@
     fn arrive(&mut self, entry: usize) {
         let request = Request {
             keyed: KeyedRequest::new(FINGERPRINT),
-            next_action: Action::Place,
+            next_action: Action::SelectEndpoint,
             batch: Batch::new(),
             attempts: BTreeSet::new(),
             sent_claim: None,
@@ -165,10 +165,10 @@
     fn step(&mut self, i: usize, outcome: WriteOutcome) {
         let (entry, mut request) = self.requests.swap_remove(i);
         match request.next_action.clone() {
-            Action::Place => self.place(entry, &mut request),
+            Action::SelectEndpoint => self.place(entry, &mut request),
             Action::Write(claim, expected) => self.claim(&mut request, &claim, expected, outcome),
             Action::Run(claim) => self.run(&mut request, claim),
-            Action::Ask(claim) => self.ask(&mut request, &claim),
+            Action::QuerySidecar(claim) => self.ask(&mut request, &claim),
             Action::Follow(_) => request.reported_not_run = Some(false),
             Action::Refuse(kind) => request.reported_not_run = Some(kind.answer().not_run),
         }
@@ -264,7 +264,7 @@
             Some(AttemptState::Sealed) => {
                 request.sent_claim = None;
                 request.keyed.mark_not_run();
-                request.next_action = Action::Place;
+                request.next_action = Action::SelectEndpoint;
             }
             Some(AttemptState::Done) => request.reported_not_run = Some(false),
             Some(AttemptState::Running) | None => {}
