--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -98,11 +98,11 @@
         let request = &row.request;
         let claim = Claim {
             attempt,
-            side: side.name.clone(),
+            endpoint: side.name.clone(),
             incarnation: side.incarnation,
             address: side.address,
-            body: fingerprint(&request.method, &request.path, &request.body),
-            created: wall_ms(),
+            fingerprint: fingerprint(&request.method, &request.path, &request.body),
+            created_ms: wall_ms(),
         };
         let Some(keyed) = &mut row.keyed else {
             return;
@@ -215,7 +215,7 @@
         };
         let service = row.request.service.clone();
         let key = self
-            .side(&service, &claim.side)
+            .side(&service, &claim.endpoint)
             .or_else(|| self.add_guest(now, &service, claim));
         let Some(key) = key else {
             return self.fate(now, call, ReportedState::SidecarGone);
@@ -243,12 +243,12 @@
             place: String::new(),
             role: "side".to_owned(),
             service: service.to_owned(),
-            endpoint: claim.side.clone(),
+            endpoint: claim.endpoint.clone(),
             address: claim.address,
             state: State::Leaving,
         };
         self.add_side(now, &host);
-        let key = self.side(service, &claim.side)?;
+        let key = self.side(service, &claim.endpoint)?;
         self.sides[key].listing = Listing::Guest;
         Some(key)
     }
--- a/src/claim/request.rs
+++ b/src/claim/request.rs
@@ -142,7 +142,7 @@
             self.replaceable = Some(stored.bytes.clone());
             return Action::Write(own, Some(stored.bytes));
         }
-        if claim.body != self.fingerprint {
+        if claim.fingerprint != self.fingerprint {
             self.phase = Phase::Idle;
             return Action::Refuse(ErrorKind::KeyReused);
         }
--- a/src/claim/row.rs
+++ b/src/claim/row.rs
@@ -11,15 +11,18 @@
     /// The attempt. Its id is unique, so it also identifies the row's writer.
     pub attempt: RequestId,
     /// The name of the endpoint that it goes to.
-    pub side: String,
+    #[serde(rename = "side")]
+    pub endpoint: String,
     /// The incarnation of the sidecar beside that endpoint.
     pub incarnation: u64,
     /// The address where that sidecar accepts links.
     pub address: SocketAddr,
     /// The [`fingerprint`] of the request.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub fingerprint: u64,
     /// When it was claimed, in milliseconds since 1970.
-    pub created: u64,
+    #[serde(rename = "created")]
+    pub created_ms: u64,
 }
 
 impl Claim {
@@ -37,7 +40,7 @@
     /// milliseconds since 1970.
     #[must_use]
     pub fn is_expired(&self, now: u64) -> bool {
-        let age = Duration::from_millis(now.saturating_sub(self.created));
+        let age = Duration::from_millis(now.saturating_sub(self.created_ms));
         age > CLAIM_TTL
     }
 }
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -189,11 +189,11 @@
         request.attempts.insert(attempt);
         request.next_action = request.keyed.start_claim(Claim {
             attempt,
-            side: side.to_string(),
+            endpoint: side.to_string(),
             incarnation: self.sides[side].incarnation,
             address: "127.0.0.1:1".parse().expect("an address"),
-            body: FINGERPRINT,
-            created: NOW,
+            fingerprint: FINGERPRINT,
+            created_ms: NOW,
         });
     }
 
@@ -300,7 +300,7 @@
 }
 
 fn side(claim: &Claim) -> usize {
-    claim.side.parse().expect("a number")
+    claim.endpoint.parse().expect("a number")
 }
 
 proptest! {
@@ -362,11 +362,11 @@
                 origin: Incarnation(1),
                 seq: index,
             },
-            side: "0".to_owned(),
+            endpoint: "0".to_owned(),
             incarnation: 1,
             address: "127.0.0.1:1".parse().expect("an address"),
-            body: FINGERPRINT,
-            created: NOW,
+            fingerprint: FINGERPRINT,
+            created_ms: NOW,
         },
         expected: None,
     };
