--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -14,7 +14,7 @@
 use super::{batches::Batches, boot::BootClock, store::Store};
 use crate::logs::DUTY as PART;
 use hibiscusroad::{
-    lease::{Holding, Lease, Next, Row as LeaseRow, Terms},
+    lease::{Holding, Lease, LeaseRow, Next, Terms},
     table::{Change, Commit, Row, RowId},
 };
 use std::{
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -1,7 +1,7 @@
 //! The rows of leased duties.
 
 use crate::platform::{Fault, Table};
-use hibiscusroad::lease::Row;
+use hibiscusroad::lease::LeaseRow;
 
 const PREFIX: &str = "lease/";
 
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns a [`Fault`] if the table gave no usable answer.
-pub fn all(table: &Table) -> Result<Vec<(String, Row)>, Fault> {
+pub fn all(table: &Table) -> Result<Vec<(String, LeaseRow)>, Fault> {
     let found = table.list(PREFIX, 0)?;
     let rows = found.iter().map(|found| {
         let duty = found.key.strip_prefix(PREFIX).unwrap_or(&found.key);
@@ -40,6 +40,6 @@
     Ok(parse(&found.value)?.fence)
 }
 
-fn parse(value: &[u8]) -> Result<Row, Fault> {
+fn parse(value: &[u8]) -> Result<LeaseRow, Fault> {
     serde_json::from_slice(value).map_err(|e| Fault::Odd(e.to_string()))
 }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -6,7 +6,7 @@
 
 /// The table's row of a duty.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Row {
+pub struct LeaseRow {
     /// The name of the holding process, with its incarnation; empty if free.
     pub holder: String,
     /// The fencing token, which increases with each change of holder.
@@ -26,7 +26,7 @@
     pub fence: u64,
 }
 
-impl Row {
+impl LeaseRow {
     /// Returns the holding that the row records.
     #[must_use]
     pub fn holding(&self) -> Holding {
@@ -49,7 +49,7 @@
         /// The version that the row must have.
         version: u64,
         /// The row to write.
-        row: Row,
+        row: LeaseRow,
     },
     /// Do nothing until then.
     Sleep(Instant),
@@ -62,7 +62,7 @@
     /// The row names a holder, and was first seen with this version at `since`.
     Watching {
         version: u64,
-        row: Row,
+        row: LeaseRow,
         since: Instant,
     },
     /// The row is absent or was released.
@@ -70,7 +70,7 @@
     /// This process holds the duty, from before the last renewal was sent.
     Held {
         version: u64,
-        row: Row,
+        row: LeaseRow,
         since: Instant,
     },
 }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 struct PendingWrite {
     version: u64,
-    row: Row,
+    row: LeaseRow,
     first_sent: Instant,
 }
 
@@ -225,7 +225,7 @@
     }
 
     /// Handles the result of a read that ended at `now`: version and row.
-    pub fn seen(&mut self, now: Instant, found: Option<(u64, Row)>) {
+    pub fn seen(&mut self, now: Instant, found: Option<(u64, LeaseRow)>) {
         self.last_read = Some(now);
         let Some((version, row)) = found else {
             self.state = State::Free {
@@ -289,7 +289,7 @@
         self.state = State::Unknown;
     }
 
-    fn record_write(&mut self, now: Instant, version: u64, row: &Row) {
+    fn record_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
         let is_repeated = self
             .pending
             .as_ref()
@@ -329,16 +329,16 @@
         age < self.terms.renewal_interval
     }
 
-    fn acquiring_row(&self, fence: u64) -> Row {
-        Row {
+    fn acquiring_row(&self, fence: u64) -> LeaseRow {
+        LeaseRow {
             holder: self.name.clone(),
             fence,
             renewals: 0,
         }
     }
 
-    fn renewed_row(&self, row: &Row) -> Row {
-        Row {
+    fn renewed_row(&self, row: &LeaseRow) -> LeaseRow {
+        LeaseRow {
             holder: if self.releasing {
                 String::new()
             } else {
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -18,7 +18,7 @@
 //! # Example
 //!
 //! ```
-//! use hibiscusroad::lease::{Lease, Next, Row, Terms};
+//! use hibiscusroad::lease::{Lease, LeaseRow, Next, Terms};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
@@ -35,6 +35,6 @@
 mod terms;
 
 pub use self::{
-    holder::{Holding, Lease, Next, Row},
+    holder::{Holding, Lease, LeaseRow, Next},
     terms::Terms,
 };
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -4,7 +4,7 @@
 //! time; its messages are delayed or get no answer, and it may be paused for up
 //! to 20 s without noticing.
 
-use hibiscusroad::lease::{Lease, Next, Row, Terms};
+use hibiscusroad::lease::{Lease, LeaseRow, Next, Terms};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -13,11 +13,11 @@
 
 #[derive(Default)]
 struct Table {
-    row: Option<(u64, Row)>,
+    row: Option<(u64, LeaseRow)>,
 }
 
 impl Table {
-    fn write(&mut self, version: u64, row: Row) -> Option<u64> {
+    fn write(&mut self, version: u64, row: LeaseRow) -> Option<u64> {
         let current = self.row.as_ref().map_or(0, |(version, _)| *version);
         if current != version {
             return None;
@@ -32,11 +32,11 @@
 struct Message {
     arrives_at: u32,
     answered_at: Option<u32>,
-    write: Option<(u64, Row)>,
+    write: Option<(u64, LeaseRow)>,
 }
 
 enum Answer {
-    Read(Option<(u64, Row)>),
+    Read(Option<(u64, LeaseRow)>),
     Written(Option<u64>),
 }
 
@@ -262,7 +262,7 @@
 fn repeated_takeover_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let dead = Row {
+    let dead = LeaseRow {
         holder: "entry-9".to_owned(),
         fence: 4,
         renewals: 7,
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,7 +1,7 @@
 //! Holders of the weights' duty that follow each other, and who is left alone.
 
 use hibiscusroad::{
-    lease::{Holding, Lease, Next, Row, Terms},
+    lease::{Holding, Lease, LeaseRow, Next, Terms},
     rollout::turns::{Turns, VALID},
 };
 use proptest::prelude::*;
@@ -30,7 +30,7 @@
 #[test]
 fn suspected_holder_is_followed_at_once() {
     let now = Instant::now();
-    let row = Row {
+    let row = LeaseRow {
         holder: "gateway-1/aa".to_owned(),
         fence: 4,
         renewals: 9,
