--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/ask.rs
@@ -149,7 +149,7 @@
             let mut row = Row::new();
             row.insert("duty".to_owned(), json!(duty));
             row.insert("holder".to_owned(), json!(lease.holder));
-            row.insert("fence".to_owned(), json!(lease.fence));
+            row.insert("fence".to_owned(), json!(lease.fencing_token));
             row.insert("renewals".to_owned(), json!(lease.renewals));
             from_table(row)
         });
--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -99,7 +99,7 @@
 
     /// Returns the fencing number while this process holds the lease.
     pub(super) fn fence(&self) -> Option<u64> {
-        self.lease.borrow().fence(self.clock.now())
+        self.lease.borrow().fencing_token(self.clock.now())
     }
 
     /// Waits until this process has taken or renewed the lease.
@@ -209,7 +209,7 @@
         self.read().await;
         let same = self.lease.borrow().other().as_ref() == Some(&holding);
         if same {
-            log::info!(target: PART, holder = holding.holder.as_str(), fence = holding.fence,
+            log::info!(target: PART, holder = holding.holder.as_str(), fence = holding.fencing_token,
                 why:? = why; "The holder of the duties is taken to be gone.");
             self.lease.borrow_mut().suspect(holding);
         }
@@ -277,7 +277,7 @@
             "The lease's row is broken; it is waited for as another's.");
         LeaseRow {
             holder: "unknown".to_owned(),
-            fence: row.version,
+            fencing_token: row.version,
             renewals: 0,
         }
     })
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -37,7 +37,7 @@
     let Some(found) = table.get(&key(duty))? else {
         return Ok(0);
     };
-    Ok(parse(&found.value)?.fence)
+    Ok(parse(&found.value)?.fencing_token)
 }
 
 fn parse(value: &[u8]) -> Result<LeaseRow, Fault> {
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -10,7 +10,8 @@
     /// The name of the holding process, with its incarnation; empty if free.
     pub holder: String,
     /// The fencing token, which increases with each change of holder.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// Increases with each renewal, so that every write changes the row.
     pub renewals: u64,
 }
@@ -23,7 +24,7 @@
     /// The name of the holding process, with its incarnation.
     pub holder: String,
     /// Its fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 impl LeaseRow {
@@ -32,7 +33,7 @@
     pub fn holding(&self) -> Holding {
         Holding {
             holder: self.holder.clone(),
-            fence: self.fence,
+            fencing_token: self.fencing_token,
         }
     }
 }
@@ -66,7 +67,7 @@
         since: Instant,
     },
     /// The row is absent or was released.
-    Free { version: u64, fence: u64 },
+    Free { version: u64, fencing_token: u64 },
     /// This process holds the duty, from before the last renewal was sent.
     Held {
         version: u64,
@@ -136,7 +137,7 @@
     #[must_use]
     pub fn version(&self, now: Instant) -> Option<u64> {
         match &self.state {
-            State::Held { version, .. } if self.fence(now).is_some() => Some(*version),
+            State::Held { version, .. } if self.fencing_token(now).is_some() => Some(*version),
             _ => None,
         }
     }
@@ -152,9 +153,11 @@
 
     /// Returns the fencing token while this process holds the duty.
     #[must_use]
-    pub fn fence(&self, now: Instant) -> Option<u64> {
+    pub fn fencing_token(&self, now: Instant) -> Option<u64> {
         match &self.state {
-            State::Held { row, since, .. } if now < self.expires_at(*since) => Some(row.fence),
+            State::Held { row, since, .. } if now < self.expires_at(*since) => {
+                Some(row.fencing_token)
+            }
             _ => None,
         }
     }
@@ -176,9 +179,12 @@
         let next = match &self.state {
             State::Unknown => Next::Read,
             State::Free { .. } if self.releasing => Next::Sleep(now + self.terms.ttl),
-            State::Free { version, fence } => Next::Write {
+            State::Free {
+                version,
+                fencing_token,
+            } => Next::Write {
                 version: *version,
-                row: self.acquiring_row(*fence + 1),
+                row: self.acquiring_row(*fencing_token + 1),
             },
             State::Watching {
                 version,
@@ -194,7 +200,7 @@
                 if !self.releasing && is_available && self.is_recently_read(now) {
                     Next::Write {
                         version: *version,
-                        row: self.acquiring_row(row.fence + 1),
+                        row: self.acquiring_row(row.fencing_token + 1),
                     }
                 } else if now >= next_read {
                     Next::Read
@@ -230,13 +236,16 @@
         let Some((version, row)) = found else {
             self.state = State::Free {
                 version: 0,
-                fence: 0,
+                fencing_token: 0,
             };
             return;
         };
         if row.holder.is_empty() {
-            let fence = row.fence;
-            self.state = State::Free { version, fence };
+            let fencing_token = row.fencing_token;
+            self.state = State::Free {
+                version,
+                fencing_token,
+            };
             return;
         }
         if let Some(pending) = self.pending.take() {
@@ -276,7 +285,7 @@
     /// down, no one else can take over either. Afterwards it reads the row before
     /// it writes again.
     pub fn lost(&mut self, now: Instant) {
-        if self.fence(now).is_none() {
+        if self.fencing_token(now).is_none() {
             self.state = State::Unknown;
         }
     }
@@ -307,7 +316,7 @@
         self.state = if write.row.holder.is_empty() {
             State::Free {
                 version,
-                fence: write.row.fence,
+                fencing_token: write.row.fencing_token,
             }
         } else {
             State::Held {
@@ -329,10 +338,10 @@
         age < self.terms.renewal_interval
     }
 
-    fn acquiring_row(&self, fence: u64) -> LeaseRow {
+    fn acquiring_row(&self, fencing_token: u64) -> LeaseRow {
         LeaseRow {
             holder: self.name.clone(),
-            fence,
+            fencing_token,
             renewals: 0,
         }
     }
@@ -344,7 +353,7 @@
             } else {
                 row.holder.clone()
             },
-            fence: row.fence,
+            fencing_token: row.fencing_token,
             renewals: row.renewals + 1,
         }
     }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -26,9 +26,9 @@
 //! assert_eq!(lease.next(now), Next::Read);
 //! lease.seen(now, None);
 //! let Next::Write { version, row } = lease.next(now) else { panic!() };
-//! assert_eq!((version, row.fence), (0, 1));
+//! assert_eq!((version, row.fencing_token), (0, 1));
 //! lease.written(1);
-//! assert_eq!(lease.fence(now), Some(1));
+//! assert_eq!(lease.fencing_token(now), Some(1));
 //! ```
 
 mod holder;
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -113,8 +113,8 @@
 
     fn holders(&self) -> Vec<u64> {
         let now = self.now();
-        let fences = self.candidates.iter().map(|c| c.lease.fence(now));
-        fences.flatten().collect()
+        let tokens = self.candidates.iter().map(|c| c.lease.fencing_token(now));
+        tokens.flatten().collect()
     }
 
     fn advance(&mut self, faults: &[StepFaults]) {
@@ -200,14 +200,14 @@
     #[test]
     fn duty_has_at_most_one_holder(steps in prop::collection::vec(prop::collection::vec(step_faults(), CANDIDATES), 600)) {
         let mut world = World::new();
-        let mut fence = 0;
+        let mut fencing_token = 0;
         for faults in &steps {
             world.advance(faults);
             let holders = world.holders();
             prop_assert!(holders.len() <= 1, "{:?} hold at step {}", holders, world.step);
-            let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fence);
-            prop_assert!(seen >= fence, "the fencing token decreased");
-            fence = seen;
+            let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fencing_token);
+            prop_assert!(seen >= fencing_token, "the fencing token decreased");
+            fencing_token = seen;
         }
         let no_faults = [StepFaults { request_delay: 0, answer_delay: 0, answer_lost: false, pause_steps: 0 }; CANDIDATES];
         let max_steps = 200 + 60 + 2 * 60 + 20;
@@ -244,16 +244,16 @@
     first.beaten();
     assert_eq!(first.next(at(7010)), Next::Read);
     first.seen(at(7020), Some((1, row.clone())));
-    assert_eq!(first.fence(at(7020)), None);
+    assert_eq!(first.fencing_token(at(7020)), None);
 
     second.seen(at(8050), Some((1, row)));
     let Next::Write { version: 1, row } = second.next(at(8110)) else {
         panic!("the lease has expired");
     };
     second.written(2);
-    assert_eq!(row.fence, 2);
-    assert_eq!(second.fence(at(8120)), Some(2));
-    assert_eq!(first.fence(at(8120)), None);
+    assert_eq!(row.fencing_token, 2);
+    assert_eq!(second.fencing_token(at(8120)), Some(2));
+    assert_eq!(first.fencing_token(at(8120)), None);
 }
 
 // The same for the takeover of a dead holder's row, whose version the process
@@ -264,7 +264,7 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let dead = LeaseRow {
         holder: "entry-9".to_owned(),
-        fence: 4,
+        fencing_token: 4,
         renewals: 7,
     };
     let mut first = Lease::new("entry-0", Terms::new());
@@ -292,9 +292,9 @@
         panic!("the lease has expired");
     };
     second.written(7);
-    assert_eq!(row.fence, 6);
-    assert_eq!(second.fence(at(20_010)), Some(6));
-    assert_eq!(first.fence(at(20_010)), None);
+    assert_eq!(row.fencing_token, 6);
+    assert_eq!(second.fencing_token(at(20_010)), Some(6));
+    assert_eq!(first.fencing_token(at(20_010)), None);
 }
 
 // After an outage longer than the lease, the previous holder must not wait for its
@@ -310,9 +310,9 @@
         panic!("a free duty is claimed");
     };
     holder.written(7);
-    assert_eq!(holder.fence(at(100)), Some(1));
+    assert_eq!(holder.fencing_token(at(100)), Some(1));
     holder.lost(at(9_000));
-    assert_eq!(holder.fence(at(9_000)), None);
+    assert_eq!(holder.fencing_token(at(9_000)), None);
     assert_eq!(holder.next(at(9_000)), Next::Read);
     holder.seen(at(9_010), Some((7, row.clone())));
     let Next::Write {
@@ -322,7 +322,7 @@
     else {
         panic!("its own row is claimed");
     };
-    assert_eq!((version, again.fence), (7, 2));
+    assert_eq!((version, again.fencing_token), (7, 2));
     let mut other = Lease::new("b/1", Terms::new().span(Duration::from_secs(3)));
     assert_eq!(other.next(at(9_010)), Next::Read);
     other.seen(at(9_010), Some((7, row)));
@@ -363,18 +363,21 @@
 
     /// Lets both processes run for `duration`; returns how often the holder changed.
     fn advance(&mut self, duration: Duration) -> u64 {
-        let initial_fence = self.fence();
+        let initial_token = self.fencing_token();
         let end = self.now + duration;
         while self.now < end {
             self.now += STEP_DURATION;
             self.act(0, true);
             self.act(1, true);
         }
-        self.fence() - initial_fence
+        self.fencing_token() - initial_token
     }
 
-    fn fence(&self) -> u64 {
-        self.table.row.as_ref().map_or(0, |(_, row)| row.fence)
+    fn fencing_token(&self) -> u64 {
+        self.table
+            .row
+            .as_ref()
+            .map_or(0, |(_, row)| row.fencing_token)
     }
 }
 
@@ -384,8 +387,9 @@
 fn suspicion_ends_with_its_holding() {
     let mut contenders = Contenders::new();
     contenders.advance(Duration::from_secs(4));
-    let holder =
-        |contenders: &Contenders| usize::from(contenders.leases[1].fence(contenders.now).is_some());
+    let holder = |contenders: &Contenders| {
+        usize::from(contenders.leases[1].fencing_token(contenders.now).is_some())
+    };
     for suspicions in 1..=2 {
         let (old, new) = (holder(&contenders), 1 - holder(&contenders));
         let held = contenders.leases[new].other().unwrap();
@@ -405,12 +409,12 @@
     let mut contenders = Contenders::new();
     contenders.advance(Duration::from_secs(4));
     for n in [1, 0, 1] {
-        let before = contenders.fence();
+        let before = contenders.fencing_token();
         let held = contenders.leases[n].other().unwrap();
         contenders.leases[n].suspect(held);
         contenders.act(n, false);
         contenders.advance(Duration::from_secs(10));
-        assert_eq!(contenders.fence(), before + 1);
+        assert_eq!(contenders.fencing_token(), before + 1);
     }
     assert_eq!(contenders.advance(Duration::from_mins(1)), 0);
 }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -32,21 +32,24 @@
     let now = Instant::now();
     let row = LeaseRow {
         holder: "gateway-1/aa".to_owned(),
-        fence: 4,
+        fencing_token: 4,
         renewals: 9,
     };
     let mut lease = Lease::new("gateway-2/bb", Terms::new());
     lease.seen(now, Some((17, row)));
     assert!(matches!(lease.next(now), Next::Sleep(_)));
     let held = lease.other().unwrap();
-    assert_eq!((held.holder.as_str(), held.fence), ("gateway-1/aa", 4));
+    assert_eq!(
+        (held.holder.as_str(), held.fencing_token),
+        ("gateway-1/aa", 4)
+    );
     lease.suspect(Holding {
         holder: "gateway-3/cc".to_owned(),
-        fence: 4,
+        fencing_token: 4,
     });
     assert!(matches!(lease.next(now), Next::Sleep(_)));
     lease.suspect(Holding {
-        fence: 3,
+        fencing_token: 3,
         ..held.clone()
     });
     assert!(matches!(lease.next(now), Next::Sleep(_)));
@@ -54,7 +57,7 @@
     let Next::Write { version, row } = lease.next(now) else {
         panic!("the duty is not taken");
     };
-    assert_eq!((version, row.fence), (17, 5));
+    assert_eq!((version, row.fencing_token), (17, 5));
     assert_eq!(lease.version(now), None);
     lease.written(18);
     assert_eq!(lease.version(now), Some(18));
