--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -14,7 +14,7 @@
 use super::{batches::Batches, boot::BootClock, store::Store};
 use crate::logs::DUTY as PART;
 use hibiscusroad::{
-    lease::{Holding, Lease, LeaseRow, Next, Terms},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, Next},
     table::{Change, Commit, Row, RowId},
 };
 use std::{
@@ -66,14 +66,14 @@
 
 impl Duty {
     pub(super) fn new(life: &str, lease_ms: u64, store: Rc<Store>, batches: Rc<Batches>) -> Self {
-        let terms = Terms::new().span(Duration::from_millis(lease_ms));
+        let times = LeaseTimes::new().with_ttl(Duration::from_millis(lease_ms));
         Self {
             life: life.to_owned(),
             lease_ms,
             clock: BootClock::new(),
             store,
             batches,
-            lease: RefCell::new(Lease::new(life, terms)),
+            lease: RefCell::new(Lease::new(life, times)),
             rival: RefCell::default(),
             before: RefCell::default(),
             writing: Mutex::default(),
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,6 +1,6 @@
 //! The lease of a duty, as one process sees it.
 
-use crate::lease::Terms;
+use crate::lease::LeaseTimes;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Lease {
     name: String,
-    terms: Terms,
+    times: LeaseTimes,
     state: State,
     last_read: Option<Instant>,
     pending: Option<PendingWrite>,
@@ -110,10 +110,10 @@
     /// `name` must be different for each incarnation of a process, since a new
     /// one doesn't know the orders of its predecessor.
     #[must_use]
-    pub fn new(name: &str, terms: Terms) -> Self {
+    pub fn new(name: &str, times: LeaseTimes) -> Self {
         Self {
             name: name.to_owned(),
-            terms,
+            times,
             state: State::Unknown,
             last_read: None,
             pending: None,
@@ -178,7 +178,7 @@
     pub fn next(&mut self, now: Instant) -> Next {
         let next = match &self.state {
             State::Unknown => Next::Read,
-            State::Free { .. } if self.releasing => Next::Sleep(now + self.terms.ttl),
+            State::Free { .. } if self.releasing => Next::Sleep(now + self.times.ttl),
             State::Free {
                 version,
                 fencing_token,
@@ -191,12 +191,12 @@
                 row,
                 since,
             } => {
-                let next_read = self.last_read.unwrap_or(now) + self.terms.renewal_interval;
+                let next_read = self.last_read.unwrap_or(now) + self.times.renewal_interval;
                 // A holder whose lease expired during an outage finds its own row
                 // and need not wait: no one has taken the duty since.
                 let is_own = row.holder == self.name;
                 let is_suspected = self.suspected == Some(row.holding());
-                let is_available = is_own || is_suspected || now >= *since + self.terms.ttl;
+                let is_available = is_own || is_suspected || now >= *since + self.times.ttl;
                 if !self.releasing && is_available && self.is_recently_read(now) {
                     Next::Write {
                         version: *version,
@@ -213,7 +213,7 @@
                 row,
                 since,
             } => {
-                let renewal_due = *since + self.terms.renewal_interval;
+                let renewal_due = *since + self.times.renewal_interval;
                 if self.releasing || now >= renewal_due {
                     Next::Write {
                         version: *version,
@@ -328,14 +328,14 @@
     }
 
     fn expires_at(&self, since: Instant) -> Instant {
-        since + self.terms.ttl.saturating_sub(self.terms.clock_margin)
+        since + self.times.ttl.saturating_sub(self.times.clock_margin)
     }
 
     /// Returns whether the row was read recently enough to act on it; not so in
     /// a candidate that was paused since.
     fn is_recently_read(&self, now: Instant) -> bool {
         let age = self.last_read.map_or(Duration::MAX, |read| now - read);
-        age < self.terms.renewal_interval
+        age < self.times.renewal_interval
     }
 
     fn acquiring_row(&self, fencing_token: u64) -> LeaseRow {
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,7 +1,7 @@
 //! Leased duties: tasks that only one process at a time may perform.
 //!
 //! A duty is a row in the platform's table. Its holder renews the row; a process
-//! that sees it unchanged for [`Terms::ttl`] takes the duty over with the next
+//! that sees it unchanged for [`LeaseTimes::ttl`] takes the duty over with the next
 //! fencing token. Clocks of different processes are never compared: each measures
 //! on its own boot clock how long ago it saw something.
 //!
@@ -9,7 +9,7 @@
 //! * A candidate measures from after it read the row, which is later.
 //!
 //! So the holder stops before a candidate may take over, however long answers
-//! take. [`Terms::clock_margin`] allows for clocks that run at different rates.
+//! take. [`LeaseTimes::clock_margin`] allows for clocks that run at different rates.
 //!
 //! A holder can still be paused between checking its lease and acting on it, so
 //! every order and every write carries the fencing token. The sidecar's gate and
@@ -18,11 +18,11 @@
 //! # Example
 //!
 //! ```
-//! use hibiscusroad::lease::{Lease, LeaseRow, Next, Terms};
+//! use hibiscusroad::lease::{Lease, LeaseRow, Next, LeaseTimes};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
-//! let mut lease = Lease::new("entry-1", Terms::new());
+//! let mut lease = Lease::new("entry-1", LeaseTimes::new());
 //! assert_eq!(lease.next(now), Next::Read);
 //! lease.seen(now, None);
 //! let Next::Write { version, row } = lease.next(now) else { panic!() };
@@ -32,9 +32,9 @@
 //! ```
 
 mod holder;
-mod terms;
+mod times;
 
 pub use self::{
     holder::{Holding, Lease, LeaseRow, Next},
-    terms::Terms,
+    times::LeaseTimes,
 };
--- a/src/lease/terms.rs
+++ b/src/lease/times.rs
@@ -4,7 +4,7 @@
 
 /// How long a lease lasts and how often it is renewed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Terms {
+pub struct LeaseTimes {
     /// How long a row stays unchanged before another process may take the duty.
     ///
     /// A shorter time leaves the duty without a holder for less time after a
@@ -18,8 +18,8 @@
     pub clock_margin: Duration,
 }
 
-impl Terms {
-    /// Creates terms with default durations.
+impl LeaseTimes {
+    /// Creates times with default durations.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -32,7 +32,7 @@
     /// Sets the time to live, and the renewal interval and the margin in
     /// proportion to it.
     #[must_use]
-    pub fn span(mut self, ttl: Duration) -> Self {
+    pub fn with_ttl(mut self, ttl: Duration) -> Self {
         self.ttl = ttl;
         self.renewal_interval = ttl / 3;
         self.clock_margin = ttl / 10;
@@ -40,7 +40,7 @@
     }
 }
 
-impl Default for Terms {
+impl Default for LeaseTimes {
     fn default() -> Self {
         Self::new()
     }
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -4,7 +4,7 @@
 //! time; its messages are delayed or get no answer, and it may be paused for up
 //! to 20 s without noticing.
 
-use hibiscusroad::lease::{Lease, LeaseRow, Next, Terms};
+use hibiscusroad::lease::{Lease, LeaseRow, LeaseTimes, Next};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -91,7 +91,7 @@
 impl World {
     fn new() -> Self {
         let candidate = |n| Candidate {
-            lease: Lease::new(&format!("entry-{n}"), Terms::new()),
+            lease: Lease::new(&format!("entry-{n}"), LeaseTimes::new()),
             pause_steps: 0,
             answer: None,
             times_out_at: 0,
@@ -225,8 +225,8 @@
 fn repeated_first_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut first = Lease::new("entry-0", Terms::new());
-    let mut second = Lease::new("entry-1", Terms::new());
+    let mut first = Lease::new("entry-0", LeaseTimes::new());
+    let mut second = Lease::new("entry-1", LeaseTimes::new());
 
     first.seen(at(0), None);
     let Next::Write { version: 0, row } = first.next(at(0)) else {
@@ -267,8 +267,8 @@
         fencing_token: 4,
         renewals: 7,
     };
-    let mut first = Lease::new("entry-0", Terms::new());
-    let mut second = Lease::new("entry-1", Terms::new());
+    let mut first = Lease::new("entry-0", LeaseTimes::new());
+    let mut second = Lease::new("entry-1", LeaseTimes::new());
 
     first.seen(at(0), Some((5, dead.clone())));
     first.seen(at(5900), Some((5, dead.clone())));
@@ -303,7 +303,7 @@
 fn holder_reacquires_its_own_row_after_an_outage() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut holder = Lease::new("a/1", Terms::new().span(Duration::from_secs(3)));
+    let mut holder = Lease::new("a/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
     assert_eq!(holder.next(start), Next::Read);
     holder.seen(start, None);
     let Next::Write { row, .. } = holder.next(start) else {
@@ -323,7 +323,7 @@
         panic!("its own row is claimed");
     };
     assert_eq!((version, again.fencing_token), (7, 2));
-    let mut other = Lease::new("b/1", Terms::new().span(Duration::from_secs(3)));
+    let mut other = Lease::new("b/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
     assert_eq!(other.next(at(9_010)), Next::Read);
     other.seen(at(9_010), Some((7, row)));
     assert!(matches!(other.next(at(9_010)), Next::Sleep(_)));
@@ -338,7 +338,7 @@
 
 impl Contenders {
     fn new() -> Self {
-        let lease = |name| Lease::new(name, Terms::new());
+        let lease = |name| Lease::new(name, LeaseTimes::new());
         Self {
             now: Instant::now(),
             table: Table::default(),
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,7 +1,7 @@
 //! Holders of the weights' duty that follow each other, and who is left alone.
 
 use hibiscusroad::{
-    lease::{Holding, Lease, LeaseRow, Next, Terms},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, Next},
     rollout::turns::{Turns, VALID},
 };
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
         fencing_token: 4,
         renewals: 9,
     };
-    let mut lease = Lease::new("gateway-2/bb", Terms::new());
+    let mut lease = Lease::new("gateway-2/bb", LeaseTimes::new());
     lease.seen(now, Some((17, row)));
     assert!(matches!(lease.next(now), Next::Sleep(_)));
     let held = lease.other().unwrap();
