--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -14,7 +14,7 @@
 use super::{batches::Batches, boot::BootClock, store::Store};
 use crate::logs::DUTY as PART;
 use hibiscusroad::{
-    lease::{Holding, Lease, LeaseRow, LeaseTimes, Next},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, NextAction},
     table::{Change, Commit, Row, RowId},
 };
 use std::{
@@ -143,8 +143,8 @@
     pub(super) async fn leave(&self) {
         let _alone = self.writing.lock().await;
         self.lease.borrow_mut().give_back();
-        let step = self.lease.borrow_mut().next(self.clock.now());
-        if let Next::Write { version, row } = step {
+        let step = self.lease.borrow_mut().next_action(self.clock.now());
+        if let NextAction::Write { version, row } = step {
             self.write(version, &row).await;
         }
     }
@@ -159,11 +159,11 @@
             }
             let now = self.clock.now();
             let alone = self.writing.lock().await;
-            let step = self.lease.borrow_mut().next(now);
+            let step = self.lease.borrow_mut().next_action(now);
             match step {
-                Next::Read => self.read().await,
-                Next::Write { version, row } => self.write(version, &row).await,
-                Next::Sleep(until) => {
+                NextAction::Read => self.read().await,
+                NextAction::Write { version, row } => self.write(version, &row).await,
+                NextAction::Sleep(until) => {
                     drop(alone);
                     self.pause(until.saturating_duration_since(now)).await;
                 }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -40,7 +40,7 @@
 
 /// The next action for a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum NextAction {
     /// Read the row and report it by [`Lease::seen`].
     Read,
     /// Write the row if it still has this version (0: if it is absent), and
@@ -175,14 +175,14 @@
     }
 
     /// Decides the action at `now`.
-    pub fn next(&mut self, now: Instant) -> Next {
+    pub fn next_action(&mut self, now: Instant) -> NextAction {
         let next = match &self.state {
-            State::Unknown => Next::Read,
-            State::Free { .. } if self.releasing => Next::Sleep(now + self.times.ttl),
+            State::Unknown => NextAction::Read,
+            State::Free { .. } if self.releasing => NextAction::Sleep(now + self.times.ttl),
             State::Free {
                 version,
                 fencing_token,
-            } => Next::Write {
+            } => NextAction::Write {
                 version: *version,
                 row: self.acquiring_row(*fencing_token + 1),
             },
@@ -198,14 +198,14 @@
                 let is_suspected = self.suspected == Some(row.holding());
                 let is_available = is_own || is_suspected || now >= *since + self.times.ttl;
                 if !self.releasing && is_available && self.is_recently_read(now) {
-                    Next::Write {
+                    NextAction::Write {
                         version: *version,
                         row: self.acquiring_row(row.fencing_token + 1),
                     }
                 } else if now >= next_read {
-                    Next::Read
+                    NextAction::Read
                 } else {
-                    Next::Sleep(next_read)
+                    NextAction::Sleep(next_read)
                 }
             }
             State::Held {
@@ -215,16 +215,16 @@
             } => {
                 let renewal_due = *since + self.times.renewal_interval;
                 if self.releasing || now >= renewal_due {
-                    Next::Write {
+                    NextAction::Write {
                         version: *version,
                         row: self.renewed_row(row),
                     }
                 } else {
-                    Next::Sleep(renewal_due)
+                    NextAction::Sleep(renewal_due)
                 }
             }
         };
-        if let Next::Write { version, row } = &next {
+        if let NextAction::Write { version, row } = &next {
             self.record_write(now, *version, row);
         }
         next
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -18,14 +18,14 @@
 //! # Example
 //!
 //! ```
-//! use hibiscusroad::lease::{Lease, LeaseRow, Next, LeaseTimes};
+//! use hibiscusroad::lease::{Lease, LeaseRow, LeaseTimes, NextAction};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
 //! let mut lease = Lease::new("entry-1", LeaseTimes::new());
-//! assert_eq!(lease.next(now), Next::Read);
+//! assert_eq!(lease.next_action(now), NextAction::Read);
 //! lease.seen(now, None);
-//! let Next::Write { version, row } = lease.next(now) else { panic!() };
+//! let NextAction::Write { version, row } = lease.next_action(now) else { panic!() };
 //! assert_eq!((version, row.fencing_token), (0, 1));
 //! lease.written(1);
 //! assert_eq!(lease.fencing_token(now), Some(1));
@@ -35,6 +35,6 @@
 mod times;
 
 pub use self::{
-    holder::{Holding, Lease, LeaseRow, Next},
+    holder::{Holding, Lease, LeaseRow, NextAction},
     times::LeaseTimes,
 };
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -4,7 +4,7 @@
 //! time; its messages are delayed or get no answer, and it may be paused for up
 //! to 20 s without noticing.
 
-use hibiscusroad::lease::{Lease, LeaseRow, LeaseTimes, Next};
+use hibiscusroad::lease::{Lease, LeaseRow, LeaseTimes, NextAction};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -167,10 +167,10 @@
             }
             return;
         }
-        let write = match candidate.lease.next(now) {
-            Next::Sleep(_) => return,
-            Next::Read => None,
-            Next::Write { version, row } => Some((version, row)),
+        let write = match candidate.lease.next_action(now) {
+            NextAction::Sleep(_) => return,
+            NextAction::Read => None,
+            NextAction::Write { version, row } => Some((version, row)),
         };
         candidate.is_waiting = true;
         candidate.is_writing = write.is_some();
@@ -229,25 +229,25 @@
     let mut second = Lease::new("entry-1", LeaseTimes::new());
 
     first.seen(at(0), None);
-    let Next::Write { version: 0, row } = first.next(at(0)) else {
+    let NextAction::Write { version: 0, row } = first.next_action(at(0)) else {
         panic!("the row is free");
     };
     first.lost(at(1500));
-    assert_eq!(first.next(at(2000)), Next::Read);
+    assert_eq!(first.next_action(at(2000)), NextAction::Read);
     first.seen(at(2000), None);
     second.seen(at(2100), Some((1, row.clone())));
 
     assert!(matches!(
-        first.next(at(7000)),
-        Next::Write { version: 0, .. }
+        first.next_action(at(7000)),
+        NextAction::Write { version: 0, .. }
     ));
     first.beaten();
-    assert_eq!(first.next(at(7010)), Next::Read);
+    assert_eq!(first.next_action(at(7010)), NextAction::Read);
     first.seen(at(7020), Some((1, row.clone())));
     assert_eq!(first.fencing_token(at(7020)), None);
 
     second.seen(at(8050), Some((1, row)));
-    let Next::Write { version: 1, row } = second.next(at(8110)) else {
+    let NextAction::Write { version: 1, row } = second.next_action(at(8110)) else {
         panic!("the lease has expired");
     };
     second.written(2);
@@ -272,7 +272,7 @@
 
     first.seen(at(0), Some((5, dead.clone())));
     first.seen(at(5900), Some((5, dead.clone())));
-    let Next::Write { version: 5, row } = first.next(at(6000)) else {
+    let NextAction::Write { version: 5, row } = first.next_action(at(6000)) else {
         panic!("the lease has expired");
     };
     first.lost(at(7500));
@@ -282,13 +282,13 @@
     second.seen(at(14_000), Some((6, row.clone())));
 
     assert!(matches!(
-        first.next(at(15_500)),
-        Next::Write { version: 5, .. }
+        first.next_action(at(15_500)),
+        NextAction::Write { version: 5, .. }
     ));
     first.beaten();
     first.seen(at(15_510), Some((6, row.clone())));
     second.seen(at(19_900), Some((6, row)));
-    let Next::Write { version: 6, row } = second.next(at(20_000)) else {
+    let NextAction::Write { version: 6, row } = second.next_action(at(20_000)) else {
         panic!("the lease has expired");
     };
     second.written(7);
@@ -304,29 +304,29 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut holder = Lease::new("a/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
-    assert_eq!(holder.next(start), Next::Read);
+    assert_eq!(holder.next_action(start), NextAction::Read);
     holder.seen(start, None);
-    let Next::Write { row, .. } = holder.next(start) else {
+    let NextAction::Write { row, .. } = holder.next_action(start) else {
         panic!("a free duty is claimed");
     };
     holder.written(7);
     assert_eq!(holder.fencing_token(at(100)), Some(1));
     holder.lost(at(9_000));
     assert_eq!(holder.fencing_token(at(9_000)), None);
-    assert_eq!(holder.next(at(9_000)), Next::Read);
+    assert_eq!(holder.next_action(at(9_000)), NextAction::Read);
     holder.seen(at(9_010), Some((7, row.clone())));
-    let Next::Write {
+    let NextAction::Write {
         version,
         row: again,
-    } = holder.next(at(9_010))
+    } = holder.next_action(at(9_010))
     else {
         panic!("its own row is claimed");
     };
     assert_eq!((version, again.fencing_token), (7, 2));
     let mut other = Lease::new("b/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
-    assert_eq!(other.next(at(9_010)), Next::Read);
+    assert_eq!(other.next_action(at(9_010)), NextAction::Read);
     other.seen(at(9_010), Some((7, row)));
-    assert!(matches!(other.next(at(9_010)), Next::Sleep(_)));
+    assert!(matches!(other.next_action(at(9_010)), NextAction::Sleep(_)));
 }
 
 /// Two live processes that suspect each other, and the table between them.
@@ -350,10 +350,10 @@
     /// write is lost.
     fn act(&mut self, n: usize, answered: bool) {
         let lease = &mut self.leases[n];
-        match lease.next(self.now) {
-            Next::Sleep(_) => {}
-            Next::Read => lease.seen(self.now, self.table.row.clone()),
-            Next::Write { version, row } => match self.table.write(version, row) {
+        match lease.next_action(self.now) {
+            NextAction::Sleep(_) => {}
+            NextAction::Read => lease.seen(self.now, self.table.row.clone()),
+            NextAction::Write { version, row } => match self.table.write(version, row) {
                 _ if !answered => lease.lost(self.now),
                 Some(version) => lease.written(version),
                 None => lease.beaten(),
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,7 +1,7 @@
 //! Holders of the weights' duty that follow each other, and who is left alone.
 
 use hibiscusroad::{
-    lease::{Holding, Lease, LeaseRow, LeaseTimes, Next},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, NextAction},
     rollout::turns::{Turns, VALID},
 };
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
     };
     let mut lease = Lease::new("gateway-2/bb", LeaseTimes::new());
     lease.seen(now, Some((17, row)));
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
     let held = lease.other().unwrap();
     assert_eq!(
         (held.holder.as_str(), held.fencing_token),
@@ -47,14 +47,14 @@
         holder: "gateway-3/cc".to_owned(),
         fencing_token: 4,
     });
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
     lease.suspect(Holding {
         fencing_token: 3,
         ..held.clone()
     });
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
     lease.suspect(held);
-    let Next::Write { version, row } = lease.next(now) else {
+    let NextAction::Write { version, row } = lease.next_action(now) else {
         panic!("the duty is not taken");
     };
     assert_eq!((version, row.fencing_token), (17, 5));
