--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -114,7 +114,7 @@
 
     /// Notes that another holder is known to have a higher fencing number.
     pub(super) fn beaten(&self) {
-        self.lease.borrow_mut().beaten();
+        self.lease.borrow_mut().record_conflict();
         self.wake();
     }
 
@@ -122,7 +122,7 @@
     /// `None` if it isn't.
     pub(super) async fn transact(&self, change: Change) -> Option<Commit> {
         let _alone = self.writing.lock().await;
-        let version = self.lease.borrow().version(self.clock.now())?;
+        let version = self.lease.borrow().held_version(self.clock.now())?;
         let done = self
             .store
             .transact(&change.expect(duty_row(), version))
@@ -132,7 +132,7 @@
             if !same.any(|row| row.version == version) {
                 log::info!(target: PART, row = version;
                     "Nothing is sent: the lease is no longer held here.");
-                self.lease.borrow_mut().beaten();
+                self.lease.borrow_mut().record_conflict();
                 return None;
             }
         }
@@ -142,7 +142,7 @@
     /// Gives the lease back, so that another process takes it at once.
     pub(super) async fn leave(&self) {
         let _alone = self.writing.lock().await;
-        self.lease.borrow_mut().give_back();
+        self.lease.borrow_mut().release();
         let step = self.lease.borrow_mut().next_action(self.clock.now());
         if let NextAction::Write { version, row } = step {
             self.write(version, &row).await;
@@ -188,7 +188,7 @@
 
     /// Looks whether the other holder is gone; `true` if its duty may be taken.
     async fn suspect(&self) -> bool {
-        let Some(holding) = self.lease.borrow().other() else {
+        let Some(holding) = self.lease.borrow().other_holding() else {
             return false;
         };
         let known = self.rival.borrow().clone();
@@ -207,7 +207,7 @@
         let share = u64::try_from(count.div_ceil(TAKERS)).unwrap_or(1);
         sleep(Duration::from_millis(draw * share)).await;
         self.read().await;
-        let same = self.lease.borrow().other().as_ref() == Some(&holding);
+        let same = self.lease.borrow().other_holding().as_ref() == Some(&holding);
         if same {
             log::info!(target: PART, holder = holding.holder.as_str(), fence = holding.fencing_token,
                 why:? = why; "The holder of the duties is taken to be gone.");
@@ -225,12 +225,12 @@
                 if let Some((_, row)) = &found {
                     self.before.replace(row.holder.clone());
                 }
-                self.lease.borrow_mut().seen(now, found);
+                self.lease.borrow_mut().record_read(now, found);
             }
             Err(failure) => {
                 log::debug!(target: PART, error = failure.to_string().as_str();
                     "The lease could not be read.");
-                self.lease.borrow_mut().lost(now);
+                self.lease.borrow_mut().record_failure(now);
                 sleep(AGAIN).await;
             }
         }
@@ -246,15 +246,15 @@
         let now = self.clock.now();
         match done {
             Commit::Done { version, .. } => {
-                self.lease.borrow_mut().written(version);
+                self.lease.borrow_mut().record_written(version);
                 if let (None, Some(fence)) = (held, self.fence()) {
                     log::info!(target: PART, holder = self.life.as_str(), fence = fence,
                         from = self.before.borrow().as_str(); "The lease of the duties is held.");
                 }
             }
-            Commit::Conflict(_) => self.lease.borrow_mut().beaten(),
+            Commit::Conflict(_) => self.lease.borrow_mut().record_conflict(),
             Commit::Refused | Commit::Unknown => {
-                self.lease.borrow_mut().lost(now);
+                self.lease.borrow_mut().record_failure(now);
                 sleep(AGAIN).await;
             }
         }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -41,11 +41,11 @@
 /// The next action for a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NextAction {
-    /// Read the row and report it by [`Lease::seen`].
+    /// Read the row and report it by [`Lease::record_read`].
     Read,
     /// Write the row if it still has this version (0: if it is absent), and
-    /// report the result by [`Lease::written`], [`Lease::lost`] or
-    /// [`Lease::beaten`].
+    /// report the result by [`Lease::record_written`], [`Lease::record_failure`] or
+    /// [`Lease::record_conflict`].
     Write {
         /// The version that the row must have.
         version: u64,
@@ -125,7 +125,7 @@
     /// Returns the holding in the row that was last read, if it is another
     /// process's.
     #[must_use]
-    pub fn other(&self) -> Option<Holding> {
+    pub fn other_holding(&self) -> Option<Holding> {
         match &self.state {
             State::Watching { row, .. } if row.holder != self.name => Some(row.holding()),
             _ => None,
@@ -135,7 +135,7 @@
     /// Returns the version of the row while this process holds the duty: the
     /// condition for writes that only the holder may do.
     #[must_use]
-    pub fn version(&self, now: Instant) -> Option<u64> {
+    pub fn held_version(&self, now: Instant) -> Option<u64> {
         match &self.state {
             State::Held { version, .. } if self.fencing_token(now).is_some() => Some(*version),
             _ => None,
@@ -164,7 +164,7 @@
 
     /// Releases the duty with the next write, so that another process need not
     /// wait for the lease to expire.
-    pub const fn give_back(&mut self) {
+    pub const fn release(&mut self) {
         self.releasing = true;
     }
 
@@ -225,13 +225,13 @@
             }
         };
         if let NextAction::Write { version, row } = &next {
-            self.record_write(now, *version, row);
+            self.remember_write(now, *version, row);
         }
         next
     }
 
     /// Handles the result of a read that ended at `now`: version and row.
-    pub fn seen(&mut self, now: Instant, found: Option<(u64, LeaseRow)>) {
+    pub fn record_read(&mut self, now: Instant, found: Option<(u64, LeaseRow)>) {
         self.last_read = Some(now);
         let Some((version, row)) = found else {
             self.state = State::Free {
@@ -273,7 +273,7 @@
     }
 
     /// Handles that the last write took effect and created `version`.
-    pub fn written(&mut self, version: u64) {
+    pub fn record_written(&mut self, version: u64) {
         if let Some(pending) = self.pending.take() {
             self.apply_write(version, pending);
         }
@@ -284,7 +284,7 @@
     /// The holder keeps the duty until its lease expires: while the table is
     /// down, no one else can take over either. Afterwards it reads the row before
     /// it writes again.
-    pub fn lost(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         if self.fencing_token(now).is_none() {
             self.state = State::Unknown;
         }
@@ -294,11 +294,11 @@
     ///
     /// The version may come from an earlier copy of the write whose answer was
     /// lost, so the row is read again.
-    pub fn beaten(&mut self) {
+    pub fn record_conflict(&mut self) {
         self.state = State::Unknown;
     }
 
-    fn record_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
+    fn remember_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
         let is_repeated = self
             .pending
             .as_ref()
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -24,10 +24,10 @@
 //! let now = Instant::now();
 //! let mut lease = Lease::new("entry-1", LeaseTimes::new());
 //! assert_eq!(lease.next_action(now), NextAction::Read);
-//! lease.seen(now, None);
+//! lease.record_read(now, None);
 //! let NextAction::Write { version, row } = lease.next_action(now) else { panic!() };
 //! assert_eq!((version, row.fencing_token), (0, 1));
-//! lease.written(1);
+//! lease.record_written(1);
 //! assert_eq!(lease.fencing_token(now), Some(1));
 //! ```
 
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -155,14 +155,14 @@
                 let (_, answer) = candidate.answer.take().unwrap();
                 candidate.is_waiting = false;
                 match answer {
-                    Answer::Read(row) => candidate.lease.seen(now, row),
-                    Answer::Written(Some(version)) => candidate.lease.written(version),
-                    Answer::Written(None) => candidate.lease.beaten(),
+                    Answer::Read(row) => candidate.lease.record_read(now, row),
+                    Answer::Written(Some(version)) => candidate.lease.record_written(version),
+                    Answer::Written(None) => candidate.lease.record_conflict(),
                 }
             } else if step >= candidate.times_out_at {
                 candidate.is_waiting = false;
                 if candidate.is_writing {
-                    candidate.lease.lost(now);
+                    candidate.lease.record_failure(now);
                 }
             }
             return;
@@ -228,29 +228,29 @@
     let mut first = Lease::new("entry-0", LeaseTimes::new());
     let mut second = Lease::new("entry-1", LeaseTimes::new());
 
-    first.seen(at(0), None);
+    first.record_read(at(0), None);
     let NextAction::Write { version: 0, row } = first.next_action(at(0)) else {
         panic!("the row is free");
     };
-    first.lost(at(1500));
+    first.record_failure(at(1500));
     assert_eq!(first.next_action(at(2000)), NextAction::Read);
-    first.seen(at(2000), None);
-    second.seen(at(2100), Some((1, row.clone())));
+    first.record_read(at(2000), None);
+    second.record_read(at(2100), Some((1, row.clone())));
 
     assert!(matches!(
         first.next_action(at(7000)),
         NextAction::Write { version: 0, .. }
     ));
-    first.beaten();
+    first.record_conflict();
     assert_eq!(first.next_action(at(7010)), NextAction::Read);
-    first.seen(at(7020), Some((1, row.clone())));
+    first.record_read(at(7020), Some((1, row.clone())));
     assert_eq!(first.fencing_token(at(7020)), None);
 
-    second.seen(at(8050), Some((1, row)));
+    second.record_read(at(8050), Some((1, row)));
     let NextAction::Write { version: 1, row } = second.next_action(at(8110)) else {
         panic!("the lease has expired");
     };
-    second.written(2);
+    second.record_written(2);
     assert_eq!(row.fencing_token, 2);
     assert_eq!(second.fencing_token(at(8120)), Some(2));
     assert_eq!(first.fencing_token(at(8120)), None);
@@ -270,28 +270,28 @@
     let mut first = Lease::new("entry-0", LeaseTimes::new());
     let mut second = Lease::new("entry-1", LeaseTimes::new());
 
-    first.seen(at(0), Some((5, dead.clone())));
-    first.seen(at(5900), Some((5, dead.clone())));
+    first.record_read(at(0), Some((5, dead.clone())));
+    first.record_read(at(5900), Some((5, dead.clone())));
     let NextAction::Write { version: 5, row } = first.next_action(at(6000)) else {
         panic!("the lease has expired");
     };
-    first.lost(at(7500));
+    first.record_failure(at(7500));
     for ms in [8000, 9900, 11_900, 13_900] {
-        first.seen(at(ms), Some((5, dead.clone())));
+        first.record_read(at(ms), Some((5, dead.clone())));
     }
-    second.seen(at(14_000), Some((6, row.clone())));
+    second.record_read(at(14_000), Some((6, row.clone())));
 
     assert!(matches!(
         first.next_action(at(15_500)),
         NextAction::Write { version: 5, .. }
     ));
-    first.beaten();
-    first.seen(at(15_510), Some((6, row.clone())));
-    second.seen(at(19_900), Some((6, row)));
+    first.record_conflict();
+    first.record_read(at(15_510), Some((6, row.clone())));
+    second.record_read(at(19_900), Some((6, row)));
     let NextAction::Write { version: 6, row } = second.next_action(at(20_000)) else {
         panic!("the lease has expired");
     };
-    second.written(7);
+    second.record_written(7);
     assert_eq!(row.fencing_token, 6);
     assert_eq!(second.fencing_token(at(20_010)), Some(6));
     assert_eq!(first.fencing_token(at(20_010)), None);
@@ -305,16 +305,16 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut holder = Lease::new("a/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
     assert_eq!(holder.next_action(start), NextAction::Read);
-    holder.seen(start, None);
+    holder.record_read(start, None);
     let NextAction::Write { row, .. } = holder.next_action(start) else {
         panic!("a free duty is claimed");
     };
-    holder.written(7);
+    holder.record_written(7);
     assert_eq!(holder.fencing_token(at(100)), Some(1));
-    holder.lost(at(9_000));
+    holder.record_failure(at(9_000));
     assert_eq!(holder.fencing_token(at(9_000)), None);
     assert_eq!(holder.next_action(at(9_000)), NextAction::Read);
-    holder.seen(at(9_010), Some((7, row.clone())));
+    holder.record_read(at(9_010), Some((7, row.clone())));
     let NextAction::Write {
         version,
         row: again,
@@ -325,7 +325,7 @@
     assert_eq!((version, again.fencing_token), (7, 2));
     let mut other = Lease::new("b/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
     assert_eq!(other.next_action(at(9_010)), NextAction::Read);
-    other.seen(at(9_010), Some((7, row)));
+    other.record_read(at(9_010), Some((7, row)));
     assert!(matches!(other.next_action(at(9_010)), NextAction::Sleep(_)));
 }
 
@@ -352,11 +352,11 @@
         let lease = &mut self.leases[n];
         match lease.next_action(self.now) {
             NextAction::Sleep(_) => {}
-            NextAction::Read => lease.seen(self.now, self.table.row.clone()),
+            NextAction::Read => lease.record_read(self.now, self.table.row.clone()),
             NextAction::Write { version, row } => match self.table.write(version, row) {
-                _ if !answered => lease.lost(self.now),
-                Some(version) => lease.written(version),
-                None => lease.beaten(),
+                _ if !answered => lease.record_failure(self.now),
+                Some(version) => lease.record_written(version),
+                None => lease.record_conflict(),
             },
         }
     }
@@ -392,7 +392,7 @@
     };
     for suspicions in 1..=2 {
         let (old, new) = (holder(&contenders), 1 - holder(&contenders));
-        let held = contenders.leases[new].other().unwrap();
+        let held = contenders.leases[new].other_holding().unwrap();
         assert_eq!(held.holder, ["a/1", "b/1"][old]);
         contenders.leases[new].suspect(held);
         let changes = contenders.advance(Duration::from_secs(10));
@@ -410,7 +410,7 @@
     contenders.advance(Duration::from_secs(4));
     for n in [1, 0, 1] {
         let before = contenders.fencing_token();
-        let held = contenders.leases[n].other().unwrap();
+        let held = contenders.leases[n].other_holding().unwrap();
         contenders.leases[n].suspect(held);
         contenders.act(n, false);
         contenders.advance(Duration::from_secs(10));
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -36,9 +36,9 @@
         renewals: 9,
     };
     let mut lease = Lease::new("gateway-2/bb", LeaseTimes::new());
-    lease.seen(now, Some((17, row)));
+    lease.record_read(now, Some((17, row)));
     assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
-    let held = lease.other().unwrap();
+    let held = lease.other_holding().unwrap();
     assert_eq!(
         (held.holder.as_str(), held.fencing_token),
         ("gateway-1/aa", 4)
@@ -58,9 +58,9 @@
         panic!("the duty is not taken");
     };
     assert_eq!((version, row.fencing_token), (17, 5));
-    assert_eq!(lease.version(now), None);
-    lease.written(18);
-    assert_eq!(lease.version(now), Some(18));
+    assert_eq!(lease.held_version(now), None);
+    lease.record_written(18);
+    assert_eq!(lease.held_version(now), Some(18));
 }
 
 const STEP: Duration = Duration::from_millis(50);
