--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -246,7 +246,7 @@
         let now = self.clock.now();
         match done {
             Commit::Done { version, .. } => {
-                self.lease.borrow_mut().record_written(version);
+                self.lease.borrow_mut().record_write(version);
                 if let (None, Some(fence)) = (held, self.fence()) {
                     log::info!(target: PART, holder = self.life.as_str(), fence = fence,
                         from = self.before.borrow().as_str(); "The lease of the duties is held.");
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -44,7 +44,7 @@
     /// Read the row and report it by [`Lease::record_read`].
     Read,
     /// Write the row if it still has this version (0: if it is absent), and
-    /// report the result by [`Lease::record_written`], [`Lease::record_failure`] or
+    /// report the result by [`Lease::record_write`], [`Lease::record_failure`] or
     /// [`Lease::record_conflict`].
     Write {
         /// The version that the row must have.
@@ -225,7 +225,7 @@
             }
         };
         if let NextAction::Write { version, row } = &next {
-            self.remember_write(now, *version, row);
+            self.track_write(now, *version, row);
         }
         next
     }
@@ -273,7 +273,7 @@
     }
 
     /// Handles that the last write took effect and created `version`.
-    pub fn record_written(&mut self, version: u64) {
+    pub fn record_write(&mut self, version: u64) {
         if let Some(pending) = self.pending.take() {
             self.apply_write(version, pending);
         }
@@ -298,7 +298,7 @@
         self.state = State::Unknown;
     }
 
-    fn remember_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
+    fn track_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
         let is_repeated = self
             .pending
             .as_ref()
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -27,7 +27,7 @@
 //! lease.record_read(now, None);
 //! let NextAction::Write { version, row } = lease.next_action(now) else { panic!() };
 //! assert_eq!((version, row.fencing_token), (0, 1));
-//! lease.record_written(1);
+//! lease.record_write(1);
 //! assert_eq!(lease.fencing_token(now), Some(1));
 //! ```
 
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -156,7 +156,7 @@
                 candidate.is_waiting = false;
                 match answer {
                     Answer::Read(row) => candidate.lease.record_read(now, row),
-                    Answer::Written(Some(version)) => candidate.lease.record_written(version),
+                    Answer::Written(Some(version)) => candidate.lease.record_write(version),
                     Answer::Written(None) => candidate.lease.record_conflict(),
                 }
             } else if step >= candidate.times_out_at {
@@ -250,7 +250,7 @@
     let NextAction::Write { version: 1, row } = second.next_action(at(8110)) else {
         panic!("the lease has expired");
     };
-    second.record_written(2);
+    second.record_write(2);
     assert_eq!(row.fencing_token, 2);
     assert_eq!(second.fencing_token(at(8120)), Some(2));
     assert_eq!(first.fencing_token(at(8120)), None);
@@ -291,7 +291,7 @@
     let NextAction::Write { version: 6, row } = second.next_action(at(20_000)) else {
         panic!("the lease has expired");
     };
-    second.record_written(7);
+    second.record_write(7);
     assert_eq!(row.fencing_token, 6);
     assert_eq!(second.fencing_token(at(20_010)), Some(6));
     assert_eq!(first.fencing_token(at(20_010)), None);
@@ -309,7 +309,7 @@
     let NextAction::Write { row, .. } = holder.next_action(start) else {
         panic!("a free duty is claimed");
     };
-    holder.record_written(7);
+    holder.record_write(7);
     assert_eq!(holder.fencing_token(at(100)), Some(1));
     holder.record_failure(at(9_000));
     assert_eq!(holder.fencing_token(at(9_000)), None);
@@ -355,7 +355,7 @@
             NextAction::Read => lease.record_read(self.now, self.table.row.clone()),
             NextAction::Write { version, row } => match self.table.write(version, row) {
                 _ if !answered => lease.record_failure(self.now),
-                Some(version) => lease.record_written(version),
+                Some(version) => lease.record_write(version),
                 None => lease.record_conflict(),
             },
         }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -59,7 +59,7 @@
     };
     assert_eq!((version, row.fencing_token), (17, 5));
     assert_eq!(lease.held_version(now), None);
-    lease.record_written(18);
+    lease.record_write(18);
     assert_eq!(lease.held_version(now), Some(18));
 }
 
