--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -111,13 +111,11 @@
         let mut calls = Vec::new();
         for write in writes {
             match write {
-                Write::Claim(call, claim_write) => {
-                    let attempt = claim_write.claim.attempt;
-                    match batch.add(*claim_write) {
+                Write::Claim(call, write) => {
+                    let attempt = write.claim.attempt;
+                    match batch.add(*write) {
                         None => calls.push((attempt, call)),
-                        Some(claim_write) => {
-                            self.left.push(Write::Claim(call, Box::new(claim_write)))
-                        }
+                        Some(write) => self.left.push(Write::Claim(call, Box::new(write))),
                     }
                 }
                 Write::Release(key, bytes) => self.release(key, bytes),
@@ -139,8 +137,8 @@
                 tries = 0;
             }
             let unsure = answer == TableAnswer::Unknown;
-            for (claim_write, outcome) in batch.apply(answer) {
-                self.tell(&claim_write, outcome, calls);
+            for (write, outcome) in batch.apply(answer) {
+                self.tell(&write, outcome, calls);
             }
             if unsure {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
@@ -173,13 +171,8 @@
         }
     }
 
-    fn tell(
-        &self,
-        claim_write: &ClaimWrite,
-        outcome: ClaimOutcome,
-        calls: &[(RequestId, RequestId)],
-    ) {
-        let attempt = claim_write.claim.attempt;
+    fn tell(&self, write: &ClaimWrite, outcome: ClaimOutcome, calls: &[(RequestId, RequestId)]) {
+        let attempt = write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
             let event = Event::Claimed(*call, attempt, Box::new(outcome));
@@ -203,16 +196,16 @@
 
 fn transaction(batch: &Batch) -> Transaction {
     let mut transaction = Transaction::new();
-    for claim_write in batch.writes() {
-        let key = claim_write.key.clone();
-        let cond = match &claim_write.expected {
+    for write in batch.writes() {
+        let key = write.key.clone();
+        let cond = match &write.expected {
             None => Cond::Version(key.clone(), 0),
             Some(bytes) => Cond::Value(key.clone(), bytes.clone()),
         };
         transaction = transaction
             .when(cond)
             .or_read(&key)
-            .then(Op::Put(key, claim_write.claim.encode()));
+            .then(Op::Put(key, write.claim.encode()));
     }
     transaction
 }
