--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use hibiscusroad::{
     RequestId,
-    claim::{BATCH, Batch, GATHER, Job, Said, Verdict},
+    claim::{BATCH_DELAY, Batch, ClaimOutcome, ClaimWrite, MAX_BATCH_CLAIMS, TableAnswer},
 };
 use std::{
     io, mem, thread,
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub enum Write {
     /// A claim, for this call.
-    Claim(RequestId, Box<Job>),
+    Claim(RequestId, Box<ClaimWrite>),
     /// The row of this key is to be removed if it has this content.
     Release(String, Vec<u8>),
 }
@@ -96,8 +96,8 @@
         if writes.is_empty() {
             writes.push(self.queue.recv().ok()?);
         }
-        let until = Instant::now() + GATHER;
-        while writes.len() < BATCH {
+        let until = Instant::now() + BATCH_DELAY;
+        while writes.len() < MAX_BATCH_CLAIMS {
             match self.queue.recv_deadline(until) {
                 Ok(write) => writes.push(write),
                 Err(_) => break,
@@ -111,11 +111,11 @@
         let mut calls = Vec::new();
         for write in writes {
             match write {
-                Write::Claim(call, job) => {
-                    let attempt = job.claim.attempt;
-                    match batch.add(*job) {
+                Write::Claim(call, write) => {
+                    let attempt = write.claim.attempt;
+                    match batch.add(*write) {
                         None => calls.push((attempt, call)),
-                        Some(job) => self.left.push(Write::Claim(call, Box::new(job))),
+                        Some(write) => self.left.push(Write::Claim(call, Box::new(write))),
                     }
                 }
                 Write::Release(key, bytes) => self.release(key, bytes),
@@ -129,16 +129,16 @@
         let start = Instant::now();
         let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
         let mut tries = 0;
-        while !batch.jobs().is_empty() {
+        while !batch.writes().is_empty() {
             tries += 1;
             let late = tries > TRIES || start.elapsed() > PATIENCE;
-            let said = self.say(&batch, late);
-            if said != Said::Unknown {
+            let answer = self.say(&batch, late);
+            if answer != TableAnswer::Unknown {
                 tries = 0;
             }
-            let unsure = said == Said::Unknown;
-            for (job, verdict) in batch.settle(said) {
-                self.tell(&job, verdict, calls);
+            let unsure = answer == TableAnswer::Unknown;
+            for (write, outcome) in batch.apply(answer) {
+                self.tell(&write, outcome, calls);
             }
             if unsure {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
@@ -146,36 +146,36 @@
         }
     }
 
-    fn say(&mut self, batch: &Batch, late: bool) -> Said {
+    fn say(&mut self, batch: &Batch, late: bool) -> TableAnswer {
         if self.down.is_some_and(|until| Instant::now() < until) {
-            return Said::Down;
+            return TableAnswer::Down;
         }
         if late {
             log::warn!(target: "calls", "The table gives no answer; claims are refused.");
             self.down = Some(Instant::now() + DOWN);
-            return Said::Down;
+            return TableAnswer::Down;
         }
         match self.table.transact(&transaction(batch)) {
-            Outcome::Committed(_) => Said::Committed,
+            Outcome::Committed(_) => TableAnswer::Committed,
             Outcome::Conflict(rows) => {
-                Said::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
+                TableAnswer::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
             }
             Outcome::Unknown(fault) => {
                 log::debug!(target: "calls", "Not known whether claims were written: {fault}.");
-                Said::Unknown
+                TableAnswer::Unknown
             }
             Outcome::NotSent(fault) => {
                 log::warn!(target: "calls", "Claims are refused: {fault}.");
-                Said::Down
+                TableAnswer::Down
             }
         }
     }
 
-    fn tell(&self, job: &Job, verdict: Verdict, calls: &[(RequestId, RequestId)]) {
-        let attempt = job.claim.attempt;
+    fn tell(&self, write: &ClaimWrite, outcome: ClaimOutcome, calls: &[(RequestId, RequestId)]) {
+        let attempt = write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
-            let event = Event::Claimed(*call, attempt, Box::new(verdict));
+            let event = Event::Claimed(*call, attempt, Box::new(outcome));
             // The tables are gone only when the process ends.
             let _ = self.events.send(event);
         }
@@ -196,16 +196,16 @@
 
 fn transaction(batch: &Batch) -> Transaction {
     let mut transaction = Transaction::new();
-    for job in batch.jobs() {
-        let key = job.key.clone();
-        let cond = match &job.expect {
+    for write in batch.writes() {
+        let key = write.key.clone();
+        let cond = match &write.expected {
             None => Cond::Version(key.clone(), 0),
             Some(bytes) => Cond::Value(key.clone(), bytes.clone()),
         };
         transaction = transaction
             .when(cond)
             .or_read(&key)
-            .then(Op::Put(key, job.claim.encode()));
+            .then(Op::Put(key, write.claim.encode()));
     }
     transaction
 }
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -1,7 +1,7 @@
 //! Leases of duties in the table service.
 
 use crate::platform::{PlatformError, Table};
-use hibiscusroad::lease::Row;
+use hibiscusroad::lease::LeaseRow;
 
 const PREFIX: &str = "lease/";
 
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table service can't be reached or a row is invalid.
-pub fn all(table: &Table) -> Result<Vec<(String, Row)>, PlatformError> {
+pub fn all(table: &Table) -> Result<Vec<(String, LeaseRow)>, PlatformError> {
     let rows = table.list(PREFIX, 0)?;
     let leases = rows.iter().map(|row| {
         let duty = row.key.strip_prefix(PREFIX).unwrap_or(&row.key);
@@ -37,9 +37,9 @@
     let Some(row) = table.get(&key(duty))? else {
         return Ok(0);
     };
-    Ok(parse(&row.value)?.fence)
+    Ok(parse(&row.value)?.fencing_token)
 }
 
-fn parse(value: &[u8]) -> Result<Row, PlatformError> {
+fn parse(value: &[u8]) -> Result<LeaseRow, PlatformError> {
     serde_json::from_slice(value).map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -15,7 +15,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    gate::{Admission, Gate, GateSpec, LinkKey, Run, Step},
+    gate::{Admission, Gate, GateLimits, LinkKey, Step, VersionRun},
 };
 use hibiscusroad_wire::{ToEntry, to_entry::Frame};
 use slotmap::SecondaryMap;
@@ -76,7 +76,7 @@
         after!(BEAT, [cx], beat());
         let side = &setup.side;
         Some(Self {
-            gate: Gate::new(GateSpec::new(side.limit, side.buffer)),
+            gate: Gate::new(GateLimits::new(side.limit, side.buffer)),
             links: SecondaryMap::new(),
             pool: Pool::new(side, setup.events.clone()),
             report: Report::new(&setup),
@@ -97,7 +97,7 @@
             Event::Open { hello, out, reply } => self.open(now, hello, out, reply),
             Event::Frame(link, frame) => self.frame(now, link, frame),
             Event::Lost(link) => self.lost(now, link),
-            Event::Head(id, head) => self.gate.head(id, head),
+            Event::Head(id, head) => self.gate.receive_head(id, head),
             Event::Bytes(id, data) => self.bytes(now, id, data),
             Event::Ended {
                 worker,
@@ -123,7 +123,7 @@
     pub fn settle(&mut self, cx: CX![], now: Instant) {
         self.gate.tick(now);
         self.carry_out(now);
-        if let Some(due) = self.gate.next_due() {
+        if let Some(due) = self.gate.next_tick() {
             timer_min!(&mut self.timer, due, [cx], wake());
         }
         let Some(ends) = self.ends else {
@@ -163,7 +163,7 @@
     }
 
     fn open(&mut self, now: Instant, hello: Hello, out: Outbound, reply: oneshot::Sender<LinkKey>) {
-        let link = self.gate.open(now, hello.incarnation, hello.epoch);
+        let link = self.gate.open_link(now, hello.incarnation, hello.epoch);
         log::info!(target: LOG, "Link {} of {} is open.", hello.epoch, hello.entry);
         let row = Link {
             out,
@@ -187,11 +187,11 @@
         if let Some(row) = self.links.remove(link) {
             log::info!(target: LOG, "A link of {} is lost.", row.entry);
         }
-        self.gate.lost(now, link);
+        self.gate.remove_link(now, link);
     }
 
     fn frame(&mut self, now: Instant, link: LinkKey, frame: Inbound) {
-        if !self.gate.heard(now, link) {
+        if !self.gate.receive_frame(now, link) {
             return;
         }
         match frame {
@@ -199,7 +199,7 @@
             Inbound::Attach(id, offset) => self.gate.attach(now, link, id, offset),
             Inbound::Ack(id, offset, done) => self.gate.ack(now, link, id, offset, done),
             Inbound::Cancel(id) => self.gate.cancel(now, link, id),
-            Inbound::Seal(id) => self.gate.ask(now, link, id),
+            Inbound::Seal(id) => self.gate.seal_and_report(now, link, id),
             Inbound::Beat(version, quiet) => {
                 if let Some(row) = self.links.get_mut(link) {
                     row.quiet = quiet;
@@ -228,7 +228,7 @@
     }
 
     fn bytes(&mut self, now: Instant, id: RequestId, data: Arc<[u8]>) {
-        self.gate.bytes(id, data);
+        self.gate.receive_bytes(id, data);
         // A pause has to take hold before the worker may read on.
         self.carry_out(now);
         if let Some(throttle) = self.pool.throttle(id) {
@@ -241,7 +241,7 @@
         now: Instant,
         worker: WorkerKey,
         id: RequestId,
-        outcome: Result<Vec<Run>, ErrorKind>,
+        outcome: Result<Vec<VersionRun>, ErrorKind>,
     ) {
         self.pool.ended(now, worker, id);
         match outcome {
@@ -278,7 +278,7 @@
         }
         if self.report.offer(version, document) {
             log::info!(target: LOG, "Configuration {version} is in force.");
-            self.gate.set_limit(self.report.limit());
+            self.gate.set_max_running(self.report.limit());
             self.show_leaving(now);
         }
     }
@@ -313,10 +313,10 @@
     /// Shuts or opens the gate and tells all entries at once.
     fn show_leaving(&mut self, now: Instant) {
         let leaving = self.report.is_leaving();
-        if leaving != self.gate.is_leaving() {
+        if leaving != self.gate.is_draining() {
             log::info!(target: LOG, "Takes new work: {}.", !leaving);
         }
-        self.gate.set_leaving(leaving);
+        self.gate.set_draining(leaving);
         self.beat_all(now);
     }
 
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -3,7 +3,7 @@
 use crate::side::request::{Hello, Http, Inbound, Order, Request};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Ask, Frame, Head, Header, Run, Standing},
+    gate::{AttemptState, Frame, Head, Header, StartRequest, VersionRun},
 };
 use hibiscusroad_wire::{
     self as wire, State, ToEntry, to_entry::Frame as Out, to_side::Frame as In,
@@ -78,7 +78,7 @@
         value: header.value,
     });
     Ok(Request {
-        ask: Ask {
+        ask: StartRequest {
             id: id(start.id)?,
             deadline: now + left,
             repeat,
@@ -134,9 +134,9 @@
             runs: runs.iter().map(wire_run).collect(),
         }),
         Frame::Refused { id, kind } => Out::Refused(refused(*id, *kind, retry)),
-        Frame::Standing { id, standing } => Out::Standing(wire::Standing {
+        Frame::State { id, state } => Out::Standing(wire::Standing {
             id: wire_id(*id),
-            state: state(*standing).into(),
+            state: wire_state(*state).into(),
         }),
     })
 }
@@ -161,10 +161,10 @@
     }
 }
 
-fn wire_run(run: &Run) -> wire::Run {
+fn wire_run(run: &VersionRun) -> wire::Run {
     wire::Run {
         version: run.version.clone(),
-        first: run.first,
+        first: run.first_token,
     }
 }
 
@@ -179,12 +179,12 @@
     })
 }
 
-const fn state(standing: Standing) -> State {
-    match standing {
-        Standing::Sealed => State::Sealed,
-        Standing::Running => State::Running,
-        Standing::Done => State::Done,
-        Standing::Lost => State::Lost,
+const fn wire_state(state: AttemptState) -> State {
+    match state {
+        AttemptState::Sealed => State::Sealed,
+        AttemptState::Running => State::Running,
+        AttemptState::Done => State::Done,
+        AttemptState::Lost => State::Lost,
     }
 }
 
--- a/src/gate/state.rs
+++ b/src/gate/state.rs
@@ -4,7 +4,8 @@
     class::Repeat,
     error::ErrorKind,
     gate::{
-        Admission, Ask, FencingTokens, Frame, GateSpec, LinkKey, OrderRefusal, Standing, Step,
+        Admission, AttemptState, FencingTokens, Frame, GateLimits, LinkKey, OrderRefusal,
+        StartRequest, Step,
         attempt::{Attempt, Body, Reader},
         retained::RetainedAnswers,
         tombstone::{Tombstone, Tombstones},
@@ -32,7 +33,7 @@
 /// Decides which attempts start at one endpoint, and buffers the answers.
 #[derive(Debug)]
 pub struct Gate {
-    pub(super) spec: GateSpec,
+    pub(super) limits: GateLimits,
     /// Whether new work is refused.
     pub(super) draining: bool,
     pub(super) links: SlotMap<LinkKey, Link>,
@@ -53,9 +54,9 @@
 impl Gate {
     /// Creates a gate that admits work and knows no attempts.
     #[must_use]
-    pub fn new(spec: GateSpec) -> Self {
+    pub fn new(limits: GateLimits) -> Self {
         Self {
-            spec,
+            limits,
             draining: false,
             links: SlotMap::with_key(),
             attempts: BTreeMap::new(),
@@ -79,7 +80,7 @@
     /// The epoch takes effect with the first frame after Hello, which shows that
     /// the entry received the welcome. An entry that timed out waiting for it
     /// continues on the older link, whose Starts must be admitted.
-    pub fn open(&mut self, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
+    pub fn open_link(&mut self, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
         self.links.insert(Link {
             entry,
             epoch,
@@ -94,7 +95,7 @@
     /// Closes the link if it was silent for too long. A process that was
     /// suspended finds frames of any age in its sockets when it resumes, and
     /// must not act on them.
-    pub fn heard(&mut self, now: Instant, link: LinkKey) -> bool {
+    pub fn receive_frame(&mut self, now: Instant, link: LinkKey) -> bool {
         if self.is_silent(now, link) {
             self.close_link(now, link);
         }
@@ -110,11 +111,11 @@
 
     /// Handles the loss of a link. Its entry may attach to its attempts again
     /// for a limited time.
-    pub fn lost(&mut self, now: Instant, link: LinkKey) {
+    pub fn remove_link(&mut self, now: Instant, link: LinkKey) {
         if self.links.remove(link).is_none() {
             return;
         }
-        let expires_at = now + self.spec.reattach_timeout;
+        let expires_at = now + self.limits.reattach_timeout;
         let readers = self
             .attempts
             .values_mut()
@@ -130,33 +131,39 @@
     /// Several entries share the endpoint and know of each other's load only
     /// late, so the limit is enforced here. A refusal costs the entry one round
     /// trip, after which it places the call elsewhere.
-    pub fn start(&mut self, now: Instant, link: LinkKey, ask: Ask) -> Admission {
-        if self.is_known(ask.id) {
-            if !self.is_reading(link, ask.id) {
-                self.attach(now, link, ask.id, 0);
+    pub fn start(&mut self, now: Instant, link: LinkKey, request: StartRequest) -> Admission {
+        if self.is_known(request.id) {
+            if !self.is_reading(link, request.id) {
+                self.attach(now, link, request.id, 0);
             }
             return Admission::Known;
         }
-        if let Err(kind) = self.check_start(now, link, ask) {
+        if let Err(kind) = self.check_start(now, link, request) {
             if kind.answer().not_run {
-                self.add_seal(now, ask.id, kind);
+                self.add_seal(now, request.id, kind);
             }
-            self.send(link, Frame::Refused { id: ask.id, kind });
+            self.send(
+                link,
+                Frame::Refused {
+                    id: request.id,
+                    kind,
+                },
+            );
             return Admission::Refused(kind);
         }
-        let run_once = ask.repeat == Repeat::Once;
+        let run_once = request.repeat == Repeat::Once;
         let mut attempt = Attempt {
             run_once,
             done: false,
             replayable: run_once,
-            deadline: Some(ask.deadline),
+            deadline: Some(request.deadline),
             retained_since: now,
             body: Body::default(),
             readers: Vec::new(),
         };
         attempt.readers.extend(self.reader_on(link, 0));
-        self.attempts.insert(ask.id, attempt);
-        self.open_calls.insert(ask.id);
+        self.attempts.insert(request.id, attempt);
+        self.open_calls.insert(request.id);
         Admission::Run
     }
 
@@ -180,8 +187,8 @@
         };
         attempt.readers.retain(|other| other.entry != reader.entry);
         if offset < attempt.body.start() || offset > attempt.body.length() {
-            let standing = Standing::Lost;
-            self.send(link, Frame::Standing { id, standing });
+            let state = AttemptState::Lost;
+            self.send(link, Frame::State { id, state });
             self.update_attempt(now, id);
             return;
         }
@@ -233,31 +240,31 @@
     }
 
     /// Returns the state of an attempt; seals it if it is unknown.
-    pub fn seal(&mut self, now: Instant, id: RequestId) -> Standing {
+    pub fn seal(&mut self, now: Instant, id: RequestId) -> AttemptState {
         if let Some(attempt) = self.attempts.get(&id) {
             return if attempt.done {
-                Standing::Done
+                AttemptState::Done
             } else {
-                Standing::Running
+                AttemptState::Running
             };
         }
         if self.retained.contains(id) {
-            return Standing::Done;
+            return AttemptState::Done;
         }
         if let Some(tombstone) = self.tombstones.get(id) {
-            return tombstone.standing();
+            return tombstone.state();
         }
         if self.tombstones.may_have_run(id) {
-            return Standing::Lost;
+            return AttemptState::Lost;
         }
         self.add_seal(now, id, ErrorKind::EndpointDown);
-        Standing::Sealed
+        AttemptState::Sealed
     }
 
     /// Seals an attempt if it is unknown, and sends its state to the entry.
-    pub fn ask(&mut self, now: Instant, link: LinkKey, id: RequestId) {
-        let standing = self.seal(now, id);
-        self.send(link, Frame::Standing { id, standing });
+    pub fn seal_and_report(&mut self, now: Instant, link: LinkKey, id: RequestId) {
+        let state = self.seal(now, id);
+        self.send(link, Frame::State { id, state });
     }
 
     /// Decides whether an order may reach the engine.
@@ -265,7 +272,12 @@
     /// # Errors
     ///
     /// Returns why the order is refused; it had no effect then.
-    pub fn order(&mut self, link: LinkKey, duty: &str, token: u64) -> Result<(), OrderRefusal> {
+    pub fn admit_order(
+        &mut self,
+        link: LinkKey,
+        duty: &str,
+        token: u64,
+    ) -> Result<(), OrderRefusal> {
         if !self.is_newest(link) {
             return Err(OrderRefusal::SupersededLink);
         }
@@ -273,13 +285,13 @@
     }
 
     /// Records the fencing token in a duty's lease row.
-    pub fn learn(&mut self, duty: &str, token: u64) {
+    pub fn record_token(&mut self, duty: &str, token: u64) {
         self.fencing_tokens.record(duty, token);
     }
 
     /// Returns the highest known fencing token of any duty, or 0.
     #[must_use]
-    pub fn fence(&self) -> u64 {
+    pub fn highest_token(&self) -> u64 {
         self.fencing_tokens.highest()
     }
 
@@ -324,25 +336,30 @@
         })
     }
 
-    fn check_start(&self, now: Instant, link: LinkKey, ask: Ask) -> Result<(), ErrorKind> {
-        if self.tombstones.may_have_run(ask.id) {
+    fn check_start(
+        &self,
+        now: Instant,
+        link: LinkKey,
+        request: StartRequest,
+    ) -> Result<(), ErrorKind> {
+        if self.tombstones.may_have_run(request.id) {
             return Err(ErrorKind::OutcomeUnknown);
         }
         if self.draining {
             return Err(ErrorKind::Stopping);
         }
         let origin = self.links.get(link).map(|link| link.entry);
-        if origin.is_some_and(|entry| entry != ask.id.origin) {
+        if origin.is_some_and(|entry| entry != request.id.origin) {
             return Err(ErrorKind::BadRequest);
         }
-        if ask.deadline <= now {
+        if request.deadline <= now {
             return Err(ErrorKind::Expired);
         }
         if !self.is_newest(link) {
             return Err(ErrorKind::EndpointDown);
         }
-        if self.tombstones.may_be_sealed(ask.id)
-            || self.open_calls.len() >= self.spec.max_running as usize
+        if self.tombstones.may_be_sealed(request.id)
+            || self.open_calls.len() >= self.limits.max_running as usize
         {
             return Err(ErrorKind::Saturated);
         }
@@ -377,10 +394,10 @@
 
     /// Sends the outcome of an attempt that has no buffered answer.
     fn report_ended(&mut self, now: Instant, link: LinkKey, id: RequestId) {
-        let standing = self.seal(now, id);
+        let state = self.seal(now, id);
         let frame = match self.tombstones.get(id) {
             Some(Tombstone { kind, .. }) => Frame::Refused { id, kind },
-            None => Frame::Standing { id, standing },
+            None => Frame::State { id, state },
         };
         self.send(link, frame);
     }
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -6,7 +6,10 @@
 
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateLoad, GateSpec, Head, LinkKey, Standing, Step},
+    gate::{
+        Admission, AttemptState, Frame, Gate, GateLimits, GateLoad, Head, LinkKey, StartRequest,
+        Step,
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -17,7 +20,7 @@
 pub const MAX_CHUNK_BYTES: u64 = 64;
 
 /// Small limits, which short histories reach.
-pub const LIMITS: GateSpec = GateSpec {
+pub const LIMITS: GateLimits = GateLimits {
     max_running: 3,
     max_buffered: 256,
     max_unacked: 160,
@@ -67,7 +70,7 @@
     /// Time passes, with or without heartbeats.
     Wait { duration_ms: u64, heartbeats: bool },
     /// The sidecar starts or stops refusing new work.
-    SetLeaving { leaving: bool },
+    SetDraining { draining: bool },
 }
 
 #[derive(Debug)]
@@ -173,7 +176,7 @@
                     headers: Vec::new(),
                 };
                 if let Some(id) = self.open_call(call) {
-                    self.gate.head(id, head);
+                    self.gate.receive_head(id, head);
                 }
             }
             Op::Bytes { call, chunks, size } => {
@@ -192,9 +195,9 @@
                 duration_ms,
                 heartbeats,
             } => self.wait(Duration::from_millis(duration_ms), heartbeats),
-            Op::SetLeaving { leaving } => {
-                self.draining = leaving;
-                self.gate.set_leaving(leaving);
+            Op::SetDraining { draining } => {
+                self.draining = draining;
+                self.gate.set_draining(draining);
             }
         }
         self.run_steps();
@@ -203,7 +206,7 @@
     fn open(&mut self, entry: usize) {
         self.epochs[entry] += 1;
         let epoch = self.epochs[entry];
-        let key = self.gate.open(self.now, incarnation(entry), epoch);
+        let key = self.gate.open_link(self.now, incarnation(entry), epoch);
         self.links.push(Link {
             key,
             entry,
@@ -233,7 +236,7 @@
         let Some((id, frame)) = link.in_transit.pop_front() else {
             return;
         };
-        let is_open = self.gate.heard(self.now, key);
+        let is_open = self.gate.receive_frame(self.now, key);
         self.run_steps();
         if !is_open {
             return;
@@ -242,7 +245,7 @@
         let newest = self.newest_epochs[entry] == epoch;
         match frame {
             EntryFrame::Start { once, timeout_ms } => self.start(key, newest, id, once, timeout_ms),
-            EntryFrame::Seal => self.gate.ask(self.now, key, id),
+            EntryFrame::Seal => self.gate.seal_and_report(self.now, key, id),
             EntryFrame::Attach { offset } => self.attach(key, newest, id, offset),
             EntryFrame::Ack { unacked, done } => {
                 let length = self.calls.get(&id).map_or(0, |call| call.length);
@@ -256,7 +259,7 @@
     fn start(&mut self, key: LinkKey, newest: bool, id: RequestId, once: bool, timeout_ms: u64) {
         let deadline = self.now + Duration::from_millis(timeout_ms);
         let repeat = if once { Repeat::Once } else { Repeat::Free };
-        let ask = Ask {
+        let request = StartRequest {
             id,
             deadline,
             repeat,
@@ -265,11 +268,11 @@
             link.next_offsets.entry(id).or_insert(0);
             link.restartable.insert(id);
         }
-        if self.gate.start(self.now, key, ask) != Admission::Run {
+        if self.gate.start(self.now, key, request) != Admission::Run {
             return;
         }
         assert!(newest, "{id} started from an old link");
-        assert!(!self.draining, "{id} started while leaving");
+        assert!(!self.draining, "{id} started while draining");
         assert!(timeout_ms > 0, "{id} started past its deadline");
         assert!(
             !self.reported_not_run.contains(&id),
@@ -302,7 +305,7 @@
     fn break_link(&mut self, link: usize) {
         if let Some(index) = link.checked_rem(self.links.len()) {
             let link = self.links.remove(index);
-            self.gate.lost(self.now, link.key);
+            self.gate.remove_link(self.now, link.key);
         }
     }
 
@@ -317,7 +320,7 @@
         }
         let data = answer_bytes(id, call.length, size);
         call.length += size;
-        self.gate.bytes(id, data.into());
+        self.gate.receive_bytes(id, data.into());
     }
 
     fn finish(&mut self, id: RequestId) {
@@ -357,7 +360,7 @@
             self.now = until.min(self.now + step);
             if heartbeats {
                 for link in &self.links {
-                    if self.gate.heard(self.now, link.key) {
+                    if self.gate.receive_frame(self.now, link.key) {
                         let newest = &mut self.newest_epochs[link.entry];
                         *newest = link.epoch.max(*newest);
                     }
@@ -413,17 +416,17 @@
             }
             Frame::Refused { id, kind } if kind.answer().not_run => self.check_not_run(id),
             Frame::Refused { .. } => {}
-            Frame::Standing { id, standing } => self.check_standing(id, standing),
+            Frame::State { id, state } => self.check_state(id, state),
         }
     }
 
-    fn check_standing(&mut self, id: RequestId, standing: Standing) {
+    fn check_state(&mut self, id: RequestId, state: AttemptState) {
         let call = self.calls.get(&id);
-        match standing {
-            Standing::Sealed => self.check_not_run(id),
-            Standing::Running => assert!(call.is_some_and(|call| call.open)),
-            Standing::Done => assert!(call.is_some_and(|call| call.finished)),
-            Standing::Lost => {}
+        match state {
+            AttemptState::Sealed => self.check_not_run(id),
+            AttemptState::Running => assert!(call.is_some_and(|call| call.open)),
+            AttemptState::Done => assert!(call.is_some_and(|call| call.finished)),
+            AttemptState::Lost => {}
         }
     }
 
@@ -438,13 +441,17 @@
         let load = self.gate.load();
         let max_buffered = LIMITS.max_buffered
             + LIMITS.max_running as usize * usize::try_from(MAX_CHUNK_BYTES).unwrap();
-        assert!(load.held <= max_buffered, "{} bytes are held", load.held);
+        assert!(
+            load.buffered <= max_buffered,
+            "{} bytes are buffered",
+            load.buffered
+        );
         assert!(load.running <= LIMITS.max_running, "{} calls", load.running);
         let open_calls = self.calls.values().filter(|call| call.open).count();
         assert_eq!(load.running as usize, open_calls);
         let any_paused = self.calls.values().any(|call| call.paused && call.open);
         assert!(
-            !any_paused || load.held > LIMITS.max_unacked / 2,
+            !any_paused || load.buffered > LIMITS.max_unacked / 2,
             "paused for no reason"
         );
     }
@@ -467,15 +474,15 @@
         }
         self.wait(LIMITS.retention + Duration::from_mins(1), false);
         self.wait(Duration::from_mins(2), false);
-        let limit = LIMITS.max_running;
+        let max_running = LIMITS.max_running;
         assert_eq!(
             self.gate.load(),
             GateLoad {
-                limit,
+                max_running,
                 ..GateLoad::default()
             }
         );
-        assert_eq!(self.gate.next_due(), None);
+        assert_eq!(self.gate.next_tick(), None);
         assert!(self.gate.is_idle(self.now));
     }
 }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,7 +1,7 @@
 //! Tests that orders of successive holders of the weights' duty stay apart.
 
 use hibiscusroad::{
-    lease::{Holding, Lease, Next, Row, Terms},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, NextAction},
     rollout::turns::{Turns, VALID},
 };
 use proptest::prelude::*;
@@ -29,34 +29,37 @@
 #[test]
 fn lease_of_a_suspected_holder_is_taken_over_at_once() {
     let now = Instant::now();
-    let row = Row {
+    let row = LeaseRow {
         holder: "gateway-1/aa".to_owned(),
-        fence: 4,
+        fencing_token: 4,
         renewals: 9,
     };
-    let mut lease = Lease::new("gateway-2/bb", Terms::new());
-    lease.seen(now, Some((17, row)));
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
-    let held = lease.other().unwrap();
-    assert_eq!((held.holder.as_str(), held.fence), ("gateway-1/aa", 4));
+    let mut lease = Lease::new("gateway-2/bb", LeaseTimes::new());
+    lease.record_read(now, Some((17, row)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
+    let held = lease.other_holding().unwrap();
+    assert_eq!(
+        (held.holder.as_str(), held.fencing_token),
+        ("gateway-1/aa", 4)
+    );
     lease.suspect(Holding {
         holder: "gateway-3/cc".to_owned(),
-        fence: 4,
+        fencing_token: 4,
     });
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
     lease.suspect(Holding {
-        fence: 3,
+        fencing_token: 3,
         ..held.clone()
     });
-    assert!(matches!(lease.next(now), Next::Sleep(_)));
+    assert!(matches!(lease.next_action(now), NextAction::Sleep(_)));
     lease.suspect(held);
-    let Next::Write { version, row } = lease.next(now) else {
+    let NextAction::Write { version, row } = lease.next_action(now) else {
         panic!("the lease is not taken over");
     };
-    assert_eq!((version, row.fence), (17, 5));
-    assert_eq!(lease.version(now), None);
-    lease.written(18);
-    assert_eq!(lease.version(now), Some(18));
+    assert_eq!((version, row.fencing_token), (17, 5));
+    assert_eq!(lease.held_version(now), None);
+    lease.record_write(18);
+    assert_eq!(lease.held_version(now), Some(18));
 }
 
 const STEP: Duration = Duration::from_millis(50);
