--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -231,7 +231,7 @@
     match target {
         Target::Endpoint => &mut next.drains.endpoints,
         Target::Host => &mut next.drains.hosts,
-        Target::Place => &mut next.drains.places,
+        Target::Place => &mut next.drains.data_centres,
     }
 }
 
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -27,7 +27,7 @@
     pub fn is_drained(&self, endpoint: &str, host: &str, data_centre: &str) -> bool {
         self.drains.endpoints.contains(endpoint)
             || self.drains.hosts.contains(host)
-            || self.drains.places.contains(data_centre)
+            || self.drains.data_centres.contains(data_centre)
     }
 }
 
@@ -41,8 +41,8 @@
     #[serde(default)]
     pub hosts: BTreeSet<String>,
     /// All endpoints in these data centres.
-    #[serde(default)]
-    pub places: BTreeSet<String>,
+    #[serde(default, rename = "places")]
+    pub data_centres: BTreeSet<String>,
 }
 
 /// One service.
