--- a/src/account.rs
+++ b/src/account.rs
@@ -95,7 +95,7 @@
 
     /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
-    pub fn shared_keys(&self) -> usize {
+    pub fn shared_key_count(&self) -> usize {
         self.shared_keys.len()
     }
 
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -178,7 +178,7 @@
     /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
     pub fn shared_keys(&self) -> usize {
-        self.accounts.as_ref().map_or(0, Accounts::shared_keys)
+        self.accounts.as_ref().map_or(0, Accounts::shared_key_count)
     }
 
     /// Returns whether callers are authenticated by keys.
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -85,7 +85,7 @@
             let keys = keys.map(|text| Key::of(text.as_bytes()));
             accounts.add(account(&format!("account-{n}")), keys);
         }
-        assert_eq!(accounts.shared_keys(), 1);
+        assert_eq!(accounts.shared_key_count(), 1);
         assert_eq!(
             accounts.authenticate(key_credential("same")),
             Err(ErrorKind::KeyUnknown)
@@ -104,7 +104,7 @@
         accounts.authenticate(key_credential("same")).unwrap().name,
         "charity"
     );
-    assert_eq!(accounts.shared_keys(), 0);
+    assert_eq!(accounts.shared_key_count(), 0);
 }
 
 #[test]
