--- a/src/quarantine/row.rs
+++ b/src/quarantine/row.rs
@@ -2,7 +2,7 @@
 //!
 //! | table | part | key | value | condition of a write |
 //! |---|---|---|---|---|
-//! | `crashes` | empty | fingerprint/digest of the incarnation | [`Crash`] | none: all writers of a key write the same |
+//! | `crashes` | empty | fingerprint/digest of the incarnation | [`Crash`] | none: the writers of a key differ only in the time |
 
 use super::Fingerprint;
 use crate::table::{Row, RowId};
