--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::entry::{attempt::Attempt, call::CallRow, tables::Tables};
 use hibiscusroad::{
     ErrorKind, RequestId,
-    quarantine::{Crash, Fingerprint, Identity, LIMIT, Ledger, Life, Verdict},
+    quarantine::{Crash, EndpointIncarnation, Fingerprint, Identity, LIMIT, Ledger, Verdict},
     route::{EndpointKey, Outcome},
 };
 use std::{
@@ -60,7 +60,10 @@
         let endpoint = format!("{:?}", attempt.endpoint);
         let added = self.ledger.add(Crash {
             request,
-            life: Life { endpoint, born },
+            incarnation: EndpointIncarnation {
+                endpoint,
+                started_ms: born,
+            },
             at,
             path,
         });
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -9,7 +9,7 @@
     Class, ErrorKind, Incarnation, RequestId,
     catalog::{Catalog, Route},
     clock::millis,
-    quarantine::Life,
+    quarantine::EndpointIncarnation,
     roster::{Endpoint, News},
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, Router, ServiceKey, ServiceSpec, Step,
@@ -49,10 +49,10 @@
     }
 
     /// Names this life of it.
-    pub(super) fn life(&self) -> Life {
-        Life {
+    pub(super) fn life(&self) -> EndpointIncarnation {
+        EndpointIncarnation {
             endpoint: self.id.to_string(),
-            born: self.born,
+            started_ms: self.born,
         }
     }
 }
--- a/hibiscusroad-daemon/src/gateway/crashes/flight.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/flight.rs
@@ -2,7 +2,7 @@
 
 use super::{Crashes, Subject};
 use crate::gateway::http::Fault;
-use hibiscusroad::quarantine::Life;
+use hibiscusroad::quarantine::EndpointIncarnation;
 use std::{error::Error, io, rc::Rc, time::Instant};
 
 /// A request in flight at an endpoint.
@@ -11,7 +11,7 @@
 pub(in crate::gateway) struct InFlight {
     crashes: Rc<Crashes>,
     subject: Rc<Subject>,
-    life: Life,
+    life: EndpointIncarnation,
     sent: bool,
 }
 
@@ -20,7 +20,7 @@
     pub(in crate::gateway) fn watch(
         self: &Rc<Self>,
         subject: &Rc<Subject>,
-        life: Life,
+        life: EndpointIncarnation,
     ) -> InFlight {
         InFlight {
             crashes: Rc::clone(self),
@@ -30,7 +30,7 @@
         }
     }
 
-    fn leave_open(&self, subject: &Subject, life: &Life) {
+    fn leave_open(&self, subject: &Subject, life: &EndpointIncarnation) {
         if subject.is_answered() {
             return;
         }
--- a/hibiscusroad-daemon/src/gateway/crashes/keep.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/keep.rs
@@ -3,7 +3,7 @@
 use super::Crashes;
 use crate::{logs::CALLS, platform::Backoff};
 use hibiscusroad::{
-    quarantine::{LAPSED, Life},
+    quarantine::{EndpointIncarnation, LAPSED},
     table::{Change, Commit, RowId},
 };
 use std::{
@@ -100,12 +100,12 @@
     fn expire(&self) {
         let entries = self.entries.borrow();
         let steady = self.contact.get().is_steady(Instant::now(), LAPSED);
-        let lives = |life: &Life| {
+        let lives = |life: &EndpointIncarnation| {
             if !steady {
                 return false;
             }
             let entry = entries.get(&life.endpoint);
-            entry.is_some_and(|entry| entry.born == life.born)
+            entry.is_some_and(|entry| entry.born == life.started_ms)
         };
         let rows = self.ledger.borrow_mut().expire(self.now(), lives);
         if rows.is_empty() {
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -12,7 +12,7 @@
 use super::{meters::Meters, store::Store, subject::Subject};
 use crate::logs::CALLS;
 use hibiscusroad::{
-    quarantine::{Contact, Crash, Fingerprint, Ledger, Life, OpenAttempts, Verdict},
+    quarantine::{Contact, Crash, EndpointIncarnation, Fingerprint, Ledger, OpenAttempts, Verdict},
     roster::News,
     table::RowId,
 };
@@ -110,23 +110,23 @@
     fn gone(&self, id: &str) {
         let known = self.entries.borrow().get(id).copied();
         if let Some(entry) = known {
-            self.ended(&Life {
+            self.ended(&EndpointIncarnation {
                 endpoint: id.to_owned(),
-                born: entry.born,
+                started_ms: entry.born,
             });
         }
         self.entries.borrow_mut().remove(id);
     }
 
     /// Says whether an endpoint told that it leaves: its end is planned then.
-    fn is_leaving(&self, life: &Life) -> bool {
+    fn is_leaving(&self, life: &EndpointIncarnation) -> bool {
         let entries = self.entries.borrow();
         let entry = entries.get(&life.endpoint);
-        entry.is_some_and(|entry| entry.leaving && entry.born == life.born)
+        entry.is_some_and(|entry| entry.leaving && entry.born == life.started_ms)
     }
 
     /// Notes that an endpoint has ended: what was in flight there may be the cause.
-    fn ended(&self, life: &Life) {
+    fn ended(&self, life: &EndpointIncarnation) {
         if self.is_leaving(life) {
             return;
         }
@@ -137,13 +137,13 @@
     }
 
     /// Notes that a request was in flight at an endpoint that ended.
-    fn record(&self, request: Fingerprint, life: &Life, path: &str) {
+    fn record(&self, request: Fingerprint, life: &EndpointIncarnation, path: &str) {
         if self.is_leaving(life) {
             return;
         }
         let crash = Crash {
             request,
-            life: life.clone(),
+            incarnation: life.clone(),
             at: self.now(),
             path: path.chars().take(PATH).collect(),
         };
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -1,6 +1,6 @@
 //! Recorded crashes, and the verdicts on requests that follow from them.
 
-use super::{AMBIGUITY_MARGIN, Crash, Fingerprint, LAPSED, Life};
+use super::{AMBIGUITY_MARGIN, Crash, EndpointIncarnation, Fingerprint, LAPSED};
 use crate::table::RowId;
 use slotmap::{SlotMap, new_key_type};
 use std::{
@@ -36,7 +36,7 @@
     crash_ttl: Duration,
     crashes: SlotMap<CrashKey, Crash>,
     by_request: HashMap<Fingerprint, Vec<CrashKey>>,
-    by_incarnation: HashMap<Life, Vec<CrashKey>>,
+    by_incarnation: HashMap<EndpointIncarnation, Vec<CrashKey>>,
     by_row: HashMap<RowId, CrashKey>,
     by_time: BTreeSet<(Duration, CrashKey)>,
 }
@@ -90,7 +90,7 @@
         if self.crashes.len() >= MAX_CRASHES {
             self.evict();
         }
-        let (request, incarnation, at) = (crash.request, crash.life.clone(), crash.at);
+        let (request, incarnation, at) = (crash.request, crash.incarnation.clone(), crash.at);
         let key = self.crashes.insert(crash);
         self.by_request.entry(request).or_default().push(key);
         self.by_incarnation
@@ -125,10 +125,14 @@
 
     /// Removes the crashes that no longer count, and returns their rows: those that are too
     /// old, and those older than [`LAPSED`] whose endpoint is live according to `is_live`.
-    pub fn expire(&mut self, now: Duration, is_live: impl Fn(&Life) -> bool) -> Vec<RowId> {
+    pub fn expire(
+        &mut self,
+        now: Duration,
+        is_live: impl Fn(&EndpointIncarnation) -> bool,
+    ) -> Vec<RowId> {
         let is_void = |crash: &Crash| {
             let refutable = now.saturating_sub(crash.at) >= LAPSED;
-            self.is_over(now, crash) || (refutable && is_live(&crash.life))
+            self.is_over(now, crash) || (refutable && is_live(&crash.incarnation))
         };
         let void = self.crashes.iter().filter(|(_, crash)| is_void(crash));
         let keys: Vec<CrashKey> = void.map(|(key, _)| key).collect();
@@ -166,7 +170,11 @@
     /// crash.
     fn max_rival_count(&self, key: CrashKey) -> usize {
         let crash = &self.crashes[key];
-        let keys = self.by_incarnation.get(&crash.life).into_iter().flatten();
+        let keys = self
+            .by_incarnation
+            .get(&crash.incarnation)
+            .into_iter()
+            .flatten();
         let others = keys.map(|key| self.crashes[*key].request);
         let others = others.filter(|request| *request != crash.request);
         let counts = others.map(|request| self.by_request.get(&request).map_or(0, Vec::len));
@@ -177,7 +185,7 @@
         let crash = self.crashes.remove(key)?;
         let row = crash.row();
         remove_from_index(&mut self.by_request, &crash.request, key);
-        remove_from_index(&mut self.by_incarnation, &crash.life, key);
+        remove_from_index(&mut self.by_incarnation, &crash.incarnation, key);
         self.by_row.remove(&row);
         self.by_time.remove(&(crash.at, key));
         Some(row)
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -38,7 +38,7 @@
     fingerprint::{Fingerprint, Identity, ParseFingerprintError},
     ledger::{Ledger, Verdict},
     open::OpenAttempts,
-    row::{CRASHES, Crash, DecodeCrashError, Life},
+    row::{CRASHES, Crash, DecodeCrashError, EndpointIncarnation},
 };
 
 /// Default number of crashes after which a request is quarantined. Two may be chance, as when
--- a/src/quarantine/open.rs
+++ b/src/quarantine/open.rs
@@ -1,6 +1,6 @@
 //! Failed attempts whose endpoint may or may not have ended.
 
-use super::{Fingerprint, Life, UNRESOLVED_TTL};
+use super::{EndpointIncarnation, Fingerprint, UNRESOLVED_TTL};
 use std::{
     collections::{HashMap, VecDeque},
     time::Instant,
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct Attempt {
     request: Fingerprint,
-    incarnation: Life,
+    incarnation: EndpointIncarnation,
     /// The path of the request.
     path: String,
     ended_at: Instant,
@@ -25,7 +25,7 @@
 pub struct OpenAttempts {
     attempts: VecDeque<Attempt>,
     /// Incarnations that ended, and when their end was detected.
-    ended: HashMap<Life, Instant>,
+    ended: HashMap<EndpointIncarnation, Instant>,
 }
 
 impl OpenAttempts {
@@ -48,7 +48,7 @@
         &mut self,
         now: Instant,
         request: Fingerprint,
-        incarnation: Life,
+        incarnation: EndpointIncarnation,
         path: String,
     ) -> bool {
         self.expire(now);
@@ -69,7 +69,11 @@
 
     /// Records that an incarnation has ended; removes its attempts and returns their requests
     /// and paths.
-    pub fn ended(&mut self, now: Instant, incarnation: &Life) -> Vec<(Fingerprint, String)> {
+    pub fn ended(
+        &mut self,
+        now: Instant,
+        incarnation: &EndpointIncarnation,
+    ) -> Vec<(Fingerprint, String)> {
         self.expire(now);
         self.ended.insert(incarnation.clone(), now);
         let affected = self
--- a/src/quarantine/row.rs
+++ b/src/quarantine/row.rs
@@ -15,17 +15,18 @@
 
 /// One incarnation of an endpoint, from the start of its process to its end.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Life {
+pub struct EndpointIncarnation {
     /// The id of the endpoint.
     pub endpoint: String,
-    /// The start of the incarnation, if a restarted endpoint may have the same id.
-    pub born: Option<u64>,
+    /// The start in milliseconds, if a restarted endpoint may have the same id.
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
 }
 
-impl Life {
+impl EndpointIncarnation {
     /// Returns the digest of the incarnation for row keys, which have a bounded length.
     fn key(&self) -> String {
-        let name = format!("{}/{}", self.endpoint, self.born.unwrap_or(0));
+        let name = format!("{}/{}", self.endpoint, self.started_ms.unwrap_or(0));
         format!("{:016x}", xxh3_64(name.as_bytes()))
     }
 }
@@ -36,7 +37,7 @@
     /// The request that was in flight.
     pub request: Fingerprint,
     /// The incarnation that ended.
-    pub life: Life,
+    pub incarnation: EndpointIncarnation,
     /// The time by the store's steady clock when the end was detected.
     pub at: Duration,
     /// The path of the request, shown to operators.
@@ -57,7 +58,7 @@
 #[derive(Deserialize, Serialize)]
 struct Value {
     #[serde(flatten)]
-    incarnation: Life,
+    incarnation: EndpointIncarnation,
     at_ms: u64,
     path: String,
 }
@@ -66,7 +67,7 @@
     /// Returns the id of the row.
     #[must_use]
     pub fn row(&self) -> RowId {
-        let key = format!("{}/{}", self.request, self.life.key());
+        let key = format!("{}/{}", self.request, self.incarnation.key());
         RowId::new(CRASHES, "", &key)
     }
 
@@ -78,7 +79,7 @@
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let value = Value {
-            incarnation: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             at_ms: u64::try_from(self.at.as_millis()).unwrap_or(u64::MAX),
             path: self.path.clone(),
         };
@@ -96,7 +97,7 @@
         let value: Value = serde_json::from_slice(&row.value)?;
         Ok(Self {
             request,
-            life: value.incarnation,
+            incarnation: value.incarnation,
             at: Duration::from_millis(value.at_ms),
             path: value.path,
         })
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,8 +2,9 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUITY_MARGIN, CRASHES, Contact, Crash, DecodeCrashError, Fingerprint, Identity, KEEP,
-        LAPSED, LIMIT, Ledger, Life, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
+        AMBIGUITY_MARGIN, CRASHES, Contact, Crash, DecodeCrashError, EndpointIncarnation,
+        Fingerprint, Identity, KEEP, LAPSED, LIMIT, Ledger, OpenAttempts, ParseFingerprintError,
+        UNRESOLVED_TTL, Verdict,
     },
     table::{Row, RowId},
 };
@@ -87,10 +88,10 @@
     })
 }
 
-fn incarnation(n: usize) -> Life {
-    Life {
+fn incarnation(n: usize) -> EndpointIncarnation {
+    EndpointIncarnation {
         endpoint: format!("e{n}"),
-        born: None,
+        started_ms: None,
     }
 }
 
@@ -103,7 +104,7 @@
     for request_id in requests {
         ledger.add(Crash {
             request: request(*request_id),
-            life: incarnation(n),
+            incarnation: incarnation(n),
             at: Duration::from_secs(second),
             path: "/desk/x".to_owned(),
         });
@@ -235,7 +236,7 @@
     for n in 0..LIMIT {
         record_crash(&mut ledger, 1, n, &[1]);
     }
-    let is_live = |other: &Life| *other == incarnation(0);
+    let is_live = |other: &EndpointIncarnation| *other == incarnation(0);
     let too_early = LAPSED;
     assert_eq!(ledger.expire(too_early, is_live), []);
     assert!(is_quarantined(&ledger, 1));
@@ -270,7 +271,7 @@
         };
         ledger.add(Crash {
             request: Fingerprint::of(&identity),
-            life: incarnation(100),
+            incarnation: incarnation(100),
             at: Duration::from_secs(5),
             path: String::new(),
         });
@@ -283,9 +284,9 @@
 fn crash_round_trips_through_its_row() {
     let crash = Crash {
         request: request(1),
-        life: Life {
+        incarnation: EndpointIncarnation {
             endpoint: "i-1".repeat(60),
-            born: Some(17),
+            started_ms: Some(17),
         },
         at: Duration::from_millis(1_234),
         path: "/desk/\"x\"?y".to_owned(),
@@ -297,12 +298,12 @@
     };
     assert!(row.id.key.len() <= 200);
     assert_eq!(Crash::decode(&row).unwrap(), crash);
-    let restarted = Life {
-        born: Some(18),
-        ..crash.life.clone()
+    let restarted = EndpointIncarnation {
+        started_ms: Some(18),
+        ..crash.incarnation.clone()
     };
     let next_crash = Crash {
-        life: restarted,
+        incarnation: restarted,
         ..crash
     };
     assert_ne!(next_crash.row(), row.id);
--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -2,7 +2,8 @@
 //! are retried: how many endpoints end, and which requests are refused.
 
 use hibiscusroad::quarantine::{
-    AMBIGUITY_MARGIN, Crash, Fingerprint, Identity, KEEP, LIMIT, Ledger, Life, Verdict,
+    AMBIGUITY_MARGIN, Crash, EndpointIncarnation, Fingerprint, Identity, KEEP, LIMIT, Ledger,
+    Verdict,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -175,9 +176,9 @@
             return;
         }
         self.totals.crashes += 1;
-        let incarnation = Life {
+        let incarnation = EndpointIncarnation {
             endpoint: format!("e{endpoint}"),
-            born: Some(self.restarts[endpoint] as u64),
+            started_ms: Some(self.restarts[endpoint] as u64),
         };
         for run in &mut self.runs {
             let Phase::Running(running_at, _) = run.phase else {
@@ -187,7 +188,7 @@
                 run.phase = Phase::Waiting(now + START_DELAY_MS);
                 self.ledger.add(Crash {
                     request: fingerprint(run.request),
-                    life: incarnation.clone(),
+                    incarnation: incarnation.clone(),
                     at: std::time::Duration::from_millis(now),
                     path: String::new(),
                 });
