--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -4,13 +4,13 @@
 //! connection after the start, and serves the next life of it under the same name; so
 //! breaks at one endpoint that are close together are one crash.
 //!
-//! Entries don't share evidence. Each may see [`LIMIT`] crashes of its own: the table
+//! Entries don't share evidence. Each may see [`CRASH_LIMIT`] crashes of its own: the table
 //! takes few writes of each entry, and deployments with sides have two or three.
 
 use crate::entry::{attempt::Attempt, call::CallRow, tables::Tables};
 use hibiscusroad::{
     ErrorKind, RequestId,
-    quarantine::{Crash, EndpointIncarnation, Fingerprint, Identity, LIMIT, Ledger, Verdict},
+    quarantine::{CRASH_LIMIT, Crash, EndpointIncarnation, Fingerprint, Identity, Ledger, Verdict},
     route::{EndpointKey, Outcome},
 };
 use std::{
@@ -35,7 +35,7 @@
 impl Crashes {
     pub(super) fn new(start: Instant) -> Self {
         Self {
-            ledger: Ledger::new(LIMIT, KEEP),
+            ledger: Ledger::new(CRASH_LIMIT, KEEP),
             start,
             last: HashMap::new(),
         }
--- a/hibiscusroad-daemon/src/gateway/crashes/keep.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/keep.rs
@@ -3,7 +3,7 @@
 use super::Crashes;
 use crate::{logs::CALLS, platform::Backoff};
 use hibiscusroad::{
-    quarantine::{EndpointIncarnation, LAPSED},
+    quarantine::{EndpointIncarnation, REFUTATION_DELAY},
     table::{Change, Commit, RowId},
 };
 use std::{
@@ -99,7 +99,10 @@
 
     fn expire(&self) {
         let entries = self.entries.borrow();
-        let steady = self.contact.get().is_steady(Instant::now(), LAPSED);
+        let steady = self
+            .contact
+            .get()
+            .is_steady(Instant::now(), REFUTATION_DELAY);
         let lives = |life: &EndpointIncarnation| {
             if !steady {
                 return false;
--- a/hibiscusroad-daemon/src/settings/roles.rs
+++ b/hibiscusroad-daemon/src/settings/roles.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     config::Kind,
-    quarantine::{KEEP, LIMIT},
+    quarantine::{CRASH_LIMIT, CRASH_TTL},
 };
 use serde::Deserialize;
 use std::{fmt, net::SocketAddr};
@@ -271,11 +271,11 @@
 }
 
 fn default_crash_limit() -> usize {
-    LIMIT
+    CRASH_LIMIT
 }
 
 fn default_quarantine() -> u64 {
-    KEEP.as_secs()
+    CRASH_TTL.as_secs()
 }
 
 fn default_lease() -> u64 {
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -1,6 +1,6 @@
 //! Recorded crashes, and the verdicts on requests that follow from them.
 
-use super::{AMBIGUITY_MARGIN, Crash, EndpointIncarnation, Fingerprint, LAPSED};
+use super::{AMBIGUITY_MARGIN, Crash, EndpointIncarnation, Fingerprint, REFUTATION_DELAY};
 use crate::table::RowId;
 use slotmap::{SlotMap, new_key_type};
 use std::{
@@ -124,14 +124,14 @@
     }
 
     /// Removes the crashes that no longer count, and returns their rows: those that are too
-    /// old, and those older than [`LAPSED`] whose endpoint is live according to `is_live`.
+    /// old, and those older than [`REFUTATION_DELAY`] whose endpoint is live according to `is_live`.
     pub fn expire(
         &mut self,
         now: Duration,
         is_live: impl Fn(&EndpointIncarnation) -> bool,
     ) -> Vec<RowId> {
         let is_void = |crash: &Crash| {
-            let refutable = now.saturating_sub(crash.at) >= LAPSED;
+            let refutable = now.saturating_sub(crash.at) >= REFUTATION_DELAY;
             self.is_over(now, crash) || (refutable && is_live(&crash.incarnation))
         };
         let void = self.crashes.iter().filter(|(_, crash)| is_void(crash));
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -12,7 +12,7 @@
 //!   also after a restart.
 //! * [`Ledger`] keeps the evidence and decides. A crash is attributed to the request in
 //!   flight with the most crashes, which clears requests that only ran beside the cause.
-//!   After [`LIMIT`] crashes a request is quarantined.
+//!   After [`CRASH_LIMIT`] crashes a request is quarantined.
 //! * [`OpenAttempts`] keeps attempts that ended without an answer until the end of their
 //!   endpoint may be detected: a host without power closes no connections, and a client may
 //!   disconnect first.
@@ -43,16 +43,16 @@
 
 /// Default number of crashes after which a request is quarantined. Two may be chance, as when
 /// a request and its retry meet a failing data centre.
-pub const LIMIT: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 /// Crashes beyond the limit after which a request is quarantined even if the evidence points
 /// at others as well.
 pub const AMBIGUITY_MARGIN: usize = 2;
 /// Default time for which a crash counts. A request that still crashes endpoints after it may
-/// end [`LIMIT`] more.
-pub const KEEP: Duration = Duration::from_hours(1);
+/// end [`CRASH_LIMIT`] more.
+pub const CRASH_TTL: Duration = Duration::from_hours(1);
 /// Age from which a crash is void if its endpoint is still registered. The entry of an
 /// endpoint that ended expires well before, also after an outage of the store.
-pub const LAPSED: Duration = Duration::from_secs(20);
+pub const REFUTATION_DELAY: Duration = Duration::from_secs(20);
 /// How long an unresolved attempt is kept: the entry of an ended endpoint expires within
 /// this time.
 pub const UNRESOLVED_TTL: Duration = Duration::from_secs(10);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,9 +2,9 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUITY_MARGIN, CRASHES, Contact, Crash, DecodeCrashError, EndpointIncarnation,
-        Fingerprint, Identity, KEEP, LAPSED, LIMIT, Ledger, OpenAttempts, ParseFingerprintError,
-        UNRESOLVED_TTL, Verdict,
+        AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, CRASHES, Contact, Crash, DecodeCrashError,
+        EndpointIncarnation, Fingerprint, Identity, Ledger, OpenAttempts, ParseFingerprintError,
+        REFUTATION_DELAY, UNRESOLVED_TTL, Verdict,
     },
     table::{Row, RowId},
 };
@@ -96,7 +96,7 @@
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(LIMIT, KEEP)
+    Ledger::new(CRASH_LIMIT, CRASH_TTL)
 }
 
 /// Records that requests were in flight when the nth incarnation ended.
@@ -119,15 +119,15 @@
 #[test]
 fn request_is_quarantined_at_the_crash_limit() {
     let mut ledger = ledger();
-    assert_eq!(ledger.verdict(KEEP, request(1)), Verdict::Clear);
-    for n in 0..LIMIT {
+    assert_eq!(ledger.verdict(CRASH_TTL, request(1)), Verdict::Clear);
+    for n in 0..CRASH_LIMIT {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
         record_crash(&mut ledger, 50 + n as u64, n, &[1]);
     }
     let verdict = ledger.verdict(Duration::from_mins(1), request(1));
-    let remaining = KEEP.saturating_sub(Duration::from_secs(10));
+    let remaining = CRASH_TTL.saturating_sub(Duration::from_secs(10));
     assert_eq!(verdict, Verdict::Quarantined(remaining));
-    assert_eq!(ledger.verdict(KEEP, request(2)), Verdict::Clear);
+    assert_eq!(ledger.verdict(CRASH_TTL, request(2)), Verdict::Clear);
 }
 
 #[test]
@@ -157,11 +157,11 @@
 #[test]
 fn neighbour_at_every_crash_is_not_quarantined_at_the_limit() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
     assert!(!is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
-    record_crash(&mut ledger, 2, LIMIT, &[1]);
+    record_crash(&mut ledger, 2, CRASH_LIMIT, &[1]);
     assert!(is_quarantined(&ledger, 1));
     assert!(!is_quarantined(&ledger, 2));
 }
@@ -170,7 +170,7 @@
 #[test]
 fn ambiguous_evidence_quarantines_after_the_margin() {
     let mut ledger = ledger();
-    for n in 0..LIMIT + AMBIGUITY_MARGIN {
+    for n in 0..CRASH_LIMIT + AMBIGUITY_MARGIN {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
@@ -193,7 +193,7 @@
                 counts[usize::from(*n)] += 1;
             }
         }
-        let max_crashes = LIMIT + AMBIGUITY_MARGIN;
+        let max_crashes = CRASH_LIMIT + AMBIGUITY_MARGIN;
         assert!(
             counts.iter().all(|count| *count <= max_crashes),
             "seed {seed}: {counts:?}"
@@ -206,11 +206,11 @@
 #[test]
 fn late_evidence_against_the_cause_clears_its_neighbour() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[2]);
     }
     assert!(is_quarantined(&ledger, 2));
-    for n in 0..=LIMIT {
+    for n in 0..=CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1]);
     }
     assert!(is_quarantined(&ledger, 1));
@@ -220,12 +220,12 @@
 #[test]
 fn removing_a_request_clears_it() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
-    assert_eq!(ledger.forget(request(2)).len(), LIMIT);
+    assert_eq!(ledger.forget(request(2)).len(), CRASH_LIMIT);
     assert!(is_quarantined(&ledger, 1));
-    assert_eq!(ledger.verdict(KEEP, request(2)), Verdict::Clear);
+    assert_eq!(ledger.verdict(CRASH_TTL, request(2)), Verdict::Clear);
     assert_eq!(ledger.forget(request(2)), []);
 }
 
@@ -233,14 +233,14 @@
 #[test]
 fn crashes_of_live_endpoints_are_void() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1]);
     }
     let is_live = |other: &EndpointIncarnation| *other == incarnation(0);
-    let too_early = LAPSED;
+    let too_early = REFUTATION_DELAY;
     assert_eq!(ledger.expire(too_early, is_live), []);
     assert!(is_quarantined(&ledger, 1));
-    let late = LAPSED + Duration::from_secs(1);
+    let late = REFUTATION_DELAY + Duration::from_secs(1);
     assert_eq!(ledger.expire(late, is_live).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
@@ -248,11 +248,11 @@
 #[test]
 fn crashes_expire_after_their_ttl() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1 + n as u64, n, &[1]);
     }
-    assert_eq!(ledger.expire(KEEP, |_| false), []);
-    let after = KEEP + Duration::from_secs(1);
+    assert_eq!(ledger.expire(CRASH_TTL, |_| false), []);
+    let after = CRASH_TTL + Duration::from_secs(1);
     assert_eq!(ledger.expire(after, |_| false).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
@@ -260,7 +260,7 @@
 #[test]
 fn bounded_ledger_keeps_the_crashes_of_the_cause() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 0, n, &[1]);
     }
     for n in 0..20_000_u32 {
@@ -359,7 +359,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut ledger = ledger();
         let mut counts = [0; 12];
-        for n in 0..LIMIT + AMBIGUITY_MARGIN {
+        for n in 0..CRASH_LIMIT + AMBIGUITY_MARGIN {
             let neighbours = (2..12_u8).filter(|_| rng.random_bool(0.4));
             let in_flight: Vec<u8> = neighbours.chain([1]).collect();
             record_crash(&mut ledger, 1, n, &in_flight);
@@ -385,14 +385,17 @@
     let at = |second: u64| start + Duration::from_secs(second);
     let mut contact = Contact::new();
     assert!(!contact.is_steady(at(0), Duration::ZERO));
-    for second in (0..=LAPSED.as_secs()).step_by(2) {
+    for second in (0..=REFUTATION_DELAY.as_secs()).step_by(2) {
         contact.hear(at(second));
     }
-    assert!(contact.is_steady(at(20), LAPSED));
-    assert!(!contact.is_steady(at(30), LAPSED), "updates stopped");
+    assert!(contact.is_steady(at(20), REFUTATION_DELAY));
+    assert!(
+        !contact.is_steady(at(30), REFUTATION_DELAY),
+        "updates stopped"
+    );
     contact.hear(at(31));
     assert!(
-        !contact.is_steady(at(32), LAPSED),
+        !contact.is_steady(at(32), REFUTATION_DELAY),
         "updates have just resumed"
     );
 }
--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -2,8 +2,8 @@
 //! are retried: how many endpoints end, and which requests are refused.
 
 use hibiscusroad::quarantine::{
-    AMBIGUITY_MARGIN, Crash, EndpointIncarnation, Fingerprint, Identity, KEEP, LIMIT, Ledger,
-    Verdict,
+    AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, Crash, EndpointIncarnation, Fingerprint, Identity,
+    Ledger, Verdict,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -87,7 +87,7 @@
         let mut world = Self {
             run_ms,
             rng: Pcg64::seed_from_u64(seed),
-            ledger: Ledger::new(LIMIT, KEEP),
+            ledger: Ledger::new(CRASH_LIMIT, CRASH_TTL),
             policy,
             up_at: [0; ENDPOINTS],
             restarts: [0; ENDPOINTS],
@@ -205,7 +205,7 @@
 }
 
 fn allow_by_count(ledger: &Ledger, request: Fingerprint) -> bool {
-    ledger.crashes_of(request).count() < LIMIT
+    ledger.crashes_of(request).count() < CRASH_LIMIT
 }
 
 fn allow_all(_ledger: &Ledger, _request: Fingerprint) -> bool {
@@ -230,7 +230,7 @@
     for run_ms in [SHORT_RUN_MS, LONG_RUN_MS] {
         let attributed = simulate_all(&run_ms, allow_by_verdict);
         // Calls with the cause may be in flight when the limit is reached.
-        let max_crashes = LIMIT + AMBIGUITY_MARGIN + 2;
+        let max_crashes = CRASH_LIMIT + AMBIGUITY_MARGIN + 2;
         assert!(
             attributed.crashes <= usize::try_from(SEEDS).unwrap() * max_crashes,
             "{attributed:?}"
