--- a/hibiscusroad-daemon/src/gateway/crashes/keep.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/keep.rs
@@ -102,7 +102,7 @@
         let steady = self
             .contact
             .get()
-            .is_steady(Instant::now(), REFUTATION_DELAY);
+            .has_lasted(Instant::now(), REFUTATION_DELAY);
         let lives = |life: &EndpointIncarnation| {
             if !steady {
                 return false;
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -12,7 +12,9 @@
 use super::{meters::Meters, store::Store, subject::Subject};
 use crate::logs::CALLS;
 use hibiscusroad::{
-    quarantine::{Contact, Crash, EndpointIncarnation, Fingerprint, Ledger, OpenAttempts, Verdict},
+    quarantine::{
+        Crash, EndpointIncarnation, Fingerprint, Ledger, OpenAttempts, UpdateContinuity, Verdict,
+    },
     roster::News,
     table::RowId,
 };
@@ -44,7 +46,7 @@
     open: RefCell<OpenAttempts>,
     entries: RefCell<HashMap<String, Entry>>,
     /// When the entries were told of.
-    contact: Cell<Contact>,
+    contact: Cell<UpdateContinuity>,
     /// Rows that are not written yet; `None` for those to be removed.
     unkept: RefCell<BTreeMap<RowId, Option<Vec<u8>>>>,
     /// Rows that this process wrote.
@@ -62,7 +64,7 @@
             ledger: RefCell::new(Ledger::new(limit, keep)),
             open: RefCell::new(OpenAttempts::new()),
             entries: RefCell::default(),
-            contact: Cell::new(Contact::new()),
+            contact: Cell::new(UpdateContinuity::new()),
             unkept: RefCell::default(),
             own: RefCell::default(),
             quarantined: RefCell::default(),
@@ -103,7 +105,7 @@
     /// Notes that the store told of the endpoints' entries.
     pub(super) fn confirm(&self) {
         let mut contact = self.contact.get();
-        contact.hear(Instant::now());
+        contact.record_update(Instant::now());
         self.contact.set(contact);
     }
 
--- a/src/quarantine/contact.rs
+++ b/src/quarantine/continuity.rs
@@ -7,27 +7,27 @@
 
 /// Tracks since when the store has reported endpoints without a gap.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Contact {
+pub struct UpdateContinuity {
     /// The first and the last update since the last gap.
     updates: Option<(Instant, Instant)>,
 }
 
-impl Contact {
-    /// Creates a contact without any update.
+impl UpdateContinuity {
+    /// Creates the state before the first update.
     #[must_use]
     pub const fn new() -> Self {
         Self { updates: None }
     }
 
     /// Records an update from the store.
-    pub fn hear(&mut self, now: Instant) {
+    pub fn record_update(&mut self, now: Instant) {
         let first = self.first_update(now).unwrap_or(now);
         self.updates = Some((first, now));
     }
 
     /// Returns whether updates have arrived without a gap for at least `duration`.
     #[must_use]
-    pub fn is_steady(&self, now: Instant, duration: Duration) -> bool {
+    pub fn has_lasted(&self, now: Instant, duration: Duration) -> bool {
         let first = self.first_update(now);
         first.is_some_and(|first| now.saturating_duration_since(first) >= duration)
     }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -19,13 +19,13 @@
 //!
 //! Connections also break for other reasons. So an answer clears the request, and a crash is
 //! void if its endpoint stays registered while updates about endpoints arrive without a gap
-//! ([`Contact`]).
+//! ([`UpdateContinuity`]).
 //!
 //! The trade-off: until the evidence separates the cause from its neighbours, all of them
 //! are run again. A quarantine after the first crash would save endpoints and refuse every
 //! neighbour.
 
-mod contact;
+mod continuity;
 mod fingerprint;
 mod ledger;
 mod open;
@@ -34,7 +34,7 @@
 use std::time::Duration;
 
 pub use self::{
-    contact::Contact,
+    continuity::UpdateContinuity,
     fingerprint::{Fingerprint, Identity, ParseFingerprintError},
     ledger::{Ledger, Verdict},
     open::OpenAttempts,
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,9 +2,9 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, CRASHES, Contact, Crash, DecodeCrashError,
+        AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, CRASHES, Crash, DecodeCrashError,
         EndpointIncarnation, Fingerprint, Identity, Ledger, OpenAttempts, ParseFingerprintError,
-        REFUTATION_DELAY, UNRESOLVED_TTL, Verdict,
+        REFUTATION_DELAY, UNRESOLVED_TTL, UpdateContinuity, Verdict,
     },
     table::{Row, RowId},
 };
@@ -380,22 +380,22 @@
 
 // Guards against taking endpoints as live during a gap in updates.
 #[test]
-fn contact_is_steady_only_without_gaps() {
+fn continuity_lasts_only_without_gaps() {
     let start = Instant::now();
     let at = |second: u64| start + Duration::from_secs(second);
-    let mut contact = Contact::new();
-    assert!(!contact.is_steady(at(0), Duration::ZERO));
+    let mut continuity = UpdateContinuity::new();
+    assert!(!continuity.has_lasted(at(0), Duration::ZERO));
     for second in (0..=REFUTATION_DELAY.as_secs()).step_by(2) {
-        contact.hear(at(second));
+        continuity.record_update(at(second));
     }
-    assert!(contact.is_steady(at(20), REFUTATION_DELAY));
+    assert!(continuity.has_lasted(at(20), REFUTATION_DELAY));
     assert!(
-        !contact.is_steady(at(30), REFUTATION_DELAY),
+        !continuity.has_lasted(at(30), REFUTATION_DELAY),
         "updates stopped"
     );
-    contact.hear(at(31));
+    continuity.record_update(at(31));
     assert!(
-        !contact.is_steady(at(32), REFUTATION_DELAY),
+        !continuity.has_lasted(at(32), REFUTATION_DELAY),
         "updates have just resumed"
     );
 }
