--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -13,7 +13,8 @@
 use crate::logs::CALLS;
 use hibiscusroad::{
     quarantine::{
-        Crash, EndpointIncarnation, Fingerprint, Ledger, OpenAttempts, UpdateContinuity, Verdict,
+        Crash, EndpointIncarnation, Fingerprint, Ledger, UnresolvedAttempts, UpdateContinuity,
+        Verdict,
     },
     roster::News,
     table::RowId,
@@ -43,7 +44,7 @@
     store: Rc<Store>,
     meters: Rc<Meters>,
     ledger: RefCell<Ledger>,
-    open: RefCell<OpenAttempts>,
+    open: RefCell<UnresolvedAttempts>,
     entries: RefCell<HashMap<String, Entry>>,
     /// When the entries were told of.
     contact: Cell<UpdateContinuity>,
@@ -62,7 +63,7 @@
             store,
             meters,
             ledger: RefCell::new(Ledger::new(limit, keep)),
-            open: RefCell::new(OpenAttempts::new()),
+            open: RefCell::new(UnresolvedAttempts::new()),
             entries: RefCell::default(),
             contact: Cell::new(UpdateContinuity::new()),
             unkept: RefCell::default(),
@@ -132,7 +133,7 @@
         if self.is_leaving(life) {
             return;
         }
-        let open = self.open.borrow_mut().ended(Instant::now(), life);
+        let open = self.open.borrow_mut().record_end(Instant::now(), life);
         for (request, path) in open {
             self.record(request, life, &path);
         }
@@ -167,7 +168,7 @@
             return;
         }
         let request = subject.fingerprint();
-        self.open.borrow_mut().forget(request);
+        self.open.borrow_mut().remove_request(request);
         let rows = self.ledger.borrow_mut().forget(request);
         if rows.is_empty() {
             return;
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -13,7 +13,7 @@
 //! * [`Ledger`] keeps the evidence and decides. A crash is attributed to the request in
 //!   flight with the most crashes, which clears requests that only ran beside the cause.
 //!   After [`CRASH_LIMIT`] crashes a request is quarantined.
-//! * [`OpenAttempts`] keeps attempts that ended without an answer until the end of their
+//! * [`UnresolvedAttempts`] keeps attempts that ended without an answer until the end of their
 //!   endpoint may be detected: a host without power closes no connections, and a client may
 //!   disconnect first.
 //!
@@ -28,8 +28,8 @@
 mod continuity;
 mod fingerprint;
 mod ledger;
-mod open;
 mod row;
+mod unresolved;
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
     continuity::UpdateContinuity,
     fingerprint::{Fingerprint, Identity, ParseFingerprintError},
     ledger::{Ledger, Verdict},
-    open::OpenAttempts,
     row::{CRASHES, Crash, DecodeCrashError, EndpointIncarnation},
+    unresolved::UnresolvedAttempts,
 };
 
 /// Default number of crashes after which a request is quarantined. Two may be chance, as when
--- a/src/quarantine/open.rs
+++ b/src/quarantine/unresolved.rs
@@ -22,13 +22,13 @@
 ///
 /// If the endpoint ended, its entry expires or it refuses connections later.
 #[derive(Debug, Default)]
-pub struct OpenAttempts {
+pub struct UnresolvedAttempts {
     attempts: VecDeque<Attempt>,
     /// Incarnations that ended, and when their end was detected.
     ended: HashMap<EndpointIncarnation, Instant>,
 }
 
-impl OpenAttempts {
+impl UnresolvedAttempts {
     /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
@@ -69,7 +69,7 @@
 
     /// Records that an incarnation has ended; removes its attempts and returns their requests
     /// and paths.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Instant,
         incarnation: &EndpointIncarnation,
@@ -89,7 +89,7 @@
     }
 
     /// Removes the attempts of a request that was answered.
-    pub fn forget(&mut self, request: Fingerprint) {
+    pub fn remove_request(&mut self, request: Fingerprint) {
         self.attempts.retain(|attempt| attempt.request != request);
     }
 
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,8 +3,8 @@
 use hibiscusroad::{
     quarantine::{
         AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, CRASHES, Crash, DecodeCrashError,
-        EndpointIncarnation, Fingerprint, Identity, Ledger, OpenAttempts, ParseFingerprintError,
-        REFUTATION_DELAY, UNRESOLVED_TTL, UpdateContinuity, Verdict,
+        EndpointIncarnation, Fingerprint, Identity, Ledger, ParseFingerprintError,
+        REFUTATION_DELAY, UNRESOLVED_TTL, UnresolvedAttempts, UpdateContinuity, Verdict,
     },
     table::{Row, RowId},
 };
@@ -336,18 +336,18 @@
     let start = Instant::now();
     let second = Duration::from_secs(1);
     let path = || "/desk/x".to_owned();
-    let mut attempts = OpenAttempts::new();
+    let mut attempts = UnresolvedAttempts::new();
     assert!(!attempts.add(start, request(1), incarnation(1), path()));
     assert!(!attempts.add(start, request(2), incarnation(2), path()));
     assert!(!attempts.add(start, request(3), incarnation(1), path()));
-    attempts.forget(request(3));
-    let found = attempts.ended(start + second, &incarnation(1));
+    attempts.remove_request(request(3));
+    let found = attempts.record_end(start + second, &incarnation(1));
     assert_eq!(found, [(request(1), path())]);
-    assert_eq!(attempts.ended(start + second, &incarnation(1)), []);
+    assert_eq!(attempts.record_end(start + second, &incarnation(1)), []);
     assert!(attempts.add(start + 2 * second, request(4), incarnation(1), path()));
     assert!(!attempts.is_empty());
     let late = start + UNRESOLVED_TTL + second;
-    assert_eq!(attempts.ended(late, &incarnation(2)), []);
+    assert_eq!(attempts.record_end(late, &incarnation(2)), []);
     assert!(attempts.is_empty());
 }
 
