--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -96,7 +96,7 @@
         };
         match outcome {
             Outcome::Answered if !self.crashes.ledger.is_empty() => {
-                self.crashes.ledger.forget(fingerprint(row));
+                self.crashes.ledger.remove_request(fingerprint(row));
             }
             // An attempt whose side is gone tells nothing of the endpoint.
             Outcome::Failed(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -169,7 +169,7 @@
         }
         let request = subject.fingerprint();
         self.open.borrow_mut().remove_request(request);
-        let rows = self.ledger.borrow_mut().forget(request);
+        let rows = self.ledger.borrow_mut().remove_request(request);
         if rows.is_empty() {
             return;
         }
--- a/hibiscusroad-daemon/src/gateway/crashes/sink.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/sink.rs
@@ -29,7 +29,7 @@
         let now = self.now();
         let over = |row: &&Row| {
             let crash = Crash::decode(row);
-            crash.map_or(true, |crash| self.ledger.borrow().is_over(now, &crash))
+            crash.map_or(true, |crash| self.ledger.borrow().is_expired(now, &crash))
         };
         for row in rows.iter().filter(over) {
             self.write(row.id.clone(), None);
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -110,7 +110,7 @@
     }
 
     /// Removes all crashes at which a request was in flight, and returns their rows.
-    pub fn forget(&mut self, request: Fingerprint) -> Vec<RowId> {
+    pub fn remove_request(&mut self, request: Fingerprint) -> Vec<RowId> {
         let keys = self.by_request.get(&request).cloned().unwrap_or_default();
         keys.into_iter()
             .filter_map(|key| self.remove_key(key))
@@ -119,7 +119,7 @@
 
     /// Returns whether a crash is too old to count.
     #[must_use]
-    pub fn is_over(&self, now: Duration, crash: &Crash) -> bool {
+    pub fn is_expired(&self, now: Duration, crash: &Crash) -> bool {
         now.saturating_sub(crash.at) >= self.crash_ttl
     }
 
@@ -132,7 +132,7 @@
     ) -> Vec<RowId> {
         let is_void = |crash: &Crash| {
             let refutable = now.saturating_sub(crash.at) >= REFUTATION_DELAY;
-            self.is_over(now, crash) || (refutable && is_live(&crash.incarnation))
+            self.is_expired(now, crash) || (refutable && is_live(&crash.incarnation))
         };
         let void = self.crashes.iter().filter(|(_, crash)| is_void(crash));
         let keys: Vec<CrashKey> = void.map(|(key, _)| key).collect();
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -223,10 +223,10 @@
     for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
-    assert_eq!(ledger.forget(request(2)).len(), CRASH_LIMIT);
+    assert_eq!(ledger.remove_request(request(2)).len(), CRASH_LIMIT);
     assert!(is_quarantined(&ledger, 1));
     assert_eq!(ledger.verdict(CRASH_TTL, request(2)), Verdict::Clear);
-    assert_eq!(ledger.forget(request(2)), []);
+    assert_eq!(ledger.remove_request(request(2)), []);
 }
 
 // Guards against counting connections that broke at live endpoints.
--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -155,7 +155,7 @@
                 }
             }
             Phase::Running(_, end) if end <= now && run.request != CAUSE => {
-                self.ledger.forget(fingerprint(run.request));
+                self.ledger.remove_request(fingerprint(run.request));
                 self.totals.answered += 1;
                 return self.add_neighbour(now);
             }
