--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -127,7 +127,7 @@
         match catalog::catalog(&row.value) {
             Ok(catalog) => {
                 calls.configure(&catalog);
-                let (version, shared) = (catalog.version, catalog.shared_keys());
+                let (version, shared) = (catalog.version, catalog.shared_key_count());
                 let before = known.catalog().map_or(0, |known| known.version);
                 if known.offer(catalog) {
                     log::info!(target: CONFIG, version = version, from = before, row = row.version;
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -170,14 +170,14 @@
 
     /// Sets the accounts; without them, callers need no keys.
     #[must_use]
-    pub fn accounts(mut self, accounts: Accounts) -> Self {
+    pub fn with_accounts(mut self, accounts: Accounts) -> Self {
         self.accounts = Some(accounts);
         self
     }
 
     /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
-    pub fn shared_keys(&self) -> usize {
+    pub fn shared_key_count(&self) -> usize {
         self.accounts.as_ref().map_or(0, Accounts::shared_key_count)
     }
 
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -22,7 +22,7 @@
     let keys = ["first", "second"].map(|text| Key::of(text.as_bytes()));
     accounts.add(account("charity"), keys);
     accounts.add(account("no-keys"), []);
-    Catalog::new(1, Vec::new(), Vec::new(), Limits::default()).accounts(accounts)
+    Catalog::new(1, Vec::new(), Vec::new(), Limits::default()).with_accounts(accounts)
 }
 
 #[test]
