--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -296,8 +296,8 @@
         let now = Instant::now();
         let catalog = self.known.catalog();
         let route = catalog.and_then(|c| c.find(&head.host, &head.path).cloned());
-        let attempts = route.as_ref().map_or(1, |route| route.attempts);
-        let single = route.as_ref().is_some_and(|route| route.single);
+        let attempts = route.as_ref().map_or(1, |route| route.max_attempts);
+        let single = route.as_ref().is_some_and(|route| route.single_version);
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
             match batch::result_item(result) {
@@ -328,7 +328,7 @@
             submission,
             priority: head.priority,
             due: accepted + route.as_ref().and_then(|r| r.due).unwrap_or_default(),
-            expires: route.and_then(|r| r.ttl).map(|ttl| accepted + ttl),
+            expires: route.and_then(|r| r.item_ttl).map(|ttl| accepted + ttl),
             version: Cell::new(version),
             batch: RefCell::new(batch),
             listed: RefCell::new(results),
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -59,7 +59,7 @@
                         break;
                     }
                     Called::Rejected => {
-                        if owned.batch.borrow_mut().rejected(n, route.attempts) {
+                        if owned.batch.borrow_mut().rejected(n, route.max_attempts) {
                             log::info!(target: BATCHES, batch = owned.id.as_str(),
                                 item = item.id.as_str(), scorer = scorer.id.as_str();
                                 "A scorer fails each time; the item is errored.");
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -300,7 +300,7 @@
             host: route.host.clone(),
             path: path.to_owned(),
             accepted,
-            until: accepted + millis(route.ttl.or(route.due).unwrap_or(LIFE)),
+            until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(LIFE)),
             owner,
             total: submission.items.len(),
             ended: false,
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -114,7 +114,7 @@
             service: service.to_owned(),
             class: class(route),
             kind: route.kind,
-            attempts: route.attempts,
+            attempts: route.max_attempts,
             tokens: tokens.unwrap_or(0),
             subject: Subject::new(&head, head.account.as_deref(), &content),
             content,
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -50,19 +50,19 @@
     /// The longest time that a request may wait for its answer.
     pub timeout: Option<Duration>,
     /// The target latency, within which an answer has its full value.
-    pub target: Option<Duration>,
+    pub target_latency: Option<Duration>,
     /// The priority among routes; 0 is the highest.
     pub priority: u8,
     /// The services that run the requests.
     pub shares: Vec<Share>,
     /// Most endpoints to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The time from the first submission within which a batch should be complete.
     pub due: Option<Duration>,
     /// The time from its submission after which an item may be abandoned.
-    pub ttl: Option<Duration>,
+    pub item_ttl: Option<Duration>,
     /// Whether the whole text of a result must come from one weight version.
-    pub single: bool,
+    pub single_version: bool,
     /// Whether callers need no key.
     pub public: bool,
 }
