--- a/hibiscusroad-daemon/src/gateway/front.rs
+++ b/hibiscusroad-daemon/src/gateway/front.rs
@@ -72,9 +72,9 @@
     fn due(&self, limits: &Limits) -> Instant {
         let now = Instant::now();
         match (self.reading.get(), self.busy.get()) {
-            (Some(since), 0) => since + limits.reading,
-            (None, 0) => self.idle.get().unwrap_or(now) + limits.idle,
-            (_, _) => now + limits.reading.min(limits.idle),
+            (Some(since), 0) => since + limits.header_timeout,
+            (None, 0) => self.idle.get().unwrap_or(now) + limits.idle_timeout,
+            (_, _) => now + limits.header_timeout.min(limits.idle_timeout),
         }
     }
 
@@ -174,7 +174,7 @@
         watch: Rc::clone(&watch),
     });
     let connection = http1::Builder::new()
-        .max_buf_size(limits.headers.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     let mut timer = pin!(sleep_until(watch.due(&limits).into()));
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -192,7 +192,7 @@
         if parts.method != hyper::Method::POST {
             return problem(ErrorKind::BadMethod, Duration::ZERO);
         }
-        let most = limits.body.min(SUBMISSION);
+        let most = limits.body_bytes.min(SUBMISSION);
         let body = match read(body, most).await {
             Ok((body, None)) => body,
             Ok((_, Some(rest))) => {
@@ -287,11 +287,11 @@
 }
 
 async fn content(body: Incoming, limits: Limits, deadline: Instant) -> Result<Content, ErrorKind> {
-    if body.size_hint().lower() > limits.body as u64 {
+    if body.size_hint().lower() > limits.body_bytes as u64 {
         skip(body).await;
         return Err(ErrorKind::BodyTooLarge);
     }
-    let whole = WHOLE.min(limits.body);
+    let whole = WHOLE.min(limits.body_bytes);
     let read = tokio::time::timeout_at(deadline.into(), read(body, whole));
     let (first, rest) = read.await.map_err(|_elapsed| ErrorKind::Expired)??;
     Ok(match rest {
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -111,23 +111,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Most bytes of the headers of a request.
-    pub headers: usize,
+    pub header_bytes: usize,
     /// Most bytes of the body of a request.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time to receive the headers.
-    pub reading: Duration,
+    pub header_timeout: Duration,
     /// Longest time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Returns the limits that apply unless the configuration sets others.
     fn default() -> Self {
         Self {
-            headers: 16 << 10,
-            body: 1 << 20,
-            reading: Duration::from_secs(10),
-            idle: Duration::from_mins(1),
+            header_bytes: 16 << 10,
+            body_bytes: 1 << 20,
+            header_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_mins(1),
         }
     }
 }
