--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -90,8 +90,8 @@
 pub struct EngineSpec {
     /// Requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens that fit into the memory of one engine.
-    pub memory: u64,
+    /// Tokens that fit into the key-value cache of one engine.
+    pub kv_capacity: u64,
     /// The models that the engines run.
     pub models: Vec<String>,
 }
@@ -102,7 +102,7 @@
     /// The name.
     pub name: String,
     /// Connections that each endpoint accepts from all callers together.
-    pub connections: Option<u32>,
+    pub max_connections: Option<u32>,
     /// Set if the endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
