--- a/hibiscusroad-daemon/src/entry/attempt.rs
+++ b/hibiscusroad-daemon/src/entry/attempt.rs
@@ -211,7 +211,7 @@
         if let Some(side) = self.sides.get_mut(attempt.side) {
             side.attempts.remove(&id);
         }
-        if repeat == Repeat::Free {
+        if repeat == Repeat::Idempotent {
             let id = Some(wire_id(id));
             self.tell(attempt.side, Frame::Cancel(Cancel { id }));
         }
@@ -271,7 +271,7 @@
         };
         let kind = match attempt.repeat {
             Repeat::Once => ErrorKind::OutcomeUnknown,
-            Repeat::Free => ErrorKind::EndpointBroken,
+            Repeat::Idempotent => ErrorKind::EndpointBroken,
         };
         self.end_attempt(now, id, Outcome::Failed(kind));
     }
--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -172,7 +172,7 @@
         if !kind.answer().not_run || !may_have_run {
             return kind;
         }
-        if row.repeat == Repeat::Free {
+        if row.repeat == Repeat::Idempotent {
             return match kind {
                 ErrorKind::Expired => ErrorKind::TimedOut,
                 _ => ErrorKind::EndpointBroken,
--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -175,7 +175,7 @@
             None => Part::Whole(head, body),
             Some(winner) if winner == id => Part::End,
             // Another attempt's answer is on its way to the caller.
-            Some(_) => return self.abandon(id, Repeat::Free),
+            Some(_) => return self.abandon(id, Repeat::Idempotent),
         };
         if self.pass(now, call, part) {
             self.end_attempt(now, id, Outcome::Answered);
--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -361,8 +361,8 @@
         let begun = row.is_some_and(|row| row.winner == Some(id));
         match attempt.repeat {
             Repeat::Once => None,
-            Repeat::Free if begun => Some(BEGUN_PATIENCE),
-            Repeat::Free => Some(PATIENCE),
+            Repeat::Idempotent if begun => Some(BEGUN_PATIENCE),
+            Repeat::Idempotent => Some(PATIENCE),
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -226,7 +226,7 @@
             None => request.prompt.is_some(),
         };
         if request.idempotent || model {
-            Repeat::Free
+            Repeat::Idempotent
         } else {
             Repeat::Once
         }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -77,7 +77,7 @@
 /// Runs a request until it is answered or refused.
 pub(super) async fn ended(line: &Line, mut request: Forward) -> Ended {
     let repeat = match request.kind {
-        Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Free,
+        Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
     };
     let alone = match line.crashes.verdict(&request.subject) {
--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -86,7 +86,7 @@
 pub fn run(line: Line<'_>, ask: Ask, http: Http) -> Result<Vec<Run>, ErrorKind> {
     let left = ask.deadline.saturating_duration_since(Instant::now());
     let limit = match ask.repeat {
-        Repeat::Free => left,
+        Repeat::Idempotent => left,
         Repeat::Once => left.max(ONCE_LIMIT),
     };
     let is_head = http.method == "HEAD";
--- a/hibiscusroad-daemon/src/side/pool.rs
+++ b/hibiscusroad-daemon/src/side/pool.rs
@@ -199,7 +199,7 @@
 /// then count as "may have run" though it never arrived.
 fn agent_for(request: &Request, kept: &Agent) -> Agent {
     match request.ask.repeat {
-        Repeat::Free => kept.clone(),
+        Repeat::Idempotent => kept.clone(),
         Repeat::Once => call::agent(),
     }
 }
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -71,7 +71,7 @@
     let repeat = if start.once {
         Repeat::Once
     } else {
-        Repeat::Free
+        Repeat::Idempotent
     };
     let headers = start.headers.into_iter().map(|header| Header {
         name: header.name,
--- a/hibiscusroad-measure/src/policy/scenario.rs
+++ b/hibiscusroad-measure/src/policy/scenario.rs
@@ -133,7 +133,7 @@
         load: load * 0.6,
         work: Work::Exp(0.04),
         patience: Duration::from_secs(1),
-        repeat: Repeat::Free,
+        repeat: Repeat::Idempotent,
         prefixes: 0,
     };
     let partner = Stream {
@@ -172,7 +172,7 @@
         load: 0.3,
         work: Work::Exp(0.4),
         patience: Duration::from_secs(8),
-        repeat: Repeat::Free,
+        repeat: Repeat::Idempotent,
         prefixes: 0,
     };
     let rollout = Stream {
--- a/src/class.rs
+++ b/src/class.rs
@@ -43,7 +43,8 @@
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
     /// The request is idempotent.
-    Free,
+    #[serde(rename = "free")]
+    Idempotent,
     /// The request is not idempotent and runs at most once, even if its answer is lost.
     Once,
 }
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -123,7 +123,7 @@
             service,
             class,
             deadline,
-            repeat: Repeat::Free,
+            repeat: Repeat::Idempotent,
             tokens: 0,
             prefix: None,
             tries: TRIES,
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -241,7 +241,7 @@
     }
 
     pub(super) fn free(&self) -> bool {
-        self.call.repeat == Repeat::Free
+        self.call.repeat == Repeat::Idempotent
     }
 
     /// Says whether another attempt could still answer it.
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -116,7 +116,7 @@
     now += Duration::from_secs(20);
     assert!(!gate.heard(now, link));
     assert_eq!(take_steps(&mut gate), [Step::Close { link, entry: ENTRY }]);
-    let late = gate.start(now, link, start_request(now, 1, Repeat::Free));
+    let late = gate.start(now, link, start_request(now, 1, Repeat::Idempotent));
     assert_eq!(late, Admission::Refused(ErrorKind::EndpointDown));
 }
 
@@ -129,7 +129,7 @@
     let old = open_link(&mut gate, now, ENTRY, 1);
     let unused = gate.open(now, ENTRY, 2);
     gate.lost(now, unused);
-    let call = start_request(now, 1, Repeat::Free);
+    let call = start_request(now, 1, Repeat::Idempotent);
     assert_eq!(gate.start(now, old, call), Admission::Run);
 }
 
@@ -143,7 +143,7 @@
     for seq in 0..3 {
         retain_answer(&mut gate, now, link, seq);
     }
-    let new = start_request(now, 9, Repeat::Free);
+    let new = start_request(now, 9, Repeat::Idempotent);
     assert_eq!(gate.start(now, link, new), Admission::Run);
     take_steps(&mut gate);
     gate.bytes(new.id, vec![0; 64].into());
@@ -236,7 +236,7 @@
         open_link(&mut gate, now, ENTRY, 1),
         open_link(&mut gate, now, Incarnation(2), 1),
     );
-    let first = start_request(now, 1, Repeat::Free);
+    let first = start_request(now, 1, Repeat::Idempotent);
     let mut second = first;
     second.id.origin = Incarnation(2);
     assert_eq!(gate.start(now, slow, first), Admission::Run);
--- a/tests/gate_world/mod.rs
+++ b/tests/gate_world/mod.rs
@@ -255,7 +255,11 @@
 
     fn start(&mut self, key: LinkKey, newest: bool, id: RequestId, once: bool, timeout_ms: u64) {
         let deadline = self.now + Duration::from_millis(timeout_ms);
-        let repeat = if once { Repeat::Once } else { Repeat::Free };
+        let repeat = if once {
+            Repeat::Once
+        } else {
+            Repeat::Idempotent
+        };
         let ask = Ask {
             id,
             deadline,
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -130,7 +130,11 @@
                 wait,
                 tokens,
             } => {
-                let repeat = if once { Repeat::Once } else { Repeat::Free };
+                let repeat = if once {
+                    Repeat::Once
+                } else {
+                    Repeat::Idempotent
+                };
                 let deadline = now + Duration::from_millis(wait);
                 let mut call = Call::new(id(seq), self.service, Class::ALL[class], deadline)
                     .repeat(repeat)
--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -222,7 +222,7 @@
 /// runs at most once gets no second attempt.
 #[test]
 fn silence_starts_a_hedge_of_what_may_be_repeated() {
-    for repeat in [Repeat::Free, Repeat::Once] {
+    for repeat in [Repeat::Idempotent, Repeat::Once] {
         let mut world = World::new();
         world.endpoint("a", "senec", 8);
         world.endpoint("b", "senec", 8);
