--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -15,10 +15,10 @@
 use crate::logs::STORE;
 use hibiscusroad::{
     clock::millis,
-    patience::Patience,
     reach::{Carried, Reach, Way},
     steady::Steady,
     table::{Change, Changes, Commit, Page, Range, Row, RowId},
+    timeout::AdaptiveTimeout,
 };
 use hibiscusroad_platform::{request::Request, table as wire};
 use http_body_util::BodyExt;
@@ -64,9 +64,9 @@
     clock: Cell<Steady>,
     /// Since when no call was answered.
     away: Cell<Option<Instant>>,
-    reads: Cell<Patience>,
-    writes: Cell<Patience>,
-    objects: Cell<Patience>,
+    reads: Cell<AdaptiveTimeout>,
+    writes: Cell<AdaptiveTimeout>,
+    objects: Cell<AdaptiveTimeout>,
     meters: Rc<Meters>,
     watchers: RefCell<Vec<Box<dyn Fn()>>>,
 }
@@ -82,9 +82,9 @@
             address: Cell::new(address),
             clock: Cell::new(Steady::new()),
             away: Cell::new(None),
-            reads: Cell::new(Patience::new(READ.0, READ.1)),
-            writes: Cell::new(Patience::new(WRITE.0, WRITE.1)),
-            objects: Cell::new(Patience::new(OBJECT.0, OBJECT.1)),
+            reads: Cell::new(AdaptiveTimeout::new(READ.0, READ.1)),
+            writes: Cell::new(AdaptiveTimeout::new(WRITE.0, WRITE.1)),
+            objects: Cell::new(AdaptiveTimeout::new(OBJECT.0, OBJECT.1)),
             meters,
             watchers: RefCell::default(),
         }
@@ -249,17 +249,17 @@
     async fn paced(
         &self,
         request: Request,
-        patience: &Cell<Patience>,
+        timeout: &Cell<AdaptiveTimeout>,
     ) -> Result<(u16, Bytes), Failure> {
         let start = Instant::now();
-        let answer = self.call(request, patience.get().limit()).await;
-        let mut next = patience.get();
+        let answer = self.call(request, timeout.get().current()).await;
+        let mut next = timeout.get();
         match &answer {
-            Ok(_) => next.answered(start.elapsed()),
-            Err(Failure::Lost(_)) => next.expired(),
+            Ok(_) => next.record_answer(start.elapsed()),
+            Err(Failure::Lost(_)) => next.record_timeout(),
             Err(_) => {}
         }
-        patience.set(next);
+        timeout.set(next);
         answer
     }
 
@@ -385,7 +385,7 @@
                 limit: Some(1),
                 ..Range::part(PROBED, "")
             };
-            let limit = self.reads.get().limit();
+            let limit = self.reads.get().current();
             let answer = self.straight(&wire::read(&range), limit).await;
             if let Err(failure) = answer {
                 log::debug!(target: STORE, error = failure.to_string().as_str();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,7 +31,6 @@
 //! * [`gate`]: admission, sealing, buffering and replay at a sidecar.
 //! * [`id`]: identifiers of requests and processes.
 //! * [`lease`]: duties with one holder, and their fencing tokens.
-//! * [`patience`]: a timeout that adapts to the latency of a service.
 //! * [`quarantine`]: requests that crash the endpoints that run them.
 //! * [`reach`]: the path of calls to the store, direct or relayed by a peer.
 //! * [`rollout`]: batches of generations for trainers, and the weights they run on.
@@ -40,6 +39,7 @@
 //! * [`steady`]: an estimate of the steady clock of another host.
 //! * [`subset`]: the choice of sidecars to which an entry keeps streams.
 //! * [`table`]: the interface to the table service that stores persistent data.
+//! * [`timeout`]: a timeout that adapts to the latency of a service.
 //! * [`train`]: the steps, samples and pace of a trainer.
 //! * [`usage`]: the usage of client accounts, and its reports.
 
@@ -53,7 +53,6 @@
 pub mod gate;
 pub mod id;
 pub mod lease;
-pub mod patience;
 pub mod quarantine;
 pub mod reach;
 pub mod rollout;
@@ -62,6 +61,7 @@
 pub mod steady;
 pub mod subset;
 pub mod table;
+pub mod timeout;
 pub mod train;
 pub mod usage;
 
--- a/src/patience.rs
+++ b/src/timeout.rs
@@ -15,34 +15,34 @@
 
 /// A timeout that adapts to the latency of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    limit: Duration,
+pub struct AdaptiveTimeout {
+    current: Duration,
     min: Duration,
     max: Duration,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Creates a timeout between two bounds, which starts halfway between them.
     #[must_use]
     pub fn new(min: Duration, max: Duration) -> Self {
-        let limit = (min + max) / 2;
-        Self { limit, min, max }
+        let current = (min + max) / 2;
+        Self { current, min, max }
     }
 
     /// Returns the timeout for the next call.
     #[must_use]
-    pub const fn limit(&self) -> Duration {
-        self.limit
+    pub const fn current(&self) -> Duration {
+        self.current
     }
 
     /// Records the latency of an answer.
-    pub fn answered(&mut self, latency: Duration) {
-        let limit = (latency * LATENCY_MULTIPLE).max(self.limit.mul_f64(MIN_DECAY_RATIO));
-        self.limit = limit.clamp(self.min, self.max);
+    pub fn record_answer(&mut self, latency: Duration) {
+        let next = (latency * LATENCY_MULTIPLE).max(self.current.mul_f64(MIN_DECAY_RATIO));
+        self.current = next.clamp(self.min, self.max);
     }
 
     /// Records that a call timed out.
-    pub fn expired(&mut self) {
-        self.limit = (self.limit * 2).min(self.max);
+    pub fn record_timeout(&mut self) {
+        self.current = (self.current * 2).min(self.max);
     }
 }
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,6 +1,6 @@
 //! Timeouts that adapt to the latency of a service.
 
-use hibiscusroad::patience::Patience;
+use hibiscusroad::timeout::AdaptiveTimeout;
 use std::time::Duration;
 
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
@@ -14,15 +14,15 @@
 ///
 /// Returns the time spent on calls that timed out, and how many of them had an answer.
 fn simulate(latencies: impl Iterator<Item = Option<u64>>) -> (Duration, u32) {
-    let mut timeout = Patience::new(MIN_TIMEOUT, MAX_TIMEOUT);
+    let mut timeout = AdaptiveTimeout::new(MIN_TIMEOUT, MAX_TIMEOUT);
     let (mut waited, mut abandoned) = (Duration::ZERO, 0);
     for latency in latencies {
         match latency.map(ms) {
-            Some(latency) if latency <= timeout.limit() => timeout.answered(latency),
+            Some(latency) if latency <= timeout.current() => timeout.record_answer(latency),
             answer => {
-                waited += timeout.limit();
+                waited += timeout.current();
                 abandoned += u32::from(answer.is_some());
-                timeout.expired();
+                timeout.record_timeout();
             }
         }
     }
@@ -52,13 +52,13 @@
 
 #[test]
 fn timeout_stays_within_its_bounds() {
-    let mut timeout = Patience::new(MIN_TIMEOUT, MAX_TIMEOUT);
+    let mut timeout = AdaptiveTimeout::new(MIN_TIMEOUT, MAX_TIMEOUT);
     for _ in 0..50 {
-        timeout.answered(ms(1));
+        timeout.record_answer(ms(1));
     }
-    assert_eq!(timeout.limit(), MIN_TIMEOUT);
+    assert_eq!(timeout.current(), MIN_TIMEOUT);
     for _ in 0..9 {
-        timeout.expired();
+        timeout.record_timeout();
     }
-    assert_eq!(timeout.limit(), MAX_TIMEOUT);
+    assert_eq!(timeout.current(), MAX_TIMEOUT);
 }
