--- a/hibiscusroad-daemon/src/gateway/peers/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A gateway that the store turns away, while it serves others, would have to
 //! give up what it owns. Its peers carry its calls instead;
-//! [`hibiscusroad::reach`] decides which way a call goes.
+//! [`hibiscusroad::store_path`] decides which way a call goes.
 //!
 //! * [`client`]: asks a peer to carry a call, or gives it a batch.
 //! * [`server`]: carries calls of peers, and takes batches.
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -4,7 +4,7 @@
 //! carried out, and one that may have been. It never repeats a call that may
 //! have been carried out, since only the caller knows whether that is safe. One
 //! that surely wasn't, because the store turned this process away, goes to a
-//! peer at once ([`hibiscusroad::reach`]).
+//! peer at once ([`hibiscusroad::store_path`]).
 
 use super::{
     failure::Failure,
@@ -15,8 +15,8 @@
 use crate::logs::STORE;
 use hibiscusroad::{
     clock::millis,
-    reach::{Carried, Reach, Way},
     steady::Steady,
+    store_path::{RelayOutcome, StorePath, StorePaths},
     table::{Change, Changes, Commit, Page, Range, Row, RowId},
     timeout::AdaptiveTimeout,
 };
@@ -54,7 +54,7 @@
 pub(super) struct Store {
     channels: Channels,
     peers: Peers,
-    reach: RefCell<Reach>,
+    reach: RefCell<StorePaths>,
     /// How many peers are known.
     peer_count: Cell<usize>,
     /// The straight way began to fail.
@@ -76,7 +76,7 @@
         Self {
             channels: Channels::new(),
             peers: Peers::new(),
-            reach: RefCell::new(Reach::new()),
+            reach: RefCell::new(StorePaths::new()),
             peer_count: Cell::new(0),
             turned: Notify::new(),
             address: Cell::new(address),
@@ -283,7 +283,7 @@
     /// Sends a call on its way, and on another if it was surely not carried out.
     async fn send(&self, request: &Request, limit: Duration) -> Result<(u16, Bytes), Failure> {
         let mut refusal = None;
-        if !self.reach.borrow().is_away() {
+        if !self.reach.borrow().is_direct_failing() {
             let answer = self.straight(request, limit).await;
             if !is_turned_away(&answer) {
                 return answer;
@@ -291,8 +291,8 @@
             refusal = Some(answer);
         }
         for _ in 0..PEERS {
-            let way = self.reach.borrow().way(Instant::now(), rand::random());
-            let Way::Peer(peer) = way else {
+            let way = self.reach.borrow().choose(Instant::now(), rand::random());
+            let StorePath::Peer(peer) = way else {
                 break;
             };
             let answer = self.by_peer(peer, request, limit).await;
@@ -314,8 +314,8 @@
         let now = Instant::now();
         let mut reach = self.reach.borrow_mut();
         let changed = match &answer {
-            Ok((429, _)) => reach.busy(now),
-            _ => reach.straight(now, answered),
+            Ok((429, _)) => reach.record_rate_limit(now),
+            _ => reach.record_direct(now, answered),
         };
         drop(reach);
         if changed && answered {
@@ -343,14 +343,14 @@
                 error = error.to_string().as_str(); "A peer did not carry a call.");
         }
         let (outcome, carried) = match &answer {
-            Ok(answer) if is_refusal(answer) => ("refused", Carried::Away),
-            Ok(_) => ("answered", Carried::Answered),
-            Err(Uncarried::Away(_)) => ("refused", Carried::Away),
-            Err(Uncarried::Unreached(_)) => ("refused", Carried::Silent),
-            Err(Uncarried::Lost(_)) => ("lost", Carried::Silent),
+            Ok(answer) if is_refusal(answer) => ("refused", RelayOutcome::Unreachable),
+            Ok(_) => ("answered", RelayOutcome::Answered),
+            Err(Uncarried::Away(_)) => ("refused", RelayOutcome::Unreachable),
+            Err(Uncarried::Unreached(_)) => ("refused", RelayOutcome::NoAnswer),
+            Err(Uncarried::Lost(_)) => ("lost", RelayOutcome::NoAnswer),
         };
         let now = Instant::now();
-        self.reach.borrow_mut().carried(now, peer, carried);
+        self.reach.borrow_mut().record_relayed(now, peer, carried);
         self.meters.detours.with_label_values(&[outcome]).inc();
         answer.map_err(Failure::from)
     }
@@ -361,7 +361,7 @@
         request: &Request,
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
-        if self.reach.borrow().is_away() {
+        if self.reach.borrow().is_direct_failing() {
             return Err(Failure::Refused("turned away, too".to_owned()));
         }
         self.straight(request, limit).await
@@ -373,7 +373,7 @@
             let now = Instant::now();
             let (away, pause) = {
                 let reach = self.reach.borrow();
-                (reach.is_away(), reach.probe_pause(now))
+                (reach.is_direct_failing(), reach.probe_delay(now))
             };
             if !away {
                 self.turned.notified().await;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,11 +32,11 @@
 //! * [`id`]: identifiers of requests and processes.
 //! * [`lease`]: duties with one holder, and their fencing tokens.
 //! * [`quarantine`]: requests that crash the endpoints that run them.
-//! * [`reach`]: the path of calls to the store, direct or relayed by a peer.
 //! * [`rollout`]: batches of generations for trainers, and the weights they run on.
 //! * [`roster`]: the registered endpoints.
 //! * [`route`]: admission, queues, placement, limits, retries.
 //! * [`steady`]: an estimate of the steady clock of another host.
+//! * [`store_path`]: the path of calls to the store, direct or relayed by a peer.
 //! * [`subset`]: the choice of sidecars to which an entry keeps streams.
 //! * [`table`]: the interface to the table service that stores persistent data.
 //! * [`timeout`]: a timeout that adapts to the latency of a service.
@@ -54,11 +54,11 @@
 pub mod id;
 pub mod lease;
 pub mod quarantine;
-pub mod reach;
 pub mod rollout;
 pub mod roster;
 pub mod route;
 pub mod steady;
+pub mod store_path;
 pub mod subset;
 pub mod table;
 pub mod timeout;
--- a/src/reach.rs
+++ b/src/store_path.rs
@@ -18,9 +18,9 @@
 };
 
 /// Delay before a peer that can't reach the store is asked again.
-const AWAY_RETRY_DELAY: Duration = Duration::from_secs(1);
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Delay before a peer that didn't answer is asked again.
-const SILENT_RETRY_DELAY: Duration = Duration::from_secs(5);
+const NO_ANSWER_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// Time without any answer after which a process that the store refuses for its rate
 /// treats the direct path as failing. A store at its rate limit refuses single calls of
 /// every process; relaying these would only add load.
@@ -36,22 +36,22 @@
 
 /// The path of a call to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum StorePath {
     /// Directly to the store.
-    Straight,
+    Direct,
     /// To a peer that relays it.
     Peer(SocketAddr),
 }
 
 /// The outcome of a call that a peer was asked to relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Carried {
+pub enum RelayOutcome {
     /// The peer returned an answer from the store.
     Answered,
     /// The peer can't reach the store either.
-    Away,
+    Unreachable,
     /// The peer didn't answer.
-    Silent,
+    NoAnswer,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -63,12 +63,12 @@
 
 /// The state of this process's paths to the store.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct StorePaths {
     peers: Vec<Peer>,
     /// The last peer that returned an answer.
     preferred: Option<SocketAddr>,
     /// Since when the direct path fails.
-    away_since: Option<Instant>,
+    failing_since: Option<Instant>,
     /// Since when the rate limit has refused calls and none was answered.
     limited_since: Option<Instant>,
     /// Peers that have failed in a row.
@@ -77,7 +77,7 @@
     suspended_until: Option<Instant>,
 }
 
-impl Reach {
+impl StorePaths {
     /// Creates the state of a process without known peers.
     #[must_use]
     pub fn new() -> Self {
@@ -104,15 +104,15 @@
 
     /// Returns whether the direct path fails.
     #[must_use]
-    pub const fn is_away(&self) -> bool {
-        self.away_since.is_some()
+    pub const fn is_direct_failing(&self) -> bool {
+        self.failing_since.is_some()
     }
 
     /// Chooses the path of a call, with a random `draw` among eligible peers.
     #[must_use]
-    pub fn way(&self, now: Instant, draw: u64) -> Way {
-        if self.away_since.is_none() || self.suspended_until.is_some_and(|until| now < until) {
-            return Way::Straight;
+    pub fn choose(&self, now: Instant, draw: u64) -> StorePath {
+        if self.failing_since.is_none() || self.suspended_until.is_some_and(|until| now < until) {
+            return StorePath::Direct;
         }
         let is_eligible = |peer: &&Peer| peer.retry_at.is_none_or(|retry_at| retry_at <= now);
         let eligible: Vec<SocketAddr> = self
@@ -127,43 +127,46 @@
             let n = u64::try_from(eligible.len()).ok().filter(|n| *n > 0)?;
             eligible.get(usize::try_from(draw % n).ok()?).copied()
         };
-        preferred.or_else(random).map_or(Way::Straight, Way::Peer)
+        preferred
+            .or_else(random)
+            .map_or(StorePath::Direct, StorePath::Peer)
     }
 
     /// Records that the store refused a call by its rate limit.
     ///
     /// Returns `true` if the direct path fails from now on.
-    pub fn busy(&mut self, now: Instant) -> bool {
+    pub fn record_rate_limit(&mut self, now: Instant) -> bool {
         let since = *self.limited_since.get_or_insert(now);
-        now.saturating_duration_since(since) > RATE_LIMIT_TOLERANCE && self.straight(now, false)
+        now.saturating_duration_since(since) > RATE_LIMIT_TOLERANCE
+            && self.record_direct(now, false)
     }
 
     /// Records whether a call on the direct path was answered.
     ///
     /// Returns `true` if the state of the path changed.
-    pub fn straight(&mut self, now: Instant, answered: bool) -> bool {
-        let was_away = self.away_since.is_some();
+    pub fn record_direct(&mut self, now: Instant, answered: bool) -> bool {
+        let was_failing = self.failing_since.is_some();
         if answered {
             self.limited_since = None;
-            self.away_since = None;
+            self.failing_since = None;
             self.failures = 0;
             self.suspended_until = None;
-        } else if !was_away {
-            self.away_since = Some(now);
+        } else if !was_failing {
+            self.failing_since = Some(now);
         }
-        was_away == answered
+        was_failing == answered
     }
 
     /// Records the outcome of a call that a peer was asked to relay.
-    pub fn carried(&mut self, now: Instant, peer: SocketAddr, outcome: Carried) {
+    pub fn record_relayed(&mut self, now: Instant, peer: SocketAddr, outcome: RelayOutcome) {
         let delay = match outcome {
-            Carried::Answered => {
+            RelayOutcome::Answered => {
                 self.preferred = Some(peer);
                 self.failures = 0;
                 return;
             }
-            Carried::Away => AWAY_RETRY_DELAY,
-            Carried::Silent => SILENT_RETRY_DELAY,
+            RelayOutcome::Unreachable => UNREACHABLE_RETRY_DELAY,
+            RelayOutcome::NoAnswer => NO_ANSWER_RETRY_DELAY,
         };
         if self.preferred == Some(peer) {
             self.preferred = None;
@@ -180,9 +183,9 @@
 
     /// Returns the delay before the next probe of the direct path.
     #[must_use]
-    pub fn probe_pause(&self, now: Instant) -> Duration {
+    pub fn probe_delay(&self, now: Instant) -> Duration {
         let duration = self
-            .away_since
+            .failing_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         duration.clamp(PROBE_DELAYS.0, PROBE_DELAYS.1)
     }
