--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -15,7 +15,7 @@
 use crate::logs::STORE;
 use hibiscusroad::{
     clock::millis,
-    steady::Steady,
+    clock_estimate::ClockEstimate,
     store_path::{RelayOutcome, StorePath, StorePaths},
     table::{Change, Changes, Commit, Page, Range, Row, RowId},
     timeout::AdaptiveTimeout,
@@ -61,7 +61,7 @@
     turned: Notify,
     address: Cell<SocketAddr>,
     /// The store's clock.
-    clock: Cell<Steady>,
+    clock: Cell<ClockEstimate>,
     /// Since when no call was answered.
     away: Cell<Option<Instant>>,
     reads: Cell<AdaptiveTimeout>,
@@ -80,7 +80,7 @@
             peer_count: Cell::new(0),
             turned: Notify::new(),
             address: Cell::new(address),
-            clock: Cell::new(Steady::new()),
+            clock: Cell::new(ClockEstimate::new()),
             away: Cell::new(None),
             reads: Cell::new(AdaptiveTimeout::new(READ.0, READ.1)),
             writes: Cell::new(AdaptiveTimeout::new(WRITE.0, WRITE.1)),
@@ -415,7 +415,7 @@
     /// Takes in the store's clock as an answer tells it.
     fn tell(&self, now: Duration) {
         let mut clock = self.clock.get();
-        clock.tell(Instant::now(), now);
+        clock.record_sample(Instant::now(), now);
         self.clock.set(clock);
     }
 
--- a/src/steady.rs
+++ b/src/clock_estimate.rs
@@ -14,12 +14,12 @@
 
 /// An estimate of the clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Steady {
+pub struct ClockEstimate {
     /// The best sample, and when it arrived.
     sample: Option<(Duration, Instant)>,
 }
 
-impl Steady {
+impl ClockEstimate {
     /// Creates an estimate without samples.
     #[must_use]
     pub const fn new() -> Self {
@@ -27,7 +27,7 @@
     }
 
     /// Records a sample of the clock that arrived at `at`.
-    pub fn tell(&mut self, at: Instant, clock: Duration) {
+    pub fn record_sample(&mut self, at: Instant, clock: Duration) {
         let is_better = self.sample.is_none_or(|(sample, since)| {
             let age = at.saturating_duration_since(since);
             age > SAMPLE_TTL || clock >= sample + age
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,6 +26,7 @@
 //! * [`claim`]: running a request that is not idempotent at most once.
 //! * [`class`]: the class of a request, and whether it may run twice.
 //! * [`clock`]: sources of the current time.
+//! * [`clock_estimate`]: an estimate of the steady clock of another host.
 //! * [`config`]: the configuration document, its changes and its propagation.
 //! * [`error`]: the closed list of error kinds and the answers for them.
 //! * [`gate`]: admission, sealing, buffering and replay at a sidecar.
@@ -35,7 +36,6 @@
 //! * [`rollout`]: batches of generations for trainers, and the weights they run on.
 //! * [`roster`]: the registered endpoints.
 //! * [`route`]: admission, queues, placement, limits, retries.
-//! * [`steady`]: an estimate of the steady clock of another host.
 //! * [`store_path`]: the path of calls to the store, direct or relayed by a peer.
 //! * [`subset`]: the choice of sidecars to which an entry keeps streams.
 //! * [`table`]: the interface to the table service that stores persistent data.
@@ -48,6 +48,7 @@
 pub mod claim;
 pub mod class;
 pub mod clock;
+pub mod clock_estimate;
 pub mod config;
 pub mod error;
 pub mod gate;
@@ -57,7 +58,6 @@
 pub mod rollout;
 pub mod roster;
 pub mod route;
-pub mod steady;
 pub mod store_path;
 pub mod subset;
 pub mod table;
--- a/tests/steady.rs
+++ b/tests/steady.rs
@@ -1,6 +1,6 @@
 //! The estimate of the store's clock, from quick and slow answers.
 
-use hibiscusroad::steady::Steady;
+use hibiscusroad::clock_estimate::ClockEstimate;
 use std::time::{Duration, Instant};
 
 const fn ms(n: u64) -> Duration {
@@ -9,19 +9,19 @@
 
 #[test]
 fn estimate_needs_a_sample() {
-    assert_eq!(Steady::new().at(Instant::now()), None);
+    assert_eq!(ClockEstimate::new().at(Instant::now()), None);
 }
 
 // Guards against an estimate that jumps back when the store becomes slow.
 #[test]
 fn slow_answers_do_not_set_the_clock_back() {
     let start = Instant::now();
-    let mut clock = Steady::new();
-    clock.tell(start, ms(5_000));
-    clock.tell(start + ms(1_000), ms(5_750));
+    let mut clock = ClockEstimate::new();
+    clock.record_sample(start, ms(5_000));
+    clock.record_sample(start + ms(1_000), ms(5_750));
     assert_eq!(clock.at(start + ms(1_000)), Some(ms(6_000)));
     // A quicker answer than the first corrects the estimate.
-    clock.tell(start + ms(2_000), ms(7_002));
+    clock.record_sample(start + ms(2_000), ms(7_002));
     assert_eq!(clock.at(start + ms(3_000)), Some(ms(8_002)));
 }
 
@@ -29,8 +29,8 @@
 #[test]
 fn old_sample_is_replaced() {
     let start = Instant::now();
-    let mut clock = Steady::new();
-    clock.tell(start, ms(5_000));
-    clock.tell(start + ms(31_000), ms(35_990));
+    let mut clock = ClockEstimate::new();
+    clock.record_sample(start, ms(5_000));
+    clock.record_sample(start + ms(31_000), ms(35_990));
     assert_eq!(clock.at(start + ms(31_000)), Some(ms(35_990)));
 }
