--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -43,7 +43,7 @@
         presence::{Loss, Presences},
         row::Head,
     },
-    roster::News,
+    roster::EndpointChange,
     table::RowId,
 };
 use std::{
@@ -194,15 +194,15 @@
     }
 
     /// Takes in changes of the roster.
-    pub(super) fn roster(&self, news: &[News]) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
         let mut engines = self.engines.borrow_mut();
         for news in news {
             match news {
-                News::Seen(e) if !e.weights.is_empty() => {
+                EndpointChange::Updated(e) if !e.weights.is_empty() => {
                     engines.set(e);
                 }
-                News::Seen(_) => {}
-                News::Gone(id) => engines.remove(id),
+                EndpointChange::Updated(_) => {}
+                EndpointChange::Removed(id) => engines.remove(id),
             }
         }
         drop(engines);
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -10,7 +10,7 @@
     catalog::{Catalog, Route},
     clock::millis,
     quarantine::EndpointIncarnation,
-    roster::{Endpoint, News},
+    roster::{Endpoint, EndpointChange},
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, Router, ServiceKey, ServiceSpec, Step,
     },
@@ -110,12 +110,12 @@
     ///
     /// Endpoints that become known together are taken in together. A process that starts
     /// before a thousand of them was busy for seconds with each one's place among all.
-    pub(super) fn roster(&self, news: &[News]) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
         let now = Instant::now();
         let mut rest = news;
         while let Some(first) = rest.first() {
-            let seen = rest.iter().map_while(News::seen).count();
-            if let News::Gone(id) = first {
+            let seen = rest.iter().map_while(EndpointChange::updated).count();
+            if let EndpointChange::Removed(id) = first {
                 if let Some(key) = self.keys.borrow_mut().remove(id) {
                     self.router.borrow_mut().remove_endpoint(now, key);
                 }
@@ -124,7 +124,7 @@
             }
             let (together, after) = rest.split_at(seen);
             self.add_unknown(now, together);
-            for endpoint in together.iter().filter_map(News::seen) {
+            for endpoint in together.iter().filter_map(EndpointChange::updated) {
                 self.seen(now, endpoint);
             }
             rest = after;
@@ -133,9 +133,9 @@
     }
 
     /// Adds the endpoints that the router doesn't know, by services.
-    fn add_unknown(&self, now: Instant, news: &[News]) {
+    fn add_unknown(&self, now: Instant, news: &[EndpointChange]) {
         let mut services: BTreeMap<&str, BTreeMap<&str, &Endpoint>> = BTreeMap::new();
-        let unknown = news.iter().filter_map(News::seen);
+        let unknown = news.iter().filter_map(EndpointChange::updated);
         for endpoint in unknown.filter(|e| !self.keys.borrow().contains_key(&e.id)) {
             let service = services.entry(&endpoint.service).or_default();
             service.insert(&endpoint.id, endpoint);
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -16,7 +16,7 @@
         Crash, EndpointIncarnation, Fingerprint, Ledger, UnresolvedAttempts, UpdateContinuity,
         Verdict,
     },
-    roster::News,
+    roster::EndpointChange,
     table::RowId,
 };
 use std::{
@@ -88,17 +88,17 @@
     }
 
     /// Takes in changes of the roster.
-    pub(super) fn roster(&self, news: &[News]) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
         for news in news {
             match news {
-                News::Seen(endpoint) => {
+                EndpointChange::Updated(endpoint) => {
                     let entry = Entry {
                         born: endpoint.born,
                         leaving: endpoint.leaving,
                     };
                     self.entries.borrow_mut().insert(endpoint.id.clone(), entry);
                 }
-                News::Gone(id) => self.gone(id),
+                EndpointChange::Removed(id) => self.gone(id),
             }
         }
     }
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -13,7 +13,7 @@
     platform::Backoff,
 };
 use hibiscusroad::{
-    roster::{Endpoint, News, Roster},
+    roster::{Endpoint, EndpointChange, Roster},
     table::{Changes, Range, Row},
 };
 use hibiscusroad_platform::{catalog, roster, table};
@@ -157,7 +157,7 @@
 }
 
 /// Takes in changes of the roster.
-type Hearer = Box<dyn Fn(&[News])>;
+type Hearer = Box<dyn Fn(&[EndpointChange])>;
 
 /// The roster and those who hear of its changes.
 pub(super) struct Members {
@@ -170,7 +170,7 @@
 }
 
 impl Members {
-    pub(super) fn new(meters: Rc<Meters>, hear: impl Fn(&[News]) + 'static) -> Self {
+    pub(super) fn new(meters: Rc<Meters>, hear: impl Fn(&[EndpointChange]) + 'static) -> Self {
         Self {
             roster: RefCell::new(Roster::new()),
             broken: RefCell::default(),
@@ -210,12 +210,12 @@
         }
     }
 
-    fn tell(&self, news: &[News]) {
+    fn tell(&self, news: &[EndpointChange]) {
         for news in news {
             match news {
-                News::Seen(e) => log::info!(target: HOSTS, endpoint = e.id.as_str(),
+                EndpointChange::Updated(e) => log::info!(target: HOSTS, endpoint = e.id.as_str(),
                     service = e.service.as_str(), leaving = e.leaving; "An endpoint is known."),
-                News::Gone(id) => log::info!(target: HOSTS, endpoint = id.as_str();
+                EndpointChange::Removed(id) => log::info!(target: HOSTS, endpoint = id.as_str();
                     "An endpoint is gone."),
             }
         }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -28,7 +28,7 @@
         turns::{Turns, VALID},
         wave::Pace,
     },
-    roster::News,
+    roster::EndpointChange,
     table::RowId,
 };
 use std::{
@@ -124,8 +124,8 @@
 
     /// Takes in changes of the roster: an engine that started again under its id
     /// has accepted no order, and runs what it says.
-    pub(super) fn roster(&self, news: &[News]) {
-        for id in news.iter().filter_map(News::gone) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
+        for id in news.iter().filter_map(EndpointChange::removed) {
             self.seen.borrow_mut().retain(|(engine, _), _| engine != id);
             self.orders.borrow_mut().remove(id);
             self.loading.borrow_mut().remove(id);
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -51,29 +51,29 @@
 
 /// A change of the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum News {
+pub enum EndpointChange {
     /// An endpoint is new or has changed.
-    Seen(Endpoint),
-    /// The endpoint with this id is gone.
-    Gone(String),
+    Updated(Endpoint),
+    /// The endpoint with this id was removed.
+    Removed(String),
 }
 
-impl News {
+impl EndpointChange {
     /// Returns the endpoint that is new or has changed.
     #[must_use]
-    pub const fn seen(&self) -> Option<&Endpoint> {
+    pub const fn updated(&self) -> Option<&Endpoint> {
         match self {
-            Self::Seen(endpoint) => Some(endpoint),
-            Self::Gone(_) => None,
+            Self::Updated(endpoint) => Some(endpoint),
+            Self::Removed(_) => None,
         }
     }
 
-    /// Returns the id of the endpoint that is gone.
+    /// Returns the id of the endpoint that was removed.
     #[must_use]
-    pub fn gone(&self) -> Option<&str> {
+    pub fn removed(&self) -> Option<&str> {
         match self {
-            Self::Seen(_) => None,
-            Self::Gone(id) => Some(id),
+            Self::Updated(_) => None,
+            Self::Removed(id) => Some(id),
         }
     }
 }
@@ -106,7 +106,7 @@
     }
 
     /// Replaces all entries; endpoints without an entry are missing from now on.
-    pub fn replace(&mut self, now: Instant, all: Vec<Endpoint>) -> Vec<News> {
+    pub fn replace(&mut self, now: Instant, all: Vec<Endpoint>) -> Vec<EndpointChange> {
         let ids: Vec<String> = self.rows.keys().cloned().collect();
         let mut changes = Vec::new();
         for id in ids {
@@ -121,9 +121,9 @@
 
     /// Adds or updates an entry.
     ///
-    /// A restarted endpoint is reported as gone and as new, since it has lost all state. A
+    /// A restarted endpoint is reported as removed and as updated, since it has lost its state. A
     /// late entry of an earlier incarnation is ignored.
-    pub fn set(&mut self, endpoint: Endpoint) -> Vec<News> {
+    pub fn set(&mut self, endpoint: Endpoint) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(row) = self.rows.get_mut(&endpoint.id) {
             let (old_start, new_start) = (row.endpoint.born, endpoint.born);
@@ -135,7 +135,7 @@
                 return changes;
             }
             if old_start != new_start {
-                changes.push(News::Gone(endpoint.id.clone()));
+                changes.push(EndpointChange::Removed(endpoint.id.clone()));
             }
         }
         let row = Row {
@@ -143,30 +143,30 @@
             drop_at: None,
         };
         self.rows.insert(endpoint.id.clone(), row);
-        changes.push(News::Seen(endpoint));
+        changes.push(EndpointChange::Updated(endpoint));
         changes
     }
 
     /// Records that an entry is missing.
-    pub fn remove(&mut self, now: Instant, id: &str) -> Option<News> {
+    pub fn remove(&mut self, now: Instant, id: &str) -> Option<EndpointChange> {
         let row = self.rows.get_mut(id)?;
         if let Some(until) = self.grace_end.filter(|until| now < *until) {
             row.drop_at.get_or_insert(until);
             return None;
         }
         self.rows.remove(id);
-        Some(News::Gone(id.to_owned()))
+        Some(EndpointChange::Removed(id.to_owned()))
     }
 
     /// Drops the endpoints whose entries are still missing after the grace period.
-    pub fn tick(&mut self, now: Instant) -> Vec<News> {
+    pub fn tick(&mut self, now: Instant) -> Vec<EndpointChange> {
         let is_due = |row: &Row| row.drop_at.is_some_and(|until| until <= now);
         let rows = self.rows.iter().filter(|(_, row)| is_due(row));
         let ids: Vec<String> = rows.map(|(id, _)| id.clone()).collect();
         ids.into_iter()
             .map(|id| {
                 self.rows.remove(&id);
-                News::Gone(id)
+                EndpointChange::Removed(id)
             })
             .collect()
     }
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -3,7 +3,7 @@
 use hibiscusroad::{
     catalog::{Catalog, Kind, Limits, Route, Share},
     rollout::{row, text::Piece},
-    roster::{Endpoint, News, REREGISTRATION_GRACE, Roster},
+    roster::{Endpoint, EndpointChange, REREGISTRATION_GRACE, Roster},
 };
 use std::time::{Duration, Instant};
 
@@ -21,8 +21,8 @@
     }
 }
 
-fn gone(id: &str) -> News {
-    News::Gone(id.to_owned())
+fn removed(id: &str) -> EndpointChange {
+    EndpointChange::Removed(id.to_owned())
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let mut roster = Roster::new();
     assert_eq!(roster.set(endpoint("a")).len(), 1);
     assert!(roster.set(endpoint("a")).is_empty(), "nothing changed");
-    assert_eq!(roster.remove(now, "a"), Some(gone("a")));
+    assert_eq!(roster.remove(now, "a"), Some(removed("a")));
     assert_eq!(roster.remove(now, "a"), None);
 }
 
@@ -48,7 +48,7 @@
     assert!(roster.set(endpoint("a")).is_empty());
     assert!(roster.tick(later).is_empty());
     assert_eq!(roster.next_due(), Some(now + REREGISTRATION_GRACE));
-    assert_eq!(roster.tick(now + REREGISTRATION_GRACE), [gone("b")]);
+    assert_eq!(roster.tick(now + REREGISTRATION_GRACE), [removed("b")]);
     assert!(roster.get("a").is_some());
 }
 
@@ -60,7 +60,7 @@
     roster.store_back(now);
     assert_eq!(
         roster.remove(now + REREGISTRATION_GRACE, "a"),
-        Some(gone("a"))
+        Some(removed("a"))
     );
 }
 
@@ -154,17 +154,20 @@
 
 // Guards against attributing the state of a crashed engine to its next incarnation.
 #[test]
-fn restarted_endpoint_is_reported_as_gone_and_new() {
+fn restarted_endpoint_is_reported_as_removed_and_updated() {
     let mut roster = Roster::new();
     let incarnation = |born: u64| Endpoint {
         born: Some(born),
         ..endpoint("a")
     };
-    assert_eq!(roster.set(incarnation(7)), [News::Seen(incarnation(7))]);
-    let gone = News::Gone("a".to_owned());
+    assert_eq!(
+        roster.set(incarnation(7)),
+        [EndpointChange::Updated(incarnation(7))]
+    );
+    let removed = EndpointChange::Removed("a".to_owned());
     assert_eq!(
         roster.set(incarnation(9)),
-        [gone, News::Seen(incarnation(9))]
+        [removed, EndpointChange::Updated(incarnation(9))]
     );
     assert!(roster.set(incarnation(7)).is_empty());
     assert_eq!(roster.get("a"), Some(&incarnation(9)));
