--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -182,7 +182,7 @@
 
     /// Notes that the store answers again.
     pub(super) fn store_back(&self) {
-        self.roster.borrow_mut().store_back(Instant::now());
+        self.roster.borrow_mut().record_recovery(Instant::now());
     }
 
     /// Returns the endpoint of an id.
@@ -205,7 +205,7 @@
                 Some(due) => sleep_until(due.into()).await,
                 None => self.lapsing.notified().await,
             }
-            let news = self.roster.borrow_mut().tick(Instant::now());
+            let news = self.roster.borrow_mut().expire(Instant::now());
             self.tell(&news);
         }
     }
@@ -246,7 +246,7 @@
             for row in &changes.rows {
                 let mut roster = members.roster.borrow_mut();
                 match members.understood(row) {
-                    Some(endpoint) => news.extend(roster.set(endpoint)),
+                    Some(endpoint) => news.extend(roster.update(endpoint)),
                     // It names no endpoint any more, as if it were not there.
                     None => news.extend(roster.remove(now, &row.id.key)),
                 }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records that the store answers again after an outage.
-    pub fn store_back(&mut self, now: Instant) {
+    pub fn record_recovery(&mut self, now: Instant) {
         self.grace_end = Some(now + REREGISTRATION_GRACE);
     }
 
@@ -114,16 +114,16 @@
                 changes.extend(self.remove(now, &id));
             }
         }
-        let updates = all.into_iter().flat_map(|endpoint| self.set(endpoint));
+        let updates = all.into_iter().flat_map(|endpoint| self.update(endpoint));
         changes.extend(updates);
         changes
     }
 
     /// Adds or updates an entry.
     ///
-    /// A restarted endpoint is reported as removed and as updated, since it has lost its state. A
-    /// late entry of an earlier incarnation is ignored.
-    pub fn set(&mut self, endpoint: Endpoint) -> Vec<EndpointChange> {
+    /// A restarted endpoint, which has lost its state, is reported as removed and as updated.
+    /// A late entry of an earlier incarnation is ignored.
+    pub fn update(&mut self, endpoint: Endpoint) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(row) = self.rows.get_mut(&endpoint.id) {
             let (old_start, new_start) = (row.endpoint.born, endpoint.born);
@@ -159,7 +159,7 @@
     }
 
     /// Drops the endpoints whose entries are still missing after the grace period.
-    pub fn tick(&mut self, now: Instant) -> Vec<EndpointChange> {
+    pub fn expire(&mut self, now: Instant) -> Vec<EndpointChange> {
         let is_due = |row: &Row| row.drop_at.is_some_and(|until| until <= now);
         let rows = self.rows.iter().filter(|(_, row)| is_due(row));
         let ids: Vec<String> = rows.map(|(id, _)| id.clone()).collect();
@@ -171,7 +171,7 @@
             .collect()
     }
 
-    /// Returns when [`Roster::tick`] next drops an endpoint.
+    /// Returns when [`Roster::expire`] next drops an endpoint.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.rows.values().filter_map(|row| row.drop_at).min()
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -29,8 +29,8 @@
 fn removed_endpoint_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
-    assert_eq!(roster.set(endpoint("a")).len(), 1);
-    assert!(roster.set(endpoint("a")).is_empty(), "nothing changed");
+    assert_eq!(roster.update(endpoint("a")).len(), 1);
+    assert!(roster.update(endpoint("a")).is_empty(), "nothing changed");
     assert_eq!(roster.remove(now, "a"), Some(removed("a")));
     assert_eq!(roster.remove(now, "a"), None);
 }
@@ -41,14 +41,14 @@
     let now = Instant::now();
     let mut roster = Roster::new();
     roster.replace(now, vec![endpoint("a"), endpoint("b")]);
-    roster.store_back(now);
+    roster.record_recovery(now);
     assert!(roster.replace(now, Vec::new()).is_empty());
     assert_eq!(roster.iter().count(), 2);
     let later = now + Duration::from_secs(1);
-    assert!(roster.set(endpoint("a")).is_empty());
-    assert!(roster.tick(later).is_empty());
+    assert!(roster.update(endpoint("a")).is_empty());
+    assert!(roster.expire(later).is_empty());
     assert_eq!(roster.next_due(), Some(now + REREGISTRATION_GRACE));
-    assert_eq!(roster.tick(now + REREGISTRATION_GRACE), [removed("b")]);
+    assert_eq!(roster.expire(now + REREGISTRATION_GRACE), [removed("b")]);
     assert!(roster.get("a").is_some());
 }
 
@@ -56,8 +56,8 @@
 fn endpoint_removed_after_the_grace_period_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
-    roster.set(endpoint("a"));
-    roster.store_back(now);
+    roster.update(endpoint("a"));
+    roster.record_recovery(now);
     assert_eq!(
         roster.remove(now + REREGISTRATION_GRACE, "a"),
         Some(removed("a"))
@@ -161,14 +161,14 @@
         ..endpoint("a")
     };
     assert_eq!(
-        roster.set(incarnation(7)),
+        roster.update(incarnation(7)),
         [EndpointChange::Updated(incarnation(7))]
     );
     let removed = EndpointChange::Removed("a".to_owned());
     assert_eq!(
-        roster.set(incarnation(9)),
+        roster.update(incarnation(9)),
         [removed, EndpointChange::Updated(incarnation(9))]
     );
-    assert!(roster.set(incarnation(7)).is_empty());
+    assert!(roster.update(incarnation(7)).is_empty());
     assert_eq!(roster.get("a"), Some(&incarnation(9)));
 }
