--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -44,7 +44,7 @@
         Self {
             id: endpoint.id.as_str().into(),
             address: endpoint.address,
-            born: endpoint.born,
+            born: endpoint.started_ms,
         }
     }
 
@@ -144,7 +144,7 @@
             let service = self.service(now, name);
             let specs = endpoints
                 .values()
-                .map(|e| EndpointSpec::new(&e.id, &e.place).limit(e.slots));
+                .map(|e| EndpointSpec::new(&e.id, &e.data_centre).limit(e.slots));
             let keys = self.router.borrow_mut().add_endpoints(now, service, specs);
             let ids = endpoints.keys().map(|id| (*id).to_owned());
             self.keys.borrow_mut().extend(ids.zip(keys));
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -93,7 +93,7 @@
             match news {
                 EndpointChange::Updated(endpoint) => {
                     let entry = Entry {
-                        born: endpoint.born,
+                        born: endpoint.started_ms,
                         leaving: endpoint.leaving,
                     };
                     self.entries.borrow_mut().insert(endpoint.id.clone(), entry);
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -126,7 +126,7 @@
             let Some(now) = self.members.get(&load.endpoint) else {
                 return false;
             };
-            if now.born != endpoint.born {
+            if now.started_ms != endpoint.started_ms {
                 return false;
             }
             let runs = now
@@ -172,9 +172,9 @@
     async fn report(&self, endpoint: &Endpoint) -> Option<Report> {
         let (status, body) = self.ask(endpoint, engine::ask_report(&endpoint.id)).await?;
         match engine::report(status, &body) {
-            Ok(report) if report.born.is_some() && report.born != endpoint.born => {
+            Ok(report) if report.born.is_some() && report.born != endpoint.started_ms => {
                 log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(), born:? = report.born,
-                    known:? = endpoint.born; "A report is of another life of the engine.");
+                    known:? = endpoint.started_ms; "A report is of another life of the engine.");
                 None
             }
             Ok(report) => Some(report),
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -128,12 +128,15 @@
     /// Adds an engine, or updates it from its registration.
     pub fn set(&mut self, endpoint: &Endpoint) {
         let Endpoint {
-            id, born, service, ..
+            id,
+            started_ms,
+            service,
+            ..
         } = endpoint;
         let key = self.index.get(id).copied().unwrap_or_else(|| {
             let key = self.states.insert(EngineState {
                 id: id.clone(),
-                incarnation: born.map_or_else(|| id.clone(), |born| format!("{id}@{born}")),
+                incarnation: started_ms.map_or_else(|| id.clone(), |born| format!("{id}@{born}")),
                 service: service.clone(),
                 slots: endpoint.slots,
                 is_open: !endpoint.leaving,
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -32,13 +32,13 @@
     pub id: String,
     /// The start of this incarnation, in milliseconds since 1970 by the endpoint's clock.
     /// State of an earlier incarnation is void.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The service to which the endpoint belongs.
     pub service: String,
     /// The address for requests.
     pub address: SocketAddr,
     /// The data centre.
-    pub place: String,
+    pub data_centre: String,
     /// Requests that the endpoint runs at once.
     pub slots: u32,
     /// Whether the endpoint has announced its shutdown.
@@ -126,7 +126,7 @@
     pub fn update(&mut self, endpoint: Endpoint) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(row) = self.rows.get_mut(&endpoint.id) {
-            let (old_start, new_start) = (row.endpoint.born, endpoint.born);
+            let (old_start, new_start) = (row.endpoint.started_ms, endpoint.started_ms);
             if old_start.zip(new_start).is_some_and(|(old, new)| new < old) {
                 return changes;
             }
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -145,13 +145,13 @@
 }
 
 /// Builds an engine with two slots.
-fn engine(id: &str, born: Option<u64>, weights: Vec<Weights>) -> Endpoint {
+fn engine(id: &str, started_ms: Option<u64>, weights: Vec<Weights>) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
-        born,
+        started_ms,
         service: "lm".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
-        place: "senec".to_owned(),
+        data_centre: "senec".to_owned(),
         slots: 2,
         leaving: false,
         cold: false,
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -10,10 +10,10 @@
 fn endpoint(id: &str) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
-        born: None,
+        started_ms: None,
         service: "desk".to_owned(),
         address: "127.0.0.1:80".parse().unwrap(),
-        place: "senec".to_owned(),
+        data_centre: "senec".to_owned(),
         slots: 6,
         leaving: false,
         cold: false,
@@ -156,8 +156,8 @@
 #[test]
 fn restarted_endpoint_is_reported_as_removed_and_updated() {
     let mut roster = Roster::new();
-    let incarnation = |born: u64| Endpoint {
-        born: Some(born),
+    let incarnation = |started_ms: u64| Endpoint {
+        started_ms: Some(started_ms),
         ..endpoint("a")
     };
     assert_eq!(
