--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -90,7 +90,7 @@
             .iter()
             .map(|host| Candidate {
                 name: &host.endpoint,
-                place: &host.place,
+                data_centre: &host.place,
             })
             .collect();
         for i in choose(&self.name, &self.place, &candidates, self.subset) {
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -18,7 +18,7 @@
     /// The name, unique within the service.
     pub name: &'a str,
     /// The data centre.
-    pub place: &'a str,
+    pub data_centre: &'a str,
 }
 
 /// Returns the positions of the `n` candidates that `entry` keeps streams to, best first.
@@ -29,8 +29,8 @@
 /// use hibiscusroad::subset::{Candidate, choose};
 ///
 /// let sidecars = [
-///     Candidate { name: "hut-desk-1", place: "trnava" },
-///     Candidate { name: "hut-desk-2", place: "senec" },
+///     Candidate { name: "hut-desk-1", data_centre: "trnava" },
+///     Candidate { name: "hut-desk-2", data_centre: "senec" },
 /// ];
 /// assert_eq!(choose("entry-1", "senec", &sidecars, 1), [1]);
 /// ```
@@ -40,7 +40,7 @@
     let rank = |i: &usize| {
         let sidecar = &sidecars[*i];
         let hash = xxh3_64_with_seed(sidecar.name.as_bytes(), seed);
-        (sidecar.place != data_centre, Reverse(hash))
+        (sidecar.data_centre != data_centre, Reverse(hash))
     };
     let mut order: Vec<usize> = (0..sidecars.len()).collect();
     order.sort_by_key(rank);
