--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -269,7 +269,7 @@
         // The slash behind the item is followed by a zero in byte order.
         let end = format!("{batch}/{item}0");
         let range = Range {
-            from: Some(&from),
+            start: Some(&from),
             end: Some(&end),
             ..Range::part(PIECES, &part)
         };
--- a/hibiscusroad-daemon/src/gateway/batches/heads.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/heads.rs
@@ -23,7 +23,7 @@
             }
         }),
         change: Box::new(move |changes| {
-            for id in &changes.gone {
+            for id in &changes.removed {
                 batches.forget(|known| known == id.key);
             }
             for row in &changes.rows {
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -79,7 +79,7 @@
         // The slash behind the batch is followed by a zero in byte order.
         let end = format!("{id}0");
         let range = Range {
-            from: Some(&from),
+            start: Some(&from),
             end: Some(&end),
             ..Range::part(PIECES, &part)
         };
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -131,7 +131,7 @@
         // The slash before the position is followed by a zero in byte order.
         let end = format!("{id}0");
         let range = Range {
-            from: Some(&name.key),
+            start: Some(&name.key),
             end: Some(&end),
             ..Range::part(&name.table, &name.part)
         };
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -99,7 +99,7 @@
         let page = self
             .store
             .read(&Range {
-                from: Some(&from),
+                start: Some(&from),
                 end: Some(&end),
                 limit: Some(limit),
                 ..Range::part(table, &part)
--- a/hibiscusroad-daemon/src/gateway/crashes/sink.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/sink.rs
@@ -15,7 +15,7 @@
         table: CRASHES,
         parts: vec![String::new()],
         replace: Box::new(move |rows| all.replace(&rows)),
-        change: Box::new(move |changes| crashes.change(&changes.rows, &changes.gone)),
+        change: Box::new(move |changes| crashes.change(&changes.rows, &changes.removed)),
         confirm: Box::new(|| {}),
     }
 }
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -137,7 +137,7 @@
         // The successor of a key is the key with a zero byte behind it.
         let end = format!("{}\0", id.key);
         let range = Range {
-            from: Some(&id.key),
+            start: Some(&id.key),
             end: Some(&end),
             limit: Some(1),
             ..Range::part(&id.table, &id.part)
@@ -160,7 +160,7 @@
             let from = format!("{}\0", last.id.key);
             let page = self
                 .read(&Range {
-                    from: Some(&from),
+                    start: Some(&from),
                     ..*range
                 })
                 .await?;
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -92,7 +92,7 @@
         return Ok(None);
     };
     let version = changes.version.max(after);
-    if !changes.rows.is_empty() || !changes.gone.is_empty() {
+    if !changes.rows.is_empty() || !changes.removed.is_empty() {
         (sink.change)(changes);
     }
     (sink.confirm)();
@@ -240,7 +240,7 @@
         change: Box::new(move |changes| {
             let now = Instant::now();
             let mut news = Vec::new();
-            for id in &changes.gone {
+            for id in &changes.removed {
                 news.extend(members.roster.borrow_mut().remove(now, &id.key));
             }
             for row in &changes.rows {
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -181,7 +181,7 @@
     async fn make(&self, window: Window) -> bool {
         let keys = usage::keys(window);
         let range = Range {
-            from: Some(&keys.0),
+            start: Some(&keys.0),
             end: Some(&keys.1),
             ..Range::part(usage::USAGE, "")
         };
--- a/src/table.rs
+++ b/src/table.rs
@@ -52,7 +52,7 @@
     /// The part.
     pub part: &'a str,
     /// The first key; `None` for no lower bound.
-    pub from: Option<&'a str>,
+    pub start: Option<&'a str>,
     /// The exclusive end; `None` for no upper bound.
     pub end: Option<&'a str>,
     /// Most rows to return.
@@ -66,7 +66,7 @@
         Self {
             table,
             part,
-            from: None,
+            start: None,
             end: None,
             limit: None,
         }
@@ -92,7 +92,7 @@
     /// Rows that were added or changed.
     pub rows: Vec<Row>,
     /// Rows that were removed.
-    pub gone: Vec<RowId>,
+    pub removed: Vec<RowId>,
     /// The version from which to continue.
     pub version: u64,
     /// The store's steady clock.
