--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -6,7 +6,9 @@
 //! one that the change was planned on and that the command has no row yet.
 
 use crate::platform::{Backoff, Cond, Fault, Op, Outcome, Row, Table, Transaction};
-use hibiscusroad::config::{Attempt, Audit, Command, Document, Next, Plan, Rows, Verdict};
+use hibiscusroad::config::{
+    Attempt, Audit, Command, CommandOutcome, Document, NextStep, Plan, Rows,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::{
@@ -36,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// It is decided for good; with the document, if this call wrote it.
-    Decided(Verdict, Option<Box<Document>>),
+    Decided(CommandOutcome, Option<Box<Document>>),
     /// Nothing was written, because the table gave no answer.
     Down(Fault),
     /// It may or may not have been accepted.
@@ -54,7 +56,7 @@
         match step(table, &command.id, &mut attempt) {
             Ok(reply) => return reply,
             Err(fault) if start.elapsed() > PATIENCE => {
-                return if attempt.is_unsure() {
+                return if attempt.is_uncertain() {
                     Reply::Unknown(fault)
                 } else {
                     Reply::Down(fault)
@@ -68,20 +70,20 @@
 /// Takes one step: read, decide, write. An error means "look again".
 fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, Fault> {
     let rows = read(table, id)?;
-    let plan = match attempt.look(&rows, now_ms()) {
-        Next::Tell(verdict) => return Ok(Reply::Decided(verdict, None)),
-        Next::Write(plan) => *plan,
-        Next::Wait => return Err(Fault::Odd("the base version has not come yet".to_owned())),
+    let plan = match attempt.next_step(&rows, now_ms()) {
+        NextStep::Answer(verdict) => return Ok(Reply::Decided(verdict, None)),
+        NextStep::Write(plan) => *plan,
+        NextStep::Wait => return Err(Fault::Odd("the base version has not come yet".to_owned())),
     };
     match table.transact(&transaction(&plan)) {
         Outcome::Committed(_) => {
-            let verdict = Verdict::Done(plan.next.version);
+            let verdict = CommandOutcome::Done(plan.next.version);
             Ok(Reply::Decided(verdict, Some(Box::new(plan.next))))
         }
         Outcome::Conflict(_) => Err(Fault::Odd("another change came first".to_owned())),
         Outcome::NotSent(fault) => Err(fault),
         Outcome::Unknown(fault) => {
-            attempt.lost(plan);
+            attempt.record_lost_answer(plan);
             Err(fault)
         }
     }
@@ -111,7 +113,7 @@
         if row.key == CURRENT {
             rows.document = parse(&row)?;
         } else {
-            rows.made = Some(parse(&row)?);
+            rows.committed = Some(parse(&row)?);
         }
     }
     Ok(rows)
--- a/hibiscusroad-daemon/src/entry/operators.rs
+++ b/hibiscusroad-daemon/src/entry/operators.rs
@@ -15,7 +15,7 @@
 };
 use hibiscusroad::{
     ErrorKind,
-    config::{Command, Document, Verdict},
+    config::{Command, CommandOutcome, Document},
 };
 use serde_json::{Map, Value, json};
 use std::{io::Read, net::SocketAddr, sync::Arc, thread};
@@ -221,8 +221,8 @@
 
 const fn outcome(reply: &Reply) -> &'static str {
     match reply {
-        Reply::Decided(Verdict::Done(_), _) => "done",
-        Reply::Decided(Verdict::Dry(_), _) => "dry",
+        Reply::Decided(CommandOutcome::Done(_), _) => "done",
+        Reply::Decided(CommandOutcome::DryRun(_), _) => "dry",
         Reply::Decided(..) | Reply::Down(_) => "refused",
         Reply::Unknown(_) => "unknown",
     }
@@ -256,15 +256,17 @@
     said
 }
 
-fn decided(desk: &Desk, verdict: Verdict) -> Said {
+fn decided(desk: &Desk, verdict: CommandOutcome) -> Said {
     match verdict {
-        Verdict::Done(version) => Said::new(200, json!({ "version": version })),
-        Verdict::Dry(audit) => Said::new(
+        CommandOutcome::Done(version) => Said::new(200, json!({ "version": version })),
+        CommandOutcome::DryRun(audit) => Said::new(
             200,
             json!({ "version": audit.version, "changes": audit.edits }),
         ),
-        Verdict::Refused(refusal) => Said::new(409, json!({ "detail": refusal.to_string() })),
-        Verdict::Conflict(version) => {
+        CommandOutcome::Refused(refusal) => {
+            Said::new(409, json!({ "detail": refusal.to_string() }))
+        }
+        CommandOutcome::Conflict(version) => {
             let who = winner(desk, version);
             let detail = format!("{who} came first with version {version}; look and ask again");
             let problem = ErrorKind::ConfigConflict.answer().problem;
--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -56,16 +56,16 @@
     /// The document, or the default if there is none.
     pub document: Document,
     /// The version with this command's change, if it has been committed.
-    pub made: Option<u64>,
+    pub committed: Option<u64>,
 }
 
 /// The final outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum CommandOutcome {
     /// It was committed as this version.
     Done(u64),
     /// A dry run would make this change.
-    Dry(Box<Audit>),
+    DryRun(Box<Audit>),
     /// Another change was committed first, as this version.
     Conflict(u64),
     /// The change was refused.
@@ -74,11 +74,11 @@
 
 /// The next step for a command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Write the plan in one transaction with its conditions.
     Write(Box<Plan>),
     /// Answer the operator.
-    Tell(Verdict),
+    Answer(CommandOutcome),
     /// Read the rows again later: the base version has not arrived yet. A conflict would
     /// not be final, since another entry may still commit the command on that version.
     Wait,
@@ -123,29 +123,31 @@
     /// conflict is final. While the document has the base version the outcome is unknown,
     /// and the same plan is written again: a new plan could differ from the audit entry
     /// that a delayed write may still add.
-    pub fn look(&mut self, rows: &Rows, at_ms: u64) -> Next {
-        if let Some(version) = rows.made {
-            return Next::Tell(Verdict::Done(version));
+    pub fn next_step(&mut self, rows: &Rows, at_ms: u64) -> NextStep {
+        if let Some(version) = rows.committed {
+            return NextStep::Answer(CommandOutcome::Done(version));
         }
         if rows.document.version < self.command.base {
-            return Next::Wait;
+            return NextStep::Wait;
         }
         if rows.document.version > self.command.base {
             self.uncertain = None;
-            return Next::Tell(Verdict::Conflict(rows.document.version));
+            return NextStep::Answer(CommandOutcome::Conflict(rows.document.version));
         }
         if let Some(plan) = &self.uncertain {
-            return Next::Write(Box::new(plan.clone()));
+            return NextStep::Write(Box::new(plan.clone()));
         }
         match self.plan(&rows.document, at_ms) {
-            Ok(plan) if self.command.dry => Next::Tell(Verdict::Dry(Box::new(plan.audit))),
-            Ok(plan) => Next::Write(Box::new(plan)),
-            Err(verdict) => Next::Tell(verdict),
+            Ok(plan) if self.command.dry => {
+                NextStep::Answer(CommandOutcome::DryRun(Box::new(plan.audit)))
+            }
+            Ok(plan) => NextStep::Write(Box::new(plan)),
+            Err(outcome) => NextStep::Answer(outcome),
         }
     }
 
     /// Records that the answer to the write of `plan` was lost.
-    pub fn lost(&mut self, plan: Plan) {
+    pub fn record_lost_answer(&mut self, plan: Plan) {
         self.uncertain = Some(plan);
     }
 
@@ -153,16 +155,16 @@
     ///
     /// If so, the outcome reported to the operator must be unknown.
     #[must_use]
-    pub const fn is_unsure(&self) -> bool {
+    pub const fn is_uncertain(&self) -> bool {
         self.uncertain.is_some()
     }
 
-    fn plan(&self, base: &Document, at_ms: u64) -> Result<Plan, Verdict> {
+    fn plan(&self, base: &Document, at_ms: u64) -> Result<Plan, CommandOutcome> {
         let command = &self.command;
         let next = command
             .change
             .apply(base, command.force)
-            .map_err(Verdict::Refused)?;
+            .map_err(CommandOutcome::Refused)?;
         let audit = Audit {
             version: next.version,
             command: command.id.clone(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -37,7 +37,7 @@
 
 pub use self::{
     change::{Change, Edit, Refusal, Target},
-    commit::{Attempt, Audit, Command, Next, Plan, Rows, Verdict},
+    commit::{Attempt, Audit, Command, CommandOutcome, NextStep, Plan, Rows},
     document::{Document, Drains, Kind, Rule, Service},
     register::Register,
 };
--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -1,10 +1,11 @@
 //! Concurrent commands, over a table whose answers may be lost.
 //!
 //! Writes to the table are applied at once, later or never, and their answers may be lost.
-//! The verdicts on commands are compared with the final audit trail.
+//! The outcomes of commands are compared with the final audit trail.
 
 use hibiscusroad::config::{
-    Attempt, Audit, Change, Command, Document, Next, Plan, Register, Rows, Target, Verdict,
+    Attempt, Audit, Change, Command, CommandOutcome, Document, NextStep, Plan, Register, Rows,
+    Target,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -21,7 +22,7 @@
     fn read(&self, id: &str) -> Rows {
         Rows {
             document: self.document.clone(),
-            made: self.commands.get(id).copied(),
+            committed: self.commands.get(id).copied(),
         }
     }
 
@@ -53,7 +54,7 @@
     id: String,
     attempt: Attempt,
     rows: Option<Rows>,
-    verdict: Option<Verdict>,
+    outcome: Option<CommandOutcome>,
 }
 
 impl Worker {
@@ -80,40 +81,40 @@
             id,
             attempt: Attempt::new(command, String::new()),
             rows: None,
-            verdict: None,
+            outcome: None,
         }
     }
 
     fn step(&mut self, table: &mut Table, delayed: &mut Vec<Plan>, effect: WriteEffect) {
-        if self.verdict.is_some() {
+        if self.outcome.is_some() {
             return;
         }
         let Some(rows) = self.rows.take() else {
             self.rows = Some(table.read(&self.id));
             return;
         };
-        let plan = match self.attempt.look(&rows, 0) {
-            Next::Tell(verdict) => {
-                self.verdict = Some(verdict);
+        let plan = match self.attempt.next_step(&rows, 0) {
+            NextStep::Answer(outcome) => {
+                self.outcome = Some(outcome);
                 return;
             }
-            Next::Write(plan) => *plan,
-            Next::Wait => return,
+            NextStep::Write(plan) => *plan,
+            NextStep::Wait => return,
         };
         match effect {
             WriteEffect::Answered => {
                 if table.write(&plan) {
-                    self.verdict = Some(Verdict::Done(plan.next.version));
+                    self.outcome = Some(CommandOutcome::Done(plan.next.version));
                 }
             }
             WriteEffect::AnswerLost => {
                 table.write(&plan);
-                self.attempt.lost(plan);
+                self.attempt.record_lost_answer(plan);
             }
-            WriteEffect::WriteLost => self.attempt.lost(plan),
+            WriteEffect::WriteLost => self.attempt.record_lost_answer(plan),
             WriteEffect::Delayed => {
                 delayed.push(plan.clone());
-                self.attempt.lost(plan);
+                self.attempt.record_lost_answer(plan);
             }
         }
     }
@@ -131,10 +132,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    // Guards against a verdict that contradicts the audit trail, commands that are applied
+    // Guards against an outcome that contradicts the audit trail, commands that are applied
     // twice and gaps between versions.
     #[test]
-    fn verdicts_agree_with_the_audit_trail(
+    fn outcomes_agree_with_the_audit_trail(
         steps in prop::collection::vec((0_usize..20, write_effect(), 0_u8..4), 0..200),
         bases in prop::collection::vec(0_u64..4, 10),
     ) {
@@ -163,14 +164,14 @@
                 .filter(|entry| entry.command == worker.id)
                 .collect();
             prop_assert!(entries.len() <= 1, "command {} is in the audit trail twice", worker.id);
-            match &worker.verdict {
-                Some(Verdict::Done(version)) => {
+            match &worker.outcome {
+                Some(CommandOutcome::Done(version)) => {
                     prop_assert_eq!(entries.first().map(|entry| entry.version), Some(*version));
                 }
-                Some(verdict) => prop_assert!(
+                Some(outcome) => prop_assert!(
                     entries.is_empty(),
                     "{:?} is in the audit trail",
-                    verdict
+                    outcome
                 ),
                 None => {}
             }
