--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -209,9 +209,9 @@
         let command = Command {
             id: id.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())),
             base,
-            who: self.options.who.clone(),
+            operator: self.options.who.clone(),
             change: change.clone(),
-            dry: self.options.dry,
+            dry_run: self.options.dry,
             force: self.options.force,
         };
         let outcome = self.client.change(&command);
--- a/hibiscusroad-daemon/src/entry/operators.rs
+++ b/hibiscusroad-daemon/src/entry/operators.rs
@@ -214,7 +214,7 @@
     let reply = config::commit(&desk.table, &command, &origin);
     log::info!(
         target: "operators",
-        "Command {} by {} from {origin}: {}.", command.id, command.who, outcome(&reply),
+        "Command {} by {} from {origin}: {}.", command.id, command.operator, outcome(&reply),
     );
     tell(desk, reply)
 }
@@ -280,5 +280,5 @@
 
 fn winner(desk: &Desk, version: u64) -> String {
     let line = config::line(&desk.table, version).ok().flatten();
-    line.map_or_else(|| "another operator".to_owned(), |line| line.who)
+    line.map_or_else(|| "another operator".to_owned(), |line| line.operator)
 }
--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -20,12 +20,13 @@
     /// accepts it.
     pub base: u64,
     /// The operator.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub operator: String,
     /// The change.
     pub change: Change,
     /// Whether to return the changes without making them.
-    #[serde(default)]
-    pub dry: bool,
+    #[serde(default, rename = "dry")]
+    pub dry_run: bool,
     /// Whether to make the change even if it is dangerous.
     #[serde(default)]
     pub force: bool,
@@ -39,7 +40,8 @@
     /// The id of the command.
     pub command: String,
     /// The operator.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub operator: String,
     /// The address from which the command was sent.
     pub origin: String,
     /// When the change was planned, in milliseconds since 1970 UTC.
@@ -138,7 +140,7 @@
             return NextStep::Write(Box::new(plan.clone()));
         }
         match self.plan(&rows.document, at_ms) {
-            Ok(plan) if self.command.dry => {
+            Ok(plan) if self.command.dry_run => {
                 NextStep::Answer(CommandOutcome::DryRun(Box::new(plan.audit)))
             }
             Ok(plan) => NextStep::Write(Box::new(plan)),
@@ -168,7 +170,7 @@
         let audit = Audit {
             version: next.version,
             command: command.id.clone(),
-            who: command.who.clone(),
+            operator: command.operator.clone(),
             origin: self.origin.clone(),
             at_ms,
             change: command.change.clone(),
--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -72,9 +72,9 @@
         let command = Command {
             id: id.clone(),
             base,
-            who: format!("operator-{n}"),
+            operator: format!("operator-{n}"),
             change,
-            dry: false,
+            dry_run: false,
             force: false,
         };
         Self {
