--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -55,14 +55,14 @@
         let crash = last.filter(|last| at.saturating_sub(*last) < SAME);
         let crash = crash.unwrap_or(at);
         self.last.insert(attempt.endpoint, crash);
-        let born = u64::try_from(crash.as_millis()).ok();
+        let started_ms = u64::try_from(crash.as_millis()).ok();
         let (request, path) = (fingerprint(row), row.request.path.clone());
         let endpoint = format!("{:?}", attempt.endpoint);
         let added = self.ledger.add(Crash {
             request,
             incarnation: EndpointIncarnation {
                 endpoint,
-                started_ms: born,
+                started_ms,
             },
             at,
             path,
