--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -4,13 +4,13 @@
 //! connection after the start, and serves the next life of it under the same name; so
 //! breaks at one endpoint that are close together are one crash.
 //!
-//! Entries don't share evidence. Each may see [`LIMIT`] crashes of its own: the table
+//! Entries don't share evidence. Each may see [`CRASH_LIMIT`] crashes of its own: the table
 //! takes few writes of each entry, and deployments with sides have two or three.
 
 use crate::entry::{attempt::Attempt, call::CallRow, tables::Tables};
 use hibiscusroad::{
     ErrorKind, RequestId,
-    quarantine::{Crash, Fingerprint, Identity, LIMIT, Ledger, Life, Verdict},
+    quarantine::{CRASH_LIMIT, Crash, EndpointIncarnation, Fingerprint, Identity, Ledger, Verdict},
     route::{EndpointKey, Outcome},
 };
 use std::{
@@ -35,7 +35,7 @@
 impl Crashes {
     pub(super) fn new(start: Instant) -> Self {
         Self {
-            ledger: Ledger::new(LIMIT, KEEP),
+            ledger: Ledger::new(CRASH_LIMIT, KEEP),
             start,
             last: HashMap::new(),
         }
@@ -55,12 +55,15 @@
         let crash = last.filter(|last| at.saturating_sub(*last) < SAME);
         let crash = crash.unwrap_or(at);
         self.last.insert(attempt.endpoint, crash);
-        let born = u64::try_from(crash.as_millis()).ok();
+        let started_ms = u64::try_from(crash.as_millis()).ok();
         let (request, path) = (fingerprint(row), row.request.path.clone());
         let endpoint = format!("{:?}", attempt.endpoint);
         let added = self.ledger.add(Crash {
             request,
-            life: Life { endpoint, born },
+            incarnation: EndpointIncarnation {
+                endpoint,
+                started_ms,
+            },
             at,
             path,
         });
@@ -93,7 +96,7 @@
         };
         match outcome {
             Outcome::Answered if !self.crashes.ledger.is_empty() => {
-                self.crashes.ledger.forget(fingerprint(row));
+                self.crashes.ledger.remove_request(fingerprint(row));
             }
             // An attempt whose side is gone tells nothing of the endpoint.
             Outcome::Failed(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
--- a/hibiscusroad-daemon/src/gateway/crashes/sink.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/sink.rs
@@ -15,7 +15,7 @@
         table: CRASHES,
         parts: vec![String::new()],
         replace: Box::new(move |rows| all.replace(&rows)),
-        change: Box::new(move |changes| crashes.change(&changes.rows, &changes.gone)),
+        change: Box::new(move |changes| crashes.change(&changes.rows, &changes.removed)),
         confirm: Box::new(|| {}),
     }
 }
@@ -29,7 +29,7 @@
         let now = self.now();
         let over = |row: &&Row| {
             let crash = Crash::decode(row);
-            crash.map_or(true, |crash| self.ledger.borrow().is_over(now, &crash))
+            crash.map_or(true, |crash| self.ledger.borrow().is_expired(now, &crash))
         };
         for row in rows.iter().filter(over) {
             self.write(row.id.clone(), None);
--- a/hibiscusroad-daemon/src/settings/roles.rs
+++ b/hibiscusroad-daemon/src/settings/roles.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     config::Kind,
-    quarantine::{KEEP, LIMIT},
+    quarantine::{CRASH_LIMIT, CRASH_TTL},
 };
 use serde::Deserialize;
 use std::{fmt, net::SocketAddr};
@@ -270,11 +270,11 @@
 }
 
 fn default_crash_limit() -> usize {
-    LIMIT
+    CRASH_LIMIT
 }
 
 fn default_quarantine_s() -> u64 {
-    KEEP.as_secs()
+    CRASH_TTL.as_secs()
 }
 
 fn default_lease_ms() -> u64 {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,8 +2,9 @@
 
 use hibiscusroad::{
     quarantine::{
-        AMBIGUITY_MARGIN, CRASHES, Contact, Crash, DecodeCrashError, Fingerprint, Identity, KEEP,
-        LAPSED, LIMIT, Ledger, Life, OpenAttempts, ParseFingerprintError, UNRESOLVED_TTL, Verdict,
+        AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, CRASHES, Crash, DecodeCrashError,
+        EndpointIncarnation, Fingerprint, Identity, Ledger, ParseFingerprintError,
+        REFUTATION_DELAY, UNRESOLVED_TTL, UnresolvedAttempts, UpdateContinuity, Verdict,
     },
     table::{Row, RowId},
 };
@@ -87,15 +88,15 @@
     })
 }
 
-fn incarnation(n: usize) -> Life {
-    Life {
+fn incarnation(n: usize) -> EndpointIncarnation {
+    EndpointIncarnation {
         endpoint: format!("e{n}"),
-        born: None,
+        started_ms: None,
     }
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(LIMIT, KEEP)
+    Ledger::new(CRASH_LIMIT, CRASH_TTL)
 }
 
 /// Records that requests were in flight when the nth incarnation ended.
@@ -103,7 +104,7 @@
     for request_id in requests {
         ledger.add(Crash {
             request: request(*request_id),
-            life: incarnation(n),
+            incarnation: incarnation(n),
             at: Duration::from_secs(second),
             path: "/desk/x".to_owned(),
         });
@@ -118,15 +119,15 @@
 #[test]
 fn request_is_quarantined_at_the_crash_limit() {
     let mut ledger = ledger();
-    assert_eq!(ledger.verdict(KEEP, request(1)), Verdict::Clear);
-    for n in 0..LIMIT {
+    assert_eq!(ledger.verdict(CRASH_TTL, request(1)), Verdict::Clear);
+    for n in 0..CRASH_LIMIT {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
         record_crash(&mut ledger, 50 + n as u64, n, &[1]);
     }
     let verdict = ledger.verdict(Duration::from_mins(1), request(1));
-    let remaining = KEEP.saturating_sub(Duration::from_secs(10));
+    let remaining = CRASH_TTL.saturating_sub(Duration::from_secs(10));
     assert_eq!(verdict, Verdict::Quarantined(remaining));
-    assert_eq!(ledger.verdict(KEEP, request(2)), Verdict::Clear);
+    assert_eq!(ledger.verdict(CRASH_TTL, request(2)), Verdict::Clear);
 }
 
 #[test]
@@ -156,11 +157,11 @@
 #[test]
 fn neighbour_at_every_crash_is_not_quarantined_at_the_limit() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
     assert!(!is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
-    record_crash(&mut ledger, 2, LIMIT, &[1]);
+    record_crash(&mut ledger, 2, CRASH_LIMIT, &[1]);
     assert!(is_quarantined(&ledger, 1));
     assert!(!is_quarantined(&ledger, 2));
 }
@@ -169,7 +170,7 @@
 #[test]
 fn ambiguous_evidence_quarantines_after_the_margin() {
     let mut ledger = ledger();
-    for n in 0..LIMIT + AMBIGUITY_MARGIN {
+    for n in 0..CRASH_LIMIT + AMBIGUITY_MARGIN {
         assert!(!is_quarantined(&ledger, 1), "after {n} crashes");
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
@@ -192,7 +193,7 @@
                 counts[usize::from(*n)] += 1;
             }
         }
-        let max_crashes = LIMIT + AMBIGUITY_MARGIN;
+        let max_crashes = CRASH_LIMIT + AMBIGUITY_MARGIN;
         assert!(
             counts.iter().all(|count| *count <= max_crashes),
             "seed {seed}: {counts:?}"
@@ -205,11 +206,11 @@
 #[test]
 fn late_evidence_against_the_cause_clears_its_neighbour() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[2]);
     }
     assert!(is_quarantined(&ledger, 2));
-    for n in 0..=LIMIT {
+    for n in 0..=CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1]);
     }
     assert!(is_quarantined(&ledger, 1));
@@ -219,27 +220,27 @@
 #[test]
 fn removing_a_request_clears_it() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1, 2]);
     }
-    assert_eq!(ledger.forget(request(2)).len(), LIMIT);
+    assert_eq!(ledger.remove_request(request(2)).len(), CRASH_LIMIT);
     assert!(is_quarantined(&ledger, 1));
-    assert_eq!(ledger.verdict(KEEP, request(2)), Verdict::Clear);
-    assert_eq!(ledger.forget(request(2)), []);
+    assert_eq!(ledger.verdict(CRASH_TTL, request(2)), Verdict::Clear);
+    assert_eq!(ledger.remove_request(request(2)), []);
 }
 
 // Guards against counting connections that broke at live endpoints.
 #[test]
 fn crashes_of_live_endpoints_are_void() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1, n, &[1]);
     }
-    let is_live = |other: &Life| *other == incarnation(0);
-    let too_early = LAPSED;
+    let is_live = |other: &EndpointIncarnation| *other == incarnation(0);
+    let too_early = REFUTATION_DELAY;
     assert_eq!(ledger.expire(too_early, is_live), []);
     assert!(is_quarantined(&ledger, 1));
-    let late = LAPSED + Duration::from_secs(1);
+    let late = REFUTATION_DELAY + Duration::from_secs(1);
     assert_eq!(ledger.expire(late, is_live).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
@@ -247,11 +248,11 @@
 #[test]
 fn crashes_expire_after_their_ttl() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 1 + n as u64, n, &[1]);
     }
-    assert_eq!(ledger.expire(KEEP, |_| false), []);
-    let after = KEEP + Duration::from_secs(1);
+    assert_eq!(ledger.expire(CRASH_TTL, |_| false), []);
+    let after = CRASH_TTL + Duration::from_secs(1);
     assert_eq!(ledger.expire(after, |_| false).len(), 1);
     assert!(!is_quarantined(&ledger, 1));
 }
@@ -259,7 +260,7 @@
 #[test]
 fn bounded_ledger_keeps_the_crashes_of_the_cause() {
     let mut ledger = ledger();
-    for n in 0..LIMIT {
+    for n in 0..CRASH_LIMIT {
         record_crash(&mut ledger, 0, n, &[1]);
     }
     for n in 0..20_000_u32 {
@@ -270,7 +271,7 @@
         };
         ledger.add(Crash {
             request: Fingerprint::of(&identity),
-            life: incarnation(100),
+            incarnation: incarnation(100),
             at: Duration::from_secs(5),
             path: String::new(),
         });
@@ -283,9 +284,9 @@
 fn crash_round_trips_through_its_row() {
     let crash = Crash {
         request: request(1),
-        life: Life {
+        incarnation: EndpointIncarnation {
             endpoint: "i-1".repeat(60),
-            born: Some(17),
+            started_ms: Some(17),
         },
         at: Duration::from_millis(1_234),
         path: "/desk/\"x\"?y".to_owned(),
@@ -297,12 +298,12 @@
     };
     assert!(row.id.key.len() <= 200);
     assert_eq!(Crash::decode(&row).unwrap(), crash);
-    let restarted = Life {
-        born: Some(18),
-        ..crash.life.clone()
+    let restarted = EndpointIncarnation {
+        started_ms: Some(18),
+        ..crash.incarnation.clone()
     };
     let next_crash = Crash {
-        life: restarted,
+        incarnation: restarted,
         ..crash
     };
     assert_ne!(next_crash.row(), row.id);
@@ -335,18 +336,18 @@
     let start = Instant::now();
     let second = Duration::from_secs(1);
     let path = || "/desk/x".to_owned();
-    let mut attempts = OpenAttempts::new();
+    let mut attempts = UnresolvedAttempts::new();
     assert!(!attempts.add(start, request(1), incarnation(1), path()));
     assert!(!attempts.add(start, request(2), incarnation(2), path()));
     assert!(!attempts.add(start, request(3), incarnation(1), path()));
-    attempts.forget(request(3));
-    let found = attempts.ended(start + second, &incarnation(1));
+    attempts.remove_request(request(3));
+    let found = attempts.record_end(start + second, &incarnation(1));
     assert_eq!(found, [(request(1), path())]);
-    assert_eq!(attempts.ended(start + second, &incarnation(1)), []);
+    assert_eq!(attempts.record_end(start + second, &incarnation(1)), []);
     assert!(attempts.add(start + 2 * second, request(4), incarnation(1), path()));
     assert!(!attempts.is_empty());
     let late = start + UNRESOLVED_TTL + second;
-    assert_eq!(attempts.ended(late, &incarnation(2)), []);
+    assert_eq!(attempts.record_end(late, &incarnation(2)), []);
     assert!(attempts.is_empty());
 }
 
@@ -358,7 +359,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut ledger = ledger();
         let mut counts = [0; 12];
-        for n in 0..LIMIT + AMBIGUITY_MARGIN {
+        for n in 0..CRASH_LIMIT + AMBIGUITY_MARGIN {
             let neighbours = (2..12_u8).filter(|_| rng.random_bool(0.4));
             let in_flight: Vec<u8> = neighbours.chain([1]).collect();
             record_crash(&mut ledger, 1, n, &in_flight);
@@ -379,19 +380,22 @@
 
 // Guards against taking endpoints as live during a gap in updates.
 #[test]
-fn contact_is_steady_only_without_gaps() {
+fn continuity_lasts_only_without_gaps() {
     let start = Instant::now();
     let at = |second: u64| start + Duration::from_secs(second);
-    let mut contact = Contact::new();
-    assert!(!contact.is_steady(at(0), Duration::ZERO));
-    for second in (0..=LAPSED.as_secs()).step_by(2) {
-        contact.hear(at(second));
+    let mut continuity = UpdateContinuity::new();
+    assert!(!continuity.has_lasted(at(0), Duration::ZERO));
+    for second in (0..=REFUTATION_DELAY.as_secs()).step_by(2) {
+        continuity.record_update(at(second));
     }
-    assert!(contact.is_steady(at(20), LAPSED));
-    assert!(!contact.is_steady(at(30), LAPSED), "updates stopped");
-    contact.hear(at(31));
+    assert!(continuity.has_lasted(at(20), REFUTATION_DELAY));
     assert!(
-        !contact.is_steady(at(32), LAPSED),
+        !continuity.has_lasted(at(30), REFUTATION_DELAY),
+        "updates stopped"
+    );
+    continuity.record_update(at(31));
+    assert!(
+        !continuity.has_lasted(at(32), REFUTATION_DELAY),
         "updates have just resumed"
     );
 }
