--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -9,7 +9,7 @@
 //! * A batch is written to the table before it is delivered, and never changes. The same
 //!   cursor returns the same batch from any holder.
 //! * Each write is conditional on the version of the run's head row. A new holder writes
-//!   its fencing number to the head before it reads the other rows, so it sees all that
+//!   its fencing token to the head before it reads the other rows, so it sees all that
 //!   older holders recorded, and their next write fails.
 //! * Samples are delivered in whole groups, one group per prompt. A group that is
 //!   incomplete when its step closes is carried over, not dropped for its length. If the
--- a/src/train/row.rs
+++ b/src/train/row.rs
@@ -39,7 +39,7 @@
     pub tokens: u32,
     /// The score from the scorer.
     pub score: f64,
-    /// The fencing number of the holder that finished the sample. With `serial` it
+    /// The fencing token of the holder that finished the sample. With `serial` it
     /// names the object that holds the text.
     pub fence: u64,
     /// The serial number of the generation at that holder.
@@ -74,7 +74,7 @@
 /// The progress of a run.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// The fencing number of the holder that wrote last.
+    /// The fencing token of the holder that wrote last.
     pub fence: u64,
     /// The cursor of the next batch, which is the number of batches so far.
     #[serde(rename = "next")]
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -50,7 +50,7 @@
     pub started: u64,
 }
 
-/// A run, held by one process under one fencing number.
+/// A run, held by one process under one fencing token.
 ///
 /// [`Run::handle`] takes events and [`Run::next_step`] returns what to do.
 #[derive(Debug)]
@@ -121,7 +121,7 @@
         self.counts
     }
 
-    /// Returns the serial number of a generation, which with the fencing number names
+    /// Returns the serial number of a generation, which with the fencing token names
     /// its text in the object store.
     #[must_use]
     pub fn serial_of(&self, generation: GenKey) -> Option<u64> {
--- a/src/train/weights.rs
+++ b/src/train/weights.rs
@@ -1,7 +1,7 @@
 //! Rollout of new weights to a run's engines.
 //!
 //! The [`Shifter`] handles waves, the floor of serving engines, the store's rate and
-//! retries. This module adds the holder's fencing number to orders, and excludes engines
+//! retries. This module adds the holder's fencing token to orders, and excludes engines
 //! that report an unintended version, for example after a failed swap. Samples of such a
 //! version would be dropped after they are generated. The engine is used again once it
 //! reports an intended version.
@@ -10,12 +10,12 @@
 use slotmap::SecondaryMap;
 use std::time::{Duration, Instant};
 
-/// An order with the fencing number of its holder.
+/// An order with the fencing token of its holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FencedOrder {
     /// The order.
     pub order: Order,
-    /// The fencing number; the engine's sidecar refuses lower ones.
+    /// The fencing token; the engine's sidecar refuses lower ones.
     pub fence: u64,
 }
 
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -135,7 +135,7 @@
     jobs: Vec<Job>,
     /// The token versions of ended jobs, by holder and generation.
     ended_jobs: BTreeMap<(usize, GenKey), Vec<u64>>,
-    /// The token versions of stored samples, by fencing number and serial number.
+    /// The token versions of stored samples, by fencing token and serial number.
     stored_samples: BTreeMap<(u64, u64), Vec<u64>>,
     /// The version of each engine.
     engines: Vec<u64>,
