--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -21,7 +21,7 @@
     clock::millis,
     rollout::turns::VALID,
     table::{Change, Commit, Range},
-    usage::{self, Kept, Reports, Step, Terms, Window, Windows},
+    usage::{self, Reports, Step, StoredReport, Terms, Window, Windows},
 };
 use hibiscusroad_platform::{
     duty::{self, Answer},
@@ -200,7 +200,7 @@
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), store);
+        let kept = StoredReport::new(duty::usage(window.0, &counts), self.duty.life(), store);
         let row = usage::report(window);
         let change = Change::new()
             .expect(row.clone(), 0)
@@ -270,7 +270,7 @@
     }
 
     /// Writes down that this process is about to send a report.
-    async fn write_down(&self, window: Window, kept: Kept) -> bool {
+    async fn write_down(&self, window: Window, kept: StoredReport) -> bool {
         let Some(now) = self.store.now() else {
             return false;
         };
@@ -278,7 +278,7 @@
         if fresh && kept.holder == self.duty.life() {
             return true;
         }
-        let kept = Kept::new(kept.body, self.duty.life(), now);
+        let kept = StoredReport::new(kept.body, self.duty.life(), now);
         self.put(window, kept).await
     }
 
@@ -288,7 +288,7 @@
         let Some(kept) = self.with(|reports| reports.get(window).cloned()).flatten() else {
             return false;
         };
-        let kept = Kept { sent: true, ..kept };
+        let kept = StoredReport { sent: true, ..kept };
         self.with(|reports| reports.note(window, kept.clone()));
         // If that isn't written the next holder sends the report again, to the letter.
         self.put(window, kept).await;
@@ -298,7 +298,7 @@
         true
     }
 
-    async fn put(&self, window: Window, kept: Kept) -> bool {
+    async fn put(&self, window: Window, kept: StoredReport) -> bool {
         let change = Change::new().put(usage::report(window), encoded(&kept));
         let done = self.duty.transact(change).await;
         let done = matches!(done, Some(Commit::Done { .. }));
@@ -363,6 +363,6 @@
     }
 }
 
-fn encoded(kept: &Kept) -> Vec<u8> {
+fn encoded(kept: &StoredReport) -> Vec<u8> {
     serde_json::to_vec(kept).unwrap_or_default()
 }
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -20,7 +20,7 @@
 mod window;
 
 pub use self::{
-    report::{Kept, REPORTS, Reports, Step, Terms, report},
+    report::{REPORTS, Reports, Step, StoredReport, Terms, report},
     tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
     time::{Offset, agreed},
     window::{Window, Windows},
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -40,7 +40,7 @@
 
 /// A report in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct StoredReport {
     /// The exact body to send.
     pub body: String,
     /// The process that last wrote the row before it sent the report.
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct Reports {
     terms: Terms,
-    stored: BTreeMap<Window, Kept>,
+    stored: BTreeMap<Window, StoredReport>,
     /// The first window to report if no report is stored.
     first_window: Window,
 }
@@ -93,7 +93,7 @@
     }
 
     /// Adds a report that was read from the store, by the key of its row.
-    pub fn read(&mut self, key: &str, kept: Kept) {
+    pub fn read(&mut self, key: &str, kept: StoredReport) {
         if let Some(window) = parse_window(key) {
             self.stored.insert(window, kept);
         }
@@ -107,7 +107,7 @@
     }
 
     /// Records a report that this process has written, and removes those past retention.
-    pub fn note(&mut self, window: Window, kept: Kept) {
+    pub fn note(&mut self, window: Window, kept: StoredReport) {
         self.stored.insert(window, kept);
         let oldest = self.outlived(window);
         self.stored.retain(|stored, _| *stored >= oldest);
@@ -115,7 +115,7 @@
 
     /// Returns the report of a window.
     #[must_use]
-    pub fn get(&self, window: Window) -> Option<&Kept> {
+    pub fn get(&self, window: Window) -> Option<&StoredReport> {
         self.stored.get(&window)
     }
 
@@ -181,7 +181,7 @@
     }
 }
 
-impl Kept {
+impl StoredReport {
     /// Creates a report that `holder` is about to send, at the store's time `now`.
     #[must_use]
     pub fn new(body: String, holder: &str, now: Duration) -> Self {
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -3,7 +3,8 @@
 use hibiscusroad::{
     table::RowId,
     usage::{
-        Kept, Offset, Reports, Step, Tally, Terms, Window, Windows, agreed, keys, merge, pause,
+        Offset, Reports, Step, StoredReport, Tally, Terms, Window, Windows, agreed, keys, merge,
+        pause,
     },
 };
 use proptest::prelude::*;
@@ -124,9 +125,12 @@
     };
     assert!(until > secs(1_005.0) && until < secs(1_010.0));
     assert_eq!(reports.next(until, None), Step::Make(Window(200)));
-    reports.note(Window(200), Kept::new("{}".into(), "g/1", secs(1.0)));
+    reports.note(
+        Window(200),
+        StoredReport::new("{}".into(), "g/1", secs(1.0)),
+    );
     assert_eq!(reports.next(until, None), Step::Send(Window(200)));
-    let sent = Kept {
+    let sent = StoredReport {
         sent: true,
         ..reports.get(Window(200)).unwrap().clone()
     };
@@ -176,7 +180,7 @@
 #[test]
 fn next_holder_sends_the_stored_report() {
     let mut reports = Reports::new(terms(), secs(1_020.0));
-    let kept = Kept::new("the report".into(), "g-1/1", secs(50.0));
+    let kept = StoredReport::new("the report".into(), "g-1/1", secs(50.0));
     reports.read("00000000000000000200/", kept);
     assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
     assert_eq!(reports.get(Window(200)).unwrap().body, "the report");
@@ -189,10 +193,10 @@
 #[test]
 fn windows_past_the_maximum_delay_are_skipped() {
     let mut reports = Reports::new(terms(), secs(1_003.0));
-    let kept = Kept::new("{}".into(), "g-1/1", secs(1.0));
+    let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
     reports.read("00000000000000000200/", kept.clone());
     assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
-    reports.note(Window(200), Kept { sent: true, ..kept });
+    reports.note(Window(200), StoredReport { sent: true, ..kept });
     let Step::Make(next) = reports.next(secs(1_100.0), None) else {
         panic!("no report is due");
     };
@@ -245,7 +249,7 @@
     // with two contents, and calls of the two holders are at least `MIN_CALL_GAP` apart.
     #[test]
     fn changing_holders_send_one_report_per_window(actions in actions()) {
-        let mut store: BTreeMap<Window, Kept> = BTreeMap::new();
+        let mut store: BTreeMap<Window, StoredReport> = BTreeMap::new();
         let mut views = [None::<Reports>, None];
         let mut lease_holder = None;
         let mut sent: Vec<(usize, Window, String, Duration)> = Vec::new();
@@ -266,7 +270,7 @@
                 Step::Make(window) if action.write_succeeds => {
                     // The condition of the write: no report of the window is stored.
                     prop_assert!(!store.contains_key(&window));
-                    let kept = Kept::new(format!("report {n}"), &holder, now);
+                    let kept = StoredReport::new(format!("report {n}"), &holder, now);
                     store.insert(window, kept.clone());
                     view.note(window, kept);
                 }
@@ -275,10 +279,10 @@
                         continue;
                     }
                     let body = view.get(window).unwrap().body.clone();
-                    let kept = Kept::new(body.clone(), &holder, now);
+                    let kept = StoredReport::new(body.clone(), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, Kept { sent: true, ..kept.clone() });
-                    store.insert(window, Kept { sent: true, ..kept });
+                    view.note(window, StoredReport { sent: true, ..kept.clone() });
+                    store.insert(window, StoredReport { sent: true, ..kept });
                     sent.push((action.holder, window, body, now));
                 }
                 _ => {}
