--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -274,7 +274,7 @@
         let Some(now) = self.store.now() else {
             return false;
         };
-        let fresh = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
+        let fresh = now.saturating_sub(Duration::from_millis(kept.written_at)) < VALID;
         if fresh && kept.holder == self.duty.life() {
             return true;
         }
@@ -288,7 +288,10 @@
         let Some(kept) = self.with(|reports| reports.get(window).cloned()).flatten() else {
             return false;
         };
-        let kept = StoredReport { sent: true, ..kept };
+        let kept = StoredReport {
+            closed: true,
+            ..kept
+        };
         self.with(|reports| reports.note(window, kept.clone()));
         // If that isn't written the next holder sends the report again, to the letter.
         self.put(window, kept).await;
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -46,9 +46,11 @@
     /// The process that last wrote the row before it sent the report.
     pub holder: String,
     /// The store's steady clock at that write, in milliseconds.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub written_at: u64,
     /// Whether the report was accepted or given up.
-    pub sent: bool,
+    #[serde(rename = "sent")]
+    pub closed: bool,
 }
 
 /// Returns the row id of a window's report.
@@ -139,8 +141,12 @@
             .stored
             .values()
             .filter(|report| report.holder != holder);
-        let last = others.max_by_key(|report| report.at)?;
-        turns.note(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
+        let last = others.max_by_key(|report| report.written_at)?;
+        turns.note(
+            TURNS_KEY,
+            &last.holder,
+            Duration::from_millis(last.written_at),
+        );
         turns.barred(TURNS_KEY, holder, self.terms.apart)
     }
 
@@ -148,7 +154,7 @@
     /// became available again after its last outage.
     #[must_use]
     pub fn next(&self, now: Duration, store_back: Option<Duration>) -> Step {
-        let mut open = self.stored.iter().filter(|(_, report)| !report.sent);
+        let mut open = self.stored.iter().filter(|(_, report)| !report.closed);
         if let Some((window, _)) = open.next() {
             let delay = now.saturating_sub(self.terms.windows.end(*window));
             return if delay > MAX_REPORT_DELAY {
@@ -188,8 +194,8 @@
         Self {
             body,
             holder: holder.to_owned(),
-            at: millis(now),
-            sent: false,
+            written_at: millis(now),
+            closed: false,
         }
     }
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -131,7 +131,7 @@
     );
     assert_eq!(reports.next(until, None), Step::Send(Window(200)));
     let sent = StoredReport {
-        sent: true,
+        closed: true,
         ..reports.get(Window(200)).unwrap().clone()
     };
     reports.note(Window(200), sent);
@@ -196,7 +196,13 @@
     let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
     reports.read("00000000000000000200/", kept.clone());
     assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
-    reports.note(Window(200), StoredReport { sent: true, ..kept });
+    reports.note(
+        Window(200),
+        StoredReport {
+            closed: true,
+            ..kept
+        },
+    );
     let Step::Make(next) = reports.next(secs(1_100.0), None) else {
         panic!("no report is due");
     };
@@ -281,8 +287,8 @@
                     let body = view.get(window).unwrap().body.clone();
                     let kept = StoredReport::new(body.clone(), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, StoredReport { sent: true, ..kept.clone() });
-                    store.insert(window, StoredReport { sent: true, ..kept });
+                    view.note(window, StoredReport { closed: true, ..kept.clone() });
+                    store.insert(window, StoredReport { closed: true, ..kept });
                     sent.push((action.holder, window, body, now));
                 }
                 _ => {}
