--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -21,7 +21,7 @@
     clock::millis,
     rollout::turns::VALID,
     table::{Change, Commit, Range},
-    usage::{self, Reports, Step, StoredReport, Terms, Window, Windows},
+    usage::{self, ReportTiming, Reports, Step, StoredReport, Window, Windows},
 };
 use hibiscusroad_platform::{
     duty::{self, Answer},
@@ -51,7 +51,7 @@
     /// The name of this process, for the platform.
     name: String,
     address: SocketAddr,
-    terms: Terms,
+    terms: ReportTiming,
     duty: Rc<Duty>,
     store: Rc<Store>,
     times: Times,
@@ -74,10 +74,10 @@
         known: Rc<Known>,
         meters: Rc<Meters>,
     ) -> Self {
-        let terms = Terms {
+        let terms = ReportTiming {
             windows: Windows::new(Duration::from_secs(settings.window_s)),
-            late: Duration::from_secs(settings.late_s),
-            apart: duty.apart(),
+            deadline: Duration::from_secs(settings.late_s),
+            call_gap: duty.apart(),
         };
         Self {
             name: name.to_owned(),
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -20,7 +20,7 @@
 mod window;
 
 pub use self::{
-    report::{REPORTS, Reports, Step, StoredReport, Terms, report},
+    report::{REPORTS, ReportTiming, Reports, Step, StoredReport, report},
     tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
     time::{Offset, agreed},
     window::{Window, Windows},
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -29,13 +29,13 @@
 
 /// The timing of reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Terms {
+pub struct ReportTiming {
     /// The windows to report.
     pub windows: Windows,
     /// How long after its end the report of a window is due.
-    pub late: Duration,
+    pub deadline: Duration,
     /// The least time between calls of two holders.
-    pub apart: Duration,
+    pub call_gap: Duration,
 }
 
 /// A report in the store.
@@ -75,7 +75,7 @@
 /// The reports in the store, as known to the holder of the duty.
 #[derive(Clone, Debug)]
 pub struct Reports {
-    terms: Terms,
+    timing: ReportTiming,
     stored: BTreeMap<Window, StoredReport>,
     /// The first window to report if no report is stored.
     first_window: Window,
@@ -85,12 +85,12 @@
     /// Creates the state of a new holder without any stored report, at the time of day
     /// `now`.
     #[must_use]
-    pub fn new(terms: Terms, now: Duration) -> Self {
+    pub fn new(timing: ReportTiming, now: Duration) -> Self {
         Self {
-            terms,
+            timing,
             stored: BTreeMap::new(),
             // Counts of this time may not be in the store yet.
-            first_window: terms.windows.at(now.saturating_sub(COLLECTION_DELAY)),
+            first_window: timing.windows.at(now.saturating_sub(COLLECTION_DELAY)),
         }
     }
 
@@ -124,8 +124,8 @@
     /// Returns the first window that is still retained when this one is reported.
     #[must_use]
     pub fn outlived(&self, window: Window) -> Window {
-        let end = self.terms.windows.end(window);
-        self.terms.windows.at(end.saturating_sub(RETENTION))
+        let end = self.timing.windows.end(window);
+        self.timing.windows.at(end.saturating_sub(RETENTION))
     }
 
     /// Returns the time on the store's clock until which `holder` must not call, if another
@@ -147,7 +147,7 @@
             &last.holder,
             Duration::from_millis(last.written_at),
         );
-        turns.barred(TURNS_KEY, holder, self.terms.apart)
+        turns.barred(TURNS_KEY, holder, self.timing.call_gap)
     }
 
     /// Returns the next action at the time of day `now`. `store_back` is when the store
@@ -156,7 +156,7 @@
     pub fn next(&self, now: Duration, store_back: Option<Duration>) -> Step {
         let mut open = self.stored.iter().filter(|(_, report)| !report.closed);
         if let Some((window, _)) = open.next() {
-            let delay = now.saturating_sub(self.terms.windows.end(*window));
+            let delay = now.saturating_sub(self.timing.windows.end(*window));
             return if delay > MAX_REPORT_DELAY {
                 Step::GiveUp(*window)
             } else {
@@ -166,7 +166,7 @@
         let last = self.stored.last_key_value();
         let next = last.map_or(self.first_window, |(window, _)| window.next());
         // Skips windows that became too late while no process held the duty.
-        let oldest = self.terms.windows.at(now.saturating_sub(MAX_REPORT_DELAY));
+        let oldest = self.timing.windows.at(now.saturating_sub(MAX_REPORT_DELAY));
         let next = next.max(oldest);
         let due = self.due(next, store_back);
         if due <= now {
@@ -178,12 +178,12 @@
 
     /// Returns the time of day at which the report of a window is made.
     fn due(&self, window: Window, store_back: Option<Duration>) -> Duration {
-        let end = self.terms.windows.end(window);
+        let end = self.timing.windows.end(window);
         let collected = end + COLLECTION_DELAY;
         let complete =
             store_back.map_or(collected, |back| collected.max(back + STORE_RECOVERY_DELAY));
         // Doesn't wait for counts that are written later: the report would be late.
-        complete.min(end + self.terms.late.saturating_sub(SEND_MARGIN))
+        complete.min(end + self.timing.deadline.saturating_sub(SEND_MARGIN))
     }
 }
 
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -3,8 +3,8 @@
 use hibiscusroad::{
     table::RowId,
     usage::{
-        Offset, Reports, Step, StoredReport, Tally, Terms, Window, Windows, agreed, keys, merge,
-        pause,
+        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed, keys,
+        merge, pause,
     },
 };
 use proptest::prelude::*;
@@ -14,11 +14,11 @@
 const REPORT_DEADLINE: Duration = Duration::from_secs(10);
 const MIN_CALL_GAP: Duration = Duration::from_secs(3);
 
-fn terms() -> Terms {
-    Terms {
+fn timing() -> ReportTiming {
+    ReportTiming {
         windows: Windows::new(WINDOW_LENGTH),
-        late: REPORT_DEADLINE,
-        apart: MIN_CALL_GAP,
+        deadline: REPORT_DEADLINE,
+        call_gap: MIN_CALL_GAP,
     }
 }
 
@@ -119,7 +119,7 @@
 
 #[test]
 fn window_is_reported_after_its_counts_are_written() {
-    let mut reports = Reports::new(terms(), secs(1_003.0));
+    let mut reports = Reports::new(timing(), secs(1_003.0));
     let Step::Wait(until) = reports.next(secs(1_003.0), None) else {
         panic!("reported too early");
     };
@@ -142,7 +142,7 @@
 // beyond its deadline.
 #[test]
 fn report_waits_for_pending_counts_after_a_store_outage() {
-    let reports = Reports::new(terms(), secs(1_003.0));
+    let reports = Reports::new(timing(), secs(1_003.0));
     let recovered_at = secs(1_009.0);
     assert!(matches!(
         reports.next(secs(1_009.1), Some(recovered_at)),
@@ -162,7 +162,7 @@
 // Requests are counted before a process first holds the duty.
 #[test]
 fn counts_from_before_the_first_holder_are_reported() {
-    let mut reports = Reports::new(terms(), secs(1_022.0));
+    let mut reports = Reports::new(timing(), secs(1_022.0));
     reports.begin_with(&keys(Window(202)).0);
     assert_eq!(reports.next(secs(1_022.0), None), Step::Make(Window(202)));
 }
@@ -171,7 +171,7 @@
 // the store, in the next window.
 #[test]
 fn counts_written_after_the_first_holder_has_read_are_reported() {
-    let reports = Reports::new(terms(), secs(1_005.05));
+    let reports = Reports::new(timing(), secs(1_005.05));
     assert_eq!(reports.next(secs(1_008.0), None), Step::Make(Window(200)));
 }
 
@@ -179,7 +179,7 @@
 // send the same bytes.
 #[test]
 fn next_holder_sends_the_stored_report() {
-    let mut reports = Reports::new(terms(), secs(1_020.0));
+    let mut reports = Reports::new(timing(), secs(1_020.0));
     let kept = StoredReport::new("the report".into(), "g-1/1", secs(50.0));
     reports.read("00000000000000000200/", kept);
     assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
@@ -192,7 +192,7 @@
 
 #[test]
 fn windows_past_the_maximum_delay_are_skipped() {
-    let mut reports = Reports::new(terms(), secs(1_003.0));
+    let mut reports = Reports::new(timing(), secs(1_003.0));
     let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
     reports.read("00000000000000000200/", kept.clone());
     assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
@@ -265,7 +265,7 @@
             let holder = format!("g-{}/1", action.holder);
             if action.takes_over || lease_holder != Some(action.holder) {
                 lease_holder = Some(action.holder);
-                let mut view = Reports::new(terms(), now);
+                let mut view = Reports::new(timing(), now);
                 for (window, kept) in &store {
                     view.read(&keys(*window).0, kept.clone());
                 }
