--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -201,7 +201,7 @@
             return false;
         };
         let kept = StoredReport::new(duty::usage(window.0, &counts), self.duty.life(), store);
-        let row = usage::report(window);
+        let row = usage::report_row(window);
         let change = Change::new()
             .expect(row.clone(), 0)
             .put(row, encoded(&kept));
@@ -302,7 +302,7 @@
     }
 
     async fn put(&self, window: Window, kept: StoredReport) -> bool {
-        let change = Change::new().put(usage::report(window), encoded(&kept));
+        let change = Change::new().put(usage::report_row(window), encoded(&kept));
         let done = self.duty.transact(change).await;
         let done = matches!(done, Some(Commit::Done { .. }));
         if done {
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -20,7 +20,7 @@
 mod window;
 
 pub use self::{
-    report::{REPORTS, ReportTiming, Reports, Step, StoredReport, report},
+    report::{REPORTS, ReportTiming, Reports, Step, StoredReport, report_row},
     tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
     time::{Offset, agreed},
     window::{Window, Windows},
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -55,7 +55,7 @@
 
 /// Returns the row id of a window's report.
 #[must_use]
-pub fn report(window: Window) -> RowId {
+pub fn report_row(window: Window) -> RowId {
     RowId::new(REPORTS, "", &key_prefix(window))
 }
 
