--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -166,7 +166,7 @@
         }
         for row in &page.rows {
             match serde_json::from_slice(&row.value) {
-                Ok(kept) => reports.read(&row.id.key, kept),
+                Ok(kept) => reports.load(&row.id.key, kept),
                 Err(error) => log::error!(target: USAGE, report = row.id.key.as_str(),
                     error = error.to_string().as_str(); "A kept report is broken; it is ignored."),
             }
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -95,7 +95,7 @@
     }
 
     /// Adds a report that was read from the store, by the key of its row.
-    pub fn read(&mut self, key: &str, kept: StoredReport) {
+    pub fn load(&mut self, key: &str, kept: StoredReport) {
         if let Some(window) = parse_window(key) {
             self.stored.insert(window, kept);
         }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -181,7 +181,7 @@
 fn next_holder_sends_the_stored_report() {
     let mut reports = Reports::new(timing(), secs(1_020.0));
     let kept = StoredReport::new("the report".into(), "g-1/1", secs(50.0));
-    reports.read("00000000000000000200/", kept);
+    reports.load("00000000000000000200/", kept);
     assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
     assert_eq!(reports.get(Window(200)).unwrap().body, "the report");
     // The former holder's calls may still arrive until then.
@@ -194,7 +194,7 @@
 fn windows_past_the_maximum_delay_are_skipped() {
     let mut reports = Reports::new(timing(), secs(1_003.0));
     let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
-    reports.read("00000000000000000200/", kept.clone());
+    reports.load("00000000000000000200/", kept.clone());
     assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
     reports.note(
         Window(200),
@@ -267,7 +267,7 @@
                 lease_holder = Some(action.holder);
                 let mut view = Reports::new(timing(), now);
                 for (window, kept) in &store {
-                    view.read(&keys(*window).0, kept.clone());
+                    view.load(&keys(*window).0, kept.clone());
                 }
                 views[action.holder] = Some(view);
             }
