--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -162,7 +162,7 @@
         };
         let mut reports = Reports::new(self.terms, self.times.now());
         if let Some(row) = count.rows.first() {
-            reports.begin_with(&row.id.key);
+            reports.start_from(&row.id.key);
         }
         for row in &page.rows {
             match serde_json::from_slice(&row.value) {
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -103,7 +103,7 @@
 
     /// Reports from the window of the first count in the store on, given by the key of its
     /// row. Requests are counted before any process has held the duty.
-    pub fn begin_with(&mut self, key: &str) {
+    pub fn start_from(&mut self, key: &str) {
         self.first_window =
             parse_window(key).map_or(self.first_window, |window| window.min(self.first_window));
     }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -163,7 +163,7 @@
 #[test]
 fn counts_from_before_the_first_holder_are_reported() {
     let mut reports = Reports::new(timing(), secs(1_022.0));
-    reports.begin_with(&keys(Window(202)).0);
+    reports.start_from(&keys(Window(202)).0);
     assert_eq!(reports.next(secs(1_022.0), None), Step::Make(Window(202)));
 }
 
