--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -210,7 +210,7 @@
                 log::info!(target: USAGE, window = window.0, rows = page.rows.len(),
                     broken = broken, accounts = counts.len(), requests = requests;
                     "The report of a window is kept.");
-                self.with(|reports| reports.note(window, kept));
+                self.with(|reports| reports.record(window, kept));
                 true
             }
             Some(Commit::Conflict(_)) => {
@@ -292,7 +292,7 @@
             closed: true,
             ..kept
         };
-        self.with(|reports| reports.note(window, kept.clone()));
+        self.with(|reports| reports.record(window, kept.clone()));
         // If that isn't written the next holder sends the report again, to the letter.
         self.put(window, kept).await;
         if window.0.is_multiple_of(SWEEP) {
@@ -306,7 +306,7 @@
         let done = self.duty.transact(change).await;
         let done = matches!(done, Some(Commit::Done { .. }));
         if done {
-            self.with(|reports| reports.note(window, kept));
+            self.with(|reports| reports.record(window, kept));
         }
         done
     }
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -109,7 +109,7 @@
     }
 
     /// Records a report that this process has written, and removes those past retention.
-    pub fn note(&mut self, window: Window, kept: StoredReport) {
+    pub fn record(&mut self, window: Window, kept: StoredReport) {
         self.stored.insert(window, kept);
         let oldest = self.outlived(window);
         self.stored.retain(|stored, _| *stored >= oldest);
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -125,7 +125,7 @@
     };
     assert!(until > secs(1_005.0) && until < secs(1_010.0));
     assert_eq!(reports.next(until, None), Step::Make(Window(200)));
-    reports.note(
+    reports.record(
         Window(200),
         StoredReport::new("{}".into(), "g/1", secs(1.0)),
     );
@@ -134,7 +134,7 @@
         closed: true,
         ..reports.get(Window(200)).unwrap().clone()
     };
-    reports.note(Window(200), sent);
+    reports.record(Window(200), sent);
     assert!(matches!(reports.next(until, None), Step::Wait(_)));
 }
 
@@ -196,7 +196,7 @@
     let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
     reports.load("00000000000000000200/", kept.clone());
     assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
-    reports.note(
+    reports.record(
         Window(200),
         StoredReport {
             closed: true,
@@ -278,7 +278,7 @@
                     prop_assert!(!store.contains_key(&window));
                     let kept = StoredReport::new(format!("report {n}"), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, kept);
+                    view.record(window, kept);
                 }
                 Step::Send(window) if action.write_succeeds => {
                     if view.barred(&holder).is_some_and(|until| now < until) {
@@ -287,7 +287,7 @@
                     let body = view.get(window).unwrap().body.clone();
                     let kept = StoredReport::new(body.clone(), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, StoredReport { closed: true, ..kept.clone() });
+                    view.record(window, StoredReport { closed: true, ..kept.clone() });
                     store.insert(window, StoredReport { closed: true, ..kept });
                     sent.push((action.holder, window, body, now));
                 }
