--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -314,7 +314,7 @@
     /// Removes rows of windows that nobody looks into any more; what is left for want
     /// of room goes the next time.
     async fn sweep(&self, window: Window) {
-        let Some(oldest) = self.with(|reports| reports.outlived(window)) else {
+        let Some(oldest) = self.with(|reports| reports.first_retained(window)) else {
             return;
         };
         let (end, _) = usage::keys(oldest);
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -111,7 +111,7 @@
     /// Records a report that this process has written, and removes those past retention.
     pub fn record(&mut self, window: Window, kept: StoredReport) {
         self.stored.insert(window, kept);
-        let oldest = self.outlived(window);
+        let oldest = self.first_retained(window);
         self.stored.retain(|stored, _| *stored >= oldest);
     }
 
@@ -123,7 +123,7 @@
 
     /// Returns the first window that is still retained when this one is reported.
     #[must_use]
-    pub fn outlived(&self, window: Window) -> Window {
+    pub fn first_retained(&self, window: Window) -> Window {
         let end = self.timing.windows.end(window);
         self.timing.windows.at(end.saturating_sub(RETENTION))
     }
