--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -232,7 +232,7 @@
         let Some((kept, now)) = kept.zip(self.store.now()) else {
             return false;
         };
-        let barred = self.with(|reports| reports.barred(self.duty.life()));
+        let barred = self.with(|reports| reports.blocked_until(self.duty.life()));
         let pause = barred.flatten().map(|until| until.saturating_sub(now));
         if let Some(pause) = pause.filter(|pause| !pause.is_zero()) {
             log::info!(target: USAGE, window = window.0, pause_ms = millis(pause);
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -135,7 +135,7 @@
     /// calls must not interleave with those of its successor at the platform, so the
     /// successor waits until none of them can arrive any more.
     #[must_use]
-    pub fn barred(&self, holder: &str) -> Option<Duration> {
+    pub fn blocked_until(&self, holder: &str) -> Option<Duration> {
         let mut turns = Turns::new();
         let others = self
             .stored
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -185,9 +185,9 @@
     assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
     assert_eq!(reports.get(Window(200)).unwrap().body, "the report");
     // The former holder's calls may still arrive until then.
-    let until = reports.barred("g-2/1").unwrap();
+    let until = reports.blocked_until("g-2/1").unwrap();
     assert!(until >= secs(50.0) + MIN_CALL_GAP);
-    assert_eq!(reports.barred("g-1/1"), None);
+    assert_eq!(reports.blocked_until("g-1/1"), None);
 }
 
 #[test]
@@ -281,7 +281,7 @@
                     view.record(window, kept);
                 }
                 Step::Send(window) if action.write_succeeds => {
-                    if view.barred(&holder).is_some_and(|until| now < until) {
+                    if view.blocked_until(&holder).is_some_and(|until| now < until) {
                         continue;
                     }
                     let body = view.get(window).unwrap().body.clone();
