--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -117,7 +117,7 @@
                 continue;
             }
             let now = self.times.now();
-            let step = self.with(|reports| reports.next(now, self.back.get()));
+            let step = self.with(|reports| reports.next_step(now, self.back.get()));
             let done = match step {
                 Some(Step::Make(window)) => self.make(window).await,
                 Some(Step::Send(window)) => self.send(window, fence).await,
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -153,7 +153,7 @@
     /// Returns the next action at the time of day `now`. `store_back` is when the store
     /// became available again after its last outage.
     #[must_use]
-    pub fn next(&self, now: Duration, store_back: Option<Duration>) -> Step {
+    pub fn next_step(&self, now: Duration, store_back: Option<Duration>) -> Step {
         let mut open = self.stored.iter().filter(|(_, report)| !report.closed);
         if let Some((window, _)) = open.next() {
             let delay = now.saturating_sub(self.timing.windows.end(*window));
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -120,22 +120,22 @@
 #[test]
 fn window_is_reported_after_its_counts_are_written() {
     let mut reports = Reports::new(timing(), secs(1_003.0));
-    let Step::Wait(until) = reports.next(secs(1_003.0), None) else {
+    let Step::Wait(until) = reports.next_step(secs(1_003.0), None) else {
         panic!("reported too early");
     };
     assert!(until > secs(1_005.0) && until < secs(1_010.0));
-    assert_eq!(reports.next(until, None), Step::Make(Window(200)));
+    assert_eq!(reports.next_step(until, None), Step::Make(Window(200)));
     reports.record(
         Window(200),
         StoredReport::new("{}".into(), "g/1", secs(1.0)),
     );
-    assert_eq!(reports.next(until, None), Step::Send(Window(200)));
+    assert_eq!(reports.next_step(until, None), Step::Send(Window(200)));
     let sent = StoredReport {
         closed: true,
         ..reports.get(Window(200)).unwrap().clone()
     };
     reports.record(Window(200), sent);
-    assert!(matches!(reports.next(until, None), Step::Wait(_)));
+    assert!(matches!(reports.next_step(until, None), Step::Wait(_)));
 }
 
 // After a store outage the report waits for the pending counts of all processes, but not
@@ -145,16 +145,16 @@
     let reports = Reports::new(timing(), secs(1_003.0));
     let recovered_at = secs(1_009.0);
     assert!(matches!(
-        reports.next(secs(1_009.1), Some(recovered_at)),
+        reports.next_step(secs(1_009.1), Some(recovered_at)),
         Step::Wait(_)
     ));
     assert_eq!(
-        reports.next(secs(1_010.5), Some(recovered_at)),
+        reports.next_step(secs(1_010.5), Some(recovered_at)),
         Step::Make(Window(200))
     );
     let recovered_at = secs(1_013.5);
     assert_eq!(
-        reports.next(secs(1_013.6), Some(recovered_at)),
+        reports.next_step(secs(1_013.6), Some(recovered_at)),
         Step::Make(Window(200))
     );
 }
@@ -164,7 +164,10 @@
 fn counts_from_before_the_first_holder_are_reported() {
     let mut reports = Reports::new(timing(), secs(1_022.0));
     reports.start_from(&keys(Window(202)).0);
-    assert_eq!(reports.next(secs(1_022.0), None), Step::Make(Window(202)));
+    assert_eq!(
+        reports.next_step(secs(1_022.0), None),
+        Step::Make(Window(202))
+    );
 }
 
 // The count of a request at the end of a window is written after the first holder has read
@@ -172,7 +175,10 @@
 #[test]
 fn counts_written_after_the_first_holder_has_read_are_reported() {
     let reports = Reports::new(timing(), secs(1_005.05));
-    assert_eq!(reports.next(secs(1_008.0), None), Step::Make(Window(200)));
+    assert_eq!(
+        reports.next_step(secs(1_008.0), None),
+        Step::Make(Window(200))
+    );
 }
 
 // A holder is lost after it stored a report and before it sent it: the next holder must
@@ -182,7 +188,10 @@
     let mut reports = Reports::new(timing(), secs(1_020.0));
     let kept = StoredReport::new("the report".into(), "g-1/1", secs(50.0));
     reports.load("00000000000000000200/", kept);
-    assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
+    assert_eq!(
+        reports.next_step(secs(1_008.0), None),
+        Step::Send(Window(200))
+    );
     assert_eq!(reports.get(Window(200)).unwrap().body, "the report");
     // The former holder's calls may still arrive until then.
     let until = reports.blocked_until("g-2/1").unwrap();
@@ -195,7 +204,10 @@
     let mut reports = Reports::new(timing(), secs(1_003.0));
     let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
     reports.load("00000000000000000200/", kept.clone());
-    assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
+    assert_eq!(
+        reports.next_step(secs(1_100.0), None),
+        Step::GiveUp(Window(200))
+    );
     reports.record(
         Window(200),
         StoredReport {
@@ -203,7 +215,7 @@
             ..kept
         },
     );
-    let Step::Make(next) = reports.next(secs(1_100.0), None) else {
+    let Step::Make(next) = reports.next_step(secs(1_100.0), None) else {
         panic!("no report is due");
     };
     // At most one minute late.
@@ -272,7 +284,7 @@
                 views[action.holder] = Some(view);
             }
             let view = views[action.holder].as_mut().unwrap();
-            match view.next(now, None) {
+            match view.next_step(now, None) {
                 Step::Make(window) if action.write_succeeds => {
                     // The condition of the write: no report of the window is stored.
                     prop_assert!(!store.contains_key(&window));
