--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -146,10 +146,10 @@
 
     /// Reads the reports that holders before have kept, and where counts begin.
     async fn read(&self, fence: u64) -> bool {
-        let reports = Range::part(usage::REPORTS, "");
+        let reports = Range::part(usage::REPORTS_TABLE, "");
         let count = Range {
             limit: Some(1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let read = join(self.store.read_whole(&reports), self.store.read(&count)).await;
         let (page, count) = match read {
@@ -183,7 +183,7 @@
         let range = Range {
             from: Some(&keys.0),
             end: Some(&keys.1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let page = match self.store.read_whole(&range).await {
             Ok(page) => page,
@@ -318,7 +318,7 @@
             return;
         };
         let (end, _) = usage::keys(oldest);
-        for table in [usage::USAGE, usage::REPORTS] {
+        for table in [usage::USAGE_TABLE, usage::REPORTS_TABLE] {
             let range = Range {
                 end: Some(&end),
                 limit: Some(MOST_ENTRIES - 1),
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -20,8 +20,8 @@
 mod window;
 
 pub use self::{
-    report::{REPORTS, ReportTiming, Reports, Step, StoredReport, report_row},
-    tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
+    report::{REPORTS_TABLE, ReportTiming, Reports, Step, StoredReport, report_row},
+    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, keys, merge, pause},
     time::{Offset, agreed},
     window::{Window, Windows},
 };
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -9,7 +9,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// The table of reports.
-pub const REPORTS: &str = "reports";
+pub const REPORTS_TABLE: &str = "reports";
 
 /// Time to send a report before it is late: two attempts at a slow platform.
 const SEND_MARGIN: Duration = Duration::from_secs(2);
@@ -56,7 +56,7 @@
 /// Returns the row id of a window's report.
 #[must_use]
 pub fn report_row(window: Window) -> RowId {
-    RowId::new(REPORTS, "", &key_prefix(window))
+    RowId::new(REPORTS_TABLE, "", &key_prefix(window))
 }
 
 /// The next action of a holder.
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// The table of counts.
-pub const USAGE: &str = "usage";
+pub const USAGE_TABLE: &str = "usage";
 
 /// After a store outage a process has counts of many windows to write.
 const MAX_ROWS_PER_WRITE: usize = 50;
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn row(&self, incarnation: &str) -> RowId {
         let key = format!("{}{incarnation}/{}", key_prefix(self.window), self.seq);
-        RowId::new(USAGE, "", &key)
+        RowId::new(USAGE_TABLE, "", &key)
     }
 
     /// Encodes the counts as JSON.
