--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -179,7 +179,7 @@
 
     /// Adds up a window and keeps its report.
     async fn make(&self, window: Window) -> bool {
-        let keys = usage::keys(window);
+        let keys = usage::key_range(window);
         let range = Range {
             from: Some(&keys.0),
             end: Some(&keys.1),
@@ -317,7 +317,7 @@
         let Some(oldest) = self.with(|reports| reports.first_retained(window)) else {
             return;
         };
-        let (end, _) = usage::keys(oldest);
+        let (end, _) = usage::key_range(oldest);
         for table in [usage::USAGE_TABLE, usage::REPORTS_TABLE] {
             let range = Range {
                 end: Some(&end),
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -67,7 +67,7 @@
 
 /// Returns the range of keys of a window's counts: the first one, and the end (exclusive).
 #[must_use]
-pub fn keys(window: Window) -> (String, String) {
+pub fn key_range(window: Window) -> (String, String) {
     (key_prefix(window), key_prefix(window.next()))
 }
 
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -3,8 +3,8 @@
 use hibiscusroad::{
     table::RowId,
     usage::{
-        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed, keys,
-        merge, pause,
+        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed,
+        key_range, merge, pause,
     },
 };
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
 }
 
 fn window_counts(store: &BTreeMap<RowId, Vec<u8>>, window: u64) -> BTreeMap<String, u64> {
-    let (from, end) = keys(Window(window));
+    let (from, end) = key_range(Window(window));
     let rows = store
         .iter()
         .filter(|(id, _)| id.key >= from && id.key < end);
@@ -59,7 +59,7 @@
 
 #[test]
 fn key_range_covers_one_window() {
-    let (from, end) = keys(Window(9));
+    let (from, end) = key_range(Window(9));
     let mut tally = Tally::new();
     for window in [8, 9, 10, 90] {
         tally.note(Window(window), "a");
@@ -163,7 +163,7 @@
 #[test]
 fn counts_from_before_the_first_holder_are_reported() {
     let mut reports = Reports::new(timing(), secs(1_022.0));
-    reports.start_from(&keys(Window(202)).0);
+    reports.start_from(&key_range(Window(202)).0);
     assert_eq!(
         reports.next_step(secs(1_022.0), None),
         Step::Make(Window(202))
@@ -279,7 +279,7 @@
                 lease_holder = Some(action.holder);
                 let mut view = Reports::new(timing(), now);
                 for (window, kept) in &store {
-                    view.load(&keys(*window).0, kept.clone());
+                    view.load(&key_range(*window).0, kept.clone());
                 }
                 views[action.holder] = Some(view);
             }
