--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -194,7 +194,7 @@
             }
         };
         let values = page.rows.iter().map(|row| row.value.as_slice());
-        let (counts, broken) = usage::merge(values);
+        let (counts, broken) = usage::sum_counts(values);
         let requests: u64 = counts.values().sum();
         let Some(store) = self.store.now() else {
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -21,7 +21,7 @@
 
 pub use self::{
     report::{REPORTS_TABLE, ReportTiming, Reports, Step, StoredReport, report_row},
-    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, merge, pause},
+    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, pause, sum_counts},
     time::{Offset, agreed},
     window::{Window, Windows},
 };
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -73,7 +73,7 @@
 
 /// Adds up the rows of a window; also returns the number of rows that can't be decoded.
 #[must_use]
-pub fn merge<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
+pub fn sum_counts<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
     let mut sums = Counts::new();
     let mut invalid_rows = 0;
     for value in values {
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -4,7 +4,7 @@
     table::RowId,
     usage::{
         Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed,
-        key_range, merge, pause,
+        key_range, pause, sum_counts,
     },
 };
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
     let rows = store
         .iter()
         .filter(|(id, _)| id.key >= from && id.key < end);
-    let (counts, broken) = merge(rows.map(|(_, value)| value.as_slice()));
+    let (counts, broken) = sum_counts(rows.map(|(_, value)| value.as_slice()));
     assert_eq!(broken, 0);
     counts
 }
