--- a/hibiscusroad-daemon/src/gateway/usage/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/mod.rs
@@ -15,7 +15,7 @@
 use hibiscusroad::{
     clock::millis,
     table::{Change, Commit},
-    usage::{Tally, Windows, pause},
+    usage::{Tally, Windows, write_interval},
 };
 use std::{
     cell::RefCell,
@@ -86,7 +86,7 @@
             if self.tally.borrow().is_empty() {
                 self.changed.notified().await;
             }
-            sleep(pause(self.store.peer_count() + 1)).await;
+            sleep(write_interval(self.store.peer_count() + 1)).await;
             if self.write().await {
                 backoff.reset();
             } else {
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -21,7 +21,7 @@
 
 pub use self::{
     report::{REPORTS_TABLE, ReportTiming, Reports, Step, StoredReport, report_row},
-    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, pause, sum_counts},
+    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, sum_counts, write_interval},
     time::{Offset, agreed},
     window::{Window, Windows},
 };
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -152,7 +152,7 @@
 /// A process that is killed loses the counts of this interval, so it is as short as the
 /// store can handle.
 #[must_use]
-pub fn pause(processes: usize) -> Duration {
+pub fn write_interval(processes: usize) -> Duration {
     let processes = u32::try_from(processes).unwrap_or(u32::MAX);
     MIN_WRITE_INTERVAL.max(Duration::from_secs(1) * processes / MAX_WRITES_PER_SECOND)
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -4,7 +4,7 @@
     table::RowId,
     usage::{
         Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed,
-        key_range, pause, sum_counts,
+        key_range, sum_counts, write_interval,
     },
 };
 use proptest::prelude::*;
@@ -109,12 +109,12 @@
 // The total rate of usage writes must stay a small part of the store's capacity.
 #[test]
 fn more_processes_write_less_often() {
-    assert!(pause(8) <= Duration::from_millis(200));
+    assert!(write_interval(8) <= Duration::from_millis(200));
     for processes in [8_usize, 39, 88, 360] {
-        let writes = processes as f64 / pause(processes).as_secs_f64();
+        let writes = processes as f64 / write_interval(processes).as_secs_f64();
         assert!(writes <= 200.0, "{processes}: {writes} writes a second");
     }
-    assert!(pause(360) <= Duration::from_secs(3));
+    assert!(write_interval(360) <= Duration::from_secs(3));
 }
 
 #[test]
