--- a/hibiscusroad-daemon/src/gateway/usage/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/mod.rs
@@ -74,7 +74,7 @@
 
     fn note(&self, account: &str, at: Duration) {
         if let Some(windows) = self.windows {
-            self.tally.borrow_mut().note(windows.at(at), account);
+            self.tally.borrow_mut().record(windows.at(at), account);
             self.changed.notify_one();
         }
     }
@@ -116,7 +116,7 @@
         }
         let done = matches!(self.store.transact(&change).await, Commit::Done { .. });
         if done {
-            self.tally.borrow_mut().kept();
+            self.tally.borrow_mut().confirm_write();
         }
         done
     }
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -105,7 +105,7 @@
     }
 
     /// Counts one request of an account.
-    pub fn note(&mut self, window: Window, account: &str) {
+    pub fn record(&mut self, window: Window, account: &str) {
         let counts = self.unsent.entry(window).or_default();
         match counts.get_mut(account) {
             Some(count) => *count += 1,
@@ -121,7 +121,7 @@
 
     /// Returns the rows to write next, in one transaction.
     ///
-    /// Returns the same rows until [`Self::kept`] is called, since a write without an
+    /// Returns the same rows until [`Self::confirm_write`] is called, since a write without an
     /// answer may have taken effect. Later counts go into later rows.
     pub fn next_write(&mut self) -> &[PartialCounts] {
         if self.in_flight.is_empty() {
@@ -142,7 +142,7 @@
     }
 
     /// Confirms that the rows of [`Self::next_write`] are in the store.
-    pub fn kept(&mut self) {
+    pub fn confirm_write(&mut self) {
         self.in_flight.clear();
     }
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -62,7 +62,7 @@
     let (from, end) = key_range(Window(9));
     let mut tally = Tally::new();
     for window in [8, 9, 10, 90] {
-        tally.note(Window(window), "a");
+        tally.record(Window(window), "a");
     }
     let rows: Vec<RowId> = tally
         .next_write()
@@ -79,15 +79,15 @@
 fn repeated_and_late_writes_count_once() {
     let mut store = BTreeMap::new();
     let mut tally = Tally::new();
-    tally.note(Window(1), "a");
+    tally.record(Window(1), "a");
     let delayed: Vec<_> = tally.next_write().to_vec();
     write_counts(&mut tally, "g/1", &mut store);
     // Counted before the write is confirmed.
-    tally.note(Window(1), "a");
+    tally.record(Window(1), "a");
     write_counts(&mut tally, "g/1", &mut store);
-    tally.kept();
+    tally.confirm_write();
     write_counts(&mut tally, "g/1", &mut store);
-    tally.kept();
+    tally.confirm_write();
     for counts in delayed {
         store.insert(counts.row("g/1"), counts.encode());
     }
@@ -100,7 +100,7 @@
     let mut store = BTreeMap::new();
     for incarnation in ["g-1/1", "g-1/2", "g-2/1"] {
         let mut tally = Tally::new();
-        tally.note(Window(1), "a");
+        tally.record(Window(1), "a");
         write_counts(&mut tally, incarnation, &mut store);
     }
     assert_eq!(window_counts(&store, 1)["a"], 3);
