--- a/hibiscusroad-daemon/src/gateway/times.rs
+++ b/hibiscusroad-daemon/src/gateway/times.rs
@@ -1,7 +1,7 @@
 //! The time of day by which usage is counted.
 
 use super::store::Store;
-use hibiscusroad::usage::{Offset, agreed};
+use hibiscusroad::usage::{Offset, agreed_time};
 use std::{
     cell::RefCell,
     rc::Rc,
@@ -27,7 +27,7 @@
     pub(super) fn now(&self) -> Duration {
         let own = host_time();
         let store = self.store.now();
-        store.map_or(own, |store| agreed(own, store, &self.others.borrow()))
+        store.map_or(own, |store| agreed_time(own, store, &self.others.borrow()))
     }
 
     /// Returns how far this host's time of day is from the store's clock, if that is
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -22,6 +22,6 @@
 pub use self::{
     report::{REPORTS_TABLE, ReportTiming, Reports, Step, StoredReport, report_row},
     tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, sum_counts, write_interval},
-    time::{Offset, agreed},
+    time::{Offset, agreed_time},
     window::{Window, Windows},
 };
--- a/src/usage/time.rs
+++ b/src/usage/time.rs
@@ -37,7 +37,7 @@
 /// Returns the time of day to use: the host's own, unless it is far off the median of this
 /// process and the others.
 #[must_use]
-pub fn agreed(own: Duration, store: Duration, others: &[Offset]) -> Duration {
+pub fn agreed_time(own: Duration, store: Duration, others: &[Offset]) -> Duration {
     let mut all: Vec<Offset> = others.to_vec();
     all.push(Offset::between(own, store));
     all.sort_unstable();
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -3,7 +3,7 @@
 use hibiscusroad::{
     table::RowId,
     usage::{
-        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed,
+        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed_time,
         key_range, sum_counts, write_interval,
     },
 };
@@ -229,14 +229,14 @@
     let (store, time) = (secs(70.0), secs(1_767_225_600.0));
     let offset = |ahead: f64| Offset::between(time + secs(ahead), store);
     let others = [0.0, 0.0, 0.001, 0.001, 0.002, 5.0, 5.0].map(offset);
-    assert_eq!(agreed(time, store, &others), time);
+    assert_eq!(agreed_time(time, store, &others), time);
     let near = time + secs(0.04);
-    assert_eq!(agreed(near, store, &others), near);
+    assert_eq!(agreed_time(near, store, &others), near);
     for wrong in [time + secs(5.0), time.saturating_sub(secs(5.0))] {
-        let corrected = agreed(wrong, store, &others);
+        let corrected = agreed_time(wrong, store, &others);
         assert!(corrected.abs_diff(time) <= secs(0.002), "{corrected:?}");
     }
-    assert_eq!(agreed(time, store, &[]), time);
+    assert_eq!(agreed_time(time, store, &[]), time);
 }
 
 /// One action of one of two holders that both may believe to hold the duty.
