--- a/hibiscusroad-measure/src/train/holder.rs
+++ b/hibiscusroad-measure/src/train/holder.rs
@@ -5,7 +5,7 @@
     engine::{Id, Job},
     load::Policy,
 };
-use hibiscusroad::train::{Event, GenKey, Run, Step, Write};
+use hibiscusroad::train::{Action, Event, GenKey, Run, Write};
 use std::mem;
 
 /// Seconds after which a call of the table is given up.
@@ -34,34 +34,34 @@
             run.handle(at, event);
         }
         run.handle(at, Event::Tick);
-        while let Some(step) = run.next_step() {
-            self.carry_out(n, &run, step);
+        while let Some(action) = run.next_action() {
+            self.carry_out(n, &run, action);
         }
         self.trainers[n].run = Some(run);
     }
 
-    fn carry_out(&mut self, n: usize, run: &Run, step: Step) {
+    fn carry_out(&mut self, n: usize, run: &Run, action: Action) {
         let now = self.now;
         let later = |model: &mut Self, after: f64, event: Event| {
             model.trainers[n].inbox.push((now + after, event));
         };
-        match step {
-            Step::ReadHead | Step::Write(_) if self.is_down() => {
+        match action {
+            Action::ReadHead | Action::Write(_) if self.is_down() => {
                 later(self, LIMIT, Event::Lost);
             }
-            Step::ReadHead => {
+            Action::ReadHead => {
                 let head = self.trainers[n].head.clone();
                 later(self, TURN, Event::Head(head));
             }
-            Step::ReadRows => {
+            Action::ReadRows => {
                 let rows = self.trainers[n].rows.values().cloned().collect();
                 later(self, TURN, Event::Rows(rows));
             }
-            Step::Write(write) => {
+            Action::Write(write) => {
                 self.trainers[n].write(*write);
                 later(self, TURN, Event::Committed);
             }
-            Step::Start {
+            Action::Start {
                 generation,
                 urgent,
                 prefix,
@@ -86,18 +86,18 @@
                 let avoid = from.and_then(|from| self.find(n, from));
                 self.place(job, avoid.map(|(engine, _)| engine));
             }
-            Step::Raise(key) => {
+            Action::Raise(key) => {
                 if let Some((engine, i)) = self.find(n, key) {
                     self.engines[engine].jobs[i].urgent = true;
                 }
             }
-            Step::Cancel(key) => {
+            Action::Cancel(key) => {
                 if let Some((engine, i)) = self.find(n, key) {
                     let job = self.engines[engine].jobs.remove(i);
                     self.lost += job.tokens - job.told;
                 }
             }
-            Step::Score { generation, slot } => {
+            Action::Score { generation, slot } => {
                 let begun = self.trainers[n].begun.get(&generation).copied();
                 let age = begun.unwrap_or(now);
                 self.trainers[n].ages.insert((slot.group, slot.index), age);
@@ -110,8 +110,8 @@
                     },
                 );
             }
-            Step::Release(_) => {}
-            Step::Answer(_, answer) => self.answer(n, run, answer),
+            Action::Release(_) => {}
+            Action::Answer(_, answer) => self.answer(n, run, answer),
         }
     }
 
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -4,7 +4,7 @@
     error::ErrorKind,
     train::{
         GenKey, RETAINED_BATCHES,
-        event::{Answer, Step, Ticket},
+        event::{Action, Answer, Ticket},
         journal::Change,
         row::{Batch, Record, Slot},
         run::{Group, Pull, Run},
@@ -140,7 +140,7 @@
         }
         for (slot, hedge) in stale {
             self.remove_hedge(slot, hedge);
-            self.steps.push_back(Step::Cancel(hedge));
+            self.actions.push_back(Action::Cancel(hedge));
         }
     }
 
@@ -165,7 +165,8 @@
         let requests = mem::take(&mut self.done_requests);
         for (ticket, step) in requests {
             if step == cursor {
-                self.steps.push_back(Step::Answer(ticket, Answer::Noted));
+                self.actions
+                    .push_back(Action::Answer(ticket, Answer::Noted));
             } else {
                 self.done_requests.push((ticket, step));
             }
@@ -198,7 +199,8 @@
         }
         let head = self.head();
         if cursor < head.done_steps {
-            self.steps.push_back(Step::Answer(ticket, Answer::Noted));
+            self.actions
+                .push_back(Action::Answer(ticket, Answer::Noted));
         } else if cursor >= head.next_cursor {
             self.refuse(ticket, ErrorKind::BadCursor);
         } else if version < head.version {
@@ -219,7 +221,7 @@
         let pulls = mem::take(&mut self.pulls);
         for pull in pulls {
             if let Some(answer) = self.pull_answer(now, pull) {
-                self.steps.push_back(Step::Answer(pull.ticket, answer));
+                self.actions.push_back(Action::Answer(pull.ticket, answer));
             } else {
                 self.pulls.push(pull);
             }
@@ -250,7 +252,7 @@
 
     fn refuse(&mut self, ticket: Ticket, kind: ErrorKind) {
         let answer = Answer::Refused(kind);
-        self.steps.push_back(Step::Answer(ticket, answer));
+        self.actions.push_back(Action::Answer(ticket, answer));
     }
 }
 
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -1,4 +1,4 @@
-//! The events that a run handles, and the steps that it asks for.
+//! The events that a run handles, and the actions that it asks for.
 
 use crate::{
     error::ErrorKind,
@@ -90,7 +90,7 @@
 
 /// An output of a [`Run`](crate::train::Run), for its holder to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Read the head row. Answered by [`Event::Head`] or [`Event::Lost`].
     ReadHead,
     /// Read all other rows, with all writes so far. Answered by [`Event::Rows`] or
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -2,7 +2,7 @@
 
 use crate::train::{
     GenKey,
-    event::{Prefix, Step},
+    event::{Action, Prefix},
     journal::Change,
     row::{Record, Slot, Span},
     run::Run,
@@ -75,7 +75,7 @@
             reports: None,
             finished: false,
         });
-        self.steps.push_back(Step::Start {
+        self.actions.push_back(Action::Start {
             generation,
             slot,
             urgent,
@@ -115,7 +115,7 @@
             self.promote_hedge(key);
         } else if self.is_hedge(slot, key) {
             self.remove_hedge(slot, key);
-            self.steps.push_back(Step::Cancel(key));
+            self.actions.push_back(Action::Cancel(key));
         } else {
             self.restart_sample(slot);
         }
@@ -129,7 +129,7 @@
             self.counts.wasted += u64::from(new_tokens);
             generation.text = generation.base.clone();
         }
-        self.steps.push_back(Step::Cancel(key));
+        self.actions.push_back(Action::Cancel(key));
         self.handle_failed(key);
     }
 
@@ -173,7 +173,7 @@
             generation.finished = true;
         }
         self.set_phase(slot, Phase::Scoring(key));
-        self.steps.push_back(Step::Score {
+        self.actions.push_back(Action::Score {
             generation: key,
             slot,
         });
@@ -238,7 +238,7 @@
         };
         let slot = generation.slot;
         if self.sample_mut(slot).map(|s| &s.phase) == Some(&Phase::Scoring(key)) {
-            self.steps.push_back(Step::Score {
+            self.actions.push_back(Action::Score {
                 generation: key,
                 slot,
             });
@@ -251,7 +251,7 @@
             return;
         };
         let dropped = std::mem::take(sample);
-        self.steps.push_back(Step::Release(slot));
+        self.actions.push_back(Action::Release(slot));
         let tokens = match dropped.phase {
             Phase::Waiting => dropped.prefix.tokens,
             Phase::Running { main, hedge } => {
@@ -260,7 +260,7 @@
                 }
                 let tokens = self.generations.get(main).map_or(0, |g| g.text.tokens);
                 self.generations.remove(main);
-                self.steps.push_back(Step::Cancel(main));
+                self.actions.push_back(Action::Cancel(main));
                 tokens
             }
             Phase::Scoring(key) => self.generations.remove(key).map_or(0, |g| g.text.tokens),
@@ -274,7 +274,7 @@
     /// Cancels a generation; its tokens beyond its base are wasted.
     pub(crate) fn cancel(&mut self, key: GenKey) {
         self.remove_generation(key);
-        self.steps.push_back(Step::Cancel(key));
+        self.actions.push_back(Action::Cancel(key));
     }
 
     /// Removes a generation; its tokens beyond its base are wasted.
--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -1,7 +1,7 @@
 //! Training runs: batches of recent samples, each delivered exactly once.
 //!
 //! A run is a leased duty ([`crate::lease`]). One process holds it under a fencing
-//! number, passes events to a [`Run`] and carries out the resulting [`Step`]s. Another
+//! number, passes events to a [`Run`] and carries out the resulting [`Action`]s. Another
 //! process can take over from the rows in the platform's table.
 //!
 //! # Design
@@ -41,7 +41,7 @@
 mod weights;
 
 pub use self::{
-    event::{Answer, Event, Prefix, Step, Ticket},
+    event::{Action, Answer, Event, Prefix, Ticket},
     journal::RETAINED_BATCHES,
     row::{Batch, Head, Record, Row, RowName, Slot, Span, Write},
     run::{Counts, Run},
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -2,7 +2,7 @@
 
 use crate::train::{
     GenKey,
-    event::{Answer, Event, Step, Ticket},
+    event::{Action, Answer, Event, Ticket},
     journal::{Change, Journal, TableCall},
     pace::Pace,
     row::{Batch, Head, Record, Row, RowName},
@@ -52,7 +52,7 @@
 
 /// A run, held by one process under one fencing token.
 ///
-/// [`Run::handle`] takes events and [`Run::next_step`] returns what to do.
+/// [`Run::handle`] takes events and [`Run::next_action`] returns what to do.
 #[derive(Debug)]
 pub struct Run {
     pub(crate) spec: Spec,
@@ -66,7 +66,7 @@
     /// Requests that wait until the end of their step is in the table, with the
     /// step's cursor.
     pub(crate) done_requests: Vec<(Ticket, u64)>,
-    pub(crate) steps: VecDeque<Step>,
+    pub(crate) actions: VecDeque<Action>,
     pub(crate) pace: Pace,
     /// The number of generations that may run at once.
     pub(crate) max_running: usize,
@@ -93,7 +93,7 @@
             batches: BTreeMap::new(),
             pulls: Vec::new(),
             done_requests: Vec::new(),
-            steps: VecDeque::new(),
+            actions: VecDeque::new(),
             pace: Pace::default(),
             max_running: usize::MAX,
             next_group: 0,
@@ -104,9 +104,9 @@
         run
     }
 
-    /// Returns the next step to carry out.
-    pub fn next_step(&mut self) -> Option<Step> {
-        self.steps.pop_front()
+    /// Returns the next action to carry out.
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
     /// Returns the progress of the run, as last known to be in the table.
@@ -205,10 +205,10 @@
 
     fn call_table(&mut self) {
         if let Some(call) = self.journal.next_call() {
-            self.steps.push_back(match call {
-                TableCall::ReadHead => Step::ReadHead,
-                TableCall::ReadRows => Step::ReadRows,
-                TableCall::Write(write) => Step::Write(write),
+            self.actions.push_back(match call {
+                TableCall::ReadHead => Action::ReadHead,
+                TableCall::ReadRows => Action::ReadRows,
+                TableCall::Write(write) => Action::Write(write),
             });
         }
     }
@@ -268,7 +268,7 @@
     }
 
     fn sample_recorded(&mut self, record: Record) {
-        self.steps.push_back(Step::Release(record.slot));
+        self.actions.push_back(Action::Release(record.slot));
         if let Some(sample) = self.sample_mut(record.slot)
             && matches!(&sample.phase, Phase::Writing(written) if written.serial == record.serial)
         {
@@ -307,14 +307,14 @@
     /// samples that aren't recorded.
     fn stop(&mut self) {
         for (generation, _) in self.generations.drain() {
-            self.steps.push_back(Step::Cancel(generation));
+            self.actions.push_back(Action::Cancel(generation));
         }
         self.groups.clear();
         let pulls = self.pulls.drain(..).map(|pull| pull.ticket);
         let done_requests = self.done_requests.drain(..).map(|(ticket, _)| ticket);
         for ticket in pulls.chain(done_requests) {
             let refusal = Answer::Refused(crate::ErrorKind::Fenced);
-            self.steps.push_back(Step::Answer(ticket, refusal));
+            self.actions.push_back(Action::Answer(ticket, refusal));
         }
     }
 }
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -12,7 +12,7 @@
 
 use crate::train::{
     GenKey,
-    event::Step,
+    event::Action,
     row::Slot,
     run::{Group, Run},
     sample::{Generation, Phase},
@@ -64,7 +64,7 @@
             let urgent = step < next_cursor || step == next_cursor && mostly_complete;
             if urgent && !generation.urgent {
                 generation.urgent = true;
-                self.steps.push_back(Step::Raise(key));
+                self.actions.push_back(Action::Raise(key));
             }
             if is_slow(generation, self.pace.token_rate(), now) {
                 slow.push((!urgent, generation.slot, key));
@@ -115,7 +115,7 @@
             // The prefix that the hedge continues isn't wasted.
             self.counts.wasted += u64::from(original.text.tokens - base);
         }
-        self.steps.push_back(Step::Cancel(main));
+        self.actions.push_back(Action::Cancel(main));
         let main = key;
         self.set_phase(slot, Phase::Running { main, hedge: None });
     }
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -3,7 +3,7 @@
 
 use hibiscusroad::{
     ErrorKind,
-    train::{Answer, Event, GenKey, Run, Span, Spec, Step, Ticket},
+    train::{Action, Answer, Event, GenKey, Run, Span, Spec, Ticket},
 };
 use std::time::{Duration, Instant};
 
@@ -32,42 +32,42 @@
             scored: Vec::new(),
             answers: Vec::new(),
         };
-        harness.run_steps();
+        harness.run_actions();
         harness
     }
 
     fn handle(&mut self, event: Event) {
         self.run.handle(self.now, event);
-        self.run_steps();
+        self.run_actions();
     }
 
-    fn run_steps(&mut self) {
-        while let Some(step) = self.run.next_step() {
-            let event = match step {
-                Step::ReadHead => Event::Head(None),
-                Step::ReadRows => Event::Rows(Vec::new()),
-                Step::Write(write) => {
+    fn run_actions(&mut self) {
+        while let Some(action) = self.run.next_action() {
+            let event = match action {
+                Action::ReadHead => Event::Head(None),
+                Action::ReadRows => Event::Rows(Vec::new()),
+                Action::Write(write) => {
                     assert_eq!(write.expect, self.row_version);
                     self.row_version += 1;
                     Event::Committed
                 }
-                Step::Start { generation, .. } => {
+                Action::Start { generation, .. } => {
                     self.started.push(generation);
                     continue;
                 }
-                Step::Cancel(generation) => {
+                Action::Cancel(generation) => {
                     self.cancelled.push(generation);
                     continue;
                 }
-                Step::Score { generation, .. } => {
+                Action::Score { generation, .. } => {
                     self.scored.push(generation);
                     continue;
                 }
-                Step::Answer(_, answer) => {
+                Action::Answer(_, answer) => {
                     self.answers.push(answer);
                     continue;
                 }
-                Step::Raise(_) | Step::Release(_) => continue,
+                Action::Raise(_) | Action::Release(_) => continue,
             };
             self.run.handle(self.now, event);
         }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -7,8 +7,8 @@
 use hibiscusroad::{
     ErrorKind,
     train::{
-        Answer, Batch, Counts, Event, GenKey, Head, Prefix, Record, Row, RowName, Run, Slot, Span,
-        Spec, Step, Ticket, Write,
+        Action, Answer, Batch, Counts, Event, GenKey, Head, Prefix, Record, Row, RowName, Run,
+        Slot, Span, Spec, Ticket, Write,
     },
 };
 use rand::{Rng, SeedableRng};
@@ -392,7 +392,7 @@
         holder.inbox = later;
         for (_, event) in due {
             self.holders[n].run.handle(now, event);
-            self.run_steps(n);
+            self.run_actions(n);
         }
         for key in std::mem::take(&mut self.holders[n].scoring) {
             let event = if self.chance(0.1) {
@@ -406,24 +406,24 @@
             self.send_event(n, event);
         }
         self.holders[n].run.handle(now, Event::Tick);
-        self.run_steps(n);
+        self.run_actions(n);
     }
 
-    fn run_steps(&mut self, n: usize) {
-        while let Some(step) = self.holders[n].run.next_step() {
-            match step {
-                Step::ReadHead => self.send_call(n, Call::ReadHead),
-                Step::ReadRows => self.send_call(n, Call::ReadRows),
-                Step::Write(write) => self.send_call(n, Call::Write(write)),
-                Step::Start {
+    fn run_actions(&mut self, n: usize) {
+        while let Some(action) = self.holders[n].run.next_action() {
+            match action {
+                Action::ReadHead => self.send_call(n, Call::ReadHead),
+                Action::ReadRows => self.send_call(n, Call::ReadRows),
+                Action::Write(write) => self.send_call(n, Call::Write(write)),
+                Action::Start {
                     generation, prefix, ..
                 } => {
                     self.start_job(n, generation, prefix);
                 }
-                Step::Raise(_) | Step::Release(_) => {}
-                Step::Cancel(key) => self.cancel_job(n, key),
-                Step::Score { generation, .. } => self.store_sample(n, generation),
-                Step::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
+                Action::Raise(_) | Action::Release(_) => {}
+                Action::Cancel(key) => self.cancel_job(n, key),
+                Action::Score { generation, .. } => self.store_sample(n, generation),
+                Action::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
             }
         }
     }
