--- a/hibiscusroad-measure/src/train/holder.rs
+++ b/hibiscusroad-measure/src/train/holder.rs
@@ -86,7 +86,7 @@
                 let avoid = from.and_then(|from| self.find(n, from));
                 self.place(job, avoid.map(|(engine, _)| engine));
             }
-            Action::Raise(key) => {
+            Action::Prioritize(key) => {
                 if let Some((engine, i)) = self.find(n, key) {
                     self.engines[engine].jobs[i].urgent = true;
                 }
@@ -110,7 +110,7 @@
                     },
                 );
             }
-            Action::Release(_) => {}
+            Action::DiscardTexts(_) => {}
             Action::Answer(_, answer) => self.answer(n, run, answer),
         }
     }
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -112,7 +112,7 @@
         min_version: u64,
     },
     /// Move a generation before others of its class.
-    Raise(GenKey),
+    Prioritize(GenKey),
     /// Stop a generation and discard its output.
     Cancel(GenKey),
     /// Write a finished sample to the object store, then score it.
@@ -123,7 +123,7 @@
         slot: Slot,
     },
     /// Discard the texts of a sample; no generation will continue them.
-    Release(Slot),
+    DiscardTexts(Slot),
     /// Answer a request.
     Answer(Ticket, Answer),
 }
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -251,7 +251,7 @@
             return;
         };
         let dropped = std::mem::take(sample);
-        self.actions.push_back(Action::Release(slot));
+        self.actions.push_back(Action::DiscardTexts(slot));
         let tokens = match dropped.phase {
             Phase::Waiting => dropped.prefix.tokens,
             Phase::Running { main, hedge } => {
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -268,7 +268,7 @@
     }
 
     fn sample_recorded(&mut self, record: Record) {
-        self.actions.push_back(Action::Release(record.slot));
+        self.actions.push_back(Action::DiscardTexts(record.slot));
         if let Some(sample) = self.sample_mut(record.slot)
             && matches!(&sample.phase, Phase::Writing(written) if written.serial == record.serial)
         {
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -64,7 +64,7 @@
             let urgent = step < next_cursor || step == next_cursor && mostly_complete;
             if urgent && !generation.urgent {
                 generation.urgent = true;
-                self.actions.push_back(Action::Raise(key));
+                self.actions.push_back(Action::Prioritize(key));
             }
             if is_slow(generation, self.pace.token_rate(), now) {
                 slow.push((!urgent, generation.slot, key));
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -67,7 +67,7 @@
                     self.answers.push(answer);
                     continue;
                 }
-                Action::Raise(_) | Action::Release(_) => continue,
+                Action::Prioritize(_) | Action::DiscardTexts(_) => continue,
             };
             self.run.handle(self.now, event);
         }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -420,7 +420,7 @@
                 } => {
                     self.start_job(n, generation, prefix);
                 }
-                Action::Raise(_) | Action::Release(_) => {}
+                Action::Prioritize(_) | Action::DiscardTexts(_) => {}
                 Action::Cancel(key) => self.cancel_job(n, key),
                 Action::Score { generation, .. } => self.store_sample(n, generation),
                 Action::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
