--- a/hibiscusroad-measure/src/train/driver.rs
+++ b/hibiscusroad-measure/src/train/driver.rs
@@ -272,7 +272,7 @@
         let at = self.instant();
         for (trainer, limit) in self.trainers.iter_mut().zip(given) {
             if let Some(run) = &mut trainer.run {
-                run.handle(at, Event::Share(limit));
+                run.handle(at, Event::LimitChanged(limit));
             }
         }
     }
--- a/hibiscusroad-measure/src/train/holder.rs
+++ b/hibiscusroad-measure/src/train/holder.rs
@@ -47,7 +47,7 @@
         };
         match action {
             Action::ReadHead | Action::Write(_) if self.is_down() => {
-                later(self, LIMIT, Event::Lost);
+                later(self, LIMIT, Event::CallFailed);
             }
             Action::ReadHead => {
                 let head = self.trainers[n].head.clone();
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -23,7 +23,7 @@
     Committed,
     /// The write failed on its condition, or a call of the table got no answer.
     /// The run reads the table again before it continues.
-    Lost,
+    CallFailed,
     /// An engine reported the progress of a generation.
     ///
     /// Positions count from the first token of the sample; the spans begin where the
@@ -49,7 +49,7 @@
         score: f64,
     },
     /// The sample could not be stored or scored; this is retried.
-    ScoreLost(GenKey),
+    ScoreFailed(GenKey),
     /// The trainer requested the batch of a step.
     Pulled {
         /// The request.
@@ -71,7 +71,7 @@
         version: u64,
     },
     /// The number of generations that the run may have on the engines changed.
-    Share(usize),
+    LimitChanged(usize),
     /// Time has passed.
     Tick,
 }
@@ -91,12 +91,12 @@
 /// An output of a [`Run`](crate::train::Run), for its holder to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read the head row. Answered by [`Event::Head`] or [`Event::Lost`].
+    /// Read the head row. Answered by [`Event::Head`] or [`Event::CallFailed`].
     ReadHead,
     /// Read all other rows, with all writes so far. Answered by [`Event::Rows`] or
-    /// [`Event::Lost`].
+    /// [`Event::CallFailed`].
     ReadRows,
-    /// Commit a transaction. Answered by [`Event::Committed`] or [`Event::Lost`].
+    /// Commit a transaction. Answered by [`Event::Committed`] or [`Event::CallFailed`].
     Write(Box<Write>),
     /// Start a generation with the rollout class.
     Start {
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -156,7 +156,7 @@
                 let changes = self.journal.committed();
                 self.apply(now, changes);
             }
-            Event::Lost => self.journal.call_failed(),
+            Event::CallFailed => self.journal.call_failed(),
             Event::Progress {
                 generation,
                 tokens,
@@ -168,7 +168,7 @@
             Event::Finished(generation) => self.handle_finished(now, generation),
             Event::Failed(generation) => self.handle_failed(generation),
             Event::Scored { generation, score } => self.handle_score(generation, score),
-            Event::ScoreLost(generation) => self.retry_score(generation),
+            Event::ScoreFailed(generation) => self.retry_score(generation),
             Event::Pulled {
                 ticket,
                 owner,
@@ -180,7 +180,7 @@
                 cursor,
                 version,
             } => self.handle_done(ticket, owner, cursor, version),
-            Event::Share(limit) => self.max_running = limit,
+            Event::LimitChanged(limit) => self.max_running = limit,
             Event::Tick => {}
         }
         self.advance(now);
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -200,7 +200,7 @@
     fn take_over(&mut self) {
         let fence = self.holders.len() as u64 + 1;
         let mut run = Run::new(SPEC, OWNER, 0, fence);
-        run.handle(self.now(), Event::Share(12));
+        run.handle(self.now(), Event::LimitChanged(12));
         self.holders.push(Holder {
             run,
             fence,
@@ -335,7 +335,7 @@
                         self.check_written(&write);
                         Event::Committed
                     } else {
-                        Event::Lost
+                        Event::CallFailed
                     }
                 }
             };
@@ -382,7 +382,7 @@
         {
             // The call times out; its answer is lost.
             holder.call_deadline = None;
-            holder.inbox.push((self.tick, Event::Lost));
+            holder.inbox.push((self.tick, Event::CallFailed));
         }
         let (now, tick) = (self.now(), self.tick);
         let holder = &mut self.holders[n];
@@ -396,7 +396,7 @@
         }
         for key in std::mem::take(&mut self.holders[n].scoring) {
             let event = if self.chance(0.1) {
-                Event::ScoreLost(key)
+                Event::ScoreFailed(key)
             } else {
                 Event::Scored {
                     generation: key,
