--- a/hibiscusroad-measure/src/train/trainer.rs
+++ b/hibiscusroad-measure/src/train/trainer.rs
@@ -19,7 +19,7 @@
                 self.work(n);
             }
             Answer::NotYet => self.pull(n),
-            Answer::Noted => {
+            Answer::Recorded => {
                 self.trainers[n].version = run.head().version;
                 self.trainers[n].cursor += 1;
                 self.pull(n);
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -166,7 +166,7 @@
         for (ticket, step) in requests {
             if step == cursor {
                 self.actions
-                    .push_back(Action::Answer(ticket, Answer::Noted));
+                    .push_back(Action::Answer(ticket, Answer::Recorded));
             } else {
                 self.done_requests.push((ticket, step));
             }
@@ -200,7 +200,7 @@
         let head = self.head();
         if cursor < head.done_steps {
             self.actions
-                .push_back(Action::Answer(ticket, Answer::Noted));
+                .push_back(Action::Answer(ticket, Answer::Recorded));
         } else if cursor >= head.next_cursor {
             self.refuse(ticket, ErrorKind::BadCursor);
         } else if version < head.version {
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -136,7 +136,7 @@
     /// The batch isn't complete; retry with the same cursor.
     NotYet,
     /// The step is recorded as done.
-    Noted,
+    Recorded,
     /// The request is refused.
     Refused(ErrorKind),
 }
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -180,6 +180,9 @@
     assert_eq!(*cursor_ahead, Answer::Refused(ErrorKind::BadCursor));
     assert_eq!(*done_without_batch, Answer::Refused(ErrorKind::BadCursor));
     assert_eq!(*step_open, Answer::Refused(ErrorKind::StepOpen));
-    assert_eq!([done, repeated_done], [&Answer::Noted, &Answer::Noted]);
+    assert_eq!(
+        [done, repeated_done],
+        [&Answer::Recorded, &Answer::Recorded]
+    );
     assert_eq!(first, repeated);
 }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -570,7 +570,7 @@
         }
         match answer {
             Answer::Batch(_) => self.trainer.has_batch = true,
-            Answer::Noted if self.trainer.has_batch => {
+            Answer::Recorded if self.trainer.has_batch => {
                 self.trainer.cursor += 1;
                 self.trainer.max_cursor = self.trainer.max_cursor.max(self.trainer.cursor);
                 self.trainer.has_batch = false;
