--- a/hibiscusroad-measure/src/train/driver.rs
+++ b/hibiscusroad-measure/src/train/driver.rs
@@ -6,7 +6,7 @@
     plain::{Plain, Sample},
     score::Score,
 };
-use hibiscusroad::train::{Event, GenKey, Head, Row, RowName, Run, Span, shares};
+use hibiscusroad::train::{Event, GenerationKey, Head, Row, RowName, Run, Span, shares};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::{
@@ -37,8 +37,8 @@
     pub(super) head: Option<(u64, Head)>,
     pub(super) rows: BTreeMap<RowName, Row>,
     pub(super) inbox: Vec<(f64, Event)>,
-    pub(super) texts: HashMap<GenKey, Vec<Span>>,
-    pub(super) begun: HashMap<GenKey, f64>,
+    pub(super) texts: HashMap<GenerationKey, Vec<Span>>,
+    pub(super) begun: HashMap<GenerationKey, f64>,
     pub(super) ages: HashMap<(u64, u32), f64>,
     pub(super) cursor: u64,
     pub(super) version: u64,
--- a/hibiscusroad-measure/src/train/engine.rs
+++ b/hibiscusroad-measure/src/train/engine.rs
@@ -1,11 +1,11 @@
 //! Engines: lanes of one speed, urgent work first.
 
-use hibiscusroad::train::{GenKey, Span};
+use hibiscusroad::train::{GenerationKey, Span};
 
 /// Names a generation at its run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Id {
-    Ours(GenKey),
+    Ours(GenerationKey),
     Plain(usize),
 }
 
--- a/hibiscusroad-measure/src/train/holder.rs
+++ b/hibiscusroad-measure/src/train/holder.rs
@@ -5,7 +5,7 @@
     engine::{Id, Job},
     load::Policy,
 };
-use hibiscusroad::train::{Action, Event, GenKey, Run, Write};
+use hibiscusroad::train::{Action, Event, GenerationKey, Run, Write};
 use std::mem;
 
 /// Seconds after which a call of the table is given up.
@@ -115,7 +115,7 @@
         }
     }
 
-    fn find(&self, run: usize, key: GenKey) -> Option<(usize, usize)> {
+    fn find(&self, run: usize, key: GenerationKey) -> Option<(usize, usize)> {
         let is = |job: &Job| job.run == run && job.id == Id::Ours(key);
         let mut all = self.engines.iter().enumerate();
         all.find_map(|(n, engine)| engine.jobs.iter().position(is).map(|i| (n, i)))
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -3,7 +3,7 @@
 use crate::{
     error::ErrorKind,
     train::{
-        GenKey, RETAINED_BATCHES,
+        GenerationKey, RETAINED_BATCHES,
         event::{Action, Answer, Ticket},
         journal::Change,
         row::{Batch, Record, Slot},
@@ -144,7 +144,7 @@
         }
     }
 
-    fn is_stale_generation(&self, key: GenKey, min_version: u64) -> bool {
+    fn is_stale_generation(&self, key: GenerationKey, min_version: u64) -> bool {
         let generation = self.generations.get(key);
         generation.is_some_and(|g| {
             g.text
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -3,7 +3,7 @@
 use crate::{
     error::ErrorKind,
     train::{
-        GenKey,
+        GenerationKey,
         row::{Batch, Head, Row, Slot, Span, Write},
     },
 };
@@ -31,25 +31,25 @@
     /// that were ordered.
     Progress {
         /// The generation.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The number of tokens of the sample so far.
         tokens: u32,
         /// The versions that generated them.
         spans: Vec<Span>,
     },
     /// The generation has finished; its last report came before.
-    Finished(GenKey),
+    Finished(GenerationKey),
     /// The generation failed; the tokens reported before are kept.
-    Failed(GenKey),
+    Failed(GenerationKey),
     /// The sample was stored in the object store and scored.
     Scored {
         /// The generation of the sample.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The score. If it isn't finite, scoring is retried.
         score: f64,
     },
     /// The sample could not be stored or scored; this is retried.
-    ScoreFailed(GenKey),
+    ScoreFailed(GenerationKey),
     /// The trainer requested the batch of a step.
     Pulled {
         /// The request.
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Prefix {
     /// The generation that has the text.
-    pub generation: GenKey,
+    pub generation: GenerationKey,
     /// The number of tokens of the sample to continue from.
     pub tokens: u32,
 }
@@ -101,7 +101,7 @@
     /// Start a generation with the rollout class.
     Start {
         /// The key of the new generation.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The slot of the sample.
         slot: Slot,
         /// Whether the generation goes before others of its class.
@@ -112,13 +112,13 @@
         min_version: u64,
     },
     /// Move a generation before others of its class.
-    Prioritize(GenKey),
+    Prioritize(GenerationKey),
     /// Stop a generation and discard its output.
-    Cancel(GenKey),
+    Cancel(GenerationKey),
     /// Write a finished sample to the object store, then score it.
     Score {
         /// The generation of the sample.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The slot of the sample.
         slot: Slot,
     },
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -1,7 +1,7 @@
 //! Generations: start, progress, end and failure.
 
 use crate::train::{
-    GenKey,
+    GenerationKey,
     event::{Action, Prefix},
     journal::Change,
     row::{Record, Slot, Span},
@@ -57,7 +57,7 @@
         slot: Slot,
         base: Text,
         is_hedge: bool,
-    ) -> GenKey {
+    ) -> GenerationKey {
         let urgent = is_hedge || self.is_urgent(slot.group);
         let prefix = base.source.map(|generation| Prefix {
             generation,
@@ -89,7 +89,7 @@
     pub(crate) fn handle_progress(
         &mut self,
         now: Instant,
-        key: GenKey,
+        key: GenerationKey,
         tokens: u32,
         spans: &[Span],
     ) {
@@ -123,7 +123,7 @@
 
     /// Discards a generation whose tokens have no known version. The sample continues
     /// from the text before it.
-    fn discard_generation(&mut self, key: GenKey) {
+    fn discard_generation(&mut self, key: GenerationKey) {
         if let Some(generation) = self.generations.get_mut(key) {
             let new_tokens = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(new_tokens);
@@ -133,13 +133,13 @@
         self.handle_failed(key);
     }
 
-    fn is_hedge(&mut self, slot: Slot, key: GenKey) -> bool {
+    fn is_hedge(&mut self, slot: Slot, key: GenerationKey) -> bool {
         let phase = self.sample_mut(slot).map(|sample| &sample.phase);
         matches!(phase, Some(Phase::Running { hedge: Some(hedge), .. }) if *hedge == key)
     }
 
     /// Removes a hedge; the original generation continues.
-    pub(crate) fn remove_hedge(&mut self, slot: Slot, key: GenKey) {
+    pub(crate) fn remove_hedge(&mut self, slot: Slot, key: GenerationKey) {
         self.remove_generation(key);
         if let Some(sample) = self.sample_mut(slot)
             && let Phase::Running { hedge, .. } = &mut sample.phase
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(crate) fn handle_finished(&mut self, now: Instant, key: GenKey) {
+    pub(crate) fn handle_finished(&mut self, now: Instant, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -180,7 +180,7 @@
     }
 
     /// Handles a failed generation. The sample continues from its text.
-    pub(crate) fn handle_failed(&mut self, key: GenKey) {
+    pub(crate) fn handle_failed(&mut self, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(crate) fn handle_score(&mut self, key: GenKey, score: f64) {
+    pub(crate) fn handle_score(&mut self, key: GenerationKey, score: f64) {
         if !score.is_finite() {
             self.retry_score(key);
             return;
@@ -232,7 +232,7 @@
         self.set_phase(slot, Phase::Writing(record));
     }
 
-    pub(crate) fn retry_score(&mut self, key: GenKey) {
+    pub(crate) fn retry_score(&mut self, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -272,13 +272,13 @@
     }
 
     /// Cancels a generation; its tokens beyond its base are wasted.
-    pub(crate) fn cancel(&mut self, key: GenKey) {
+    pub(crate) fn cancel(&mut self, key: GenerationKey) {
         self.remove_generation(key);
         self.actions.push_back(Action::Cancel(key));
     }
 
     /// Removes a generation; its tokens beyond its base are wasted.
-    pub(crate) fn remove_generation(&mut self, key: GenKey) {
+    pub(crate) fn remove_generation(&mut self, key: GenerationKey) {
         if let Some(generation) = self.generations.remove(key) {
             let new_tokens = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(new_tokens);
--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -52,5 +52,5 @@
 
 slotmap::new_key_type! {
     /// The key of a generation in a [`Run`].
-    pub struct GenKey;
+    pub struct GenerationKey;
 }
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -1,7 +1,7 @@
 //! The state of a run at the process that holds it.
 
 use crate::train::{
-    GenKey,
+    GenerationKey,
     event::{Action, Answer, Event, Ticket},
     journal::{Change, Journal, TableCall},
     pace::Pace,
@@ -60,7 +60,7 @@
     pub(crate) journal: Journal,
     /// The open groups, in the order of prompts.
     pub(crate) groups: BTreeMap<u64, Group>,
-    pub(crate) generations: SlotMap<GenKey, Generation>,
+    pub(crate) generations: SlotMap<GenerationKey, Generation>,
     pub(crate) batches: BTreeMap<u64, Batch>,
     pub(crate) pulls: Vec<Pull>,
     /// Requests that wait until the end of their step is in the table, with the
@@ -124,7 +124,7 @@
     /// Returns the serial number of a generation, which with the fencing token names
     /// its text in the object store.
     #[must_use]
-    pub fn serial_of(&self, generation: GenKey) -> Option<u64> {
+    pub fn serial_of(&self, generation: GenerationKey) -> Option<u64> {
         self.generations
             .get(generation)
             .map(|generation| generation.serial)
--- a/src/train/sample.rs
+++ b/src/train/sample.rs
@@ -1,7 +1,7 @@
 //! Samples of open groups, and the versions that generated their tokens.
 
 use crate::train::{
-    GenKey,
+    GenerationKey,
     row::{Record, Slot, Span, oldest_version},
 };
 use std::time::Instant;
@@ -13,9 +13,12 @@
     #[default]
     Waiting,
     /// The sample is being generated, with an optional hedge.
-    Running { main: GenKey, hedge: Option<GenKey> },
+    Running {
+        main: GenerationKey,
+        hedge: Option<GenerationKey>,
+    },
     /// The sample is finished and is being stored and scored.
-    Scoring(GenKey),
+    Scoring(GenerationKey),
     /// The record is being written to the table.
     Writing(Record),
     /// The record is in the table.
@@ -42,7 +45,7 @@
     pub(crate) tokens: u32,
     pub(crate) spans: Vec<Span>,
     /// The generation that holds the text.
-    pub(crate) source: Option<GenKey>,
+    pub(crate) source: Option<GenerationKey>,
 }
 
 impl Text {
@@ -106,7 +109,7 @@
 }
 
 impl Generation {
-    pub(crate) fn record_report(&mut self, now: Instant, key: GenKey, text: Text) {
+    pub(crate) fn record_report(&mut self, now: Instant, key: GenerationKey, text: Text) {
         match &mut self.reports {
             Some(reports) => reports.last = now,
             None => {
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -11,7 +11,7 @@
 //!   hedge that ends earlier is discarded.
 
 use crate::train::{
-    GenKey,
+    GenerationKey,
     event::Action,
     row::Slot,
     run::{Group, Run},
@@ -80,7 +80,7 @@
 
     /// Starts a hedge within the budget: a share of the running generations, and at
     /// least one, for small runs.
-    fn start_hedge(&mut self, now: Instant, key: GenKey) {
+    fn start_hedge(&mut self, now: Instant, key: GenerationKey) {
         let running = self.groups.values().map(count_hedges).sum::<usize>();
         let budget = (self.generations.len() as f64 * self.spec.hedge_share).max(1.0);
         if running as f64 + 1.0 > budget {
@@ -103,7 +103,7 @@
     }
 
     /// Replaces the original by its hedge once the hedge is longer.
-    pub(crate) fn promote_hedge(&mut self, key: GenKey) {
+    pub(crate) fn promote_hedge(&mut self, key: GenerationKey) {
         let Some(hedge) = self.generations.get(key) else {
             return;
         };
@@ -122,7 +122,12 @@
 
     /// Returns the original of a hedge with this many tokens, and whether the hedge is
     /// longer.
-    fn compare_hedge(&mut self, slot: Slot, key: GenKey, tokens: u32) -> Option<(GenKey, bool)> {
+    fn compare_hedge(
+        &mut self,
+        slot: Slot,
+        key: GenerationKey,
+        tokens: u32,
+    ) -> Option<(GenerationKey, bool)> {
         let Phase::Running { main, hedge } = self.sample_mut(slot)?.phase else {
             return None;
         };
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -3,7 +3,7 @@
 
 use hibiscusroad::{
     ErrorKind,
-    train::{Action, Answer, Event, GenKey, Run, Span, Spec, Ticket},
+    train::{Action, Answer, Event, GenerationKey, Run, Span, Spec, Ticket},
 };
 use std::time::{Duration, Instant};
 
@@ -14,9 +14,9 @@
     now: Instant,
     /// The version of the head row.
     row_version: u64,
-    started: Vec<GenKey>,
-    cancelled: Vec<GenKey>,
-    scored: Vec<GenKey>,
+    started: Vec<GenerationKey>,
+    cancelled: Vec<GenerationKey>,
+    scored: Vec<GenerationKey>,
     answers: Vec<Answer>,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    fn report(&mut self, generation: GenKey, first: u32, tokens: u32) {
+    fn report(&mut self, generation: GenerationKey, first: u32, tokens: u32) {
         let version = 0;
         let spans = vec![Span { version, first }];
         self.handle(Event::Progress {
@@ -103,7 +103,7 @@
 
     /// Reports 100 tokens of the first generation and waits until it is hedged. Returns
     /// the generation and its hedge.
-    fn start_hedge(&mut self) -> (GenKey, GenKey) {
+    fn start_hedge(&mut self) -> (GenerationKey, GenerationKey) {
         let main = self.started[0];
         self.report(main, 0, 100);
         self.now += Duration::from_secs(11);
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -7,8 +7,8 @@
 use hibiscusroad::{
     ErrorKind,
     train::{
-        Action, Answer, Batch, Counts, Event, GenKey, Head, Prefix, Record, Row, RowName, Run,
-        Slot, Span, Spec, Ticket, Write,
+        Action, Answer, Batch, Counts, Event, GenerationKey, Head, Prefix, Record, Row, RowName,
+        Run, Slot, Span, Spec, Ticket, Write,
     },
 };
 use rand::{Rng, SeedableRng};
@@ -93,7 +93,7 @@
 
 struct Job {
     holder: usize,
-    key: GenKey,
+    key: GenerationKey,
     engine: usize,
     /// The version that generated each token of the sample.
     token_versions: Vec<u64>,
@@ -109,7 +109,7 @@
     /// The tick at which the call in flight times out.
     call_deadline: Option<u32>,
     inbox: Vec<(u32, Event)>,
-    scoring: Vec<GenKey>,
+    scoring: Vec<GenerationKey>,
     alive: bool,
 }
 
@@ -134,7 +134,7 @@
     messages: Vec<Message>,
     jobs: Vec<Job>,
     /// The token versions of ended jobs, by holder and generation.
-    ended_jobs: BTreeMap<(usize, GenKey), Vec<u64>>,
+    ended_jobs: BTreeMap<(usize, GenerationKey), Vec<u64>>,
     /// The token versions of stored samples, by fencing token and serial number.
     stored_samples: BTreeMap<(u64, u64), Vec<u64>>,
     /// The version of each engine.
@@ -457,7 +457,7 @@
         });
     }
 
-    fn start_job(&mut self, n: usize, key: GenKey, prefix: Option<Prefix>) {
+    fn start_job(&mut self, n: usize, key: GenerationKey, prefix: Option<Prefix>) {
         let mut token_versions =
             prefix.map_or_else(Vec::new, |p| self.token_versions(n, p.generation));
         let prefix_len = prefix.map_or(0, |p| usize::try_from(p.tokens).unwrap());
@@ -481,7 +481,7 @@
         });
     }
 
-    fn token_versions(&self, n: usize, key: GenKey) -> Vec<u64> {
+    fn token_versions(&self, n: usize, key: GenerationKey) -> Vec<u64> {
         let job = self
             .jobs
             .iter()
@@ -490,7 +490,7 @@
         job.map_or_else(ended_job, |job| job.token_versions.clone())
     }
 
-    fn cancel_job(&mut self, n: usize, key: GenKey) {
+    fn cancel_job(&mut self, n: usize, key: GenerationKey) {
         let position = self
             .jobs
             .iter()
@@ -502,7 +502,7 @@
     }
 
     /// Stores a finished sample and starts its scoring.
-    fn store_sample(&mut self, n: usize, key: GenKey) {
+    fn store_sample(&mut self, n: usize, key: GenerationKey) {
         let token_versions = self.ended_jobs[&(n, key)].clone();
         let serial = self.holders[n].run.serial_of(key).unwrap();
         self.stored_samples
