--- a/hibiscusroad-measure/src/train/trainer.rs
+++ b/hibiscusroad-measure/src/train/trainer.rs
@@ -14,7 +14,7 @@
                 for record in &batch.records {
                     let slot = (record.slot.group, record.slot.index);
                     let begun = self.trainers[n].ages.remove(&slot).unwrap_or(self.now);
-                    self.deliver(n, record.oldest(), f64::from(record.tokens), begun);
+                    self.deliver(n, record.oldest_version(), f64::from(record.tokens), begun);
                 }
                 self.work(n);
             }
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -87,7 +87,7 @@
                 .generations
                 .get(*key)
                 .and_then(|g| g.text.oldest_version()),
-            Phase::Writing(record) | Phase::Recorded(record) => record.oldest(),
+            Phase::Writing(record) | Phase::Recorded(record) => record.oldest_version(),
         });
         versions.min()
     }
@@ -101,7 +101,7 @@
             Phase::Scoring(key) => run.is_stale_generation(*key, min_version),
             // A sample that is being written is checked once it is recorded.
             Phase::Waiting | Phase::Writing(_) => false,
-            Phase::Recorded(record) => is_stale(Record::oldest(record)),
+            Phase::Recorded(record) => is_stale(Record::oldest_version(record)),
         };
         self.cancel_stale_hedges(min_version);
         let mut stale = Vec::new();
--- a/src/train/row.rs
+++ b/src/train/row.rs
@@ -49,7 +49,7 @@
 impl Record {
     /// Returns the oldest version that generated a token, or `None` without tokens.
     #[must_use]
-    pub fn oldest(&self) -> Option<u64> {
+    pub fn oldest_version(&self) -> Option<u64> {
         oldest_version(&self.spans)
     }
 }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -67,7 +67,7 @@
     // bound.
     fn check_deletion(&self, name: &RowName, head: &Head) {
         if let Some(Row::Sample(record)) = self.rows.get(name) {
-            let is_stale = record.oldest().unwrap() + SPEC.bound < head.version;
+            let is_stale = record.oldest_version().unwrap() + SPEC.bound < head.version;
             assert!(
                 is_stale || head.is_delivered(record.slot.group),
                 "a sample was lost"
@@ -596,7 +596,7 @@
         for record in &batch.records {
             let earlier_cursor = self.trainer.delivered.insert(record.slot, batch.cursor);
             assert_eq!(earlier_cursor, None, "a sample is in two batches");
-            let oldest = record.oldest().unwrap();
+            let oldest = record.oldest_version().unwrap();
             assert!(
                 oldest + SPEC.bound >= self.trainer.version,
                 "a sample exceeds the staleness bound"
