--- a/hibiscusroad-measure/src/train/holder.rs
+++ b/hibiscusroad-measure/src/train/holder.rs
@@ -130,6 +130,6 @@
         for row in write.puts {
             self.rows.insert(row.name(), row);
         }
-        self.head = Some((write.expect + 1, write.head));
+        self.head = Some((write.expected_version + 1, write.head));
     }
 }
--- a/src/train/journal.rs
+++ b/src/train/journal.rs
@@ -173,7 +173,7 @@
         let took_effect = self.in_flight.as_ref().is_some_and(|(write, _)| {
             // Only this holder writes under this fence, so the next version under
             // it is this write.
-            head.fence == self.fence && version == write.expect + 1
+            head.fence == self.fence && version == write.expected_version + 1
         });
         if took_effect {
             return self.complete_write();
@@ -216,7 +216,7 @@
     fn claim(&mut self, mut head: Head) {
         head.fence = self.fence;
         let write = Write {
-            expect: self.version,
+            expected_version: self.version,
             head,
             puts: Vec::new(),
             deletes: Vec::new(),
@@ -234,7 +234,7 @@
         let Some((write, changes)) = self.in_flight.take() else {
             return Vec::new();
         };
-        self.version = write.expect + 1;
+        self.version = write.expected_version + 1;
         self.head = write.head;
         // Rows are read after the claim took effect. No write of an older holder
         // can take effect after it, so the rows are complete.
@@ -249,7 +249,7 @@
 
     fn prepare_write(&mut self) {
         let mut write = Write {
-            expect: self.version,
+            expected_version: self.version,
             head: self.head.clone(),
             puts: Vec::new(),
             deletes: Vec::new(),
--- a/src/train/row.rs
+++ b/src/train/row.rs
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// The version that the head row must have; 0 if it must not exist.
-    pub expect: u64,
+    pub expected_version: u64,
     /// The new head.
     pub head: Head,
     /// Rows to write.
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -47,7 +47,7 @@
                 Action::ReadHead => Event::Head(None),
                 Action::ReadRows => Event::Rows(Vec::new()),
                 Action::Write(write) => {
-                    assert_eq!(write.expect, self.row_version);
+                    assert_eq!(write.expected_version, self.row_version);
                     self.row_version += 1;
                     Event::Committed
                 }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -35,7 +35,7 @@
 
 impl Table {
     fn commit(&mut self, write: &Write) -> bool {
-        if write.expect != self.version {
+        if write.expected_version != self.version {
             return false;
         }
         if let Some(head) = &self.head {
