--- a/hibiscusroad-measure/src/train/driver.rs
+++ b/hibiscusroad-measure/src/train/driver.rs
@@ -267,7 +267,7 @@
         let wanted = self
             .trainers
             .each_ref()
-            .map(|t| t.run.as_ref().map_or(0, Run::wanted));
+            .map(|t| t.run.as_ref().map_or(0, Run::demand));
         let given = shares(alive * self.load.lanes, &wanted);
         let at = self.instant();
         for (trainer, limit) in self.trainers.iter_mut().zip(given) {
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -138,7 +138,7 @@
 
     /// Returns the number of generations that are running or could be started now.
     #[must_use]
-    pub fn wanted(&self) -> usize {
+    pub fn demand(&self) -> usize {
         let samples = self.groups.values().flat_map(|group| &group.samples);
         let waiting = samples.filter(|sample| sample.phase == Phase::Waiting);
         self.generations.len() + waiting.count()
