--- a/hibiscusroad-measure/src/train/driver.rs
+++ b/hibiscusroad-measure/src/train/driver.rs
@@ -6,7 +6,7 @@
     plain::{Plain, Sample},
     score::Score,
 };
-use hibiscusroad::train::{Event, GenerationKey, Head, Row, RowName, Run, Span, shares};
+use hibiscusroad::train::{Event, GenerationKey, Head, Row, RowName, Run, Span, fair_shares};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::{
@@ -268,7 +268,7 @@
             .trainers
             .each_ref()
             .map(|t| t.run.as_ref().map_or(0, Run::demand));
-        let given = shares(alive * self.load.lanes, &wanted);
+        let given = fair_shares(alive * self.load.lanes, &wanted);
         let at = self.instant();
         for (trainer, limit) in self.trainers.iter_mut().zip(given) {
             if let Some(run) = &mut trainer.run {
--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -45,7 +45,7 @@
     journal::RETAINED_BATCHES,
     row::{Batch, Head, Record, Row, RowName, Slot, Span, Write},
     run::{Counts, Run},
-    share::shares,
+    share::fair_shares,
     spec::Spec,
     weights::{FencedOrder, RolloutPlan, Weights},
 };
--- a/src/train/share.rs
+++ b/src/train/share.rs
@@ -8,13 +8,13 @@
 /// # Example
 ///
 /// ```
-/// use hibiscusroad::train::shares;
+/// use hibiscusroad::train::fair_shares;
 ///
-/// assert_eq!(shares(100, &[20, 500]), [20, 80]);
-/// assert_eq!(shares(100, &[400, 500]), [50, 50]);
+/// assert_eq!(fair_shares(100, &[20, 500]), [20, 80]);
+/// assert_eq!(fair_shares(100, &[400, 500]), [50, 50]);
 /// ```
 #[must_use]
-pub fn shares(capacity: usize, demands: &[usize]) -> Vec<usize> {
+pub fn fair_shares(capacity: usize, demands: &[usize]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|i| demands[*i]);
     let mut granted = vec![0; demands.len()];
