--- a/hibiscusroad-measure/src/train/load.rs
+++ b/hibiscusroad-measure/src/train/load.rs
@@ -63,7 +63,7 @@
     #[must_use]
     pub const fn pobrezie() -> Self {
         Self {
-            spec: Spec::new().staleness(0.2),
+            spec: Spec::new().staleness_weight(0.2),
             engines: 9,
             lanes: 16,
             rate: 40.0,
@@ -82,13 +82,13 @@
     #[must_use]
     pub const fn lakeshore() -> Self {
         let mut load = Self::pobrezie();
-        load.spec = load.spec.staleness(0.8);
+        load.spec = load.spec.staleness_weight(0.8);
         load
     }
 
     /// Returns the samples of a step.
     #[must_use]
     pub fn samples(&self) -> usize {
-        usize::try_from(self.spec.size * self.spec.groups).unwrap_or(usize::MAX)
+        usize::try_from(self.spec.group_size * self.spec.step_groups).unwrap_or(usize::MAX)
     }
 }
--- a/hibiscusroad-measure/src/train/trainer.rs
+++ b/hibiscusroad-measure/src/train/trainer.rs
@@ -31,7 +31,7 @@
     fn deliver(&mut self, n: usize, oldest: Option<u64>, tokens: f64, begun: f64) {
         let version = self.trainers[n].version;
         let behind = version - oldest.unwrap_or(version);
-        if behind > self.load.spec.bound {
+        if behind > self.load.spec.max_staleness {
             self.broken += 1;
         }
         self.stale.push(behind as f64);
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -28,7 +28,7 @@
         if head.done_steps != cursor || batch_pending || self.must_wait() {
             return;
         }
-        let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
+        let count = usize::try_from(self.spec.step_groups).unwrap_or(usize::MAX);
         let min_version = self.min_version();
         let is_fresh = |group: &Group| {
             self.oldest_version(group)
@@ -63,7 +63,7 @@
         if !self.pace.may_change_version() {
             return false;
         }
-        let (bound, version) = (self.spec.bound, self.head().version);
+        let (bound, version) = (self.spec.max_staleness, self.head().version);
         let at_bound = |group: &Group| {
             self.oldest_version(group)
                 .is_some_and(|oldest| oldest + bound <= version)
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -18,7 +18,7 @@
 
     /// Returns the oldest version that the next batch may contain.
     pub(crate) fn min_version(&self) -> u64 {
-        self.head().version.saturating_sub(self.spec.bound)
+        self.head().version.saturating_sub(self.spec.max_staleness)
     }
 
     /// Starts waiting samples in the order of prompts, up to the run's share of the
--- a/src/train/pace.rs
+++ b/src/train/pace.rs
@@ -90,16 +90,16 @@
     /// trainer works on this one. The staleness setting chooses between the two.
     pub(crate) fn max_open_groups(&self, spec: &Spec) -> u64 {
         let interval = self.version_interval.unwrap_or(1.0);
-        let usable_versions = spec.bound.saturating_sub(ROLLOUT_LAG) as f64;
+        let usable_versions = spec.max_staleness.saturating_sub(ROLLOUT_LAG) as f64;
         let max_steps = (usable_versions * interval).max(1.0);
         let lead = match (self.long_duration, self.step_duration) {
             (Some(long), Some(step)) => long.as_secs_f64() / step.as_secs_f64().max(1e-3),
             _ => 1.0,
         };
         let min_steps = (1.0 + lead).min(max_steps);
-        let steps = max_steps + (min_steps - max_steps) * spec.staleness.clamp(0.0, 1.0);
-        let groups = (steps * f64::from(spec.groups)).ceil();
-        truncate(groups).max(u64::from(spec.groups))
+        let steps = max_steps + (min_steps - max_steps) * spec.staleness_weight.clamp(0.0, 1.0);
+        let groups = (steps * f64::from(spec.step_groups)).ceil();
+        truncate(groups).max(u64::from(spec.step_groups))
     }
 }
 
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -239,7 +239,7 @@
 
     fn restore_sample(&mut self, record: Record) {
         let slot = record.slot;
-        let size = self.spec.size;
+        let size = self.spec.group_size;
         let group = self
             .groups
             .entry(slot.group)
@@ -290,7 +290,7 @@
     fn open_groups(&mut self) {
         let head = self.journal.head();
         let max_open = self.pace.max_open_groups(&self.spec);
-        let size = self.spec.size;
+        let size = self.spec.group_size;
         let mut count = self.groups.len() as u64;
         while count < max_open {
             let group = self.next_group;
--- a/src/train/spec.rs
+++ b/src/train/spec.rs
@@ -6,17 +6,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// The number of samples per prompt, which are scored relative to each other.
-    pub size: u32,
+    pub group_size: u32,
     /// The number of groups in the batch of a step.
-    pub groups: u32,
+    pub step_groups: u32,
     /// The staleness bound: how many versions the oldest token of a sample may be
     /// behind the trainer.
-    pub bound: u64,
+    pub max_staleness: u64,
     /// The weight of low staleness against low idle time, from 0 to 1.
     ///
     /// At 0, as many groups are started ahead as the staleness bound allows. At
     /// 1, groups are started just in time.
-    pub staleness: f64,
+    pub staleness_weight: f64,
     /// The share of running generations that may have a hedge at the same time.
     pub hedge_share: f64,
     /// How long a pull waits for its batch before the answer is "not yet".
@@ -29,10 +29,10 @@
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            size: 8,
-            groups: 16,
-            bound: 2,
-            staleness: 0.5,
+            group_size: 8,
+            step_groups: 16,
+            max_staleness: 2,
+            staleness_weight: 0.5,
             hedge_share: 0.05,
             pull_timeout: Duration::from_secs(20),
         }
@@ -40,29 +40,29 @@
 
     /// Sets the number of samples per prompt.
     #[must_use]
-    pub const fn size(mut self, size: u32) -> Self {
-        self.size = size;
+    pub const fn group_size(mut self, size: u32) -> Self {
+        self.group_size = size;
         self
     }
 
     /// Sets the number of groups per step.
     #[must_use]
-    pub const fn groups(mut self, groups: u32) -> Self {
-        self.groups = groups;
+    pub const fn step_groups(mut self, groups: u32) -> Self {
+        self.step_groups = groups;
         self
     }
 
     /// Sets the staleness bound, in versions.
     #[must_use]
-    pub const fn bound(mut self, bound: u64) -> Self {
-        self.bound = bound;
+    pub const fn max_staleness(mut self, versions: u64) -> Self {
+        self.max_staleness = versions;
         self
     }
 
     /// Sets the weight of low staleness against low idle time.
     #[must_use]
-    pub const fn staleness(mut self, staleness: f64) -> Self {
-        self.staleness = staleness;
+    pub const fn staleness_weight(mut self, weight: f64) -> Self {
+        self.staleness_weight = weight;
         self
     }
 
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -37,26 +37,26 @@
 impl Run {
     /// Returns whether this group was meant for the next batch or an earlier one.
     pub(crate) fn is_due(&self, group: u64) -> bool {
-        group / u64::from(self.spec.groups.max(1)) <= self.head().next_cursor
+        group / u64::from(self.spec.step_groups.max(1)) <= self.head().next_cursor
     }
 
     /// Returns whether this group is overdue, or is needed for a batch that is mostly
     /// complete.
     pub(crate) fn is_urgent(&self, group: u64) -> bool {
-        let batch_size = u64::from(self.spec.groups.max(1));
+        let batch_size = u64::from(self.spec.step_groups.max(1));
         let is_overdue = group / batch_size < self.head().next_cursor;
         is_overdue || self.is_due(group) && self.is_mostly_complete()
     }
 
     fn is_mostly_complete(&self) -> bool {
         let complete = self.groups.values().filter(|g| g.is_complete()).count();
-        complete as f64 >= URGENT_THRESHOLD * f64::from(self.spec.groups)
+        complete as f64 >= URGENT_THRESHOLD * f64::from(self.spec.step_groups)
     }
 
     /// Prioritizes what the next batch needs, and hedges slow generations.
     pub(crate) fn handle_stragglers(&mut self, now: Instant) {
         let mostly_complete = self.is_mostly_complete();
-        let batch_size = u64::from(self.spec.groups.max(1));
+        let batch_size = u64::from(self.spec.step_groups.max(1));
         let next_cursor = self.head().next_cursor;
         let mut slow = Vec::new();
         for (key, generation) in &mut self.generations {
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -113,7 +113,7 @@
 }
 
 fn single_sample_spec() -> Spec {
-    Spec::new().size(1).groups(1)
+    Spec::new().group_size(1).step_groups(1)
 }
 
 // A hedge that ends earlier than its original must not replace it, or all hedged samples
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -18,7 +18,11 @@
     time::{Duration, Instant},
 };
 
-pub const SPEC: Spec = Spec::new().size(2).groups(2).bound(2).hedge_share(0.3);
+pub const SPEC: Spec = Spec::new()
+    .group_size(2)
+    .step_groups(2)
+    .max_staleness(2)
+    .hedge_share(0.3);
 const TICK: Duration = Duration::from_millis(500);
 const OWNER: u64 = 7;
 const ENGINE_COUNT: usize = 3;
@@ -67,7 +71,7 @@
     // bound.
     fn check_deletion(&self, name: &RowName, head: &Head) {
         if let Some(Row::Sample(record)) = self.rows.get(name) {
-            let is_stale = record.oldest_version().unwrap() + SPEC.bound < head.version;
+            let is_stale = record.oldest_version().unwrap() + SPEC.max_staleness < head.version;
             assert!(
                 is_stale || head.is_delivered(record.slot.group),
                 "a sample was lost"
@@ -598,13 +602,13 @@
             assert_eq!(earlier_cursor, None, "a sample is in two batches");
             let oldest = record.oldest_version().unwrap();
             assert!(
-                oldest + SPEC.bound >= self.trainer.version,
+                oldest + SPEC.max_staleness >= self.trainer.version,
                 "a sample exceeds the staleness bound"
             );
         }
         assert_eq!(
             batch.records.len(),
-            usize::try_from(SPEC.size * SPEC.groups).unwrap()
+            usize::try_from(SPEC.group_size * SPEC.step_groups).unwrap()
         );
         self.trainer.batches.insert(batch.cursor, batch.clone());
     }
