--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -21,7 +21,7 @@
     clock::millis,
     rollout::turns::VALID,
     table::{Change, Commit, Range},
-    usage::{self, Kept, Reports, Step, Terms, Window, Windows},
+    usage::{self, ReportTiming, Reports, Step, StoredReport, Window, Windows},
 };
 use hibiscusroad_platform::{
     duty::{self, Answer},
@@ -51,7 +51,7 @@
     /// The name of this process, for the platform.
     name: String,
     address: SocketAddr,
-    terms: Terms,
+    terms: ReportTiming,
     duty: Rc<Duty>,
     store: Rc<Store>,
     times: Times,
@@ -74,10 +74,10 @@
         known: Rc<Known>,
         meters: Rc<Meters>,
     ) -> Self {
-        let terms = Terms {
+        let terms = ReportTiming {
             windows: Windows::new(Duration::from_secs(settings.window_s)),
-            late: Duration::from_secs(settings.late_s),
-            apart: duty.apart(),
+            deadline: Duration::from_secs(settings.late_s),
+            call_gap: duty.apart(),
         };
         Self {
             name: name.to_owned(),
@@ -117,7 +117,7 @@
                 continue;
             }
             let now = self.times.now();
-            let step = self.with(|reports| reports.next(now, self.back.get()));
+            let step = self.with(|reports| reports.next_step(now, self.back.get()));
             let done = match step {
                 Some(Step::Make(window)) => self.make(window).await,
                 Some(Step::Send(window)) => self.send(window, fence).await,
@@ -146,10 +146,10 @@
 
     /// Reads the reports that holders before have kept, and where counts begin.
     async fn read(&self, fence: u64) -> bool {
-        let reports = Range::part(usage::REPORTS, "");
+        let reports = Range::part(usage::REPORTS_TABLE, "");
         let count = Range {
             limit: Some(1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let read = join(self.store.read_whole(&reports), self.store.read(&count)).await;
         let (page, count) = match read {
@@ -162,11 +162,11 @@
         };
         let mut reports = Reports::new(self.terms, self.times.now());
         if let Some(row) = count.rows.first() {
-            reports.begin_with(&row.id.key);
+            reports.start_from(&row.id.key);
         }
         for row in &page.rows {
             match serde_json::from_slice(&row.value) {
-                Ok(kept) => reports.read(&row.id.key, kept),
+                Ok(kept) => reports.load(&row.id.key, kept),
                 Err(error) => log::error!(target: USAGE, report = row.id.key.as_str(),
                     error = error.to_string().as_str(); "A kept report is broken; it is ignored."),
             }
@@ -179,11 +179,11 @@
 
     /// Adds up a window and keeps its report.
     async fn make(&self, window: Window) -> bool {
-        let keys = usage::keys(window);
+        let keys = usage::key_range(window);
         let range = Range {
             start: Some(&keys.0),
             end: Some(&keys.1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let page = match self.store.read_whole(&range).await {
             Ok(page) => page,
@@ -194,14 +194,14 @@
             }
         };
         let values = page.rows.iter().map(|row| row.value.as_slice());
-        let (counts, broken) = usage::merge(values);
+        let (counts, broken) = usage::sum_counts(values);
         let requests: u64 = counts.values().sum();
         let Some(store) = self.store.now() else {
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), store);
-        let row = usage::report(window);
+        let kept = StoredReport::new(duty::usage(window.0, &counts), self.duty.life(), store);
+        let row = usage::report_row(window);
         let change = Change::new()
             .expect(row.clone(), 0)
             .put(row, encoded(&kept));
@@ -210,7 +210,7 @@
                 log::info!(target: USAGE, window = window.0, rows = page.rows.len(),
                     broken = broken, accounts = counts.len(), requests = requests;
                     "The report of a window is kept.");
-                self.with(|reports| reports.note(window, kept));
+                self.with(|reports| reports.record(window, kept));
                 true
             }
             Some(Commit::Conflict(_)) => {
@@ -232,7 +232,7 @@
         let Some((kept, now)) = kept.zip(self.store.now()) else {
             return false;
         };
-        let barred = self.with(|reports| reports.barred(self.duty.life()));
+        let barred = self.with(|reports| reports.blocked_until(self.duty.life()));
         let pause = barred.flatten().map(|until| until.saturating_sub(now));
         if let Some(pause) = pause.filter(|pause| !pause.is_zero()) {
             log::info!(target: USAGE, window = window.0, pause_ms = millis(pause);
@@ -270,15 +270,15 @@
     }
 
     /// Writes down that this process is about to send a report.
-    async fn write_down(&self, window: Window, kept: Kept) -> bool {
+    async fn write_down(&self, window: Window, kept: StoredReport) -> bool {
         let Some(now) = self.store.now() else {
             return false;
         };
-        let fresh = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
+        let fresh = now.saturating_sub(Duration::from_millis(kept.written_at)) < VALID;
         if fresh && kept.holder == self.duty.life() {
             return true;
         }
-        let kept = Kept::new(kept.body, self.duty.life(), now);
+        let kept = StoredReport::new(kept.body, self.duty.life(), now);
         self.put(window, kept).await
     }
 
@@ -288,8 +288,11 @@
         let Some(kept) = self.with(|reports| reports.get(window).cloned()).flatten() else {
             return false;
         };
-        let kept = Kept { sent: true, ..kept };
-        self.with(|reports| reports.note(window, kept.clone()));
+        let kept = StoredReport {
+            closed: true,
+            ..kept
+        };
+        self.with(|reports| reports.record(window, kept.clone()));
         // If that isn't written the next holder sends the report again, to the letter.
         self.put(window, kept).await;
         if window.0.is_multiple_of(SWEEP) {
@@ -298,12 +301,12 @@
         true
     }
 
-    async fn put(&self, window: Window, kept: Kept) -> bool {
-        let change = Change::new().put(usage::report(window), encoded(&kept));
+    async fn put(&self, window: Window, kept: StoredReport) -> bool {
+        let change = Change::new().put(usage::report_row(window), encoded(&kept));
         let done = self.duty.transact(change).await;
         let done = matches!(done, Some(Commit::Done { .. }));
         if done {
-            self.with(|reports| reports.note(window, kept));
+            self.with(|reports| reports.record(window, kept));
         }
         done
     }
@@ -311,11 +314,11 @@
     /// Removes rows of windows that nobody looks into any more; what is left for want
     /// of room goes the next time.
     async fn sweep(&self, window: Window) {
-        let Some(oldest) = self.with(|reports| reports.outlived(window)) else {
+        let Some(oldest) = self.with(|reports| reports.first_retained(window)) else {
             return;
         };
-        let (end, _) = usage::keys(oldest);
-        for table in [usage::USAGE, usage::REPORTS] {
+        let (end, _) = usage::key_range(oldest);
+        for table in [usage::USAGE_TABLE, usage::REPORTS_TABLE] {
             let range = Range {
                 end: Some(&end),
                 limit: Some(MOST_ENTRIES - 1),
@@ -363,6 +366,6 @@
     }
 }
 
-fn encoded(kept: &Kept) -> Vec<u8> {
+fn encoded(kept: &StoredReport) -> Vec<u8> {
     serde_json::to_vec(kept).unwrap_or_default()
 }
--- a/src/train/mod.rs
+++ b/src/train/mod.rs
@@ -1,7 +1,7 @@
 //! Training runs: batches of recent samples, each delivered exactly once.
 //!
 //! A run is a leased duty ([`crate::lease`]). One process holds it under a fencing
-//! number, passes events to a [`Run`] and carries out the resulting [`Step`]s. Another
+//! number, passes events to a [`Run`] and carries out the resulting [`Action`]s. Another
 //! process can take over from the rows in the platform's table.
 //!
 //! # Design
@@ -9,7 +9,7 @@
 //! * A batch is written to the table before it is delivered, and never changes. The same
 //!   cursor returns the same batch from any holder.
 //! * Each write is conditional on the version of the run's head row. A new holder writes
-//!   its fencing number to the head before it reads the other rows, so it sees all that
+//!   its fencing token to the head before it reads the other rows, so it sees all that
 //!   older holders recorded, and their next write fails.
 //! * Samples are delivered in whole groups, one group per prompt. A group that is
 //!   incomplete when its step closes is carried over, not dropped for its length. If the
@@ -41,16 +41,16 @@
 mod weights;
 
 pub use self::{
-    event::{Answer, Event, Prefix, Step, Ticket},
+    event::{Action, Answer, Event, Prefix, Ticket},
     journal::RETAINED_BATCHES,
     row::{Batch, Head, Record, Row, RowName, Slot, Span, Write},
     run::{Counts, Run},
-    share::shares,
+    share::fair_shares,
     spec::Spec,
     weights::{FencedOrder, RolloutPlan, Weights},
 };
 
 slotmap::new_key_type! {
     /// The key of a generation in a [`Run`].
-    pub struct GenKey;
+    pub struct GenerationKey;
 }
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -20,8 +20,8 @@
 mod window;
 
 pub use self::{
-    report::{Kept, REPORTS, Reports, Step, Terms, report},
-    tally::{Counts, PartialCounts, Tally, USAGE, keys, merge, pause},
-    time::{Offset, agreed},
+    report::{REPORTS_TABLE, ReportTiming, Reports, Step, StoredReport, report_row},
+    tally::{Counts, PartialCounts, Tally, USAGE_TABLE, key_range, sum_counts, write_interval},
+    time::{Offset, agreed_time},
     window::{Window, Windows},
 };
