--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -13,7 +13,7 @@
         side::{Listing, SideKey},
         tables::Tables,
     },
-    platform::{Host, State},
+    platform::{Host, HostState},
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
@@ -235,7 +235,7 @@
             service: service.to_owned(),
             endpoint: claim.side.clone(),
             address: claim.address,
-            state: State::Leaving,
+            state: HostState::Leaving,
         };
         self.add_side(now, &host);
         let key = self.side(service, &claim.side)?;
--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     entry::event::Event,
-    platform::{Backoff, Cond, Op, Outcome, Table, Transaction},
+    platform::{Backoff, Condition, Op, Outcome, Table, Transaction},
 };
 use flume::{Receiver, Sender};
 use hibiscusroad::{
@@ -185,7 +185,7 @@
     /// under the key has the side seal the attempt once more.
     fn release(&self, key: String, bytes: Vec<u8>) {
         let transaction = Transaction::new()
-            .when(Cond::Value(key.clone(), bytes))
+            .when(Condition::Value(key.clone(), bytes))
             .then(Op::Delete(key));
         if let Outcome::Unknown(fault) | Outcome::NotSent(fault) = self.table.transact(&transaction)
         {
@@ -198,12 +198,12 @@
     let mut transaction = Transaction::new();
     for job in batch.jobs() {
         let key = job.key.clone();
-        let cond = match &job.expect {
-            None => Cond::Version(key.clone(), 0),
-            Some(bytes) => Cond::Value(key.clone(), bytes.clone()),
+        let condition = match &job.expect {
+            None => Condition::Version(key.clone(), 0),
+            Some(bytes) => Condition::Value(key.clone(), bytes.clone()),
         };
         transaction = transaction
-            .when(cond)
+            .when(condition)
             .or_read(&key)
             .then(Op::Put(key, job.claim.encode()));
     }
--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -5,7 +5,7 @@
 //! in one transaction, on the condition that the document's row still is the
 //! one that the change was planned on and that the command has no row yet.
 
-use crate::platform::{Backoff, Cond, Op, Outcome, PlatformError, Row, Table, Transaction};
+use crate::platform::{Backoff, Condition, Op, Outcome, PlatformError, Row, Table, Transaction};
 use hibiscusroad::config::{Attempt, Audit, Command, Document, Next, Plan, Rows, Verdict};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -98,8 +98,8 @@
     let trail = trail_key(plan.audit.version);
     let version = plan.next.version.to_string();
     Transaction::new()
-        .when(Cond::Version(CURRENT.to_owned(), plan.base))
-        .when(Cond::Version(command.clone(), 0))
+        .when(Condition::Version(CURRENT.to_owned(), plan.base))
+        .when(Condition::Version(command.clone(), 0))
         .then(Op::Put(CURRENT.to_owned(), json(&plan.next)))
         .then(Op::Put(command, version.into_bytes()))
         .then(Op::Put(trail, json(&plan.audit)))
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -11,7 +11,7 @@
         side::{Listing, Side, SideKey},
         tables::Tables,
     },
-    platform::{Budget, Host, HostList, State},
+    platform::{Budget, Host, HostList, HostState},
 };
 use flume::Sender;
 use hibiscusroad::{
@@ -112,7 +112,7 @@
     fn listed(&mut self, now: Instant, key: SideKey, host: &Host) {
         let side = &mut self.sides[key];
         side.listing = Listing::Listed;
-        side.leaving.listed = host.state == State::Leaving;
+        side.leaving.listed = host.state == HostState::Leaving;
         if side.address != host.address && side.link.is_none() {
             // Its host was replaced. While a link stands, the list is behind.
             side.address = host.address;
@@ -129,7 +129,7 @@
         let spec = EndpointSpec::new(&host.endpoint, &host.place);
         let endpoint = self.router.add_endpoint(now, service, spec);
         let mut side = Side::new(host, endpoint, now);
-        side.leaving.listed = host.state == State::Leaving;
+        side.leaving.listed = host.state == HostState::Leaving;
         let key = self.sides.insert(side);
         self.endpoints.insert(endpoint, key);
         self.set_open(now, key);
--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -10,10 +10,10 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// State of a host in the list.
+/// HostState of a host in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum HostState {
     /// The host is in service.
     Live,
     /// The platform will remove the host soon.
@@ -35,8 +35,8 @@
     pub endpoint: String,
     /// Listening address for streams (sidecar) or operators (entry).
     pub address: SocketAddr,
-    /// State of the host.
-    pub state: State,
+    /// HostState of the host.
+    pub state: HostState,
 }
 
 #[derive(Debug, Deserialize)]
@@ -56,7 +56,7 @@
     service: String,
     #[serde(default)]
     endpoint: String,
-    state: State,
+    state: HostState,
 }
 
 /// Client of the host list.
--- a/hibiscusroad-daemon/src/platform/mod.rs
+++ b/hibiscusroad-daemon/src/platform/mod.rs
@@ -18,8 +18,8 @@
 pub use self::{
     backoff::Backoff,
     budget::Budget,
-    hosts::{Host, HostList, State},
-    table::{Cond, Op, Outcome, PlatformError, Row, Table, Transaction},
+    hosts::{Host, HostList, HostState},
+    table::{Condition, Op, Outcome, PlatformError, Row, Table, Transaction},
 };
 
 use serde::de::DeserializeOwned;
--- a/hibiscusroad-daemon/src/platform/table.rs
+++ b/hibiscusroad-daemon/src/platform/table.rs
@@ -35,7 +35,7 @@
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Cond {
+pub enum Condition {
     /// The row has this version; 0 if it must not exist.
     Version(String, u64),
     /// The row has this value.
@@ -54,7 +54,7 @@
 /// A transaction: operations that take effect atomically if all conditions hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
-    conds: Vec<Cond>,
+    conditions: Vec<Condition>,
     ops: Vec<Op>,
     reads: Vec<String>,
 }
@@ -68,8 +68,8 @@
 
     /// Adds a condition.
     #[must_use]
-    pub fn when(mut self, cond: Cond) -> Self {
-        self.conds.push(cond);
+    pub fn when(mut self, condition: Condition) -> Self {
+        self.conditions.push(condition);
         self
     }
 
@@ -209,7 +209,7 @@
             return Outcome::NotSent(error);
         }
         let request = TxnRequest {
-            compare: transaction.conds.iter().map(compare).collect(),
+            compare: transaction.conditions.iter().map(compare).collect(),
             success: transaction.ops.iter().map(write_op).collect(),
             failure: transaction.reads.iter().map(|key| read_op(key)).collect(),
         };
@@ -318,10 +318,10 @@
     }
 }
 
-fn compare(cond: &Cond) -> Compare {
-    let (key, target, version, value) = match cond {
-        Cond::Version(key, version) => (key, "VERSION", Some(version.to_string()), None),
-        Cond::Value(key, value) => (key, "VALUE", None, Some(encode(value))),
+fn compare(condition: &Condition) -> Compare {
+    let (key, target, version, value) = match condition {
+        Condition::Version(key, version) => (key, "VERSION", Some(version.to_string()), None),
+        Condition::Value(key, value) => (key, "VALUE", None, Some(encode(value))),
     };
     Compare {
         key: encode(key.as_bytes()),
--- a/hibiscusroad-daemon/src/side/news.rs
+++ b/hibiscusroad-daemon/src/side/news.rs
@@ -1,7 +1,7 @@
 //! The threads that ask for news: the endpoint's load and the host list.
 
 use crate::{
-    platform::{HostList, State},
+    platform::{HostList, HostState},
     settings::{Settings, Side},
     side::{event::Event, request::EndpointLoad},
 };
@@ -86,7 +86,7 @@
         let mut mine = hosts.iter().filter(|host| {
             host.role == "side" && host.service == service && host.endpoint == endpoint
         });
-        let leaving = mine.any(|host| host.state == State::Leaving);
+        let leaving = mine.any(|host| host.state == HostState::Leaving);
         // News that finds no room is replaced by the next.
         drop(events.try_send(Event::Listed { leaving }));
         let rows = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
