--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/ask.rs
@@ -144,7 +144,8 @@
     }
 
     fn leases(&self) -> Result<Shown, Refusal> {
-        let leases = leases::all(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
+        let leases =
+            leases::read_all(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
         let rows = leases.into_iter().map(|(duty, lease)| {
             let mut row = Row::new();
             row.insert("duty".to_owned(), json!(duty));
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -50,7 +50,7 @@
         match list.fetch() {
             Ok(hosts) => {
                 wait = POLL;
-                budget.share(hosts.iter().filter(|host| host.role == "entry").count());
+                budget.set_processes(hosts.iter().filter(|host| host.role == "entry").count());
                 if events.send(Event::Hosts(hosts)).is_err() {
                     return;
                 }
--- a/hibiscusroad-daemon/src/platform/budget.rs
+++ b/hibiscusroad-daemon/src/platform/budget.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sets the number of processes that share the total rates.
-    pub fn share(&self, processes: usize) {
+    pub fn set_processes(&self, processes: usize) {
         let n = processes.max(1) as f64;
         lock(&self.reads).rate = TOTAL_READ_RATE / n;
         lock(&self.writes).rate = TOTAL_WRITE_RATE / n;
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table service can't be reached or a row is invalid.
-pub fn all(table: &Table) -> Result<Vec<(String, Row)>, PlatformError> {
+pub fn read_all(table: &Table) -> Result<Vec<(String, Row)>, PlatformError> {
     let rows = table.list(PREFIX, 0)?;
     let leases = rows.iter().map(|row| {
         let duty = row.key.strip_prefix(PREFIX).unwrap_or(&row.key);
