--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -10,7 +10,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// HostState of a host in the list.
+/// State of a host in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
@@ -35,7 +35,7 @@
     pub endpoint: String,
     /// Listening address for streams (sidecar) or operators (entry).
     pub address: SocketAddr,
-    /// HostState of the host.
+    /// State of the host.
     pub state: HostState,
 }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn fetch(&self) -> Result<Vec<Host>, PlatformError> {
         let hosts = self.fetch_cached();
         if hosts.is_err() {
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// Returns a [`PlatformError`] if the table service can't be reached or a row is invalid.
+/// Returns an error if the table service can't be reached or a row is invalid.
 pub fn read_all(table: &Table) -> Result<Vec<(String, Row)>, PlatformError> {
     let rows = table.list(PREFIX, 0)?;
     let leases = rows.iter().map(|row| {
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// Returns a [`PlatformError`] if the table service can't be reached or the row is invalid.
+/// Returns an error if the table service can't be reached or the row is invalid.
 pub fn fencing_token(table: &Table, duty: &str) -> Result<u64, PlatformError> {
     let Some(row) = table.get(&key(duty))? else {
         return Ok(0);
--- a/hibiscusroad-daemon/src/platform/table.rs
+++ b/hibiscusroad-daemon/src/platform/table.rs
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         Ok(self.range(&point_request(key))?.pop())
     }
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn get_since(&self, key: &str, revision: u64) -> Result<Option<Row>, PlatformError> {
         let mut request = point_request(key);
         request.min_revision = revision;
@@ -179,7 +179,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn list(&self, prefix: &str, limit: u64) -> Result<Vec<Row>, PlatformError> {
         let mut request = point_request(prefix);
         request.range_end = Some(encode(&prefix_end(prefix.as_bytes())));
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn read(&self, keys: &[&str]) -> Result<Vec<Row>, PlatformError> {
         acquire(|now| self.budget.take_read(now))?;
         let request = TxnRequest {
