--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -230,7 +230,7 @@
     fn add_guest(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
-            place: String::new(),
+            data_centre: String::new(),
             role: "side".to_owned(),
             service: service.to_owned(),
             endpoint: claim.side.clone(),
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -90,7 +90,7 @@
             .iter()
             .map(|host| Candidate {
                 name: &host.endpoint,
-                place: &host.place,
+                place: &host.data_centre,
             })
             .collect();
         for i in choose(&self.name, &self.place, &candidates, self.subset) {
@@ -126,7 +126,7 @@
         let Some(service) = self.router.service(&host.service) else {
             return;
         };
-        let spec = EndpointSpec::new(&host.endpoint, &host.place);
+        let spec = EndpointSpec::new(&host.endpoint, &host.data_centre);
         let endpoint = self.router.add_endpoint(now, service, spec);
         let mut side = Side::new(host, endpoint, now);
         side.leaving.listed = host.state == HostState::Leaving;
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -99,7 +99,7 @@
             ("endpoint", json!(host.endpoint)),
             ("service", json!(host.service)),
             ("host", json!(host.name)),
-            ("place", json!(host.place)),
+            ("place", json!(host.data_centre)),
             ("address", json!(host.address.to_string())),
             ("state", json!(UNKNOWN)),
             ("age_ms", age(now, self.listed.unwrap_or(now))),
--- a/hibiscusroad-daemon/src/entry/side.rs
+++ b/hibiscusroad-daemon/src/entry/side.rs
@@ -111,7 +111,7 @@
             name: host.endpoint.clone(),
             service: host.service.clone(),
             host: host.name.clone(),
-            place: host.place.clone(),
+            place: host.data_centre.clone(),
             address: host.address,
             endpoint,
             epoch: 0,
--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -80,11 +80,11 @@
         let seed = ids.origin().0;
         Self {
             name: settings.name.clone(),
-            place: settings.place.clone(),
+            place: settings.data_centre.clone(),
             subset: part.subset,
             ids,
             dialer,
-            router: Router::new(&settings.place, seed),
+            router: Router::new(&settings.data_centre, seed),
             config: Register::new(),
             sides: SlotMap::with_key(),
             hosts: Vec::new(),
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -194,7 +194,7 @@
     let holder = format!("{}/{incarnation}", settings.name);
     let known = Rc::new(Known::new(own.trust_ms.map(Duration::from_millis)));
     let store = Rc::new(Store::new(own.store, Rc::clone(&counts)));
-    let calls = Rc::new(Calls::new(&settings.place, incarnation));
+    let calls = Rc::new(Calls::new(&settings.data_centre, incarnation));
     let channels = Rc::new(Channels::new());
     let windows = own.usage.as_ref().map(|usage| {
         let length = Duration::from_secs(usage.window_s);
--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -26,7 +26,7 @@
     /// Name of the host.
     pub name: String,
     /// Data centre of the host.
-    pub place: String,
+    pub data_centre: String,
     /// Role of the process: `entry` or `side`.
     pub role: String,
     /// Service of a sidecar's endpoint; empty for an entry.
@@ -148,7 +148,7 @@
     let labels = group.labels;
     group.targets.into_iter().map(move |address| Host {
         name: labels.host.clone(),
-        place: labels.data_centre.clone(),
+        data_centre: labels.data_centre.clone(),
         role: labels.role.clone(),
         service: labels.service.clone(),
         endpoint: labels.endpoint.clone(),
--- a/hibiscusroad-daemon/src/settings/mod.rs
+++ b/hibiscusroad-daemon/src/settings/mod.rs
@@ -84,7 +84,8 @@
     /// Host on which the process runs.
     pub host: String,
     /// Data centre of the host.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub data_centre: String,
     /// Region of the data centre.
     pub region: String,
     /// URLs of the platform's services; empty for a gateway.
--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -47,7 +47,7 @@
         let names = Names {
             side: setup.settings.name.clone(),
             host: setup.settings.host.clone(),
-            place: setup.settings.place.clone(),
+            place: setup.settings.data_centre.clone(),
             service: setup.side.service.clone(),
             endpoint: setup.side.endpoint.clone(),
             incarnation: setup.incarnation.0,
--- a/hibiscusroad-daemon/tests/deploy.rs
+++ b/hibiscusroad-daemon/tests/deploy.rs
@@ -37,7 +37,7 @@
         addresses.len()
     );
     assert!(all.iter().all(|s| s.region == region));
-    let found: BTreeSet<&str> = all.iter().map(|s| s.place.as_str()).collect();
+    let found: BTreeSet<&str> = all.iter().map(|s| s.data_centre.as_str()).collect();
     assert_eq!(found, data_centres.iter().copied().collect());
     assert_eq!(all.iter().filter(|s| s.entry.is_some()).count(), 3);
 }
@@ -48,7 +48,7 @@
     for settings in all {
         if let Some(side) = &settings.side {
             let is_model = side.kind == Kind::Model;
-            let key = (side.service.clone(), is_model, settings.place.clone());
+            let key = (side.service.clone(), is_model, settings.data_centre.clone());
             *counts.entry(key).or_default() += 1;
         }
     }
