--- a/hibiscusroad-daemon/tests/operators.rs
+++ b/hibiscusroad-daemon/tests/operators.rs
@@ -11,14 +11,14 @@
     thread::{self, ScopedJoinHandle},
     time::Duration,
 };
-use world::{Shown, World, column, text};
+use world::{QueryResponse, World, column, text};
 
 /// Rounds of load in which an endpoint is to reach more than its old limit.
 const ROUNDS: usize = 4;
 
 const SUBSETS: [&str; 2] = ["subset = 1", ""];
 
-fn all_open(shown: &Shown) -> bool {
+fn all_open(shown: &QueryResponse) -> bool {
     shown.rows.len() == 2 && shown.rows.iter().all(|row| text(row, "state") == "open")
 }
 
@@ -30,15 +30,15 @@
     let shown = world.wait(0, "show/endpoints", all_open);
     assert_eq!(column(&shown, "endpoint"), ["desk-0", "desk-1"]);
     assert!(column(&shown, "source").contains(&"entry-1".to_owned()));
-    assert!(shown.lacks.is_empty(), "{shown:?}");
+    assert!(shown.missing.is_empty(), "{shown:?}");
     world.wait(0, "show/endpoints?only=self", |alone| {
         column(alone, "state") == ["open", "unknown"]
     });
     for (subject, place) in [("hosts", "place"), ("places", "place")] {
-        let shown = world.ask(0, &format!("show/{subject}"));
+        let shown = world.query(0, &format!("show/{subject}"));
         assert_eq!(column(&shown, place), ["senec", "trnava"], "{shown:?}");
     }
-    let shown = world.ask(0, "show/hosts");
+    let shown = world.query(0, "show/hosts");
     assert_eq!(column(&shown, "host"), ["host-desk-0", "host-desk-1"]);
 }
 
@@ -53,10 +53,10 @@
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
     let gone = nobody.local_addr().unwrap();
     drop(nobody);
-    world.list(&[("entry-1", gone)]);
-    let shown = world.wait(0, "show/endpoints", |shown| shown.lacks.len() == 2);
+    world.set_hosts(&[("entry-1", gone)]);
+    let shown = world.wait(0, "show/endpoints", |shown| shown.missing.len() == 2);
     assert_eq!(column(&shown, "state"), ["open", "unknown"]);
-    assert!(shown.lacks.contains(&"entry-1".to_owned()), "{shown:?}");
+    assert!(shown.missing.contains(&"entry-1".to_owned()), "{shown:?}");
 }
 
 // One entry of three is not there. The rows of the others come at once, and
@@ -66,11 +66,11 @@
     let world = World::start(&["", ""]);
     // Takes connections and never answers.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    world.list(&[("entry-2", silent.local_addr().unwrap())]);
-    let shown = world.wait(0, "show/entries", |shown| !shown.lacks.is_empty());
+    world.set_hosts(&[("entry-2", silent.local_addr().unwrap())]);
+    let shown = world.wait(0, "show/entries", |shown| !shown.missing.is_empty());
     assert_eq!(column(&shown, "entry"), ["entry-0", "entry-1"]);
-    assert_eq!(shown.lacks, ["entry-2"]);
-    let alone = world.ask(0, "show/entries?only=self");
+    assert_eq!(shown.missing, ["entry-2"]);
+    let alone = world.query(0, "show/entries?only=self");
     assert_eq!(column(&alone, "entry"), ["entry-0"]);
 }
 
@@ -83,10 +83,10 @@
     let same = World::start(&[&one, &one]);
     let other = World::start(&[&one, &two]);
     for (world, rows) in [(&same, 2), (&other, 1)] {
-        let asked = || world.ask_with(0, "show/entries", "0123456789abcdef");
-        entry_support::wait_until(|| asked().rows.len() + asked().lacks.len() == 2);
+        let asked = || world.query_with_token(0, "show/entries", "0123456789abcdef");
+        entry_support::wait_until(|| asked().rows.len() + asked().missing.len() == 2);
         assert_eq!(asked().rows.len(), rows);
-        assert_eq!(world.ask(0, "show/entries").status, 401);
+        assert_eq!(world.query(0, "show/entries").status, 401);
     }
 }
 
@@ -95,10 +95,10 @@
 fn dead_endpoint_behind_a_living_side_is_unreachable() {
     let world = World::start(&[""]);
     world.wait(0, "show/endpoints", all_open);
-    world.desks[1].stop();
+    world.endpoints[1].stop();
     let shown = world.wait(0, "show/endpoints", |shown| !all_open(shown));
     assert_eq!(column(&shown, "state"), ["open", "unreachable"]);
-    let shown = world.ask(0, "show/services");
+    let shown = world.query(0, "show/services");
     if let Some(row) = shown.rows.first() {
         assert_eq!(row["open"], json!(1));
     }
@@ -129,7 +129,7 @@
         assert_eq!(row["callers"], json!(1));
     });
     assert!(done.load(Ordering::SeqCst));
-    assert!(world.ask(0, "show/leases").rows.is_empty());
+    assert!(world.query(0, "show/leases").rows.is_empty());
 }
 
 /// Returns the name that an answer gives its request.
@@ -146,7 +146,7 @@
         let most = scope.spawn(|| {
             let mut most = 0;
             while busy.load(Ordering::SeqCst) {
-                for desk in &world.desks {
+                for desk in &world.endpoints {
                     let url = format!("http://{}/load", desk.addr());
                     let text = ureq::get(url).call().unwrap().body_mut().read_to_string();
                     let load: Value = serde_json::from_str(&text.unwrap()).unwrap();
@@ -172,7 +172,7 @@
         busy.store(false, Ordering::SeqCst);
         for answer in answers {
             let answer = answer.unwrap();
-            let why = || world.ask(0, &format!("explain/request/{}", id(&answer)));
+            let why = || world.query(0, &format!("explain/request/{}", id(&answer)));
             assert!(answer.contains(" 200 "), "{:#?}", why().rows);
         }
         most.join().unwrap()
@@ -184,7 +184,7 @@
 #[test]
 fn limit_of_the_rule_is_in_force_at_the_endpoint() {
     let world = World::start(&[""]);
-    let limit = |shown: &Shown, limit: u64| {
+    let limit = |shown: &QueryResponse, limit: u64| {
         shown.rows.len() == 2 && shown.rows.iter().all(|row| row["limit"] == json!(limit))
     };
     let create = json!({ "op": "create_service", "name": "desk", "kind": "plain" });
@@ -218,7 +218,7 @@
     world.wait(1, "show/entries", |shown| shown.rows.len() == 2);
     let answer = call(&world.entries[0], "GET", "/s/desk/x", "", "");
     let answered = id(&answer);
-    let shown = world.ask(1, &format!("explain/request/{answered}"));
+    let shown = world.query(1, &format!("explain/request/{answered}"));
     let events: Vec<_> = shown.rows.iter().map(|row| text(row, "event")).collect();
     assert_eq!(events, ["arrived", "placed", "ended", "answered"]);
     assert!(text(&shown.rows[1], "endpoint").starts_with("desk-"));
@@ -228,24 +228,24 @@
             .iter()
             .all(|row| text(row, "source") == "entry-0")
     );
-    for desk in &world.desks {
+    for desk in &world.endpoints {
         desk.stop();
     }
     let answer = call(&world.entries[0], "GET", "/s/desk/x", "", "");
     let refused = id(&answer);
-    let shown = world.ask(1, &format!("explain/request/{refused}"));
+    let shown = world.query(1, &format!("explain/request/{refused}"));
     let last = shown.rows.last().unwrap();
     assert_eq!(text(last, "event"), "refused", "{shown:?}");
     assert!(!text(last, "why").is_empty());
     assert_eq!(
-        world.ask(0, "explain/request/0000000000000000-1").status,
+        world.query(0, "explain/request/0000000000000000-1").status,
         404
     );
-    let unreachable = |shown: &Shown| {
+    let unreachable = |shown: &QueryResponse| {
         let rows = shown.rows.iter();
         let states = rows.filter(|row| text(row, "state") == "unreachable");
         states.count() >= 2
     };
     world.wait(0, "explain/endpoint/desk-1", unreachable);
-    assert_eq!(world.ask(0, "explain/endpoint/desk-9").status, 404);
+    assert_eq!(world.query(0, "explain/endpoint/desk-9").status, 404);
 }
--- a/hibiscusroad-daemon/tests/world/mod.rs
+++ b/hibiscusroad-daemon/tests/world/mod.rs
@@ -27,17 +27,17 @@
 
 /// Response to an operator's query.
 #[derive(Debug)]
-pub struct Shown {
+pub struct QueryResponse {
     pub status: u16,
     pub rows: Vec<Row>,
-    pub lacks: Vec<String>,
+    pub missing: Vec<String>,
     pub body: Value,
 }
 
 /// Two endpoints of the service `desk` in two data centres, and entries.
 pub struct World {
     pub platform: Platform,
-    pub desks: Vec<Plain>,
+    pub endpoints: Vec<Plain>,
     pub sides: Vec<Handle>,
     pub entries: Vec<Running>,
 }
@@ -47,14 +47,14 @@
     pub fn start(entries: &[&str]) -> Self {
         let mut world = Self {
             platform: Platform::start(&platform::Settings::default()).unwrap(),
-            desks: Vec::new(),
+            endpoints: Vec::new(),
             sides: Vec::new(),
             entries: Vec::new(),
         };
         for i in 0..2 {
-            let desk = Plain::start(plain::Settings::default()).unwrap();
-            world.sides.push(world.start_side(i, desk.addr()));
-            world.desks.push(desk);
+            let endpoint = Plain::start(plain::Settings::default()).unwrap();
+            world.sides.push(world.start_side(i, endpoint.addr()));
+            world.endpoints.push(endpoint);
         }
         for (i, extra) in entries.iter().enumerate() {
             let role_table = format!(
@@ -63,7 +63,7 @@
             let settings = world.settings(&format!("entry-{i}"), &role_table);
             world.entries.push(entry::start(&settings).unwrap());
         }
-        world.list(&[]);
+        world.set_hosts(&[]);
         world
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Sets the host list to all processes and `extra` entries, which may not exist.
-    pub fn list(&self, extra: &[(&str, SocketAddr)]) {
+    pub fn set_hosts(&self, extra: &[(&str, SocketAddr)]) {
         let sides = self.sides.iter().enumerate();
         let sides = sides.map(|(i, side)| {
             let data_centre = ["senec", "trnava"][i];
@@ -114,11 +114,11 @@
     }
 
     /// Sends a query for `path`, below `/v1/`, to an entry.
-    pub fn ask(&self, entry: usize, path: &str) -> Shown {
-        self.ask_with(entry, path, "none")
+    pub fn query(&self, entry: usize, path: &str) -> QueryResponse {
+        self.query_with_token(entry, path, "none")
     }
 
-    pub fn ask_with(&self, entry: usize, path: &str, token: &str) -> Shown {
+    pub fn query_with_token(&self, entry: usize, path: &str, token: &str) -> QueryResponse {
         let url = format!("http://{}/v1/{path}", self.entries[entry].operators());
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -134,26 +134,31 @@
         let rows = list("rows")
             .into_iter()
             .map(|row| row.as_object().unwrap().clone());
-        let lacks = list("lacks")
+        let missing = list("lacks")
             .into_iter()
             .map(|name| name.as_str().unwrap().to_owned());
-        Shown {
+        QueryResponse {
             status: response.status().as_u16(),
             rows: rows.collect(),
-            lacks: lacks.collect(),
+            missing: missing.collect(),
             body,
         }
     }
 
     /// Repeats a query until `condition` holds for the response.
-    pub fn wait(&self, entry: usize, path: &str, condition: impl Fn(&Shown) -> bool) -> Shown {
+    pub fn wait(
+        &self,
+        entry: usize,
+        path: &str,
+        condition: impl Fn(&QueryResponse) -> bool,
+    ) -> QueryResponse {
         let start = Instant::now();
         loop {
-            let shown = self.ask(entry, path);
-            if condition(&shown) {
-                return shown;
+            let response = self.query(entry, path);
+            if condition(&response) {
+                return response;
             }
-            assert!(start.elapsed() < TIMEOUT, "{path}: {shown:#?}");
+            assert!(start.elapsed() < TIMEOUT, "{path}: {response:#?}");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -196,8 +201,8 @@
 }
 
 /// Returns a column of all rows, sorted.
-pub fn column(shown: &Shown, column: &str) -> Vec<String> {
-    let mut column: Vec<_> = shown
+pub fn column(response: &QueryResponse, column: &str) -> Vec<String> {
+    let mut column: Vec<_> = response
         .rows
         .iter()
         .map(|row| text(row, column).to_owned())
