--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -26,7 +26,7 @@
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
-    event::{Event, Events},
+    event::{Event, EventDecoder},
     header,
 };
 use http_body_util::BodyExt;
@@ -365,7 +365,7 @@
     }
 
     async fn read(&mut self, mut body: Incoming, flight: &mut InFlight) -> Result<(), Break> {
-        let mut events = Events::new();
+        let mut events = EventDecoder::new();
         self.heard = Instant::now();
         loop {
             let Some(frame) = self.frame(&mut body, flight).await? else {
@@ -383,7 +383,7 @@
                 }
             }
         }
-        if events.is_between() && self.grown().is_some() {
+        if events.is_at_boundary() && self.grown().is_some() {
             Ok(())
         } else {
             Err(Break::Lost)
--- a/hibiscusroad-daemon/src/gateway/resume.rs
+++ b/hibiscusroad-daemon/src/gateway/resume.rs
@@ -19,7 +19,7 @@
 use crate::logs::CALLS;
 use futures_util::stream::unfold;
 use hibiscusroad::{Class, catalog::Kind, clock::millis};
-use hibiscusroad_platform::{event::Events, header};
+use hibiscusroad_platform::{event::EventDecoder, header};
 use http_body_util::BodyExt;
 use hyper::body::{Bytes, Incoming};
 use std::{collections::VecDeque, rc::Rc, time::Instant};
@@ -82,7 +82,7 @@
 struct State {
     line: Line,
     again: Again,
-    events: Events,
+    events: EventDecoder,
     /// The last event that was passed on.
     last: Option<u64>,
     ready: VecDeque<Bytes>,
@@ -95,7 +95,7 @@
     let state = State {
         line: line.clone(),
         again,
-        events: Events::new(),
+        events: EventDecoder::new(),
         last: None,
         ready: VecDeque::new(),
         source: Some((rest, guard)),
@@ -123,7 +123,7 @@
                     self.events.push(&data);
                     !self.take_whole()
                 }
-                None if self.events.is_between() => {
+                None if self.events.is_at_boundary() => {
                     guard.complete();
                     self.source = None;
                     return None;
@@ -143,7 +143,7 @@
     /// Takes all whole events; `false` if one doesn't follow the last.
     fn take_whole(&mut self) -> bool {
         loop {
-            match self.events.next_whole() {
+            match self.events.next_raw() {
                 Ok(Some((number, bytes))) => {
                     if self.last.is_some_and(|last| number != last + 1) {
                         return false;
@@ -163,7 +163,7 @@
         if let Some((_, mut guard)) = self.source.take() {
             guard.broke("its events end or don't follow");
         }
-        self.events = Events::new();
+        self.events = EventDecoder::new();
         while Instant::now() < self.again.head.deadline {
             let Some(request) = self.again.forward(self.last) else {
                 break;
