--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -24,7 +24,7 @@
     usage::{self, Kept, Reports, Step, Terms, Window, Windows},
 };
 use hibiscusroad_platform::{
-    duty::{self, Answer},
+    duty::{self, ReportOutcome},
     table::MOST_ENTRIES,
 };
 use http_body_util::BodyExt;
@@ -200,7 +200,11 @@
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), store);
+        let kept = Kept::new(
+            duty::encode_usage(window.0, &counts),
+            self.duty.life(),
+            store,
+        );
         let row = usage::report(window);
         let change = Change::new()
             .expect(row.clone(), 0)
@@ -256,13 +260,13 @@
             late_ms = millis(self.times.now().saturating_sub(self.terms.windows.end(window)));
             "A report of usage is sent.");
         match answer {
-            Answer::Done => self.close(window, "accepted").await,
-            Answer::Fenced => {
+            ReportOutcome::Done => self.close(window, "accepted").await,
+            ReportOutcome::Fenced => {
                 self.count("fenced");
                 self.duty.beaten();
                 false
             }
-            Answer::Refused | Answer::Unknown => {
+            ReportOutcome::Refused | ReportOutcome::Unknown => {
                 self.count("failed");
                 false
             }
@@ -339,19 +343,19 @@
         self.meters.reports.with_label_values(&[outcome]).inc();
     }
 
-    async fn call(&self, fence: u64, report: &str) -> Answer {
+    async fn call(&self, fence: u64, report: &str) -> ReportOutcome {
         match timeout(CALL, self.exchange(fence, report)).await {
-            Ok(Ok(status)) => duty::answer(status),
+            Ok(Ok(status)) => duty::report_outcome(status),
             Ok(Err(error)) => {
                 log::info!(target: USAGE, error = error.as_str(); "The platform did not answer.");
-                Answer::Unknown
+                ReportOutcome::Unknown
             }
-            Err(_elapsed) => Answer::Unknown,
+            Err(_elapsed) => ReportOutcome::Unknown,
         }
     }
 
     async fn exchange(&self, fence: u64, report: &str) -> Result<u16, String> {
-        let call = duty::hand_in(&self.name, fence, report);
+        let call = duty::report_request(&self.name, fence, report);
         let request = encode(&call, self.address).map_err(|error| error.to_string())?;
         let sent = self.channels.send(self.address, request).await;
         let (response, channel) = sent.map_err(|fault| fault.to_string())?;
