--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -86,9 +86,9 @@
         let mut weights = endpoint.weights.iter();
         let from = weights.find(|weights| weights.model == load.model);
         let from = from.map_or(0, |weights| weights.version);
-        let answer = self.ask(&endpoint, engine::order(&order)).await;
+        let answer = self.ask(&endpoint, engine::order_request(&order)).await;
         let answer = answer.map_or(OrderAnswer::Unknown, |(status, _)| {
-            engine::order_answer(status)
+            engine::order_outcome(status)
         });
         log::info!(target: WEIGHTS, endpoint = load.endpoint.as_str(), model = load.model.as_str(),
             version = load.version, from = from, holder = self.duty.life(), fence = fence,
@@ -170,11 +170,13 @@
     }
 
     async fn report(&self, endpoint: &Endpoint) -> Option<Report> {
-        let (status, body) = self.ask(endpoint, engine::ask_report(&endpoint.id)).await?;
-        match engine::report(status, &body) {
-            Ok(report) if report.born.is_some() && report.born != endpoint.born => {
-                log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(), born:? = report.born,
-                    known:? = endpoint.born; "A report is of another life of the engine.");
+        let (status, body) = self
+            .ask(endpoint, engine::report_request(&endpoint.id))
+            .await?;
+        match engine::decode_report(status, &body) {
+            Ok(report) if report.started_ms.is_some() && report.started_ms != endpoint.born => {
+                log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(),
+                    born:? = report.started_ms, known:? = endpoint.born; "A report is of another life of the engine.");
                 None
             }
             Ok(report) => Some(report),
