--- a/hibiscusroad-daemon/src/gateway/batches/give.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/give.rs
@@ -59,7 +59,7 @@
                 "A batch was given to this process that isn't its own; it is ignored.");
             return;
         };
-        let submission = match batch::submission(&given.submission) {
+        let submission = match batch::decode_submission(&given.submission) {
             Ok(submission) => submission,
             Err(error) => {
                 log::warn!(target: BATCHES, batch = given.id.as_str(),
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -59,7 +59,7 @@
         let mut bytes = 0;
         let mut kept = Vec::new();
         for (n, result) in ready {
-            let value = batch::result(&result);
+            let value = batch::encode_result(&result);
             bytes += value.len();
             if bytes > WRITE && !kept.is_empty() {
                 break;
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -273,7 +273,7 @@
         .await;
         let object = object.map_err(|failure| failure.to_string())?;
         let object = object.ok_or("its submission is not there")?;
-        let submission = batch::submission(&object).map_err(|error| error.to_string())?;
+        let submission = batch::decode_submission(&object).map_err(|error| error.to_string())?;
         Ok(Loaded {
             results: results.map_err(|failure| failure.to_string())?,
             pieces: pieces.map_err(|failure| failure.to_string())?,
@@ -300,7 +300,7 @@
         let single = route.as_ref().is_some_and(|route| route.single);
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
-            match batch::result_item(result) {
+            match batch::decode_item_id(result) {
                 Ok(item) => batch.restore(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str(); "A kept result is broken."),
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -21,7 +21,7 @@
     },
     table::{Change, Commit, Range},
 };
-use hibiscusroad_platform::batch::{self, Call};
+use hibiscusroad_platform::batch::{self, BatchRequest};
 use hyper::{Response, StatusCode};
 use std::{
     rc::Rc,
@@ -51,7 +51,7 @@
     /// Answers a call about a batch, by a caller of an account.
     pub(in crate::gateway) async fn answer(
         self: &Rc<Self>,
-        call: Call,
+        call: BatchRequest,
         account: Option<&str>,
         wait: Duration,
     ) -> Response<Out> {
@@ -65,7 +65,7 @@
 
     async fn answer_account(
         self: &Rc<Self>,
-        call: &Call,
+        call: &BatchRequest,
         account: Option<&str>,
         wait: Duration,
     ) -> Result<Response<Out>, Failure> {
@@ -74,9 +74,11 @@
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
         }
         match call {
-            Call::Read { batch, after } => self.results(batch, *after, wait.min(WAIT)).await,
-            Call::Body { batch, item } => self.body(batch, item).await,
-            Call::End { batch } => self.end(batch).await,
+            BatchRequest::Read { batch, after } => {
+                self.results(batch, *after, wait.min(WAIT)).await
+            }
+            BatchRequest::Body { batch, item } => self.body(batch, item).await,
+            BatchRequest::End { batch } => self.end(batch).await,
         }
     }
 
@@ -110,7 +112,7 @@
             };
             let ended = self.head(id).is_some_and(|row| row.head.ended);
             if !found.is_empty() || after >= total || ended || Instant::now() >= end {
-                let body = batch::results(total, after, &some(found));
+                let body = batch::encode_page(total, after, &some(found));
                 return Ok(whole(StatusCode::OK, "application/json", body));
             }
             match mine {
@@ -184,7 +186,7 @@
         }
         let object = self.store.get_object(&row::object(id)).await?;
         let object = object.ok_or_else(|| Failure::Refused("no submission is there".into()))?;
-        let submission = Rc::new(batch::submission(&object)?);
+        let submission = Rc::new(batch::decode_submission(&object)?);
         let mut bodies = self.bodies.borrow_mut();
         if bodies.len() >= BODIES {
             bodies.remove(0);
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -88,7 +88,7 @@
         if let Some(row) = self.head(id) {
             return repeated(&row.head, account.map(|account| account.name.as_str()));
         }
-        let submission = match batch::submission(&body) {
+        let submission = match batch::decode_submission(&body) {
             Ok(submission) if unique(&submission) => submission,
             Ok(_) => return problem(ErrorKind::BadBody, Duration::ZERO),
             Err(error) => {
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -49,7 +49,7 @@
 /// What a request is for.
 enum Target<'a> {
     /// A batch that was accepted before.
-    Batch(batch::Call),
+    Batch(batch::BatchRequest),
     Route(&'a Route),
 }
 
@@ -159,7 +159,7 @@
         parts: &Parts,
     ) -> Result<Permitted<'a>, ErrorKind> {
         let (method, uri) = (parts.method.as_str(), &parts.uri);
-        let target = match batch::call(method, uri.path(), uri.query()) {
+        let target = match batch::parse_request(method, uri.path(), uri.query()) {
             Some(call) => Target::Batch(call),
             None => host(parts)
                 .and_then(|host| catalog.find(host, uri.path()))
