--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -124,7 +124,7 @@
 pub(super) fn operator_row(known: &Known, calls: &Calls, row: &Row) {
     let key = row.id.key.as_str();
     if key == table::CONFIG_KEY {
-        match catalog::catalog(&row.value) {
+        match catalog::decode_catalog(&row.value) {
             Ok(catalog) => {
                 calls.configure(&catalog);
                 let (version, shared) = (catalog.version, catalog.shared_keys());
@@ -143,7 +143,7 @@
                 "A configuration is broken; the one before stays in force."),
         }
     } else if key.starts_with(table::VERSION_PREFIX) {
-        match catalog::named_version(&row.value) {
+        match catalog::decode_version(&row.value) {
             Ok(named) => {
                 if known.name(&named.model, named.version) {
                     log::info!(target: CONFIG, model = named.model.as_str(),
@@ -263,7 +263,7 @@
     /// time that it changes, and counted.
     fn understood(&self, row: &Row) -> Option<Endpoint> {
         let key = row.id.key.as_str();
-        let error = match roster::endpoint(key, &row.value) {
+        let error = match roster::decode_endpoint(key, &row.value) {
             Ok(endpoint) => {
                 self.broken.borrow_mut().remove(key);
                 return Some(endpoint);
