--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -240,7 +240,7 @@
             return faulted(&head, &subject, &target, &fault);
         }
     };
-    let told = text(response.headers(), header::LOAD).and_then(header::load);
+    let told = text(response.headers(), header::LOAD).and_then(header::parse_load);
     if let Some((running, queued, slots)) = told {
         line.calls.told(endpoint, running, queued, slots);
     }
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -339,7 +339,7 @@
     /// Understands the head of an engine's answer.
     fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
         let headers = response.headers();
-        let told = text(headers, header::LOAD).and_then(header::load);
+        let told = text(headers, header::LOAD).and_then(header::parse_load);
         let mut engines = self.batches.engines.borrow_mut();
         if let Some((running, queued, _)) = told {
             engines.told(Instant::now(), self.key, running + queued);
@@ -357,7 +357,7 @@
             500 => return Err(Break::Failed),
             _ => return Err(Break::Lost),
         }
-        self.version = text(headers, header::WEIGHTS).and_then(|v| v.trim().parse().ok());
+        self.version = text(headers, header::WEIGHT_VERSIONS).and_then(|v| v.trim().parse().ok());
         if let Some((model, version)) = self.owned.submission.model.as_deref().zip(self.version) {
             engines.weights(self.key, model, version);
         }
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -108,7 +108,7 @@
         let Some(service) = drawn_service(route) else {
             return problem(ErrorKind::NoEndpoint, UNKNOWING);
         };
-        let tokens = text(&parts.headers, header::TOKENS).and_then(header::tokens);
+        let tokens = text(&parts.headers, header::TOKENS).and_then(header::parse_tokens);
         let head = head(parts, id, deadline, &catalog, account);
         let request = Forward {
             service: service.to_owned(),
@@ -170,8 +170,8 @@
             Target::Batch(call) => self.batches.is_public(call.batch()),
             Target::Route(route) => route.public,
         };
-        let values = parts.headers.get_all(header::KEY).iter();
-        let shown = header::credential(values.map(HeaderValue::as_bytes));
+        let values = parts.headers.get_all(header::AUTHORIZATION).iter();
+        let shown = header::parse_credential(values.map(HeaderValue::as_bytes));
         let account = catalog.admit(public, shown)?;
         // A key may have been taken away since the configuration was confirmed.
         if account.is_some() && self.known.is_expired(now) {
