--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -126,8 +126,8 @@
 
     /// Reads a range of rows.
     pub(super) async fn read(&self, range: &Range<'_>) -> Result<Page, Failure> {
-        let (status, body) = self.paced(wire::read(range), &self.reads).await?;
-        let page = wire::page(status, &body, range)?;
+        let (status, body) = self.paced(wire::read_request(range), &self.reads).await?;
+        let page = wire::decode_page(status, &body, range)?;
         self.tell(page.now);
         Ok(page)
     }
@@ -177,7 +177,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<Option<Changes>, Failure> {
-        let request = wire::feed(table, after, wait);
+        let request = wire::feed_request(table, after, wait);
         // A wait on a way that turned out to be dead would go on for seconds,
         // and news be missed that a peer could bring.
         let (status, body) = tokio::select! {
@@ -186,7 +186,7 @@
                 return Err(Failure::Lost("the straight way fails".to_owned()));
             }
         };
-        let changes = wire::changes(status, &body, table)?;
+        let changes = wire::decode_changes(status, &body, table)?;
         if let Some(changes) = &changes {
             self.tell(changes.now);
         }
@@ -195,8 +195,11 @@
 
     /// Carries out a transaction, or finds out that its outcome is unknown.
     pub(super) async fn transact(&self, change: &Change) -> Commit {
-        let answer = match self.paced(wire::transact(change), &self.writes).await {
-            Ok((status, body)) => wire::commit(status, &body).map_err(Failure::Odd),
+        let answer = match self
+            .paced(wire::transaction_request(change), &self.writes)
+            .await
+        {
+            Ok((status, body)) => wire::decode_commit(status, &body).map_err(Failure::Odd),
             Err(failure) => Err(failure),
         };
         match answer {
@@ -221,7 +224,7 @@
     /// Keeps an object; one that exists under this name is the same.
     pub(super) async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), Failure> {
         match self
-            .paced(wire::put_object(name, body), &self.objects)
+            .paced(wire::put_object_request(name, body), &self.objects)
             .await?
         {
             (200..=299 | 412, _) => Ok(()),
@@ -231,7 +234,10 @@
 
     /// Reads an object; `None` if there is none.
     pub(super) async fn get_object(&self, name: &str) -> Result<Option<Bytes>, Failure> {
-        match self.paced(wire::get_object(name), &self.objects).await? {
+        match self
+            .paced(wire::get_object_request(name), &self.objects)
+            .await?
+        {
             (200, body) => Ok(Some(body)),
             (404, _) => Ok(None),
             (status, _) => Err(Failure::Refused(format!("status {status}"))),
@@ -240,7 +246,7 @@
 
     /// Removes an object.
     pub(super) async fn drop_object(&self, name: &str) -> Result<(), Failure> {
-        self.paced(wire::drop_object(name), &self.objects)
+        self.paced(wire::delete_object_request(name), &self.objects)
             .await
             .map(|_| ())
     }
@@ -386,7 +392,7 @@
                 ..Range::part(PROBED, "")
             };
             let limit = self.reads.get().limit();
-            let answer = self.straight(&wire::read(&range), limit).await;
+            let answer = self.straight(&wire::read_request(&range), limit).await;
             if let Err(failure) = answer {
                 log::debug!(target: STORE, error = failure.to_string().as_str();
                     "The straight way still fails.");
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -176,7 +176,8 @@
         match engine::decode_report(status, &body) {
             Ok(report) if report.started_ms.is_some() && report.started_ms != endpoint.born => {
                 log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(),
-                    born:? = report.started_ms, known:? = endpoint.born; "A report is of another life of the engine.");
+                    born:? = report.started_ms, known:? = endpoint.born;
+                    "A report is of another life of the engine.");
                 None
             }
             Ok(report) => Some(report),
