--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -10,7 +10,7 @@
     rollout::row,
     table::{Change, Commit, Row},
 };
-use hibiscusroad_platform::{batch, table::MOST_ENTRIES};
+use hibiscusroad_platform::{batch, table::MAX_ENTRIES};
 use std::{
     rc::Rc,
     time::{Duration, Instant},
@@ -55,7 +55,7 @@
         let ready = owned
             .batch
             .borrow()
-            .ready(&owned.submission, MOST_ENTRIES / 2 - 1);
+            .ready(&owned.submission, MAX_ENTRIES / 2 - 1);
         let mut bytes = 0;
         let mut kept = Vec::new();
         for (n, result) in ready {
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -17,7 +17,7 @@
     },
     table::{Change, Commit, Range, RowId},
 };
-use hibiscusroad_platform::table::MOST_ENTRIES;
+use hibiscusroad_platform::table::MAX_ENTRIES;
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
@@ -38,7 +38,7 @@
 
     /// Keeps what has come since the last time.
     pub(super) async fn keep_once(&self, owned: &Owned) {
-        let mut pieces = owned.batch.borrow().unkept(MOST_ENTRIES / 2);
+        let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -13,7 +13,7 @@
     rollout::row::{self, PIECES, RESULTS},
     table::{Change, Commit, Range, RowId},
 };
-use hibiscusroad_platform::table::MOST_ENTRIES;
+use hibiscusroad_platform::table::MAX_ENTRIES;
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
@@ -95,7 +95,7 @@
         let from = format!("{id}/");
         // The slash behind the batch is followed by a zero in byte order.
         let end = format!("{id}0");
-        let limit = MOST_ENTRIES / 2;
+        let limit = MAX_ENTRIES / 2;
         let page = self
             .store
             .read(&Range {
--- a/hibiscusroad-daemon/src/gateway/looks.rs
+++ b/hibiscusroad-daemon/src/gateway/looks.rs
@@ -72,7 +72,7 @@
     }
 
     async fn look(&self) -> bool {
-        let id = RowId::new(table::OPERATOR, "", table::CONFIG_KEY);
+        let id = RowId::new(table::OPERATOR_TABLE, "", table::CONFIG_KEY);
         let Ok(Ok(Some(row))) = timeout(LIMIT, self.store.read_row(&id)).await else {
             return false;
         };
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -112,7 +112,7 @@
     });
     let all = Rc::clone(&take);
     Sink {
-        table: table::OPERATOR,
+        table: table::OPERATOR_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| all(rows)),
         change: Box::new(move |changes| take(changes.rows)),
@@ -229,7 +229,7 @@
 pub(super) fn endpoints(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
     let all = Rc::clone(&members);
     Sink {
-        table: table::ENDPOINTS,
+        table: table::ENDPOINTS_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| {
             let found = rows.iter().filter_map(|row| all.understood(row)).collect();
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -25,7 +25,7 @@
 };
 use hibiscusroad_platform::{
     duty::{self, ReportOutcome},
-    table::MOST_ENTRIES,
+    table::MAX_ENTRIES,
 };
 use http_body_util::BodyExt;
 use std::{
@@ -322,7 +322,7 @@
         for table in [usage::USAGE, usage::REPORTS] {
             let range = Range {
                 end: Some(&end),
-                limit: Some(MOST_ENTRIES - 1),
+                limit: Some(MAX_ENTRIES - 1),
                 ..Range::part(table, "")
             };
             let Ok(page) = self.store.read(&range).await else {
