--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -11,7 +11,7 @@
         side::{Listing, Side, SideKey},
         tables::Tables,
     },
-    platform::{Budget, Host, HostList, State},
+    platform::{Budget, Host, HostList, HostState},
 };
 use flume::Sender;
 use hibiscusroad::{
@@ -50,7 +50,7 @@
         match list.fetch() {
             Ok(hosts) => {
                 wait = POLL;
-                budget.share(hosts.iter().filter(|host| host.role == "entry").count());
+                budget.set_processes(hosts.iter().filter(|host| host.role == "entry").count());
                 if events.send(Event::Hosts(hosts)).is_err() {
                     return;
                 }
@@ -90,7 +90,7 @@
             .iter()
             .map(|host| Candidate {
                 name: &host.endpoint,
-                data_centre: &host.place,
+                data_centre: &host.data_centre,
             })
             .collect();
         for i in choose(&self.name, &self.place, &candidates, self.subset) {
@@ -112,7 +112,7 @@
     fn listed(&mut self, now: Instant, key: SideKey, host: &Host) {
         let side = &mut self.sides[key];
         side.listing = Listing::Listed;
-        side.leaving.listed = host.state == State::Leaving;
+        side.leaving.listed = host.state == HostState::Leaving;
         if side.address != host.address && side.link.is_none() {
             // Its host was replaced. While a link stands, the list is behind.
             side.address = host.address;
@@ -126,10 +126,10 @@
         let Some(service) = self.router.service(&host.service) else {
             return;
         };
-        let spec = EndpointSpec::new(&host.endpoint, &host.place);
+        let spec = EndpointSpec::new(&host.endpoint, &host.data_centre);
         let endpoint = self.router.add_endpoint(now, service, spec);
         let mut side = Side::new(host, endpoint, now);
-        side.leaving.listed = host.state == State::Leaving;
+        side.leaving.listed = host.state == HostState::Leaving;
         let key = self.sides.insert(side);
         self.endpoints.insert(endpoint, key);
         self.set_open(now, key);
--- a/hibiscusroad-daemon/src/platform/leases.rs
+++ b/hibiscusroad-daemon/src/platform/leases.rs
@@ -15,8 +15,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`PlatformError`] if the table service can't be reached or a row is invalid.
-pub fn all(table: &Table) -> Result<Vec<(String, LeaseRow)>, PlatformError> {
+/// Returns an error if the table service can't be reached or a row is invalid.
+pub fn read_all(table: &Table) -> Result<Vec<(String, LeaseRow)>, PlatformError> {
     let rows = table.list(PREFIX, 0)?;
     let leases = rows.iter().map(|row| {
         let duty = row.key.strip_prefix(PREFIX).unwrap_or(&row.key);
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// Returns a [`PlatformError`] if the table service can't be reached or the row is invalid.
+/// Returns an error if the table service can't be reached or the row is invalid.
 pub fn fencing_token(table: &Table, duty: &str) -> Result<u64, PlatformError> {
     let Some(row) = table.get(&key(duty))? else {
         return Ok(0);
