--- a/hibiscusroad-daemon/src/main.rs
+++ b/hibiscusroad-daemon/src/main.rs
@@ -104,7 +104,8 @@
     if let Err(error) = logging {
         return exit_usage(&error);
     }
-    log::info!(target: logs::PROCESS, "{} starts as {role} in {}.", settings.name, settings.data_centre);
+    log::info!(target: logs::PROCESS,
+        "{} starts as {role} in {}.", settings.name, settings.data_centre);
     match serve(settings, file) {
         Ok(()) => {
             log::info!(target: logs::PROCESS, "{} stopped.", settings.name);
