--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -13,7 +13,7 @@
         drain::secs,
         health::{Health, Phase},
         limit::Sample,
-        meter::ceil,
+        meter::ceil_to_u32,
         retry::{RERUN, RESEND},
         router::Router,
         spec::{Call, Step},
@@ -40,7 +40,7 @@
         let hedge = row.runs();
         let slot = usize::from(row.attempts[0].is_some());
         let there = &self.endpoints[endpoint];
-        let others = ceil(there.others(now));
+        let others = ceil_to_u32(there.others(now));
         let alone = there.limit.few(there.running) && there.limit.few(others);
         row.attempts[slot] = Some(Attempt {
             endpoint,
@@ -54,7 +54,7 @@
         let service = &mut self.services[call.service];
         let class = call.class.index();
         service.used[class] += 1;
-        service.peaks[class].raise(now, f64::from(service.used[class]));
+        service.peaks[class].raise_to(now, f64::from(service.used[class]));
         service.placed.add(now, work);
         if first {
             service.budget.earn();
--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -16,7 +16,7 @@
 //! below the mean, ordinary ones then pass for queues, and 15 per cent of the
 //! capacity stayed unused at saturation.
 
-use crate::route::{drain::secs, meter::ceil};
+use crate::route::{drain::secs, meter::ceil_to_u32};
 use std::time::{Duration, Instant};
 
 /// A new endpoint's limit: enough that four workers are busy from the start,
@@ -131,9 +131,9 @@
 
     pub(super) fn get(&self) -> u32 {
         if self.probe > 0 {
-            return ceil(self.now * FEW);
+            return ceil_to_u32(self.now * FEW);
         }
-        ceil(self.now)
+        ceil_to_u32(self.now)
     }
 
     /// Says whether a call with `running` others has the endpoint nearly for
--- a/src/route/meter.rs
+++ b/src/route/meter.rs
@@ -8,37 +8,37 @@
 
 /// A sum whose parts fade with a time constant.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Meter {
+pub(super) struct DecayingSum {
     sum: f64,
-    tau: f64,
-    last: Option<Instant>,
+    decay_secs: f64,
+    updated: Option<Instant>,
 }
 
-impl Meter {
-    pub(super) fn new(tau: Duration) -> Self {
+impl DecayingSum {
+    pub(super) fn new(decay_time: Duration) -> Self {
         Self {
             sum: 0.0,
-            tau: tau.as_secs_f64(),
-            last: None,
+            decay_secs: decay_time.as_secs_f64(),
+            updated: None,
         }
     }
 
     pub(super) fn add(&mut self, now: Instant, amount: f64) {
-        self.sum = self.sum(now) + amount;
-        self.last = Some(now);
+        self.sum = self.value(now) + amount;
+        self.updated = Some(now);
     }
 
     /// Keeps the greater of the faded sum and `level`.
-    pub(super) fn raise(&mut self, now: Instant, level: f64) {
-        self.sum = self.sum(now).max(level);
-        self.last = Some(now);
+    pub(super) fn raise_to(&mut self, now: Instant, level: f64) {
+        self.sum = self.value(now).max(level);
+        self.updated = Some(now);
     }
 
-    pub(super) fn sum(&self, now: Instant) -> f64 {
-        let age = self.last.map_or(0.0, |last| {
-            (now.saturating_duration_since(last)).as_secs_f64()
+    pub(super) fn value(&self, now: Instant) -> f64 {
+        let age = self.updated.map_or(0.0, |updated| {
+            (now.saturating_duration_since(updated)).as_secs_f64()
         });
-        self.sum * (-age / self.tau).exp()
+        self.sum * (-age / self.decay_secs).exp()
     }
 }
 
@@ -48,6 +48,6 @@
     clippy::cast_sign_loss,
     reason = "the value is clamped first"
 )]
-pub(super) fn ceil(count: f64) -> u32 {
+pub(super) fn ceil_to_u32(count: f64) -> u32 {
     count.ceil().clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -129,7 +129,7 @@
         let row = &mut self.services[call.service];
         row.ring.walk(prefix, &mut found);
         let row = &self.services[call.service];
-        let mean = row.placed.sum(now) / f64::from(row.usable.max(1));
+        let mean = row.placed.value(now) / f64::from(row.usable.max(1));
         let work = self.expect(call).map_or(0.0, |e| e.mean);
         let most = mean * BOUND + work;
         // Other places count as well: the way there costs milliseconds, reading
@@ -138,7 +138,7 @@
         for key in &found {
             let row = &self.endpoints[*key];
             let fits = row.slot.is_some() && Some(*key) != not && row.holds(now, call.tokens);
-            let placed = row.placed.sum(now);
+            let placed = row.placed.value(now);
             if fits && best.is_none_or(|(_, least)| placed < least) {
                 best = Some((*key, placed));
             }
--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     class::Class,
-    route::{meter::ceil, table::ServiceRow},
+    route::{meter::ceil_to_u32, table::ServiceRow},
 };
 use std::time::Instant;
 
@@ -44,19 +44,22 @@
 /// Returns the slots that `class` has to leave free for more urgent ones.
 fn reserve(row: &ServiceRow, now: Instant, class: Class) -> u32 {
     let urgent = &row.peaks[..class.index()];
-    let peak: f64 = urgent.iter().map(|peak| peak.sum(now)).sum();
+    let peak: f64 = urgent.iter().map(|peak| peak.value(now)).sum();
     if peak < FADED {
         return 0;
     }
     let most = (f64::from(row.lanes) * RESERVE).floor();
-    ceil((1.0 + peak * PEAK_PART).min(most))
+    ceil_to_u32((1.0 + peak * PEAK_PART).min(most))
 }
 
 /// Estimates the share of the slots that a class gets while all wait.
 pub(super) fn part(row: &ServiceRow, now: Instant, class: Class) -> f64 {
     let lanes = f64::from(row.lanes.max(1));
     let index = class.index();
-    let higher: f64 = row.peaks[..index].iter().map(|p| p.sum(now) / lanes).sum();
+    let higher: f64 = row.peaks[..index]
+        .iter()
+        .map(|p| p.value(now) / lanes)
+        .sum();
     let lower: f64 = (index + 1..3)
         .filter(|i| !row.queues[*i].is_empty())
         .map(|i| row.spec.floors[i])
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -10,7 +10,7 @@
         health::{Health, Peers},
         learn::Learned,
         limit::Limit,
-        meter::Meter,
+        meter::DecayingSum,
         queue::{Queue, Spot},
         retry::Budget,
         ring::Ring,
@@ -77,9 +77,9 @@
     pub(super) budget: Budget,
     pub(super) returns: [Returns; 3],
     /// Work placed lately, over all endpoints.
-    pub(super) placed: Meter,
+    pub(super) placed: DecayingSum,
     /// Peak of attempts by class, lately.
-    pub(super) peaks: [Meter; 3],
+    pub(super) peaks: [DecayingSum; 3],
     /// Repeatable attempts of lower classes, to take their slots back.
     pub(super) lent: BTreeSet<(Instant, CallKey)>,
     pub(super) due: Option<Instant>,
@@ -106,8 +106,8 @@
             care: CARE,
             budget: Budget::new(),
             returns: [Returns::default(); 3],
-            placed: Meter::new(PLACED),
-            peaks: [Meter::new(RECENT); 3],
+            placed: DecayingSum::new(PLACED),
+            peaks: [DecayingSum::new(RECENT); 3],
             lent: BTreeSet::new(),
             due: None,
         }
@@ -151,7 +151,7 @@
     pub(super) counted: Counted,
     pub(super) seen: Option<Seen>,
     /// Work placed there lately.
-    pub(super) placed: Meter,
+    pub(super) placed: DecayingSum,
     /// Attempts by their start, to find the oldest.
     pub(super) attempts: BTreeSet<(Instant, CallKey)>,
     pub(super) due: Option<Instant>,
@@ -177,7 +177,7 @@
             slot: None,
             counted: Counted::default(),
             seen: None,
-            placed: Meter::new(PLACED),
+            placed: DecayingSum::new(PLACED),
             attempts: BTreeSet::new(),
             due: None,
         }
