--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -12,7 +12,7 @@
     error::ErrorKind,
     route::{
         ServiceKey,
-        drain::secs,
+        drain::seconds,
         learn::Estimate,
         place::PUMP,
         queue::Waiting,
@@ -121,7 +121,7 @@
         // What can't be answered any more leaves then, not when its turn comes.
         let call = self.calls[key].call;
         let need = self.expect(&call).map_or(0.0, |e| e.p50);
-        let last = call.deadline.checked_sub(secs(need));
+        let last = call.deadline.checked_sub(seconds(need));
         let last = last.map_or(now, |last| last.max(now));
         self.calls[key].last_start = last;
         self.set_call_due(key, last);
@@ -184,7 +184,7 @@
         let wait = self.wait(now, call.service, call.class, row.queue(call.class).work());
         let gap = self.wait(now, call.service, call.class, mean);
         let row = &mut self.services[call.service];
-        row.returns[call.class.index()].book(now, wait, gap, draw)
+        row.return_schedules[call.class.index()].reserve(now, wait, gap, draw)
     }
 
     /// Notes that a call that was let in couldn't be answered in time.
@@ -230,7 +230,7 @@
 
     pub(super) fn in_time(&self, now: Instant, call: &Call) -> bool {
         let need = self.expect(call).map_or(0.0, |e| e.p50);
-        now + secs(need) < call.deadline
+        now + seconds(need) < call.deadline
     }
 }
 
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -10,7 +10,7 @@
     error::{ErrorKind, Retry},
     route::{
         EndpointKey,
-        drain::secs,
+        drain::seconds,
         health::{Health, Phase},
         limit::Sample,
         meter::ceil_to_u32,
@@ -83,7 +83,7 @@
         let row = &self.calls[key];
         let may = row.free() && row.call.class != Class::Rollout;
         let estimate = self.expect(&row.call).filter(|_| may)?;
-        let at = now + secs(estimate.p95.max(estimate.p50 * 1.5));
+        let at = now + seconds(estimate.p95.max(estimate.p50 * 1.5));
         (at < row.call.deadline).then_some(at)
     }
 
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::route::{
     EndpointKey, ServiceKey,
-    drain::secs,
+    drain::seconds,
     health::{self, Phase},
     router::Router,
     spec::Call,
@@ -234,7 +234,7 @@
         let (start, call) = row.attempts.first()?;
         let since = row.health.life.map_or(*start, |life| life.max(*start));
         let estimate = self.expect(&self.calls[*call].call);
-        Some(since + secs(health::silence(estimate.map(|e| e.p99))))
+        Some(since + seconds(health::silence(estimate.map(|e| e.p99))))
     }
 
     fn set_endpoint_due(&mut self, key: EndpointKey, at: Instant) {
--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -16,7 +16,7 @@
 //! below the mean, ordinary ones then pass for queues, and 15 per cent of the
 //! capacity stayed unused at saturation.
 
-use crate::route::{drain::secs, meter::ceil_to_u32};
+use crate::route::{drain::seconds, meter::ceil_to_u32};
 use std::time::{Duration, Instant};
 
 /// A new endpoint's limit: enough that four workers are busy from the start,
@@ -230,7 +230,7 @@
         let settled = self.settled;
         let span = self.since.map(|since| now - since);
         let work = self.work;
-        let mean = secs(work / f64::from(self.count));
+        let mean = seconds(work / f64::from(self.count));
         self.clear(now);
         let Some(span) = span.filter(|span| !span.is_zero() && !probing) else {
             return;
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -6,7 +6,7 @@
     route::{
         EndpointKey, ServiceKey,
         admit::CARE,
-        drain::Returns,
+        drain::ReturnSchedule,
         health::{Health, Peers},
         learn::Learned,
         limit::Limit,
@@ -75,7 +75,7 @@
     /// How much longer than estimated a wait may become.
     pub(super) care: f64,
     pub(super) budget: Budget,
-    pub(super) returns: [Returns; 3],
+    pub(super) return_schedules: [ReturnSchedule; 3],
     /// Work placed lately, over all endpoints.
     pub(super) placed: DecayingSum,
     /// Peak of attempts by class, lately.
@@ -105,7 +105,7 @@
             stretch: 1.0,
             care: CARE,
             budget: Budget::new(),
-            returns: [Returns::default(); 3],
+            return_schedules: [ReturnSchedule::default(); 3],
             placed: DecayingSum::new(PLACED),
             peaks: [DecayingSum::new(RECENT); 3],
             lent: BTreeSet::new(),
