--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -14,7 +14,7 @@
         health::{Health, Phase},
         limit::Sample,
         meter::ceil_to_u32,
-        retry::{RERUN, RESEND},
+        retry::{RERUN_COST, RESEND_COST},
         router::Router,
         spec::{Call, Step},
         table::{Attempt, CallKey},
@@ -181,7 +181,7 @@
         }
         let again = kind.answer().retry == Retry::After && row.tries < SENDS && !row.committed;
         let again = again && self.in_time(now, &call);
-        if again && self.services[call.service].budget.spend(RESEND) {
+        if again && self.services[call.service].budget.try_spend(RESEND_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
@@ -238,7 +238,7 @@
         }
         let call = row.call;
         let again = row.movable() && row.tries < row.call.tries && self.in_time(now, &call);
-        if again && self.services[call.service].budget.spend(RERUN) {
+        if again && self.services[call.service].budget.try_spend(RERUN_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
@@ -259,7 +259,7 @@
                 && row.movable()
                 && row.tries < row.call.tries
                 && self.in_time(now, &row.call);
-            if may && self.services[service].budget.spend(RERUN) {
+            if may && self.services[service].budget.try_spend(RERUN_COST) {
                 self.move_call(now, key);
             }
         }
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -14,7 +14,7 @@
     error::ErrorKind,
     route::{
         EndpointKey, ServiceKey,
-        retry::RERUN,
+        retry::RERUN_COST,
         router::Router,
         share,
         spec::Call,
@@ -277,8 +277,8 @@
         // What has run for so long takes more than the mean.
         let price = self
             .expect(&call)
-            .map_or(RERUN, |e| (e.p99 / e.mean).max(RERUN));
-        if self.services[call.service].budget.spend(price) {
+            .map_or(RERUN_COST, |e| (e.p99 / e.mean).max(RERUN_COST));
+        if self.services[call.service].budget.try_spend(price) {
             self.start(now, key, endpoint, false);
         }
     }
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -4,7 +4,7 @@
     class::{Class, Repeat},
     error::ErrorKind,
     id::RequestId,
-    route::{EndpointKey, ServiceKey, retry::TRIES},
+    route::{EndpointKey, ServiceKey, retry::MAX_ATTEMPTS},
 };
 use std::time::{Duration, Instant};
 
@@ -126,7 +126,7 @@
             repeat: Repeat::Free,
             tokens: 0,
             prefix: None,
-            tries: TRIES,
+            tries: MAX_ATTEMPTS,
             alone: false,
         }
     }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -12,7 +12,7 @@
         limit::Limit,
         meter::DecayingSum,
         queue::{Queue, Spot},
-        retry::Budget,
+        retry::RetryBudget,
         ring::Ring,
         spec::{Call, EndpointSpec, LoadReport, ServiceSpec},
     },
@@ -74,7 +74,7 @@
     pub(super) stretch: f64,
     /// How much longer than estimated a wait may become.
     pub(super) care: f64,
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
     pub(super) return_schedules: [ReturnSchedule; 3],
     /// Work placed lately, over all endpoints.
     pub(super) placed: DecayingSum,
@@ -104,7 +104,7 @@
             learned: Learned::new(),
             stretch: 1.0,
             care: CARE,
-            budget: Budget::new(),
+            budget: RetryBudget::new(),
             return_schedules: [ReturnSchedule::default(); 3],
             placed: DecayingSum::new(PLACED),
             peaks: [DecayingSum::new(RECENT); 3],
