--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -127,7 +127,7 @@
         let mut found = std::mem::take(&mut self.found);
         found.clear();
         let row = &mut self.services[call.service];
-        row.ring.walk(prefix, &mut found);
+        row.ring.find(prefix, &mut found);
         let row = &self.services[call.service];
         let mean = row.placed.value(now) / f64::from(row.usable.max(1));
         let work = self.expect(call).map_or(0.0, |e| e.mean);
