--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -15,7 +15,7 @@
         drain::seconds,
         learn::Estimate,
         place::PUMP,
-        queue::Waiting,
+        queue::QueuedCall,
         router::Router,
         share,
         spec::{Call, Step},
@@ -75,7 +75,7 @@
         };
         // With all slots in use the next one that ends is waited for as well.
         let next = if row.free == 0 { estimate.mean } else { 0.0 };
-        let ahead = queue.ahead(call.deadline) + next;
+        let ahead = queue.work_before(call.deadline) + next;
         let wait = self.wait(now, call.service, call.class, ahead);
         if !fits(wait, row.care, &estimate, left) {
             return Err(ErrorKind::Saturated);
@@ -107,13 +107,13 @@
     pub(super) fn enqueue(&mut self, now: Instant, key: CallKey) {
         let row = &mut self.calls[key];
         row.waits = true;
-        let waiting = Waiting {
+        let queued_call = QueuedCall {
             call: key,
             work: row.work,
         };
-        let (service, class, spot) = (row.call.service, row.call.class, row.spot());
+        let (service, class, queue_key) = (row.call.service, row.call.class, row.queue_key());
         let service_row = &mut self.services[service];
-        service_row.queues[class.index()].push(spot, waiting);
+        service_row.queues[class.index()].push(queue_key, queued_call);
         if service_row.due.is_none() {
             service_row.due = Some(now + PUMP);
             self.timers.insert((now + PUMP, Due::Service(service)));
@@ -137,13 +137,13 @@
             let none = row.usable == 0 && row.ready.is_empty();
             let mut work = 0.0;
             let mut gone = Vec::new();
-            for (spot, waiting) in row.queue(class).iter() {
-                let left = (spot.deadline - now).as_secs_f64();
+            for (queue_key, queued_call) in row.queue(class).iter() {
+                let left = (queue_key.deadline - now).as_secs_f64();
                 let wait = self.wait(now, service, class, work);
-                if none || wait + waiting.work > left {
-                    gone.push(waiting.call);
+                if none || wait + queued_call.work > left {
+                    gone.push(queued_call.call);
                 } else {
-                    work += waiting.work;
+                    work += queued_call.work;
                 }
             }
             let kind = if none {
@@ -204,9 +204,9 @@
         let row = &mut self.calls[key];
         if row.waits {
             row.waits = false;
-            let spot = row.spot();
+            let queue_key = row.queue_key();
             let queues = &mut self.services[row.call.service].queues;
-            queues[row.call.class.index()].remove(spot);
+            queues[row.call.class.index()].remove(queue_key);
         }
     }
 
--- a/src/route/queue.rs
+++ b/src/route/queue.rs
@@ -10,13 +10,13 @@
 
 /// The place of a call in a queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Spot {
+pub(super) struct QueueKey {
     pub(super) deadline: Instant,
     pub(super) seq: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedCall {
     pub(super) call: CallKey,
     /// Expected seconds at an endpoint.
     pub(super) work: f64,
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    rows: BTreeMap<Spot, Waiting>,
+    rows: BTreeMap<QueueKey, QueuedCall>,
     work: f64,
 }
 
@@ -37,13 +37,13 @@
         self.rows.is_empty()
     }
 
-    pub(super) fn push(&mut self, spot: Spot, row: Waiting) {
+    pub(super) fn push(&mut self, queue_key: QueueKey, row: QueuedCall) {
         self.work += row.work;
-        self.rows.insert(spot, row);
+        self.rows.insert(queue_key, row);
     }
 
-    pub(super) fn remove(&mut self, spot: Spot) -> Option<Waiting> {
-        let row = self.rows.remove(&spot)?;
+    pub(super) fn remove(&mut self, queue_key: QueueKey) -> Option<QueuedCall> {
+        let row = self.rows.remove(&queue_key)?;
         // An empty queue has no work, whatever rounding left over.
         self.work = if self.rows.is_empty() {
             0.0
@@ -53,16 +53,18 @@
         Some(row)
     }
 
-    pub(super) fn first(&self) -> Option<(Spot, Waiting)> {
-        self.rows.first_key_value().map(|(spot, row)| (*spot, *row))
+    pub(super) fn first(&self) -> Option<(QueueKey, QueuedCall)> {
+        self.rows
+            .first_key_value()
+            .map(|(queue_key, row)| (*queue_key, *row))
     }
 
-    pub(super) fn last(&self) -> Option<Spot> {
-        self.rows.last_key_value().map(|(spot, _)| *spot)
+    pub(super) fn last(&self) -> Option<QueueKey> {
+        self.rows.last_key_value().map(|(queue_key, _)| *queue_key)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (Spot, Waiting)> {
-        self.rows.iter().map(|(spot, row)| (*spot, *row))
+    pub(super) fn iter(&self) -> impl Iterator<Item = (QueueKey, QueuedCall)> {
+        self.rows.iter().map(|(queue_key, row)| (*queue_key, *row))
     }
 
     /// Returns the expected seconds of all that waits.
@@ -75,7 +77,7 @@
     /// An exact sum would read the queue for each arrival; work spread evenly
     /// between the first and the last deadline is near enough, and exact for
     /// callers who all wait equally long, as their deadlines come in order.
-    pub(super) fn ahead(&self, deadline: Instant) -> f64 {
+    pub(super) fn work_before(&self, deadline: Instant) -> f64 {
         let (Some((first, _)), Some(last)) = (self.first(), self.last()) else {
             return 0.0;
         };
@@ -83,7 +85,7 @@
             return self.work;
         }
         let span = (last.deadline - first.deadline).as_secs_f64();
-        let part = deadline.saturating_duration_since(first.deadline);
-        self.work * part.as_secs_f64() / span
+        let before = deadline.saturating_duration_since(first.deadline);
+        self.work * before.as_secs_f64() / span
     }
 }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -11,7 +11,7 @@
         learn::Learned,
         limit::Limit,
         meter::DecayingSum,
-        queue::{Queue, Spot},
+        queue::{Queue, QueueKey},
         retry::RetryBudget,
         ring::Ring,
         spec::{Call, EndpointSpec, LoadReport, ServiceSpec},
@@ -249,8 +249,8 @@
         self.free() && !self.committed
     }
 
-    pub(super) fn spot(&self) -> Spot {
-        Spot {
+    pub(super) fn queue_key(&self) -> QueueKey {
+        QueueKey {
             deadline: self.call.deadline,
             seq: self.seq,
         }
