--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -203,7 +203,7 @@
                 self.watch(now, endpoint);
             }
             ErrorKind::EndpointDown => {
-                let down = row.health.unreached();
+                let down = row.health.record_refused_connection();
                 if down || attempt.trial {
                     self.eject(now, endpoint, true);
                 }
@@ -227,7 +227,7 @@
         let bad = self
             .endpoints
             .get_mut(endpoint)
-            .is_some_and(|row| row.health.failed());
+            .is_some_and(|row| row.health.record_failure());
         if bad || attempt.trial {
             self.eject(now, endpoint, attempt.trial);
         }
@@ -280,10 +280,10 @@
         let Some(row) = self.endpoints.get_mut(attempt.endpoint) else {
             return;
         };
-        row.health.life = Some(now);
+        row.health.last_activity = Some(now);
         let peers = &mut self.services[call.service].peers;
         if attempt.trial {
-            if Health::passes(ratio, peers) {
+            if Health::passes_trial(ratio, peers) {
                 self.readmit(now, attempt.endpoint);
             } else {
                 self.eject(now, attempt.endpoint, true);
@@ -299,12 +299,12 @@
             settled: estimate.is_some_and(|e| e.settled),
         };
         row.limit.sample(now, &sample);
-        if !row.health.fit() {
+        if !row.health.is_healthy() {
             return;
         }
-        row.health.leave(peers);
-        let outlier = row.health.answered(ratio, peers);
-        row.health.join(peers);
+        row.health.leave_peers(peers);
+        let outlier = row.health.record_answer(ratio, peers);
+        row.health.join_peers(peers);
         if outlier {
             self.eject(now, attempt.endpoint, false);
         }
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -45,7 +45,7 @@
     /// Returns its load for comparison: lower is better.
     pub(super) fn score(&self, now: Instant) -> f64 {
         let running = f64::from(self.running) + self.others(now) + 1.0;
-        running * self.health.factor() / f64::from(self.limit.get().max(1))
+        running * self.health.latency_ratio() / f64::from(self.limit.get().max(1))
     }
 
     pub(super) fn others(&self, now: Instant) -> f64 {
@@ -164,8 +164,8 @@
         service.endpoints.retain(|other| *other != key);
         service.ready.retain(|other| *other != key);
         service.ring.remove(key);
-        if row.health.fit() {
-            row.health.leave(&mut service.peers);
+        if row.health.is_healthy() {
+            row.health.leave_peers(&mut service.peers);
         } else {
             service.out -= 1;
         }
@@ -181,17 +181,17 @@
             return;
         };
         // What was on its way when it was ejected must not lengthen the pause.
-        if matches!(row.health.phase, Phase::Out(_)) {
+        if matches!(row.health.phase, Phase::Ejected(_)) {
             return;
         }
         let service = &mut self.services[row.service];
-        let fit = row.health.fit();
+        let healthy = row.health.is_healthy();
         let most = service.endpoints.len() as f64 * EJECTED;
-        if fit && !sure && (f64::from(service.out) + 1.0 > most || service.usable < 2) {
+        if healthy && !sure && (f64::from(service.out) + 1.0 > most || service.usable < 2) {
             return;
         }
-        if fit {
-            row.health.leave(&mut service.peers);
+        if healthy {
+            row.health.leave_peers(&mut service.peers);
             service.out += 1;
         }
         service.ready.retain(|other| *other != key);
@@ -200,14 +200,14 @@
         let name = row.service;
         self.refresh(now, key);
         self.set_endpoint_due(key, until);
-        if fit {
+        if healthy {
             self.trim(now, name);
         }
     }
 
     pub(super) fn readmit(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        if !row.health.fit() {
+        if !row.health.is_healthy() {
             row.health.readmit();
             let service = &mut self.services[row.service];
             service.out -= 1;
@@ -232,15 +232,15 @@
     fn silent_at(&self, key: EndpointKey) -> Option<Instant> {
         let row = &self.endpoints[key];
         let (start, call) = row.attempts.first()?;
-        let since = row.health.life.map_or(*start, |life| life.max(*start));
+        let since = row.health.last_activity.map_or(*start, |at| at.max(*start));
         let estimate = self.expect(&self.calls[*call].call);
-        Some(since + seconds(health::silence(estimate.map(|e| e.p99))))
+        Some(since + seconds(health::silence_limit(estimate.map(|e| e.p99))))
     }
 
     fn set_endpoint_due(&mut self, key: EndpointKey, at: Instant) {
         let row = &mut self.endpoints[key];
         if let Some(due) = row.due {
-            if due <= at && row.health.fit() {
+            if due <= at && row.health.is_healthy() {
                 return;
             }
             self.timers.remove(&(due, Due::Endpoint(key)));
@@ -254,16 +254,16 @@
         row.due = None;
         let service = row.service;
         match row.health.phase {
-            Phase::Out(until) if until <= now => {
-                row.health.phase = Phase::Ready;
+            Phase::Ejected(until) if until <= now => {
+                row.health.phase = Phase::AwaitingTrial;
                 if row.open {
                     self.services[service].ready.push(key);
                 }
                 self.set_endpoint_due(key, now + READY);
             }
-            Phase::Out(until) => self.set_endpoint_due(key, until),
-            Phase::Ready => self.readmit(now, key),
-            Phase::Fit | Phase::Trial => self.check_silence(now, key),
+            Phase::Ejected(until) => self.set_endpoint_due(key, until),
+            Phase::AwaitingTrial => self.readmit(now, key),
+            Phase::Healthy | Phase::Trial => self.check_silence(now, key),
         }
         self.pump(now, service);
     }
@@ -277,9 +277,9 @@
             self.set_endpoint_due(key, at);
             return;
         }
-        let trial = !self.endpoints[key].health.fit();
+        let trial = !self.endpoints[key].health.is_healthy();
         self.eject(now, key, trial);
-        if self.endpoints[key].health.fit() {
+        if self.endpoints[key].health.is_healthy() {
             // Too many are out already; look again rather than at once.
             self.set_endpoint_due(key, now + FRESH);
         } else {
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -266,7 +266,7 @@
         }
         let there = self.endpoints.get(first.endpoint);
         let lively = there.is_some_and(|row| {
-            row.health.fit() && row.health.life.is_some_and(|life| life > first.start)
+            row.health.is_healthy() && row.health.last_activity.is_some_and(|at| at > first.start)
         });
         if lively {
             return;
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -139,12 +139,12 @@
         }
         row.open = open;
         let service = row.service;
-        let fit = row.health.fit();
+        let healthy = row.health.is_healthy();
         self.refresh(now, endpoint);
         if !open {
             self.services[service].ready.retain(|key| *key != endpoint);
             self.trim(now, service);
-        } else if !fit {
+        } else if !healthy {
             // Whoever opens it again knows more than an old suspicion.
             self.readmit(now, endpoint);
         }
@@ -202,7 +202,7 @@
             .get(&id)
             .is_some_and(|key| self.calls[*key].runs_at(endpoint));
         if let Some(row) = self.endpoints.get_mut(endpoint).filter(|_| runs) {
-            row.health.life = Some(now);
+            row.health.last_activity = Some(now);
         }
     }
 
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -184,7 +184,7 @@
     }
 
     pub(super) fn usable(&self) -> bool {
-        self.open && self.health.fit()
+        self.open && self.health.is_healthy()
     }
 }
 
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -41,9 +41,9 @@
     pub fn standing(&self, endpoint: EndpointKey) -> Option<Standing> {
         let row = self.endpoints.get(endpoint)?;
         Some(match row.health.phase {
-            Phase::Fit => Standing::Fit,
-            Phase::Out(_) => Standing::Ejected,
-            Phase::Ready => Standing::Ready,
+            Phase::Healthy => Standing::Fit,
+            Phase::Ejected(_) => Standing::Ejected,
+            Phase::AwaitingTrial => Standing::Ready,
             Phase::Trial => Standing::Trial,
         })
     }
@@ -58,7 +58,7 @@
             running: row.running,
             limit: row.limit.get(),
             score: row.score(now),
-            slower: row.health.factor(),
+            slower: row.health.latency_ratio(),
             failing,
             refused,
         })
