--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -70,7 +70,7 @@
             return Err(ErrorKind::Saturated);
         }
         let left = (call.deadline - now).as_secs_f64();
-        let Some(estimate) = row.learned.estimate(call) else {
+        let Some(estimate) = row.service_times.estimate(call) else {
             return Ok(());
         };
         // With all slots in use the next one that ends is waited for as well.
@@ -180,7 +180,7 @@
         let Some(row) = self.services.get(call.service) else {
             return Duration::ZERO;
         };
-        let mean = row.learned.estimate(call).map_or(0.1, |e| e.mean);
+        let mean = row.service_times.estimate(call).map_or(0.1, |e| e.mean);
         let wait = self.wait(now, call.service, call.class, row.queue(call.class).work());
         let gap = self.wait(now, call.service, call.class, mean);
         let row = &mut self.services[call.service];
@@ -225,7 +225,7 @@
     }
 
     pub(super) fn expect(&self, call: &Call) -> Option<Estimate> {
-        self.services[call.service].learned.estimate(call)
+        self.services[call.service].service_times.estimate(call)
     }
 
     pub(super) fn in_time(&self, now: Instant, call: &Call) -> bool {
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -144,8 +144,8 @@
             .map_or(1.0, |e| took.as_secs_f64() / e.mean);
         let service = &mut self.services[call.service];
         service.stretch += STRETCH * (stretch.min(STRETCH_MOST) - service.stretch);
-        let learned = &mut self.services[call.service].learned;
-        learned.add(&call, took, attempt.alone);
+        let service_times = &mut self.services[call.service].service_times;
+        service_times.add(&call, took, attempt.alone);
         self.forget(now, key);
     }
 
@@ -157,7 +157,7 @@
             return;
         };
         let took = now - attempt.start;
-        let low = self.expect(&call).map_or(f64::MAX, |e| e.low);
+        let low = self.expect(&call).map_or(f64::MAX, |e| e.baseline);
         if took.as_secs_f64() > low && !attempt.trial {
             self.judge(now, &call, &attempt, 1, took);
         }
@@ -276,7 +276,7 @@
     ) {
         let secs = took.as_secs_f64().max(1e-6);
         let estimate = self.expect(call);
-        let ratio = estimate.map_or(1.0, |e| secs / e.low);
+        let ratio = estimate.map_or(1.0, |e| secs / e.baseline);
         let Some(row) = self.endpoints.get_mut(attempt.endpoint) else {
             return;
         };
@@ -292,11 +292,11 @@
         }
         let sample = Sample {
             took,
-            usual: estimate.map_or(secs, |e| e.usual),
+            usual: estimate.map_or(secs, |e| e.unloaded),
             running,
             alone: attempt.alone,
-            sure: estimate.is_some_and(|e| e.sure),
-            settled: estimate.is_some_and(|e| e.settled),
+            sure: estimate.is_some_and(|e| e.reliable),
+            settled: estimate.is_some_and(|e| e.from_low_load),
         };
         row.limit.sample(now, &sample);
         if !row.health.is_healthy() {
--- a/src/route/learn.rs
+++ b/src/route/learn.rs
@@ -12,26 +12,26 @@
 
 const BINS: usize = 96;
 const BINS_PER_DOUBLING: f64 = 4.0;
-const LEAST: f64 = 100e-6;
+const FIRST_BIN_SECS: f64 = 100e-6;
 /// Sizes: none, then one for each power of two of tokens.
-const SIZES: usize = 33;
+const SIZE_CLASSES: usize = 33;
 /// Counts are halved here: at 100 calls a second the memory is 40 s, short
 /// enough to follow new weights, long enough to hold some of the last 0.1 %.
-const FULL: u32 = 4096;
+const MAX_TOTAL: u32 = 4096;
 /// The quantiles are drawn again after so many calls (at least 1 in 16 of what
 /// the cell holds): drawing them costs as much as 20 other samples.
-const REDRAW: u32 = 16;
+const REFRESH_CALLS: u32 = 16;
 /// The low mark falls at this weight and rises at 1/32 of it: latency that
 /// queues add must not pass for the service's nature within minutes.
-const FALL: f64 = 0.1;
-const RISE: f64 = FALL / 32.0;
+const BASELINE_FALL_WEIGHT: f64 = 0.1;
+const BASELINE_RISE_WEIGHT: f64 = BASELINE_FALL_WEIGHT / 32.0;
 /// Calls that met few others that are averaged: strays by 3 per cent.
-const USUAL: u32 = 512;
+const MAX_LOW_LOAD_SAMPLES: u32 = 512;
 /// So many calls that met few others are enough: strays by 12 per cent.
-const SETTLED: u32 = 64;
+const MIN_LOW_LOAD_SAMPLES: u32 = 64;
 /// Calls that will do if too few met few others. The first to end are the
 /// shortest: fewer calls would give too short a time.
-const SURE: u32 = 512;
+const MIN_SAMPLES: u32 = 512;
 
 /// What a call is expected to take at an endpoint, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,27 +42,27 @@
     pub(super) p99: f64,
     pub(super) p999: f64,
     /// A level near the fast end, that queues move only slowly.
-    pub(super) low: f64,
+    pub(super) baseline: f64,
     /// The mean of calls that met few others at their endpoint.
-    pub(super) usual: f64,
+    pub(super) unloaded: f64,
     /// Whether that is known well enough to set limits by it.
-    pub(super) sure: bool,
+    pub(super) reliable: bool,
     /// Whether it comes from calls that met few others.
-    pub(super) settled: bool,
+    pub(super) from_low_load: bool,
 }
 
 impl Estimate {
-    fn scale(self, by: f64) -> Self {
+    fn scale(self, factor: f64) -> Self {
         Self {
-            mean: self.mean * by,
-            p50: self.p50 * by,
-            p95: self.p95 * by,
-            p99: self.p99 * by,
-            p999: self.p999 * by,
-            low: self.low * by,
-            usual: self.usual * by,
-            sure: false,
-            settled: false,
+            mean: self.mean * factor,
+            p50: self.p50 * factor,
+            p95: self.p95 * factor,
+            p99: self.p99 * factor,
+            p999: self.p999 * factor,
+            baseline: self.baseline * factor,
+            unloaded: self.unloaded * factor,
+            reliable: false,
+            from_low_load: false,
         }
     }
 }
@@ -74,62 +74,67 @@
 }
 
 impl Average {
-    fn add(&mut self, value: f64, most: u32) {
-        self.count = (self.count + 1).min(most);
+    fn add(&mut self, value: f64, max_count: u32) {
+        self.count = (self.count + 1).min(max_count);
         self.mean += (value - self.mean) / f64::from(self.count);
     }
 }
 
 #[derive(Clone, Debug)]
-struct Cell {
+struct TimeStats {
     bins: [u32; BINS],
     total: u32,
     sum: f64,
-    low: f64,
-    alone: Average,
-    all: Average,
-    stale: u32,
-    drawn: Estimate,
+    log_baseline: f64,
+    low_load: Average,
+    first_calls: Average,
+    since_refresh: u32,
+    estimate: Estimate,
 }
 
-impl Cell {
+impl TimeStats {
     fn new(secs: f64) -> Self {
         Self {
             bins: [0; BINS],
             total: 0,
             sum: 0.0,
-            low: secs.ln(),
-            alone: Average::default(),
-            all: Average::default(),
-            stale: 0,
-            drawn: Estimate {
+            log_baseline: secs.ln(),
+            low_load: Average::default(),
+            first_calls: Average::default(),
+            since_refresh: 0,
+            estimate: Estimate {
                 mean: secs,
                 p50: secs,
                 p95: secs,
                 p99: secs,
                 p999: secs,
-                low: secs,
-                usual: secs,
-                sure: false,
-                settled: false,
+                baseline: secs,
+                unloaded: secs,
+                reliable: false,
+                from_low_load: false,
             },
         }
     }
 
-    fn add(&mut self, secs: f64, alone: bool) {
-        self.add_usual(secs, alone);
-        self.bins[bin(secs)] += 1;
+    fn add(&mut self, secs: f64, low_load: bool) {
+        self.add_unloaded(secs, low_load);
+        self.bins[bin_index(secs)] += 1;
         self.total += 1;
         self.sum += secs;
-        let off = secs.ln() - self.low;
-        self.low += off * if off < 0.0 { FALL } else { RISE };
-        if self.total >= FULL {
+        let deviation = secs.ln() - self.log_baseline;
+        self.log_baseline += deviation
+            * if deviation < 0.0 {
+                BASELINE_FALL_WEIGHT
+            } else {
+                BASELINE_RISE_WEIGHT
+            };
+        if self.total >= MAX_TOTAL {
             self.halve();
         }
-        self.stale += 1;
-        if self.stale >= REDRAW.min(self.total / 16) {
-            self.stale = 0;
-            self.draw();
+        self.since_refresh += 1;
+        if self.since_refresh >= REFRESH_CALLS.min(self.total / 16) {
+            self.since_refresh = 0;
+            self.refresh_estimate();
         }
     }
 
@@ -137,12 +142,12 @@
     ///
     /// Those come first under lasting saturation. Their average then stays as
     /// it is: if it went on it would follow the limit that is set by it.
-    fn add_usual(&mut self, secs: f64, alone: bool) {
-        if alone {
-            self.alone.add(secs, USUAL);
+    fn add_unloaded(&mut self, secs: f64, low_load: bool) {
+        if low_load {
+            self.low_load.add(secs, MAX_LOW_LOAD_SAMPLES);
         }
-        if self.all.count < SURE {
-            self.all.add(secs, SURE);
+        if self.first_calls.count < MIN_SAMPLES {
+            self.first_calls.add(secs, MIN_SAMPLES);
         }
     }
 
@@ -153,77 +158,77 @@
         self.sum = mean * f64::from(self.total);
     }
 
-    fn draw(&mut self) {
-        let marks = [0.5, 0.95, 0.99, 0.999].map(|q| q * f64::from(self.total));
-        let mut found = [0.0; 4];
-        let mut seen = 0;
+    fn refresh_estimate(&mut self) {
+        let targets = [0.5, 0.95, 0.99, 0.999].map(|q| q * f64::from(self.total));
+        let mut quantiles = [0.0; 4];
+        let mut cumulative = 0;
         let mut next = 0;
         for (index, count) in self.bins.iter().enumerate() {
-            seen += count;
-            while next < marks.len() && f64::from(seen) >= marks[next] {
-                found[next] = edge(index);
+            cumulative += count;
+            while next < targets.len() && f64::from(cumulative) >= targets[next] {
+                quantiles[next] = bin_end(index);
                 next += 1;
             }
         }
-        let settled = self.alone.count >= SETTLED;
-        self.drawn = Estimate {
+        let from_low_load = self.low_load.count >= MIN_LOW_LOAD_SAMPLES;
+        self.estimate = Estimate {
             mean: self.sum / f64::from(self.total.max(1)),
-            p50: found[0],
-            p95: found[1],
-            p99: found[2],
-            p999: found[3],
-            low: self.low.exp(),
-            usual: if settled {
-                self.alone.mean
+            p50: quantiles[0],
+            p95: quantiles[1],
+            p99: quantiles[2],
+            p999: quantiles[3],
+            baseline: self.log_baseline.exp(),
+            unloaded: if from_low_load {
+                self.low_load.mean
             } else {
-                self.all.mean
+                self.first_calls.mean
             },
-            sure: settled || self.all.count >= SURE,
-            settled,
+            reliable: from_low_load || self.first_calls.count >= MIN_SAMPLES,
+            from_low_load,
         };
     }
 }
 
 /// The service times of one service.
 #[derive(Clone, Debug)]
-pub(super) struct Learned {
-    cells: Vec<Option<Box<Cell>>>,
+pub(super) struct ServiceTimes {
+    cells: Vec<Option<Box<TimeStats>>>,
 }
 
-impl Learned {
+impl ServiceTimes {
     pub(super) fn new() -> Self {
         Self {
-            cells: vec![None; Class::ALL.len() * SIZES],
+            cells: vec![None; Class::ALL.len() * SIZE_CLASSES],
         }
     }
 
-    pub(super) fn add(&mut self, call: &Call, took: Duration, alone: bool) {
-        let secs = took.as_secs_f64().max(LEAST);
-        let place = index(call.class, size(call.tokens));
-        self.cells[place]
-            .get_or_insert_with(|| Box::new(Cell::new(secs)))
-            .add(secs, alone);
+    pub(super) fn add(&mut self, call: &Call, elapsed: Duration, low_load: bool) {
+        let secs = elapsed.as_secs_f64().max(FIRST_BIN_SECS);
+        let index = cell_index(call.class, size_class(call.tokens));
+        self.cells[index]
+            .get_or_insert_with(|| Box::new(TimeStats::new(secs)))
+            .add(secs, low_load);
     }
 
     /// Estimates a call; `None` until anything like it was answered.
     pub(super) fn estimate(&self, call: &Call) -> Option<Estimate> {
-        let size = size(call.tokens);
+        let size = size_class(call.tokens);
         self.get(call.class, size)
             .or_else(|| Class::ALL.iter().find_map(|class| self.get(*class, size)))
-            .or_else(|| self.nearest(size))
+            .or_else(|| self.scale_from_nearest(size))
     }
 
     fn get(&self, class: Class, size: usize) -> Option<Estimate> {
-        let cell = self.cells[index(class, size)].as_ref()?;
-        Some(cell.drawn)
+        let cell = self.cells[cell_index(class, size)].as_ref()?;
+        Some(cell.estimate)
     }
 
     /// Scales from the nearest known size: work grows with tokens.
-    fn nearest(&self, size: usize) -> Option<Estimate> {
+    fn scale_from_nearest(&self, size: usize) -> Option<Estimate> {
         if size == 0 {
             return None;
         }
-        let known = (1..SIZES)
+        let known = (1..SIZE_CLASSES)
             .flat_map(|s| Class::ALL.map(|class| (s, class)))
             .filter_map(|(s, class)| Some((s, self.get(class, s)?)));
         let (near, estimate) = known.min_by_key(|(s, _)| s.abs_diff(size))?;
@@ -231,11 +236,11 @@
     }
 }
 
-fn index(class: Class, size: usize) -> usize {
-    class.index() * SIZES + size
+fn cell_index(class: Class, size: usize) -> usize {
+    class.index() * SIZE_CLASSES + size
 }
 
-fn size(tokens: u32) -> usize {
+fn size_class(tokens: u32) -> usize {
     tokens.checked_ilog2().map_or(0, |log| log as usize + 1)
 }
 
@@ -244,11 +249,11 @@
     clippy::cast_sign_loss,
     reason = "the value is clamped first"
 )]
-fn bin(secs: f64) -> usize {
-    let doublings = (secs / LEAST).log2().max(0.0);
+fn bin_index(secs: f64) -> usize {
+    let doublings = (secs / FIRST_BIN_SECS).log2().max(0.0);
     ((doublings * BINS_PER_DOUBLING) as usize).min(BINS - 1)
 }
 
-fn edge(index: usize) -> f64 {
-    LEAST * 2f64.powf((index as f64 + 1.0) / BINS_PER_DOUBLING)
+fn bin_end(index: usize) -> f64 {
+    FIRST_BIN_SECS * 2f64.powf((index as f64 + 1.0) / BINS_PER_DOUBLING)
 }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -8,7 +8,7 @@
         admit::CARE,
         drain::ReturnSchedule,
         health::{Health, Peers},
-        learn::Learned,
+        learn::ServiceTimes,
         limit::Limit,
         meter::DecayingSum,
         queue::{Queue, QueueKey},
@@ -68,7 +68,7 @@
     /// Ejected endpoints that wait for a call to be tried with.
     pub(super) ready: Vec<EndpointKey>,
     pub(super) peers: Peers,
-    pub(super) learned: Learned,
+    pub(super) service_times: ServiceTimes,
     /// What calls take now, over what they took on average: at the start of a
     /// burst endpoints fill up long before the averages show it.
     pub(super) stretch: f64,
@@ -101,7 +101,7 @@
             out: 0,
             ready: Vec::new(),
             peers: Peers::default(),
-            learned: Learned::new(),
+            service_times: ServiceTimes::new(),
             stretch: 1.0,
             care: CARE,
             budget: RetryBudget::new(),
