--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -41,7 +41,7 @@
         let slot = usize::from(row.attempts[0].is_some());
         let there = &self.endpoints[endpoint];
         let others = ceil_to_u32(there.others(now));
-        let alone = there.limit.few(there.running) && there.limit.few(others);
+        let alone = there.limit.is_low_load(there.running) && there.limit.is_low_load(others);
         row.attempts[slot] = Some(Attempt {
             endpoint,
             start: now,
@@ -195,7 +195,7 @@
         };
         match kind {
             ErrorKind::Saturated | ErrorKind::HandoverFull => {
-                row.limit.refused(now, row.running);
+                row.limit.record_refusal(now, row.running);
                 if attempt.trial {
                     self.readmit(now, endpoint);
                 }
@@ -291,14 +291,14 @@
             return;
         }
         let sample = Sample {
-            took,
-            usual: estimate.map_or(secs, |e| e.unloaded),
+            elapsed: took,
+            unloaded: estimate.map_or(secs, |e| e.unloaded),
             running,
-            alone: attempt.alone,
-            sure: estimate.is_some_and(|e| e.reliable),
-            settled: estimate.is_some_and(|e| e.from_low_load),
+            low_load: attempt.alone,
+            reliable: estimate.is_some_and(|e| e.reliable),
+            from_low_load: estimate.is_some_and(|e| e.from_low_load),
         };
-        row.limit.sample(now, &sample);
+        row.limit.record(now, &sample);
         if !row.health.is_healthy() {
             return;
         }
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -82,7 +82,7 @@
     pub(super) fn refresh(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
         let lanes = if row.usable() { row.limit.get() } else { 0 };
-        let cool = row.limit.cooling(now).is_some();
+        let cool = row.limit.backoff_until(now).is_some();
         let free = if cool {
             0
         } else {
@@ -219,7 +219,7 @@
     /// Sets the timer that looks for silence or for the end of a pause.
     pub(super) fn watch(&mut self, now: Instant, key: EndpointKey) {
         let row = &self.endpoints[key];
-        if let Some(until) = row.limit.cooling(now) {
+        if let Some(until) = row.limit.backoff_until(now) {
             self.set_endpoint_due(key, until);
         } else if row.due.is_none()
             && let Some(at) = self.silent_at(key)
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -255,10 +255,10 @@
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        row.limit.bound(report.limit);
+        row.limit.set_max(report.limit);
         // Only an engine that batches reports its cache.
         if report.cache_free > 0 {
-            row.limit.engine(report.running, report.queued);
+            row.limit.record_engine_load(report.running, report.queued);
         }
         row.seen = Some(Seen {
             report,
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -9,7 +9,7 @@
         drain::ReturnSchedule,
         health::{Health, Peers},
         learn::ServiceTimes,
-        limit::Limit,
+        limit::ConcurrencyLimit,
         meter::DecayingSum,
         queue::{Queue, QueueKey},
         retry::RetryBudget,
@@ -142,7 +142,7 @@
     pub(super) running: u32,
     /// Tokens of the attempts that run.
     pub(super) tokens: u64,
-    pub(super) limit: Limit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) health: Health,
     pub(super) tier: usize,
     /// Position in its pool, while it has room.
@@ -166,7 +166,7 @@
 impl EndpointRow {
     pub(super) fn new(service: ServiceKey, spec: EndpointSpec) -> Self {
         Self {
-            limit: Limit::new(spec.limit),
+            limit: ConcurrencyLimit::new(spec.limit),
             spec,
             service,
             open: true,
