--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -19,7 +19,7 @@
         router::Router,
         share,
         spec::{Call, Step},
-        table::{CallKey, Due},
+        table::{CallKey, Timer},
     },
 };
 use rand::Rng;
@@ -114,9 +114,9 @@
         let (service, class, queue_key) = (row.call.service, row.call.class, row.queue_key());
         let service_row = &mut self.services[service];
         service_row.queues[class.index()].push(queue_key, queued_call);
-        if service_row.due.is_none() {
-            service_row.due = Some(now + PUMP);
-            self.timers.insert((now + PUMP, Due::Service(service)));
+        if service_row.timer_at.is_none() {
+            service_row.timer_at = Some(now + PUMP);
+            self.timers.insert((now + PUMP, Timer::Service(service)));
         }
         // What can't be answered any more leaves then, not when its turn comes.
         let call = self.calls[key].call;
@@ -124,7 +124,7 @@
         let last = call.deadline.checked_sub(seconds(need));
         let last = last.map_or(now, |last| last.max(now));
         self.calls[key].last_start = last;
-        self.set_call_due(key, last);
+        self.set_call_timer(key, last);
     }
 
     /// Refuses what can't be answered any more after capacity was lost.
@@ -218,8 +218,8 @@
         }
         if let Some(row) = self.calls.remove(key) {
             self.index.remove(&row.call.id);
-            if let Some(due) = row.due {
-                self.timers.remove(&(due, Due::Call(key)));
+            if let Some(timer_at) = row.timer_at {
+                self.timers.remove(&(timer_at, Timer::Call(key)));
             }
         }
     }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -66,8 +66,8 @@
         self.refresh(now, endpoint);
         self.watch(now, endpoint);
         if !hedge {
-            let due = self.hedge_time(now, key).unwrap_or(call.deadline);
-            self.set_call_due(key, due);
+            let timer_at = self.hedge_time(now, key).unwrap_or(call.deadline);
+            self.set_call_timer(key, timer_at);
         }
         self.steps.push_back(Step::Start {
             id: call.id,
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -6,13 +6,13 @@
     health::{self, Phase},
     router::Router,
     spec::Call,
-    table::{Attempt, CallKey, Counted, Due, EndpointRow, FAR},
+    table::{Attempt, CallKey, Counted, EndpointRow, FAR, Timer},
 };
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// A report that is older says nothing of a queue.
-pub(super) const FRESH: Duration = Duration::from_secs(1);
+pub(super) const SILENCE_RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// What others run there is believed less with age, by this time constant.
 const FADE: f64 = 1.0;
 /// Free cache memory is believed as long: a batch turns over in that time.
@@ -169,8 +169,8 @@
         } else {
             service.out -= 1;
         }
-        if let Some(due) = row.due {
-            self.timers.remove(&(due, Due::Endpoint(key)));
+        if let Some(timer_at) = row.timer_at {
+            self.timers.remove(&(timer_at, Timer::Endpoint(key)));
         }
     }
 
@@ -199,7 +199,7 @@
         row.limit.restart();
         let name = row.service;
         self.refresh(now, key);
-        self.set_endpoint_due(key, until);
+        self.set_endpoint_timer(key, until);
         if healthy {
             self.trim(now, name);
         }
@@ -220,11 +220,11 @@
     pub(super) fn watch(&mut self, now: Instant, key: EndpointKey) {
         let row = &self.endpoints[key];
         if let Some(until) = row.limit.backoff_until(now) {
-            self.set_endpoint_due(key, until);
-        } else if row.due.is_none()
+            self.set_endpoint_timer(key, until);
+        } else if row.timer_at.is_none()
             && let Some(at) = self.silent_at(key)
         {
-            self.set_endpoint_due(key, at.max(now));
+            self.set_endpoint_timer(key, at.max(now));
         }
     }
 
@@ -237,21 +237,21 @@
         Some(since + seconds(health::silence_limit(estimate.map(|e| e.p99))))
     }
 
-    fn set_endpoint_due(&mut self, key: EndpointKey, at: Instant) {
+    fn set_endpoint_timer(&mut self, key: EndpointKey, at: Instant) {
         let row = &mut self.endpoints[key];
-        if let Some(due) = row.due {
-            if due <= at && row.health.is_healthy() {
+        if let Some(timer_at) = row.timer_at {
+            if timer_at <= at && row.health.is_healthy() {
                 return;
             }
-            self.timers.remove(&(due, Due::Endpoint(key)));
+            self.timers.remove(&(timer_at, Timer::Endpoint(key)));
         }
-        row.due = Some(at);
-        self.timers.insert((at, Due::Endpoint(key)));
+        row.timer_at = Some(at);
+        self.timers.insert((at, Timer::Endpoint(key)));
     }
 
-    pub(super) fn endpoint_due(&mut self, now: Instant, key: EndpointKey) {
+    pub(super) fn handle_endpoint_timer(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        row.due = None;
+        row.timer_at = None;
         let service = row.service;
         match row.health.phase {
             Phase::Ejected(until) if until <= now => {
@@ -259,9 +259,9 @@
                 if row.open {
                     self.services[service].ready.push(key);
                 }
-                self.set_endpoint_due(key, now + READY);
+                self.set_endpoint_timer(key, now + READY);
             }
-            Phase::Ejected(until) => self.set_endpoint_due(key, until),
+            Phase::Ejected(until) => self.set_endpoint_timer(key, until),
             Phase::AwaitingTrial => self.readmit(now, key),
             Phase::Healthy | Phase::Trial => self.check_silence(now, key),
         }
@@ -274,14 +274,14 @@
             return;
         };
         if at > now {
-            self.set_endpoint_due(key, at);
+            self.set_endpoint_timer(key, at);
             return;
         }
         let trial = !self.endpoints[key].health.is_healthy();
         self.eject(now, key, trial);
         if self.endpoints[key].health.is_healthy() {
             // Too many are out already; look again rather than at once.
-            self.set_endpoint_due(key, now + FRESH);
+            self.set_endpoint_timer(key, now + SILENCE_RECHECK_INTERVAL);
         } else {
             self.move_all(now, key);
         }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -7,7 +7,7 @@
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, ServiceKey, ServiceSpec, Step,
         place::PUMP,
-        table::{CallKey, CallRow, Due, EndpointRow, Seen, ServiceRow},
+        table::{CallKey, CallRow, EndpointRow, Seen, ServiceRow, Timer},
     },
 };
 use rand::SeedableRng;
@@ -34,7 +34,7 @@
     pub(super) endpoints: SlotMap<EndpointKey, EndpointRow>,
     pub(super) calls: SlotMap<CallKey, CallRow>,
     pub(super) index: HashMap<RequestId, CallKey>,
-    pub(super) timers: BTreeSet<(Instant, Due)>,
+    pub(super) timers: BTreeSet<(Instant, Timer)>,
     pub(super) steps: VecDeque<Step>,
     pub(super) found: Vec<EndpointKey>,
     seq: u64,
@@ -275,15 +275,15 @@
 
     /// Runs what is due: expiry, hedges, trials and placement.
     pub fn tick(&mut self, now: Instant) {
-        while let Some((at, due)) = self.timers.first().copied() {
+        while let Some((at, timer)) = self.timers.first().copied() {
             if at > now {
                 return;
             }
             self.timers.pop_first();
-            match due {
-                Due::Call(key) => self.call_due(now, key),
-                Due::Endpoint(key) => self.endpoint_due(now, key),
-                Due::Service(key) => self.service_due(now, key),
+            match timer {
+                Timer::Call(key) => self.handle_call_timer(now, key),
+                Timer::Endpoint(key) => self.handle_endpoint_timer(now, key),
+                Timer::Service(key) => self.handle_service_timer(now, key),
             }
         }
     }
@@ -323,21 +323,21 @@
     }
 
     /// Sets a call's timer unless it goes off sooner: it is then set again.
-    pub(super) fn set_call_due(&mut self, key: CallKey, at: Instant) {
+    pub(super) fn set_call_timer(&mut self, key: CallKey, at: Instant) {
         let row = &mut self.calls[key];
-        if row.due.is_some_and(|due| due <= at) {
+        if row.timer_at.is_some_and(|timer_at| timer_at <= at) {
             return;
         }
-        if let Some(due) = row.due.replace(at) {
-            self.timers.remove(&(due, Due::Call(key)));
+        if let Some(timer_at) = row.timer_at.replace(at) {
+            self.timers.remove(&(timer_at, Timer::Call(key)));
         }
-        self.timers.insert((at, Due::Call(key)));
+        self.timers.insert((at, Timer::Call(key)));
     }
 
-    fn call_due(&mut self, now: Instant, key: CallKey) {
+    fn handle_call_timer(&mut self, now: Instant, key: CallKey) {
         let row = &mut self.calls[key];
         let service = row.call.service;
-        row.due = None;
+        row.timer_at = None;
         if now >= row.call.deadline || (row.waits && now >= row.last_start) {
             let kind = match (row.runs(), now >= row.call.deadline) {
                 (true, _) => ErrorKind::TimedOut,
@@ -355,18 +355,18 @@
         } else {
             row.call.deadline
         };
-        self.set_call_due(key, next);
+        self.set_call_timer(key, next);
         self.hedge(now, key);
     }
 
     /// Looks again at a service with a backlog: reserves fade without events.
-    fn service_due(&mut self, now: Instant, key: ServiceKey) {
-        self.services[key].due = None;
+    fn handle_service_timer(&mut self, now: Instant, key: ServiceKey) {
+        self.services[key].timer_at = None;
         self.pump(now, key);
         let row = &mut self.services[key];
         if !row.idle() {
-            row.due = Some(now + PUMP);
-            self.timers.insert((now + PUMP, Due::Service(key)));
+            row.timer_at = Some(now + PUMP);
+            self.timers.insert((now + PUMP, Timer::Service(key)));
         }
     }
 }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -40,7 +40,7 @@
 
 /// What the timers are set for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Due {
+pub(super) enum Timer {
     Call(CallKey),
     Endpoint(EndpointKey),
     Service(ServiceKey),
@@ -82,7 +82,7 @@
     pub(super) peaks: [DecayingSum; 3],
     /// Repeatable attempts of lower classes, to take their slots back.
     pub(super) lent: BTreeSet<(Instant, CallKey)>,
-    pub(super) due: Option<Instant>,
+    pub(super) timer_at: Option<Instant>,
 }
 
 impl ServiceRow {
@@ -109,7 +109,7 @@
             placed: DecayingSum::new(PLACED),
             peaks: [DecayingSum::new(RECENT); 3],
             lent: BTreeSet::new(),
-            due: None,
+            timer_at: None,
         }
     }
 
@@ -154,7 +154,7 @@
     pub(super) placed: DecayingSum,
     /// Attempts by their start, to find the oldest.
     pub(super) attempts: BTreeSet<(Instant, CallKey)>,
-    pub(super) due: Option<Instant>,
+    pub(super) timer_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -179,7 +179,7 @@
             seen: None,
             placed: DecayingSum::new(PLACED),
             attempts: BTreeSet::new(),
-            due: None,
+            timer_at: None,
         }
     }
 
@@ -217,7 +217,7 @@
     /// The attempt and its hedge.
     pub(super) attempts: [Option<Attempt>; 2],
     /// When its timer is set.
-    pub(super) due: Option<Instant>,
+    pub(super) timer_at: Option<Instant>,
     /// When it can't be answered any more, while it waits.
     pub(super) last_start: Instant,
 }
@@ -235,7 +235,7 @@
             ran: None,
             last: None,
             attempts: [None; 2],
-            due: None,
+            timer_at: None,
             last_start: call.deadline,
         }
     }
