--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -28,20 +28,20 @@
 /// The estimate of the wait is an average, and slots end in bunches: a third
 /// more keeps late answers below one in a thousand of those let in, if nobody
 /// else uses the endpoints.
-pub(super) const CARE: f64 = 1.35;
+pub(super) const BASE_WAIT_MARGIN: f64 = 1.35;
 /// Other entries take slots away unseen. Each call that was let in and can't be
 /// answered raises the care by a tenth, each answer lowers it a little: that
 /// balances at one such call in 2,000 answers when the care is 1.5.
-const CARE_RAISE: f64 = 1.1;
-const CARE_EASE: f64 = 0.0005;
+const WAIT_MARGIN_RAISE: f64 = 1.1;
+const WAIT_MARGIN_EASE: f64 = 0.0005;
 /// Then three quarters of the time left are kept in reserve; more would refuse
 /// calls that an idle service answers.
-const CARE_MOST: f64 = 4.0;
+const MAX_WAIT_MARGIN: f64 = 4.0;
 /// The tail takes at most this part of the time left: a class whose slowest
 /// calls outlast every deadline would otherwise be refused whole.
-const TAIL_PART: f64 = 0.5;
+const MAX_TAIL_SHARE: f64 = 0.5;
 /// A call that waits less than this is not worth refusing for its tail.
-const BRIEF: f64 = 0.001;
+const NEGLIGIBLE_WAIT_SECS: f64 = 0.001;
 
 impl Router {
     /// Refuses the call or lets it wait.
@@ -63,7 +63,7 @@
     fn check(&self, now: Instant, call: &Call) -> Result<(), ErrorKind> {
         let row = &self.services[call.service];
         let queue = row.queue(call.class);
-        if row.usable == 0 && row.ready.is_empty() {
+        if row.usable == 0 && row.awaiting_trial.is_empty() {
             return Err(ErrorKind::NoEndpoint);
         }
         if queue.len() >= row.spec.depth {
@@ -74,10 +74,14 @@
             return Ok(());
         };
         // With all slots in use the next one that ends is waited for as well.
-        let next = if row.free == 0 { estimate.mean } else { 0.0 };
+        let next = if row.free_slots == 0 {
+            estimate.mean
+        } else {
+            0.0
+        };
         let ahead = queue.work_before(call.deadline) + next;
         let wait = self.wait(now, call.service, call.class, ahead);
-        if !fits(wait, row.care, &estimate, left) {
+        if !fits(wait, row.wait_margin, &estimate, left) {
             return Err(ErrorKind::Saturated);
         }
         // Those behind it in the queue must not be made late by it either.
@@ -87,7 +91,7 @@
         let all = queue.work() + estimate.mean + next;
         let wait = self.wait(now, call.service, call.class, all);
         let left = (last.deadline - now).as_secs_f64();
-        if fits(wait, row.care, &estimate, left) {
+        if fits(wait, row.wait_margin, &estimate, left) {
             Ok(())
         } else {
             Err(ErrorKind::Saturated)
@@ -97,11 +101,11 @@
     /// Estimates how long `work` of a class takes to start, in seconds.
     pub(super) fn wait(&self, now: Instant, service: ServiceKey, class: Class, work: f64) -> f64 {
         let row = &self.services[service];
-        if work <= 0.0 && row.free > 0 {
+        if work <= 0.0 && row.free_slots > 0 {
             return 0.0;
         }
-        let lanes = f64::from(row.lanes.max(1));
-        work * row.stretch.max(1.0) / (lanes * share::part(row, now, class))
+        let capacity = f64::from(row.capacity.max(1));
+        work * row.slowdown.max(1.0) / (capacity * share::part(row, now, class))
     }
 
     pub(super) fn enqueue(&mut self, now: Instant, key: CallKey) {
@@ -134,7 +138,7 @@
     pub(super) fn trim(&mut self, now: Instant, service: ServiceKey) {
         for class in Class::ALL {
             let row = &self.services[service];
-            let none = row.usable == 0 && row.ready.is_empty();
+            let none = row.usable == 0 && row.awaiting_trial.is_empty();
             let mut work = 0.0;
             let mut gone = Vec::new();
             for (queue_key, queued_call) in row.queue(class).iter() {
@@ -189,14 +193,14 @@
 
     /// Notes that a call that was let in couldn't be answered in time.
     pub(super) fn missed(&mut self, service: ServiceKey) {
-        let care = &mut self.services[service].care;
-        *care = (*care * CARE_RAISE).min(CARE_MOST);
+        let wait_margin = &mut self.services[service].wait_margin;
+        *wait_margin = (*wait_margin * WAIT_MARGIN_RAISE).min(MAX_WAIT_MARGIN);
     }
 
     /// Notes that a call that was let in was answered in time.
     pub(super) fn kept(&mut self, service: ServiceKey) {
-        let care = &mut self.services[service].care;
-        *care += CARE_EASE * (CARE - *care);
+        let wait_margin = &mut self.services[service].wait_margin;
+        *wait_margin += WAIT_MARGIN_EASE * (BASE_WAIT_MARGIN - *wait_margin);
     }
 
     /// Takes a call out of its queue, if it waits.
@@ -234,10 +238,12 @@
     }
 }
 
-fn fits(wait: f64, care: f64, estimate: &Estimate, left: f64) -> bool {
-    if wait < BRIEF {
+fn fits(wait: f64, wait_margin: f64, estimate: &Estimate, left: f64) -> bool {
+    if wait < NEGLIGIBLE_WAIT_SECS {
         return estimate.p50 <= left;
     }
-    let tail = estimate.p999.min((left * TAIL_PART).max(estimate.mean));
-    wait * care + tail <= left
+    let tail = estimate
+        .p999
+        .min((left * MAX_TAIL_SHARE).max(estimate.mean));
+    wait * wait_margin + tail <= left
 }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -24,19 +24,19 @@
 
 /// Starts of one call at most, refused ones included: with a third of the
 /// endpoints full, six refusals in a row are less likely than 1 in 700.
-const SENDS: u8 = 6;
+const MAX_STARTS: u8 = 6;
 
 /// Weight of a call in the stretch: 64 calls are 50 ms of a busy service.
-const STRETCH: f64 = 1.0 / 64.0;
+const SLOWDOWN_WEIGHT: f64 = 1.0 / 64.0;
 /// A call counts as stretched by so much at most: a hundred times longer one
 /// among short ones must not stop admission.
-const STRETCH_MOST: f64 = 8.0;
+const MAX_SLOWDOWN: f64 = 8.0;
 
 impl Router {
     pub(super) fn start(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey, trial: bool) {
         self.unqueue(key);
         let row = &mut self.calls[key];
-        let (call, work, free) = (row.call, row.work, row.free());
+        let (call, work, repeatable) = (row.call, row.work, row.is_repeatable());
         let hedge = row.runs();
         let slot = usize::from(row.attempts[0].is_some());
         let there = &self.endpoints[endpoint];
@@ -53,14 +53,14 @@
         let first = row.tries == 1;
         let service = &mut self.services[call.service];
         let class = call.class.index();
-        service.used[class] += 1;
-        service.peaks[class].raise_to(now, f64::from(service.used[class]));
-        service.placed.add(now, work);
+        service.running[class] += 1;
+        service.recent_peaks[class].raise_to(now, f64::from(service.running[class]));
+        service.recent_work.add(now, work);
         if first {
             service.budget.earn();
         }
-        if free && !hedge && call.class != Class::Interactive {
-            service.lent.insert((now, key));
+        if repeatable && !hedge && call.class != Class::Interactive {
+            service.preemptible.insert((now, key));
         }
         self.endpoints[endpoint].take(now, key, &call, work, trial);
         self.refresh(now, endpoint);
@@ -81,7 +81,7 @@
     /// alone, and two of them cost twice.
     fn hedge_time(&self, now: Instant, key: CallKey) -> Option<Instant> {
         let row = &self.calls[key];
-        let may = row.free() && row.call.class != Class::Rollout;
+        let may = row.is_repeatable() && row.call.class != Class::Rollout;
         let estimate = self.expect(&row.call).filter(|_| may)?;
         let at = now + seconds(estimate.p95.max(estimate.p50 * 1.5));
         (at < row.call.deadline).then_some(at)
@@ -93,8 +93,8 @@
         let attempt = row.attempts[slot].take()?;
         let call = row.call;
         let service = &mut self.services[call.service];
-        service.used[call.class.index()] -= 1;
-        service.lent.remove(&(attempt.start, key));
+        service.running[call.class.index()] -= 1;
+        service.preemptible.remove(&(attempt.start, key));
         if let Some(row) = self.endpoints.get_mut(attempt.endpoint) {
             row.give(key, &attempt, &call);
             self.refresh(now, attempt.endpoint);
@@ -139,11 +139,11 @@
         // whose calls are all hedged would never be found out.
         self.time_out(now, key);
         self.kept(call.service);
-        let stretch = self
+        let slowdown = self
             .expect(&call)
             .map_or(1.0, |e| took.as_secs_f64() / e.mean);
         let service = &mut self.services[call.service];
-        service.stretch += STRETCH * (stretch.min(STRETCH_MOST) - service.stretch);
+        service.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - service.slowdown);
         let service_times = &mut self.services[call.service].service_times;
         service_times.add(&call, took, attempt.alone);
         self.forget(now, key);
@@ -179,7 +179,7 @@
         if row.runs() {
             return;
         }
-        let again = kind.answer().retry == Retry::After && row.tries < SENDS && !row.committed;
+        let again = kind.answer().retry == Retry::After && row.tries < MAX_STARTS && !row.committed;
         let again = again && self.in_time(now, &call);
         if again && self.services[call.service].budget.try_spend(RESEND_COST) {
             self.enqueue(now, key);
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -6,7 +6,7 @@
     health::{self, Phase},
     router::Router,
     spec::Call,
-    table::{Attempt, CallKey, Counted, EndpointRow, FAR, Timer},
+    table::{Attempt, CallKey, Counted, EndpointRow, REMOTE_TIER, Timer},
 };
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -14,18 +14,18 @@
 /// A report that is older says nothing of a queue.
 pub(super) const SILENCE_RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// What others run there is believed less with age, by this time constant.
-const FADE: f64 = 1.0;
+const OTHERS_LOAD_DECAY_SECS: f64 = 1.0;
 /// Free cache memory is believed as long: a batch turns over in that time.
-const CACHE_FRESH: Duration = Duration::from_secs(2);
+const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
 /// Near endpoints that an entry uses first. Few links and warm caches; 360
 /// entries with 24 each put about 14 entries on each of 600 endpoints.
-const SUBSET: usize = 24;
+const SUBSET_SIZE: usize = 24;
 /// Share of a service that may be ejected for being slow, silent or failing.
 /// Beyond it the fault is more likely the load's or this entry's own.
-const EJECTED: f64 = 0.5;
+const MAX_EJECTED_SHARE: f64 = 0.5;
 /// A service whose calls may not be repeated has none to try an endpoint with;
 /// after this pause it is let back with a limit of one.
-const READY: Duration = Duration::from_secs(10);
+const TRIAL_WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl EndpointRow {
     /// Says whether its cache memory holds so many tokens more.
@@ -36,7 +36,7 @@
         let alone = self.running == 0;
         let told = self.seen.is_none_or(|seen| {
             seen.report.cache_free == 0
-                || now.saturating_duration_since(seen.at) > CACHE_FRESH
+                || now.saturating_duration_since(seen.at) > CACHE_REPORT_TTL
                 || seen.sent + tokens <= seen.report.cache_free
         });
         alone || (mine && told)
@@ -54,13 +54,13 @@
         };
         let all = seen.report.running.saturating_add(seen.report.queued);
         let age = now.saturating_duration_since(seen.at).as_secs_f64();
-        f64::from(all.saturating_sub(seen.own)) * (-age / FADE).exp()
+        f64::from(all.saturating_sub(seen.own)) * (-age / OTHERS_LOAD_DECAY_SECS).exp()
     }
 
     pub(super) fn take(&mut self, now: Instant, key: CallKey, call: &Call, work: f64, trial: bool) {
         self.running += 1;
         self.tokens += u64::from(call.tokens);
-        self.placed.add(now, work);
+        self.recent_work.add(now, work);
         self.attempts.insert((now, key));
         if let Some(seen) = &mut self.seen {
             seen.sent += u64::from(call.tokens);
@@ -81,32 +81,35 @@
     /// Brings the pools and sums in line with an endpoint's row.
     pub(super) fn refresh(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        let lanes = if row.usable() { row.limit.get() } else { 0 };
-        let cool = row.limit.backoff_until(now).is_some();
-        let free = if cool {
+        let capacity = if row.usable() { row.limit.get() } else { 0 };
+        let backing_off = row.limit.backoff_until(now).is_some();
+        let free_slots = if backing_off {
             0
         } else {
-            lanes.saturating_sub(row.running)
+            capacity.saturating_sub(row.running)
+        };
+        let before = row.counted;
+        row.counted = Counted {
+            capacity,
+            free_slots,
         };
-        let was = row.counted;
-        row.counted = Counted { lanes, free };
         let service = &mut self.services[row.service];
-        service.lanes = service.lanes + lanes - was.lanes;
-        service.free = service.free + free - was.free;
-        let near = u32::from(row.tier != FAR);
-        match (was.lanes > 0, lanes > 0) {
+        service.capacity = service.capacity + capacity - before.capacity;
+        service.free_slots = service.free_slots + free_slots - before.free_slots;
+        let local = u32::from(row.tier != REMOTE_TIER);
+        match (before.capacity > 0, capacity > 0) {
             (false, true) => {
                 service.usable += 1;
-                service.near += near;
+                service.usable_local += local;
             }
             (true, false) => {
                 service.usable -= 1;
-                service.near -= near;
+                service.usable_local -= local;
             }
             _ => {}
         }
         let pool = &mut service.pools[row.tier];
-        match (row.slot, free > 0) {
+        match (row.slot, free_slots > 0) {
             (None, true) => {
                 row.slot = Some(pool.len());
                 pool.push(key);
@@ -139,14 +142,14 @@
             let name = &self.endpoints[*key].spec.name;
             xxh3_64_with_seed(name.as_bytes(), self.seed)
         };
-        let near = |key: &EndpointKey| self.endpoints[*key].spec.place == self.place;
-        let (mut home, away): (Vec<_>, Vec<_>) = keys.into_iter().partition(near);
-        if home.len() > SUBSET {
-            home.sort_by_cached_key(rank);
+        let is_local = |key: &EndpointKey| self.endpoints[*key].spec.place == self.place;
+        let (mut local, remote): (Vec<_>, Vec<_>) = keys.into_iter().partition(is_local);
+        if local.len() > SUBSET_SIZE {
+            local.sort_by_cached_key(rank);
         }
-        let home = home.into_iter().enumerate();
-        let tiers = home.map(|(index, key)| (key, usize::from(index >= SUBSET)));
-        for (key, tier) in tiers.chain(away.into_iter().map(|key| (key, FAR))) {
+        let local = local.into_iter().enumerate();
+        let tiers = local.map(|(index, key)| (key, usize::from(index >= SUBSET_SIZE)));
+        for (key, tier) in tiers.chain(remote.into_iter().map(|key| (key, REMOTE_TIER))) {
             if self.endpoints[key].tier != tier {
                 self.retire(now, key);
                 self.endpoints[key].tier = tier;
@@ -162,12 +165,12 @@
         };
         let service = &mut self.services[row.service];
         service.endpoints.retain(|other| *other != key);
-        service.ready.retain(|other| *other != key);
+        service.awaiting_trial.retain(|other| *other != key);
         service.ring.remove(key);
         if row.health.is_healthy() {
             row.health.leave_peers(&mut service.peers);
         } else {
-            service.out -= 1;
+            service.ejected -= 1;
         }
         if let Some(timer_at) = row.timer_at {
             self.timers.remove(&(timer_at, Timer::Endpoint(key)));
@@ -176,7 +179,7 @@
 
     /// Stops sending to an endpoint for a while; `sure` goes beyond the share
     /// of a service that may be ejected on suspicion.
-    pub(super) fn eject(&mut self, now: Instant, key: EndpointKey, sure: bool) {
+    pub(super) fn eject(&mut self, now: Instant, key: EndpointKey, certain: bool) {
         let Some(row) = self.endpoints.get_mut(key) else {
             return;
         };
@@ -186,22 +189,25 @@
         }
         let service = &mut self.services[row.service];
         let healthy = row.health.is_healthy();
-        let most = service.endpoints.len() as f64 * EJECTED;
-        if healthy && !sure && (f64::from(service.out) + 1.0 > most || service.usable < 2) {
+        let max_ejected = service.endpoints.len() as f64 * MAX_EJECTED_SHARE;
+        if healthy
+            && !certain
+            && (f64::from(service.ejected) + 1.0 > max_ejected || service.usable < 2)
+        {
             return;
         }
         if healthy {
             row.health.leave_peers(&mut service.peers);
-            service.out += 1;
+            service.ejected += 1;
         }
-        service.ready.retain(|other| *other != key);
+        service.awaiting_trial.retain(|other| *other != key);
         let until = row.health.eject(now);
         row.limit.restart();
-        let name = row.service;
+        let service_key = row.service;
         self.refresh(now, key);
         self.set_endpoint_timer(key, until);
         if healthy {
-            self.trim(now, name);
+            self.trim(now, service_key);
         }
     }
 
@@ -210,8 +216,8 @@
         if !row.health.is_healthy() {
             row.health.readmit();
             let service = &mut self.services[row.service];
-            service.out -= 1;
-            service.ready.retain(|other| *other != key);
+            service.ejected -= 1;
+            service.awaiting_trial.retain(|other| *other != key);
         }
         self.refresh(now, key);
     }
@@ -257,9 +263,9 @@
             Phase::Ejected(until) if until <= now => {
                 row.health.phase = Phase::AwaitingTrial;
                 if row.open {
-                    self.services[service].ready.push(key);
+                    self.services[service].awaiting_trial.push(key);
                 }
-                self.set_endpoint_timer(key, now + READY);
+                self.set_endpoint_timer(key, now + TRIAL_WAIT_TIMEOUT);
             }
             Phase::Ejected(until) => self.set_endpoint_timer(key, until),
             Phase::AwaitingTrial => self.readmit(now, key),
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -47,7 +47,7 @@
 impl Router {
     /// Places what waits for a service, as far as there is room.
     pub(super) fn pump(&mut self, now: Instant, service: ServiceKey) {
-        if self.services[service].idle() {
+        if self.services[service].queues_empty() {
             return;
         }
         self.place(now, service);
@@ -79,10 +79,10 @@
     fn choose(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
         let row = &self.calls[key];
         let (call, last) = (row.call, row.last);
-        let fresh = row.free() && row.tries == 0;
+        let fresh = row.is_repeatable() && row.tries == 0;
         let service = &mut self.services[call.service];
         if (fresh || service.usable == 0)
-            && let Some(endpoint) = service.ready.pop()
+            && let Some(endpoint) = service.awaiting_trial.pop()
         {
             return Some((endpoint, true));
         }
@@ -92,7 +92,7 @@
     }
 
     fn pick(&mut self, now: Instant, call: &Call, not: Option<EndpointKey>) -> Option<EndpointKey> {
-        if self.services[call.service].free == 0 {
+        if self.services[call.service].free_slots == 0 {
             return None;
         }
         if let Some(prefix) = call.prefix {
@@ -129,7 +129,7 @@
         let row = &mut self.services[call.service];
         row.ring.find(prefix, &mut found);
         let row = &self.services[call.service];
-        let mean = row.placed.value(now) / f64::from(row.usable.max(1));
+        let mean = row.recent_work.value(now) / f64::from(row.usable.max(1));
         let work = self.expect(call).map_or(0.0, |e| e.mean);
         let most = mean * BOUND + work;
         // Other places count as well: the way there costs milliseconds, reading
@@ -138,11 +138,11 @@
         for key in &found {
             let row = &self.endpoints[*key];
             let fits = row.slot.is_some() && Some(*key) != not && row.holds(now, call.tokens);
-            let placed = row.placed.value(now);
-            if fits && best.is_none_or(|(_, least)| placed < least) {
-                best = Some((*key, placed));
+            let recent_work = row.recent_work.value(now);
+            if fits && best.is_none_or(|(_, least)| recent_work < least) {
+                best = Some((*key, recent_work));
             }
-            if fits && placed <= most {
+            if fits && recent_work <= most {
                 break;
             }
         }
@@ -197,7 +197,7 @@
             for _ in 0..BACK {
                 let row = &self.services[service];
                 let waits = row.queue(class).len();
-                if waits == 0 || row.free as usize >= waits || !share::owed(row, class) {
+                if waits == 0 || row.free_slots as usize >= waits || !share::owed(row, class) {
                     break;
                 }
                 let Some(key) = self.yielding(service, class) else {
@@ -214,15 +214,15 @@
     fn yielding(&self, service: ServiceKey, class: Class) -> Option<CallKey> {
         let row = &self.services[service];
         let (_, first) = row.queue(class).first()?;
-        let mut latest = row.lent.iter().rev().take(SCAN).map(|(_, key)| *key);
+        let mut latest = row.preemptible.iter().rev().take(SCAN).map(|(_, key)| *key);
         latest.find(|key| {
             let call = &self.calls[*key];
             let lower = call.call.class;
-            let used = f64::from(row.used[lower.index()]);
+            let used = f64::from(row.running[lower.index()]);
             lower > class
                 && !call.committed
                 && call.yields < YIELDS
-                && used > row.spec.floors[lower.index()] * f64::from(row.lanes)
+                && used > row.spec.floors[lower.index()] * f64::from(row.capacity)
                 && call.work / used > first.work * PATIENCE
         })
     }
@@ -260,7 +260,7 @@
             return;
         }
         let service = &self.services[call.service];
-        let slack = service.idle() && service.free * 10 > service.lanes;
+        let slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
         if !slack || !row.movable() || row.tries >= call.tries || !self.in_time(now, &call) {
             return;
         }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -142,7 +142,9 @@
         let healthy = row.health.is_healthy();
         self.refresh(now, endpoint);
         if !open {
-            self.services[service].ready.retain(|key| *key != endpoint);
+            self.services[service]
+                .awaiting_trial
+                .retain(|key| *key != endpoint);
             self.trim(now, service);
         } else if !healthy {
             // Whoever opens it again knows more than an old suspicion.
@@ -268,7 +270,7 @@
         });
         let service = row.service;
         self.refresh(now, endpoint);
-        if !self.services[service].idle() {
+        if !self.services[service].queues_empty() {
             self.pump(now, service);
         }
     }
@@ -311,7 +313,7 @@
     #[must_use]
     pub fn running(&self, service: ServiceKey, class: Class) -> u32 {
         let row = self.services.get(service);
-        row.map_or(0, |row| row.used[class.index()])
+        row.map_or(0, |row| row.running[class.index()])
     }
 
     /// Returns how many attempts run at an endpoint, and how many may.
@@ -364,7 +366,7 @@
         self.services[key].timer_at = None;
         self.pump(now, key);
         let row = &mut self.services[key];
-        if !row.idle() {
+        if !row.queues_empty() {
             row.timer_at = Some(now + PUMP);
             self.timers.insert((now + PUMP, Timer::Service(key)));
         }
--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -30,35 +30,35 @@
         let class = Class::ALL.into_iter().find(waits)?;
         // An endpoint that waits to be tried is room, too: when the others are
         // full it is wanted most.
-        let room = row.free as usize + row.ready.len();
+        let room = row.free_slots as usize + row.awaiting_trial.len();
         (room > reserve(row, now, class) as usize).then_some(class)
     })
 }
 
 /// Says whether a class has less than its floor.
 pub(super) fn owed(row: &ServiceRow, class: Class) -> bool {
-    let floor = row.spec.floors[class.index()] * f64::from(row.lanes);
-    f64::from(row.used[class.index()]) < floor
+    let floor = row.spec.floors[class.index()] * f64::from(row.capacity);
+    f64::from(row.running[class.index()]) < floor
 }
 
 /// Returns the slots that `class` has to leave free for more urgent ones.
 fn reserve(row: &ServiceRow, now: Instant, class: Class) -> u32 {
-    let urgent = &row.peaks[..class.index()];
+    let urgent = &row.recent_peaks[..class.index()];
     let peak: f64 = urgent.iter().map(|peak| peak.value(now)).sum();
     if peak < FADED {
         return 0;
     }
-    let most = (f64::from(row.lanes) * RESERVE).floor();
+    let most = (f64::from(row.capacity) * RESERVE).floor();
     ceil_to_u32((1.0 + peak * PEAK_PART).min(most))
 }
 
 /// Estimates the share of the slots that a class gets while all wait.
 pub(super) fn part(row: &ServiceRow, now: Instant, class: Class) -> f64 {
-    let lanes = f64::from(row.lanes.max(1));
+    let capacity = f64::from(row.capacity.max(1));
     let index = class.index();
-    let higher: f64 = row.peaks[..index]
+    let higher: f64 = row.recent_peaks[..index]
         .iter()
-        .map(|p| p.value(now) / lanes)
+        .map(|p| p.value(now) / capacity)
         .sum();
     let lower: f64 = (index + 1..3)
         .filter(|i| !row.queues[*i].is_empty())
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -5,7 +5,7 @@
     error::ErrorKind,
     route::{
         EndpointKey, ServiceKey,
-        admit::CARE,
+        admit::BASE_WAIT_MARGIN,
         drain::ReturnSchedule,
         health::{Health, Peers},
         learn::ServiceTimes,
@@ -30,13 +30,13 @@
 /// Near endpoints of the entry's subset, other near ones, those elsewhere.
 pub(super) const TIERS: usize = 3;
 /// The tier of endpoints at other places.
-pub(super) const FAR: usize = 2;
+pub(super) const REMOTE_TIER: usize = 2;
 /// Time constant of what counts as recent use: a few service times of an
 /// interactive call, so that lent slots are wanted back soon after a burst.
-const RECENT: Duration = Duration::from_secs(5);
+const PEAK_DECAY: Duration = Duration::from_secs(5);
 /// Time constant of the work that balances prefixes: of 24 calls a second to
 /// one engine the sum then strays by 5 per cent, half of the bound's margin.
-const PLACED: Duration = Duration::from_secs(20);
+const WORK_DECAY: Duration = Duration::from_secs(20);
 
 /// What the timers are set for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -55,33 +55,33 @@
     pub(super) ring: Ring,
     pub(super) queues: [Queue; 3],
     /// Attempts that run, by class.
-    pub(super) used: [u32; 3],
+    pub(super) running: [u32; 3],
     /// Sum of the limits of the endpoints that take work.
-    pub(super) lanes: u32,
+    pub(super) capacity: u32,
     /// Sum of what is free below these limits.
-    pub(super) free: u32,
+    pub(super) free_slots: u32,
     /// Endpoints that take work, and those of them at the entry's place.
     pub(super) usable: u32,
-    pub(super) near: u32,
+    pub(super) usable_local: u32,
     /// Endpoints that are ejected.
-    pub(super) out: u32,
+    pub(super) ejected: u32,
     /// Ejected endpoints that wait for a call to be tried with.
-    pub(super) ready: Vec<EndpointKey>,
+    pub(super) awaiting_trial: Vec<EndpointKey>,
     pub(super) peers: Peers,
     pub(super) service_times: ServiceTimes,
     /// What calls take now, over what they took on average: at the start of a
     /// burst endpoints fill up long before the averages show it.
-    pub(super) stretch: f64,
+    pub(super) slowdown: f64,
     /// How much longer than estimated a wait may become.
-    pub(super) care: f64,
+    pub(super) wait_margin: f64,
     pub(super) budget: RetryBudget,
     pub(super) return_schedules: [ReturnSchedule; 3],
     /// Work placed lately, over all endpoints.
-    pub(super) placed: DecayingSum,
+    pub(super) recent_work: DecayingSum,
     /// Peak of attempts by class, lately.
-    pub(super) peaks: [DecayingSum; 3],
+    pub(super) recent_peaks: [DecayingSum; 3],
     /// Repeatable attempts of lower classes, to take their slots back.
-    pub(super) lent: BTreeSet<(Instant, CallKey)>,
+    pub(super) preemptible: BTreeSet<(Instant, CallKey)>,
     pub(super) timer_at: Option<Instant>,
 }
 
@@ -93,22 +93,22 @@
             pools: Default::default(),
             ring: Ring::default(),
             queues: Default::default(),
-            used: [0; 3],
-            lanes: 0,
-            free: 0,
+            running: [0; 3],
+            capacity: 0,
+            free_slots: 0,
             usable: 0,
-            near: 0,
-            out: 0,
-            ready: Vec::new(),
+            usable_local: 0,
+            ejected: 0,
+            awaiting_trial: Vec::new(),
             peers: Peers::default(),
             service_times: ServiceTimes::new(),
-            stretch: 1.0,
-            care: CARE,
+            slowdown: 1.0,
+            wait_margin: BASE_WAIT_MARGIN,
             budget: RetryBudget::new(),
             return_schedules: [ReturnSchedule::default(); 3],
-            placed: DecayingSum::new(PLACED),
-            peaks: [DecayingSum::new(RECENT); 3],
-            lent: BTreeSet::new(),
+            recent_work: DecayingSum::new(WORK_DECAY),
+            recent_peaks: [DecayingSum::new(PEAK_DECAY); 3],
+            preemptible: BTreeSet::new(),
             timer_at: None,
         }
     }
@@ -117,7 +117,7 @@
         &self.queues[class.index()]
     }
 
-    pub(super) fn idle(&self) -> bool {
+    pub(super) fn queues_empty(&self) -> bool {
         self.queues.iter().all(Queue::is_empty)
     }
 }
@@ -151,7 +151,7 @@
     pub(super) counted: Counted,
     pub(super) seen: Option<Seen>,
     /// Work placed there lately.
-    pub(super) placed: DecayingSum,
+    pub(super) recent_work: DecayingSum,
     /// Attempts by their start, to find the oldest.
     pub(super) attempts: BTreeSet<(Instant, CallKey)>,
     pub(super) timer_at: Option<Instant>,
@@ -159,8 +159,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counted {
-    pub(super) lanes: u32,
-    pub(super) free: u32,
+    pub(super) capacity: u32,
+    pub(super) free_slots: u32,
 }
 
 impl EndpointRow {
@@ -177,7 +177,7 @@
             slot: None,
             counted: Counted::default(),
             seen: None,
-            placed: DecayingSum::new(PLACED),
+            recent_work: DecayingSum::new(WORK_DECAY),
             attempts: BTreeSet::new(),
             timer_at: None,
         }
@@ -240,13 +240,13 @@
         }
     }
 
-    pub(super) fn free(&self) -> bool {
+    pub(super) fn is_repeatable(&self) -> bool {
         self.call.repeat == Repeat::Free
     }
 
     /// Says whether another attempt could still answer it.
     pub(super) fn movable(&self) -> bool {
-        self.free() && !self.committed
+        self.is_repeatable() && !self.committed
     }
 
     pub(super) fn queue_key(&self) -> QueueKey {
