--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -110,7 +110,7 @@
 
     pub(super) fn enqueue(&mut self, now: Instant, key: CallKey) {
         let row = &mut self.calls[key];
-        row.waits = true;
+        row.queued = true;
         let queued_call = QueuedCall {
             call: key,
             work: row.work,
@@ -168,7 +168,7 @@
     pub(super) fn refuse(&mut self, now: Instant, key: CallKey, kind: ErrorKind) {
         let row = &self.calls[key];
         let call = row.call;
-        let told = row.ran.filter(|_| kind.answer().not_run);
+        let told = row.run_error.filter(|_| kind.answer().not_run);
         let kind = told.unwrap_or(kind);
         let after = self.after(now, &call);
         self.forget(now, key);
@@ -206,8 +206,8 @@
     /// Takes a call out of its queue, if it waits.
     pub(super) fn unqueue(&mut self, key: CallKey) {
         let row = &mut self.calls[key];
-        if row.waits {
-            row.waits = false;
+        if row.queued {
+            row.queued = false;
             let queue_key = row.queue_key();
             let queues = &mut self.services[row.call.service].queues;
             queues[row.call.class.index()].remove(queue_key);
@@ -217,8 +217,8 @@
     /// Removes a call from all tables and cancels what runs of it.
     pub(super) fn forget(&mut self, now: Instant, key: CallKey) {
         self.unqueue(key);
-        for slot in 0..2 {
-            self.cancel_attempt(now, key, slot);
+        for attempt_index in 0..2 {
+            self.cancel_attempt(now, key, attempt_index);
         }
         if let Some(row) = self.calls.remove(key) {
             self.index.remove(&row.call.id);
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -37,20 +37,21 @@
         self.unqueue(key);
         let row = &mut self.calls[key];
         let (call, work, repeatable) = (row.call, row.work, row.is_repeatable());
-        let hedge = row.runs();
-        let slot = usize::from(row.attempts[0].is_some());
-        let there = &self.endpoints[endpoint];
-        let others = ceil_to_u32(there.others(now));
-        let alone = there.limit.is_low_load(there.running) && there.limit.is_low_load(others);
-        row.attempts[slot] = Some(Attempt {
+        let hedge = row.is_running();
+        let attempt_index = usize::from(row.attempts[0].is_some());
+        let endpoint_row = &self.endpoints[endpoint];
+        let other_calls = ceil_to_u32(endpoint_row.others_load(now));
+        let low_load = endpoint_row.limit.is_low_load(endpoint_row.running)
+            && endpoint_row.limit.is_low_load(other_calls);
+        row.attempts[attempt_index] = Some(Attempt {
             endpoint,
             start: now,
             trial,
-            alone,
+            low_load,
         });
-        row.tries = row.tries.saturating_add(1);
-        row.last = Some(endpoint);
-        let first = row.tries == 1;
+        row.attempts_started = row.attempts_started.saturating_add(1);
+        row.last_endpoint = Some(endpoint);
+        let first = row.attempts_started == 1;
         let service = &mut self.services[call.service];
         let class = call.class.index();
         service.running[class] += 1;
@@ -62,7 +63,7 @@
         if repeatable && !hedge && call.class != Class::Interactive {
             service.preemptible.insert((now, key));
         }
-        self.endpoints[endpoint].take(now, key, &call, work, trial);
+        self.endpoints[endpoint].add_attempt(now, key, &call, work, trial);
         self.refresh(now, endpoint);
         self.watch(now, endpoint);
         if !hedge {
@@ -81,34 +82,34 @@
     /// alone, and two of them cost twice.
     fn hedge_time(&self, now: Instant, key: CallKey) -> Option<Instant> {
         let row = &self.calls[key];
-        let may = row.is_repeatable() && row.call.class != Class::Rollout;
-        let estimate = self.expect(&row.call).filter(|_| may)?;
+        let eligible = row.is_repeatable() && row.call.class != Class::Rollout;
+        let estimate = self.expect(&row.call).filter(|_| eligible)?;
         let at = now + seconds(estimate.p95.max(estimate.p50 * 1.5));
         (at < row.call.deadline).then_some(at)
     }
 
     /// Takes an attempt out of all sums.
-    fn detach(&mut self, now: Instant, key: CallKey, slot: usize) -> Option<Attempt> {
+    fn detach(&mut self, now: Instant, key: CallKey, attempt_index: usize) -> Option<Attempt> {
         let row = &mut self.calls[key];
-        let attempt = row.attempts[slot].take()?;
+        let attempt = row.attempts[attempt_index].take()?;
         let call = row.call;
         let service = &mut self.services[call.service];
         service.running[call.class.index()] -= 1;
         service.preemptible.remove(&(attempt.start, key));
         if let Some(row) = self.endpoints.get_mut(attempt.endpoint) {
-            row.give(key, &attempt, &call);
+            row.remove_attempt(key, &attempt, &call);
             self.refresh(now, attempt.endpoint);
         }
         Some(attempt)
     }
 
     /// Cancels an attempt; from then on what is told of it is ignored.
-    pub(super) fn cancel_attempt(&mut self, now: Instant, key: CallKey, slot: usize) {
-        let Some(attempt) = self.detach(now, key, slot) else {
+    pub(super) fn cancel_attempt(&mut self, now: Instant, key: CallKey, attempt_index: usize) {
+        let Some(attempt) = self.detach(now, key, attempt_index) else {
             return;
         };
         let row = &mut self.calls[key];
-        row.ran = row.ran.or(Some(ErrorKind::TimedOut));
+        row.run_error = row.run_error.or(Some(ErrorKind::TimedOut));
         self.steps.push_back(Step::Cancel {
             id: row.call.id,
             endpoint: attempt.endpoint,
@@ -121,10 +122,10 @@
 
     fn end(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) -> Option<Attempt> {
         let attempts = &self.calls[key].attempts;
-        let slot = attempts
+        let attempt_index = attempts
             .iter()
             .position(|attempt| attempt.is_some_and(|a| a.endpoint == endpoint))?;
-        self.detach(now, key, slot)
+        self.detach(now, key, attempt_index)
     }
 
     pub(super) fn answered(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) {
@@ -133,19 +134,19 @@
             return;
         };
         let call = self.calls[key].call;
-        let took = now - attempt.start;
-        self.judge(now, &call, &attempt, running, took);
+        let elapsed = now - attempt.start;
+        self.judge(now, &call, &attempt, running, elapsed);
         // The loser's endpoint took at least so long: without this a slow one
         // whose calls are all hedged would never be found out.
         self.time_out(now, key);
         self.kept(call.service);
         let slowdown = self
             .expect(&call)
-            .map_or(1.0, |e| took.as_secs_f64() / e.mean);
+            .map_or(1.0, |e| elapsed.as_secs_f64() / e.mean);
         let service = &mut self.services[call.service];
         service.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - service.slowdown);
         let service_times = &mut self.services[call.service].service_times;
-        service_times.add(&call, took, attempt.alone);
+        service_times.add(&call, elapsed, attempt.low_load);
         self.forget(now, key);
     }
 
@@ -156,10 +157,10 @@
         let Some(attempt) = row.attempts.iter().flatten().next().copied() else {
             return;
         };
-        let took = now - attempt.start;
-        let low = self.expect(&call).map_or(f64::MAX, |e| e.baseline);
-        if took.as_secs_f64() > low && !attempt.trial {
-            self.judge(now, &call, &attempt, 1, took);
+        let elapsed = now - attempt.start;
+        let baseline = self.expect(&call).map_or(f64::MAX, |e| e.baseline);
+        if elapsed.as_secs_f64() > baseline && !attempt.trial {
+            self.judge(now, &call, &attempt, 1, elapsed);
         }
     }
 
@@ -176,12 +177,14 @@
         self.refused_there(now, &attempt, kind);
         let row = &self.calls[key];
         let call = row.call;
-        if row.runs() {
+        if row.is_running() {
             return;
         }
-        let again = kind.answer().retry == Retry::After && row.tries < MAX_STARTS && !row.committed;
-        let again = again && self.in_time(now, &call);
-        if again && self.services[call.service].budget.try_spend(RESEND_COST) {
+        let retry = kind.answer().retry == Retry::After
+            && row.attempts_started < MAX_STARTS
+            && !row.committed;
+        let retry = retry && self.in_time(now, &call);
+        if retry && self.services[call.service].budget.try_spend(RESEND_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
@@ -203,8 +206,8 @@
                 self.watch(now, endpoint);
             }
             ErrorKind::EndpointDown => {
-                let down = row.health.record_refused_connection();
-                if down || attempt.trial {
+                let unreachable = row.health.record_refused_connection();
+                if unreachable || attempt.trial {
                     self.eject(now, endpoint, true);
                 }
             }
@@ -224,21 +227,22 @@
         let Some(attempt) = self.end(now, key, endpoint) else {
             return;
         };
-        let bad = self
+        let failing = self
             .endpoints
             .get_mut(endpoint)
             .is_some_and(|row| row.health.record_failure());
-        if bad || attempt.trial {
+        if failing || attempt.trial {
             self.eject(now, endpoint, attempt.trial);
         }
         let row = &mut self.calls[key];
-        row.ran = Some(kind);
-        if row.runs() {
+        row.run_error = Some(kind);
+        if row.is_running() {
             return;
         }
         let call = row.call;
-        let again = row.movable() && row.tries < row.call.tries && self.in_time(now, &call);
-        if again && self.services[call.service].budget.try_spend(RERUN_COST) {
+        let retry =
+            row.can_rerun() && row.attempts_started < row.call.tries && self.in_time(now, &call);
+        if retry && self.services[call.service].budget.try_spend(RERUN_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
@@ -254,12 +258,12 @@
         let keys: Vec<CallKey> = row.attempts.iter().map(|(_, key)| *key).collect();
         for key in keys {
             let row = &self.calls[key];
-            let alone = row.attempts[1].is_none();
-            let may = alone
-                && row.movable()
-                && row.tries < row.call.tries
+            let unhedged = row.attempts[1].is_none();
+            let eligible = unhedged
+                && row.can_rerun()
+                && row.attempts_started < row.call.tries
                 && self.in_time(now, &row.call);
-            if may && self.services[service].budget.try_spend(RERUN_COST) {
+            if eligible && self.services[service].budget.try_spend(RERUN_COST) {
                 self.move_call(now, key);
             }
         }
@@ -272,9 +276,9 @@
         call: &Call,
         attempt: &Attempt,
         running: u32,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        let secs = took.as_secs_f64().max(1e-6);
+        let secs = elapsed.as_secs_f64().max(1e-6);
         let estimate = self.expect(call);
         let ratio = estimate.map_or(1.0, |e| secs / e.baseline);
         let Some(row) = self.endpoints.get_mut(attempt.endpoint) else {
@@ -291,10 +295,10 @@
             return;
         }
         let sample = Sample {
-            elapsed: took,
+            elapsed,
             unloaded: estimate.map_or(secs, |e| e.unloaded),
             running,
-            low_load: attempt.alone,
+            low_load: attempt.low_load,
             reliable: estimate.is_some_and(|e| e.reliable),
             from_low_load: estimate.is_some_and(|e| e.from_low_load),
         };
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -29,48 +29,61 @@
 
 impl EndpointRow {
     /// Says whether its cache memory holds so many tokens more.
-    pub(super) fn holds(&self, now: Instant, tokens: u32) -> bool {
+    pub(super) fn has_cache_for(&self, now: Instant, tokens: u32) -> bool {
         let tokens = u64::from(tokens);
-        let mine = self.spec.tokens == 0 || self.tokens + tokens <= self.spec.tokens;
+        let fits_capacity = self.spec.tokens == 0 || self.tokens + tokens <= self.spec.tokens;
         // An endpoint with nothing of ours always takes one.
-        let alone = self.running == 0;
-        let told = self.seen.is_none_or(|seen| {
-            seen.report.cache_free == 0
-                || now.saturating_duration_since(seen.at) > CACHE_REPORT_TTL
-                || seen.sent + tokens <= seen.report.cache_free
+        let unused = self.running == 0;
+        let fits_report = self.last_report.is_none_or(|last_report| {
+            last_report.report.cache_free == 0
+                || now.saturating_duration_since(last_report.valid_at) > CACHE_REPORT_TTL
+                || last_report.tokens_sent + tokens <= last_report.report.cache_free
         });
-        alone || (mine && told)
+        unused || (fits_capacity && fits_report)
     }
 
     /// Returns its load for comparison: lower is better.
     pub(super) fn score(&self, now: Instant) -> f64 {
-        let running = f64::from(self.running) + self.others(now) + 1.0;
+        let running = f64::from(self.running) + self.others_load(now) + 1.0;
         running * self.health.latency_ratio() / f64::from(self.limit.get().max(1))
     }
 
-    pub(super) fn others(&self, now: Instant) -> f64 {
-        let Some(seen) = self.seen else {
+    pub(super) fn others_load(&self, now: Instant) -> f64 {
+        let Some(last_report) = self.last_report else {
             return 0.0;
         };
-        let all = seen.report.running.saturating_add(seen.report.queued);
-        let age = now.saturating_duration_since(seen.at).as_secs_f64();
-        f64::from(all.saturating_sub(seen.own)) * (-age / OTHERS_LOAD_DECAY_SECS).exp()
+        let all = last_report
+            .report
+            .running
+            .saturating_add(last_report.report.queued);
+        let age = now
+            .saturating_duration_since(last_report.valid_at)
+            .as_secs_f64();
+        f64::from(all.saturating_sub(last_report.own_running))
+            * (-age / OTHERS_LOAD_DECAY_SECS).exp()
     }
 
-    pub(super) fn take(&mut self, now: Instant, key: CallKey, call: &Call, work: f64, trial: bool) {
+    pub(super) fn add_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        call: &Call,
+        work: f64,
+        trial: bool,
+    ) {
         self.running += 1;
         self.tokens += u64::from(call.tokens);
         self.recent_work.add(now, work);
         self.attempts.insert((now, key));
-        if let Some(seen) = &mut self.seen {
-            seen.sent += u64::from(call.tokens);
+        if let Some(last_report) = &mut self.last_report {
+            last_report.tokens_sent += u64::from(call.tokens);
         }
         if trial {
             self.health.phase = Phase::Trial;
         }
     }
 
-    pub(super) fn give(&mut self, key: CallKey, attempt: &Attempt, call: &Call) {
+    pub(super) fn remove_attempt(&mut self, key: CallKey, attempt: &Attempt, call: &Call) {
         self.running -= 1;
         self.tokens -= u64::from(call.tokens);
         self.attempts.remove(&(attempt.start, key));
@@ -81,7 +94,7 @@
     /// Brings the pools and sums in line with an endpoint's row.
     pub(super) fn refresh(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        let capacity = if row.usable() { row.limit.get() } else { 0 };
+        let capacity = if row.is_usable() { row.limit.get() } else { 0 };
         let backing_off = row.limit.backoff_until(now).is_some();
         let free_slots = if backing_off {
             0
@@ -109,16 +122,16 @@
             _ => {}
         }
         let pool = &mut service.pools[row.tier];
-        match (row.slot, free_slots > 0) {
+        match (row.pool_index, free_slots > 0) {
             (None, true) => {
-                row.slot = Some(pool.len());
+                row.pool_index = Some(pool.len());
                 pool.push(key);
             }
-            (Some(slot), false) => {
-                row.slot = None;
-                pool.swap_remove(slot);
-                if let Some(moved) = pool.get(slot).copied() {
-                    self.endpoints[moved].slot = Some(slot);
+            (Some(pool_index), false) => {
+                row.pool_index = None;
+                pool.swap_remove(pool_index);
+                if let Some(moved) = pool.get(pool_index).copied() {
+                    self.endpoints[moved].pool_index = Some(pool_index);
                 }
             }
             _ => {}
@@ -128,10 +141,10 @@
     /// Takes an endpoint out of all sums, whatever its state.
     fn retire(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        let open = row.open;
-        row.open = false;
+        let accepting = row.accepting;
+        row.accepting = false;
         self.refresh(now, key);
-        self.endpoints[key].open = open;
+        self.endpoints[key].accepting = accepting;
     }
 
     /// Sorts a service's endpoints into tiers. The subset is the nearest by a
@@ -262,7 +275,7 @@
         match row.health.phase {
             Phase::Ejected(until) if until <= now => {
                 row.health.phase = Phase::AwaitingTrial;
-                if row.open {
+                if row.accepting {
                     self.services[service].awaiting_trial.push(key);
                 }
                 self.set_endpoint_timer(key, now + TRIAL_WAIT_TIMEOUT);
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -78,8 +78,8 @@
     /// Chooses an endpoint, and says whether the call tries it out.
     fn choose(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
         let row = &self.calls[key];
-        let (call, last) = (row.call, row.last);
-        let fresh = row.is_repeatable() && row.tries == 0;
+        let (call, last) = (row.call, row.last_endpoint);
+        let fresh = row.is_repeatable() && row.attempts_started == 0;
         let service = &mut self.services[call.service];
         if (fresh || service.usable == 0)
             && let Some(endpoint) = service.awaiting_trial.pop()
@@ -137,7 +137,9 @@
         let mut best: Option<(EndpointKey, f64)> = None;
         for key in &found {
             let row = &self.endpoints[*key];
-            let fits = row.slot.is_some() && Some(*key) != not && row.holds(now, call.tokens);
+            let fits = row.pool_index.is_some()
+                && Some(*key) != not
+                && row.has_cache_for(now, call.tokens);
             let recent_work = row.recent_work.value(now);
             if fits && best.is_none_or(|(_, least)| recent_work < least) {
                 best = Some((*key, recent_work));
@@ -166,7 +168,7 @@
         for _ in 0..DRAWS {
             let key = pool[self.rng.random_range(0..pool.len())];
             let row = &self.endpoints[key];
-            if Some(key) == not || !row.holds(now, call.tokens) {
+            if Some(key) == not || !row.has_cache_for(now, call.tokens) {
                 continue;
             }
             let score = row.score(now);
@@ -178,8 +180,9 @@
             }
         }
         let scan = || pool.iter().take(SCAN).copied();
-        let fits =
-            |key: &EndpointKey| Some(*key) != not && self.endpoints[*key].holds(now, call.tokens);
+        let fits = |key: &EndpointKey| {
+            Some(*key) != not && self.endpoints[*key].has_cache_for(now, call.tokens)
+        };
         best.or_else(|| {
             let key = scan().find(fits)?;
             Some((key, self.endpoints[key].score(now)))
@@ -204,7 +207,7 @@
                     break;
                 };
                 self.move_call(now, key);
-                self.calls[key].yields += 1;
+                self.calls[key].preemptions += 1;
                 taken = true;
             }
         }
@@ -221,7 +224,7 @@
             let used = f64::from(row.running[lower.index()]);
             lower > class
                 && !call.committed
-                && call.yields < YIELDS
+                && call.preemptions < YIELDS
                 && used > row.spec.floors[lower.index()] * f64::from(row.capacity)
                 && call.work / used > first.work * PATIENCE
         })
@@ -229,8 +232,8 @@
 
     /// Takes a repeatable call from where it runs and lets it wait again.
     pub(super) fn move_call(&mut self, now: Instant, key: CallKey) {
-        for slot in 0..2 {
-            self.cancel_attempt(now, key, slot);
+        for attempt_index in 0..2 {
+            self.cancel_attempt(now, key, attempt_index);
         }
         self.enqueue(now, key);
     }
@@ -253,7 +256,7 @@
             return;
         };
         let broke = matches!(
-            row.ran,
+            row.run_error,
             Some(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
         );
         if call.alone || broke {
@@ -261,7 +264,11 @@
         }
         let service = &self.services[call.service];
         let slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
-        if !slack || !row.movable() || row.tries >= call.tries || !self.in_time(now, &call) {
+        if !slack
+            || !row.can_rerun()
+            || row.attempts_started >= call.tries
+            || !self.in_time(now, &call)
+        {
             return;
         }
         let there = self.endpoints.get(first.endpoint);
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -7,7 +7,7 @@
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, ServiceKey, ServiceSpec, Step,
         place::PUMP,
-        table::{CallKey, CallRow, EndpointRow, Seen, ServiceRow, Timer},
+        table::{CallKey, CallRow, EndpointRow, ReceivedReport, ServiceRow, Timer},
     },
 };
 use rand::SeedableRng;
@@ -134,10 +134,10 @@
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if row.open == open {
+        if row.accepting == open {
             return;
         }
-        row.open = open;
+        row.accepting = open;
         let service = row.service;
         let healthy = row.health.is_healthy();
         self.refresh(now, endpoint);
@@ -221,12 +221,12 @@
             return;
         }
         row.committed = true;
-        row.ran = Some(ErrorKind::AnswerShort);
+        row.run_error = Some(ErrorKind::AnswerShort);
         let attempts = row.attempts;
         let service = row.call.service;
-        for (slot, attempt) in attempts.iter().enumerate() {
+        for (attempt_index, attempt) in attempts.iter().enumerate() {
             if attempt.is_some_and(|attempt| attempt.endpoint != endpoint) {
-                self.cancel_attempt(now, key, slot);
+                self.cancel_attempt(now, key, attempt_index);
             }
         }
         self.pump(now, service);
@@ -262,11 +262,11 @@
         if report.cache_free > 0 {
             row.limit.record_engine_load(report.running, report.queued);
         }
-        row.seen = Some(Seen {
+        row.last_report = Some(ReceivedReport {
             report,
-            at: now.checked_sub(report.age).unwrap_or(now),
-            own: row.running,
-            sent: 0,
+            valid_at: now.checked_sub(report.age).unwrap_or(now),
+            own_running: row.running,
+            tokens_sent: 0,
         });
         let service = row.service;
         self.refresh(now, endpoint);
@@ -320,7 +320,7 @@
     #[must_use]
     pub fn load(&self, endpoint: EndpointKey) -> Option<(u32, u32)> {
         let row = self.endpoints.get(endpoint)?;
-        let limit = if row.usable() { row.limit.get() } else { 0 };
+        let limit = if row.is_usable() { row.limit.get() } else { 0 };
         Some((row.running, limit))
     }
 
@@ -340,8 +340,8 @@
         let row = &mut self.calls[key];
         let service = row.call.service;
         row.timer_at = None;
-        if now >= row.call.deadline || (row.waits && now >= row.last_start) {
-            let kind = match (row.runs(), now >= row.call.deadline) {
+        if now >= row.call.deadline || (row.queued && now >= row.last_start) {
+            let kind = match (row.is_running(), now >= row.call.deadline) {
                 (true, _) => ErrorKind::TimedOut,
                 (false, true) => ErrorKind::Expired,
                 (false, false) => ErrorKind::Saturated,
@@ -352,7 +352,7 @@
             self.pump(now, service);
             return;
         }
-        let next = if row.waits {
+        let next = if row.queued {
             row.last_start
         } else {
             row.call.deadline
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -124,21 +124,21 @@
 
 /// A report and what was known of the endpoint when it arrived.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct ReceivedReport {
     pub(super) report: LoadReport,
     /// When it was true.
-    pub(super) at: Instant,
+    pub(super) valid_at: Instant,
     /// Attempts of this entry that ran then.
-    pub(super) own: u32,
+    pub(super) own_running: u32,
     /// Tokens sent there since.
-    pub(super) sent: u64,
+    pub(super) tokens_sent: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct EndpointRow {
     pub(super) spec: EndpointSpec,
     pub(super) service: ServiceKey,
-    pub(super) open: bool,
+    pub(super) accepting: bool,
     pub(super) running: u32,
     /// Tokens of the attempts that run.
     pub(super) tokens: u64,
@@ -146,10 +146,10 @@
     pub(super) health: Health,
     pub(super) tier: usize,
     /// Position in its pool, while it has room.
-    pub(super) slot: Option<usize>,
+    pub(super) pool_index: Option<usize>,
     /// What of it is counted in the service's sums.
     pub(super) counted: Counted,
-    pub(super) seen: Option<Seen>,
+    pub(super) last_report: Option<ReceivedReport>,
     /// Work placed there lately.
     pub(super) recent_work: DecayingSum,
     /// Attempts by their start, to find the oldest.
@@ -169,22 +169,22 @@
             limit: ConcurrencyLimit::new(spec.limit),
             spec,
             service,
-            open: true,
+            accepting: true,
             running: 0,
             tokens: 0,
             health: Health::new(),
             tier: 0,
-            slot: None,
+            pool_index: None,
             counted: Counted::default(),
-            seen: None,
+            last_report: None,
             recent_work: DecayingSum::new(WORK_DECAY),
             attempts: BTreeSet::new(),
             timer_at: None,
         }
     }
 
-    pub(super) fn usable(&self) -> bool {
-        self.open && self.health.is_healthy()
+    pub(super) fn is_usable(&self) -> bool {
+        self.accepting && self.health.is_healthy()
     }
 }
 
@@ -194,7 +194,7 @@
     pub(super) start: Instant,
     pub(super) trial: bool,
     /// Whether it met few others there.
-    pub(super) alone: bool,
+    pub(super) low_load: bool,
 }
 
 #[derive(Debug)]
@@ -204,16 +204,16 @@
     pub(super) work: f64,
     pub(super) seq: u64,
     /// Attempts started.
-    pub(super) tries: u8,
+    pub(super) attempts_started: u8,
     /// Times that its slot was taken back.
-    pub(super) yields: u8,
-    pub(super) waits: bool,
+    pub(super) preemptions: u8,
+    pub(super) queued: bool,
     /// Whether its caller has part of an answer.
     pub(super) committed: bool,
     /// What to tell if it may have run.
-    pub(super) ran: Option<ErrorKind>,
+    pub(super) run_error: Option<ErrorKind>,
     /// Where the last attempt ran.
-    pub(super) last: Option<EndpointKey>,
+    pub(super) last_endpoint: Option<EndpointKey>,
     /// The attempt and its hedge.
     pub(super) attempts: [Option<Attempt>; 2],
     /// When its timer is set.
@@ -228,12 +228,12 @@
             call,
             work,
             seq,
-            tries: 0,
-            yields: 0,
-            waits: false,
+            attempts_started: 0,
+            preemptions: 0,
+            queued: false,
             committed: false,
-            ran: None,
-            last: None,
+            run_error: None,
+            last_endpoint: None,
             attempts: [None; 2],
             timer_at: None,
             last_start: call.deadline,
@@ -245,7 +245,7 @@
     }
 
     /// Says whether another attempt could still answer it.
-    pub(super) fn movable(&self) -> bool {
+    pub(super) fn can_rerun(&self) -> bool {
         self.is_repeatable() && !self.committed
     }
 
@@ -256,7 +256,7 @@
         }
     }
 
-    pub(super) fn runs(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         self.attempts.iter().any(Option::is_some)
     }
 
