--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -14,7 +14,7 @@
         ServiceKey,
         drain::seconds,
         learn::Estimate,
-        place::PUMP,
+        place::DISPATCH_INTERVAL,
         queue::QueuedCall,
         router::Router,
         share,
@@ -52,7 +52,7 @@
             self.refuse(now, key, ErrorKind::Expired);
             return false;
         }
-        if let Err(kind) = self.check(now, &call) {
+        if let Err(kind) = self.check_admission(now, &call) {
             self.refuse(now, key, kind);
             return false;
         }
@@ -60,7 +60,7 @@
         true
     }
 
-    fn check(&self, now: Instant, call: &Call) -> Result<(), ErrorKind> {
+    fn check_admission(&self, now: Instant, call: &Call) -> Result<(), ErrorKind> {
         let row = &self.services[call.service];
         let queue = row.queue(call.class);
         if row.usable == 0 && row.awaiting_trial.is_empty() {
@@ -69,29 +69,29 @@
         if queue.len() >= row.spec.depth {
             return Err(ErrorKind::Saturated);
         }
-        let left = (call.deadline - now).as_secs_f64();
+        let time_left = (call.deadline - now).as_secs_f64();
         let Some(estimate) = row.service_times.estimate(call) else {
             return Ok(());
         };
         // With all slots in use the next one that ends is waited for as well.
-        let next = if row.free_slots == 0 {
+        let slot_wait = if row.free_slots == 0 {
             estimate.mean
         } else {
             0.0
         };
-        let ahead = queue.work_before(call.deadline) + next;
-        let wait = self.wait(now, call.service, call.class, ahead);
-        if !fits(wait, row.wait_margin, &estimate, left) {
+        let work_ahead = queue.work_before(call.deadline) + slot_wait;
+        let wait = self.estimate_wait(now, call.service, call.class, work_ahead);
+        if !fits_deadline(wait, row.wait_margin, &estimate, time_left) {
             return Err(ErrorKind::Saturated);
         }
         // Those behind it in the queue must not be made late by it either.
         let Some(last) = queue.last().filter(|last| last.deadline > call.deadline) else {
             return Ok(());
         };
-        let all = queue.work() + estimate.mean + next;
-        let wait = self.wait(now, call.service, call.class, all);
-        let left = (last.deadline - now).as_secs_f64();
-        if fits(wait, row.wait_margin, &estimate, left) {
+        let total_work = queue.work() + estimate.mean + slot_wait;
+        let wait = self.estimate_wait(now, call.service, call.class, total_work);
+        let time_left = (last.deadline - now).as_secs_f64();
+        if fits_deadline(wait, row.wait_margin, &estimate, time_left) {
             Ok(())
         } else {
             Err(ErrorKind::Saturated)
@@ -99,13 +99,19 @@
     }
 
     /// Estimates how long `work` of a class takes to start, in seconds.
-    pub(super) fn wait(&self, now: Instant, service: ServiceKey, class: Class, work: f64) -> f64 {
+    pub(super) fn estimate_wait(
+        &self,
+        now: Instant,
+        service: ServiceKey,
+        class: Class,
+        work: f64,
+    ) -> f64 {
         let row = &self.services[service];
         if work <= 0.0 && row.free_slots > 0 {
             return 0.0;
         }
         let capacity = f64::from(row.capacity.max(1));
-        work * row.slowdown.max(1.0) / (capacity * share::part(row, now, class))
+        work * row.slowdown.max(1.0) / (capacity * share::expected_share(row, now, class))
     }
 
     pub(super) fn enqueue(&mut self, now: Instant, key: CallKey) {
@@ -119,43 +125,44 @@
         let service_row = &mut self.services[service];
         service_row.queues[class.index()].push(queue_key, queued_call);
         if service_row.timer_at.is_none() {
-            service_row.timer_at = Some(now + PUMP);
-            self.timers.insert((now + PUMP, Timer::Service(service)));
+            service_row.timer_at = Some(now + DISPATCH_INTERVAL);
+            self.timers
+                .insert((now + DISPATCH_INTERVAL, Timer::Service(service)));
         }
         // What can't be answered any more leaves then, not when its turn comes.
         let call = self.calls[key].call;
-        let need = self.expect(&call).map_or(0.0, |e| e.p50);
-        let last = call.deadline.checked_sub(seconds(need));
-        let last = last.map_or(now, |last| last.max(now));
-        self.calls[key].last_start = last;
-        self.set_call_timer(key, last);
+        let median = self.estimate(&call).map_or(0.0, |e| e.p50);
+        let latest_start = call.deadline.checked_sub(seconds(median));
+        let latest_start = latest_start.map_or(now, |at| at.max(now));
+        self.calls[key].latest_start = latest_start;
+        self.set_call_timer(key, latest_start);
     }
 
     /// Refuses what can't be answered any more after capacity was lost.
     ///
     /// Holding it until its deadline would let callers wait for an answer that
     /// is already known.
-    pub(super) fn trim(&mut self, now: Instant, service: ServiceKey) {
+    pub(super) fn refuse_unanswerable(&mut self, now: Instant, service: ServiceKey) {
         for class in Class::ALL {
             let row = &self.services[service];
-            let none = row.usable == 0 && row.awaiting_trial.is_empty();
+            let no_endpoint = row.usable == 0 && row.awaiting_trial.is_empty();
             let mut work = 0.0;
-            let mut gone = Vec::new();
+            let mut unanswerable = Vec::new();
             for (queue_key, queued_call) in row.queue(class).iter() {
-                let left = (queue_key.deadline - now).as_secs_f64();
-                let wait = self.wait(now, service, class, work);
-                if none || wait + queued_call.work > left {
-                    gone.push(queued_call.call);
+                let time_left = (queue_key.deadline - now).as_secs_f64();
+                let wait = self.estimate_wait(now, service, class, work);
+                if no_endpoint || wait + queued_call.work > time_left {
+                    unanswerable.push(queued_call.call);
                 } else {
                     work += queued_call.work;
                 }
             }
-            let kind = if none {
+            let kind = if no_endpoint {
                 ErrorKind::NoEndpoint
             } else {
                 ErrorKind::Saturated
             };
-            for key in gone {
+            for key in unanswerable {
                 self.refuse(now, key, kind);
             }
         }
@@ -168,10 +175,10 @@
     pub(super) fn refuse(&mut self, now: Instant, key: CallKey, kind: ErrorKind) {
         let row = &self.calls[key];
         let call = row.call;
-        let told = row.run_error.filter(|_| kind.answer().not_run);
-        let kind = told.unwrap_or(kind);
-        let after = self.after(now, &call);
-        self.forget(now, key);
+        let run_error = row.run_error.filter(|_| kind.answer().not_run);
+        let kind = run_error.unwrap_or(kind);
+        let after = self.next_return(now, &call);
+        self.remove_call(now, key);
         self.steps.push_back(Step::Refuse {
             id: call.id,
             kind,
@@ -179,32 +186,32 @@
         });
     }
 
-    fn after(&mut self, now: Instant, call: &Call) -> Duration {
-        let draw = self.rng.random();
+    fn next_return(&mut self, now: Instant, call: &Call) -> Duration {
+        let random = self.rng.random();
         let Some(row) = self.services.get(call.service) else {
             return Duration::ZERO;
         };
         let mean = row.service_times.estimate(call).map_or(0.1, |e| e.mean);
-        let wait = self.wait(now, call.service, call.class, row.queue(call.class).work());
-        let gap = self.wait(now, call.service, call.class, mean);
+        let wait = self.estimate_wait(now, call.service, call.class, row.queue(call.class).work());
+        let interval = self.estimate_wait(now, call.service, call.class, mean);
         let row = &mut self.services[call.service];
-        row.return_schedules[call.class.index()].reserve(now, wait, gap, draw)
+        row.return_schedules[call.class.index()].reserve(now, wait, interval, random)
     }
 
     /// Notes that a call that was let in couldn't be answered in time.
-    pub(super) fn missed(&mut self, service: ServiceKey) {
+    pub(super) fn record_late(&mut self, service: ServiceKey) {
         let wait_margin = &mut self.services[service].wait_margin;
         *wait_margin = (*wait_margin * WAIT_MARGIN_RAISE).min(MAX_WAIT_MARGIN);
     }
 
     /// Notes that a call that was let in was answered in time.
-    pub(super) fn kept(&mut self, service: ServiceKey) {
+    pub(super) fn record_on_time(&mut self, service: ServiceKey) {
         let wait_margin = &mut self.services[service].wait_margin;
         *wait_margin += WAIT_MARGIN_EASE * (BASE_WAIT_MARGIN - *wait_margin);
     }
 
     /// Takes a call out of its queue, if it waits.
-    pub(super) fn unqueue(&mut self, key: CallKey) {
+    pub(super) fn dequeue(&mut self, key: CallKey) {
         let row = &mut self.calls[key];
         if row.queued {
             row.queued = false;
@@ -215,35 +222,35 @@
     }
 
     /// Removes a call from all tables and cancels what runs of it.
-    pub(super) fn forget(&mut self, now: Instant, key: CallKey) {
-        self.unqueue(key);
+    pub(super) fn remove_call(&mut self, now: Instant, key: CallKey) {
+        self.dequeue(key);
         for attempt_index in 0..2 {
             self.cancel_attempt(now, key, attempt_index);
         }
         if let Some(row) = self.calls.remove(key) {
-            self.index.remove(&row.call.id);
+            self.call_keys.remove(&row.call.id);
             if let Some(timer_at) = row.timer_at {
                 self.timers.remove(&(timer_at, Timer::Call(key)));
             }
         }
     }
 
-    pub(super) fn expect(&self, call: &Call) -> Option<Estimate> {
+    pub(super) fn estimate(&self, call: &Call) -> Option<Estimate> {
         self.services[call.service].service_times.estimate(call)
     }
 
-    pub(super) fn in_time(&self, now: Instant, call: &Call) -> bool {
-        let need = self.expect(call).map_or(0.0, |e| e.p50);
-        now + seconds(need) < call.deadline
+    pub(super) fn can_answer_in_time(&self, now: Instant, call: &Call) -> bool {
+        let median = self.estimate(call).map_or(0.0, |e| e.p50);
+        now + seconds(median) < call.deadline
     }
 }
 
-fn fits(wait: f64, wait_margin: f64, estimate: &Estimate, left: f64) -> bool {
+fn fits_deadline(wait: f64, wait_margin: f64, estimate: &Estimate, time_left: f64) -> bool {
     if wait < NEGLIGIBLE_WAIT_SECS {
-        return estimate.p50 <= left;
+        return estimate.p50 <= time_left;
     }
     let tail = estimate
         .p999
-        .min((left * MAX_TAIL_SHARE).max(estimate.mean));
-    wait * wait_margin + tail <= left
+        .min((time_left * MAX_TAIL_SHARE).max(estimate.mean));
+    wait * wait_margin + tail <= time_left
 }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -33,8 +33,14 @@
 const MAX_SLOWDOWN: f64 = 8.0;
 
 impl Router {
-    pub(super) fn start(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey, trial: bool) {
-        self.unqueue(key);
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        endpoint: EndpointKey,
+        trial: bool,
+    ) {
+        self.dequeue(key);
         let row = &mut self.calls[key];
         let (call, work, repeatable) = (row.call, row.work, row.is_repeatable());
         let hedge = row.is_running();
@@ -65,7 +71,7 @@
         }
         self.endpoints[endpoint].add_attempt(now, key, &call, work, trial);
         self.refresh(now, endpoint);
-        self.watch(now, endpoint);
+        self.schedule_check(now, endpoint);
         if !hedge {
             let timer_at = self.hedge_time(now, key).unwrap_or(call.deadline);
             self.set_call_timer(key, timer_at);
@@ -83,7 +89,7 @@
     fn hedge_time(&self, now: Instant, key: CallKey) -> Option<Instant> {
         let row = &self.calls[key];
         let eligible = row.is_repeatable() && row.call.class != Class::Rollout;
-        let estimate = self.expect(&row.call).filter(|_| eligible)?;
+        let estimate = self.estimate(&row.call).filter(|_| eligible)?;
         let at = now + seconds(estimate.p95.max(estimate.p50 * 1.5));
         (at < row.call.deadline).then_some(at)
     }
@@ -120,7 +126,12 @@
         }
     }
 
-    fn end(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) -> Option<Attempt> {
+    fn end_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        endpoint: EndpointKey,
+    ) -> Option<Attempt> {
         let attempts = &self.calls[key].attempts;
         let attempt_index = attempts
             .iter()
@@ -128,53 +139,53 @@
         self.detach(now, key, attempt_index)
     }
 
-    pub(super) fn answered(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) {
+    pub(super) fn finish_answered(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) {
         let running = self.endpoints.get(endpoint).map_or(0, |row| row.running);
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
         let call = self.calls[key].call;
         let elapsed = now - attempt.start;
-        self.judge(now, &call, &attempt, running, elapsed);
+        self.record_latency(now, &call, &attempt, running, elapsed);
         // The loser's endpoint took at least so long: without this a slow one
         // whose calls are all hedged would never be found out.
-        self.time_out(now, key);
-        self.kept(call.service);
+        self.record_timeout(now, key);
+        self.record_on_time(call.service);
         let slowdown = self
-            .expect(&call)
+            .estimate(&call)
             .map_or(1.0, |e| elapsed.as_secs_f64() / e.mean);
         let service = &mut self.services[call.service];
         service.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - service.slowdown);
         let service_times = &mut self.services[call.service].service_times;
         service_times.add(&call, elapsed, attempt.low_load);
-        self.forget(now, key);
+        self.remove_call(now, key);
     }
 
     /// Counts a call that ran out of time as one that took at least so long.
-    pub(super) fn time_out(&mut self, now: Instant, key: CallKey) {
+    pub(super) fn record_timeout(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
         let Some(attempt) = row.attempts.iter().flatten().next().copied() else {
             return;
         };
         let elapsed = now - attempt.start;
-        let baseline = self.expect(&call).map_or(f64::MAX, |e| e.baseline);
+        let baseline = self.estimate(&call).map_or(f64::MAX, |e| e.baseline);
         if elapsed.as_secs_f64() > baseline && !attempt.trial {
-            self.judge(now, &call, &attempt, 1, elapsed);
+            self.record_latency(now, &call, &attempt, 1, elapsed);
         }
     }
 
-    pub(super) fn not_run(
+    pub(super) fn finish_not_run(
         &mut self,
         now: Instant,
         key: CallKey,
         endpoint: EndpointKey,
         kind: ErrorKind,
     ) {
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
-        self.refused_there(now, &attempt, kind);
+        self.record_refusal(now, &attempt, kind);
         let row = &self.calls[key];
         let call = row.call;
         if row.is_running() {
@@ -183,7 +194,7 @@
         let retry = kind.answer().retry == Retry::After
             && row.attempts_started < MAX_STARTS
             && !row.committed;
-        let retry = retry && self.in_time(now, &call);
+        let retry = retry && self.can_answer_in_time(now, &call);
         if retry && self.services[call.service].budget.try_spend(RESEND_COST) {
             self.enqueue(now, key);
         } else {
@@ -191,7 +202,7 @@
         }
     }
 
-    fn refused_there(&mut self, now: Instant, attempt: &Attempt, kind: ErrorKind) {
+    fn record_refusal(&mut self, now: Instant, attempt: &Attempt, kind: ErrorKind) {
         let endpoint = attempt.endpoint;
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
@@ -203,7 +214,7 @@
                     self.readmit(now, endpoint);
                 }
                 self.refresh(now, endpoint);
-                self.watch(now, endpoint);
+                self.schedule_check(now, endpoint);
             }
             ErrorKind::EndpointDown => {
                 let unreachable = row.health.record_refused_connection();
@@ -217,14 +228,14 @@
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn finish_failed(
         &mut self,
         now: Instant,
         key: CallKey,
         endpoint: EndpointKey,
         kind: ErrorKind,
     ) {
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
         let failing = self
@@ -240,8 +251,9 @@
             return;
         }
         let call = row.call;
-        let retry =
-            row.can_rerun() && row.attempts_started < row.call.tries && self.in_time(now, &call);
+        let retry = row.can_rerun()
+            && row.attempts_started < row.call.tries
+            && self.can_answer_in_time(now, &call);
         if retry && self.services[call.service].budget.try_spend(RERUN_COST) {
             self.enqueue(now, key);
         } else {
@@ -250,7 +262,7 @@
     }
 
     /// Moves repeatable calls away from an endpoint that has gone silent.
-    pub(super) fn move_all(&mut self, now: Instant, endpoint: EndpointKey) {
+    pub(super) fn rerun_calls(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(row) = self.endpoints.get(endpoint) else {
             return;
         };
@@ -262,15 +274,15 @@
             let eligible = unhedged
                 && row.can_rerun()
                 && row.attempts_started < row.call.tries
-                && self.in_time(now, &row.call);
+                && self.can_answer_in_time(now, &row.call);
             if eligible && self.services[service].budget.try_spend(RERUN_COST) {
-                self.move_call(now, key);
+                self.requeue(now, key);
             }
         }
     }
 
     /// Compares how long an attempt took with its like and with its peers.
-    fn judge(
+    fn record_latency(
         &mut self,
         now: Instant,
         call: &Call,
@@ -279,7 +291,7 @@
         elapsed: Duration,
     ) {
         let secs = elapsed.as_secs_f64().max(1e-6);
-        let estimate = self.expect(call);
+        let estimate = self.estimate(call);
         let ratio = estimate.map_or(1.0, |e| secs / e.baseline);
         let Some(row) = self.endpoints.get_mut(attempt.endpoint) else {
             return;
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -139,7 +139,7 @@
     }
 
     /// Takes an endpoint out of all sums, whatever its state.
-    fn retire(&mut self, now: Instant, key: EndpointKey) {
+    fn remove_from_sums(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
         let accepting = row.accepting;
         row.accepting = false;
@@ -155,7 +155,8 @@
             let name = &self.endpoints[*key].spec.name;
             xxh3_64_with_seed(name.as_bytes(), self.seed)
         };
-        let is_local = |key: &EndpointKey| self.endpoints[*key].spec.place == self.place;
+        let is_local =
+            |key: &EndpointKey| self.endpoints[*key].spec.data_centre == self.data_centre;
         let (mut local, remote): (Vec<_>, Vec<_>) = keys.into_iter().partition(is_local);
         if local.len() > SUBSET_SIZE {
             local.sort_by_cached_key(rank);
@@ -164,7 +165,7 @@
         let tiers = local.map(|(index, key)| (key, usize::from(index >= SUBSET_SIZE)));
         for (key, tier) in tiers.chain(remote.into_iter().map(|key| (key, REMOTE_TIER))) {
             if self.endpoints[key].tier != tier {
-                self.retire(now, key);
+                self.remove_from_sums(now, key);
                 self.endpoints[key].tier = tier;
             }
             self.refresh(now, key);
@@ -172,7 +173,7 @@
     }
 
     pub(super) fn drop_endpoint(&mut self, now: Instant, key: EndpointKey) {
-        self.retire(now, key);
+        self.remove_from_sums(now, key);
         let Some(row) = self.endpoints.remove(key) else {
             return;
         };
@@ -220,7 +221,7 @@
         self.refresh(now, key);
         self.set_endpoint_timer(key, until);
         if healthy {
-            self.trim(now, service_key);
+            self.refuse_unanswerable(now, service_key);
         }
     }
 
@@ -236,23 +237,23 @@
     }
 
     /// Sets the timer that looks for silence or for the end of a pause.
-    pub(super) fn watch(&mut self, now: Instant, key: EndpointKey) {
+    pub(super) fn schedule_check(&mut self, now: Instant, key: EndpointKey) {
         let row = &self.endpoints[key];
         if let Some(until) = row.limit.backoff_until(now) {
             self.set_endpoint_timer(key, until);
         } else if row.timer_at.is_none()
-            && let Some(at) = self.silent_at(key)
+            && let Some(at) = self.silence_deadline(key)
         {
             self.set_endpoint_timer(key, at.max(now));
         }
     }
 
     /// Says when the endpoint will have been silent for too long.
-    fn silent_at(&self, key: EndpointKey) -> Option<Instant> {
+    fn silence_deadline(&self, key: EndpointKey) -> Option<Instant> {
         let row = &self.endpoints[key];
         let (start, call) = row.attempts.first()?;
         let since = row.health.last_activity.map_or(*start, |at| at.max(*start));
-        let estimate = self.expect(&self.calls[*call].call);
+        let estimate = self.estimate(&self.calls[*call].call);
         Some(since + seconds(health::silence_limit(estimate.map(|e| e.p99))))
     }
 
@@ -284,12 +285,12 @@
             Phase::AwaitingTrial => self.readmit(now, key),
             Phase::Healthy | Phase::Trial => self.check_silence(now, key),
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
     fn check_silence(&mut self, now: Instant, key: EndpointKey) {
         self.refresh(now, key);
-        let Some(at) = self.silent_at(key) else {
+        let Some(at) = self.silence_deadline(key) else {
             return;
         };
         if at > now {
@@ -302,7 +303,7 @@
             // Too many are out already; look again rather than at once.
             self.set_endpoint_timer(key, now + SILENCE_RECHECK_INTERVAL);
         } else {
-            self.move_all(now, key);
+            self.rerun_calls(now, key);
         }
     }
 }
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -25,88 +25,96 @@
 use std::time::{Duration, Instant};
 
 /// A backlog is looked at again so often, for what changes without an event.
-pub(super) const PUMP: Duration = Duration::from_millis(50);
+pub(super) const DISPATCH_INTERVAL: Duration = Duration::from_millis(50);
 /// Draws at most, when those drawn have no cache memory left for the call.
-const DRAWS: usize = 8;
+const MAX_DRAWS: usize = 8;
 /// Endpoints that are looked at one by one if no draw fits.
-const SCAN: usize = 16;
+const MAX_SCANNED: usize = 16;
 /// Work that an endpoint may get above the mean before a prefix goes to the
 /// next one: the busiest is to stay within 1.25 of the mean.
-const BOUND: f64 = 1.1;
+const MAX_WORK_RATIO: f64 = 1.1;
 /// An endpoint at the entry's place that is fuller than this is compared with
 /// one elsewhere: the limit has headroom, and a wait behind another call is
 /// longer than the way to another place.
-const BUSY: f64 = 0.7;
+const BUSY_SCORE: f64 = 0.7;
 /// Slots that are taken back at a time; the next look is an event away.
-const BACK: usize = 8;
+const MAX_PREEMPTED: usize = 8;
 /// A rollout that lost its slot twice keeps the next one.
-const YIELDS: u8 = 2;
+const MAX_PREEMPTIONS: u8 = 2;
 /// Waiting for a rollout to end is fine for so much of an urgent call's time.
-const PATIENCE: f64 = 0.25;
+const TOLERATED_WAIT_SHARE: f64 = 0.25;
 
 impl Router {
     /// Places what waits for a service, as far as there is room.
-    pub(super) fn pump(&mut self, now: Instant, service: ServiceKey) {
+    pub(super) fn dispatch(&mut self, now: Instant, service: ServiceKey) {
         if self.services[service].queues_empty() {
             return;
         }
-        self.place(now, service);
-        if self.take_back(now, service) {
-            self.place(now, service);
+        self.place_queued(now, service);
+        if self.preempt(now, service) {
+            self.place_queued(now, service);
         }
     }
 
-    fn place(&mut self, now: Instant, service: ServiceKey) {
-        let mut skip = [false; 3];
-        while let Some(class) = share::next(&self.services[service], now, skip) {
+    fn place_queued(&mut self, now: Instant, service: ServiceKey) {
+        let mut blocked = [false; 3];
+        while let Some(class) = share::next_class(&self.services[service], now, blocked) {
             let Some((_, first)) = self.services[service].queue(class).first() else {
                 return;
             };
             let key = first.call;
-            if !self.in_time(now, &self.calls[key].call) {
-                self.missed(service);
+            if !self.can_answer_in_time(now, &self.calls[key].call) {
+                self.record_late(service);
                 self.refuse(now, key, ErrorKind::Saturated);
                 continue;
             }
-            match self.choose(now, key) {
-                Some((endpoint, trial)) => self.start(now, key, endpoint, trial),
-                None => skip[class.index()] = true,
+            match self.choose_endpoint(now, key) {
+                Some((endpoint, trial)) => self.start_attempt(now, key, endpoint, trial),
+                None => blocked[class.index()] = true,
             }
         }
     }
 
     /// Chooses an endpoint, and says whether the call tries it out.
-    fn choose(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
+    fn choose_endpoint(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
         let row = &self.calls[key];
         let (call, last) = (row.call, row.last_endpoint);
-        let fresh = row.is_repeatable() && row.attempts_started == 0;
+        let first_try = row.is_repeatable() && row.attempts_started == 0;
         let service = &mut self.services[call.service];
-        if (fresh || service.usable == 0)
+        if (first_try || service.usable == 0)
             && let Some(endpoint) = service.awaiting_trial.pop()
         {
             return Some((endpoint, true));
         }
-        let other = self.pick(now, &call, last);
-        let found = other.or_else(|| self.pick(now, &call, None).filter(|_| last.is_some()));
+        let preferred = self.pick_endpoint(now, &call, last);
+        let found = preferred.or_else(|| {
+            self.pick_endpoint(now, &call, None)
+                .filter(|_| last.is_some())
+        });
         found.map(|endpoint| (endpoint, false))
     }
 
-    fn pick(&mut self, now: Instant, call: &Call, not: Option<EndpointKey>) -> Option<EndpointKey> {
+    fn pick_endpoint(
+        &mut self,
+        now: Instant,
+        call: &Call,
+        excluded: Option<EndpointKey>,
+    ) -> Option<EndpointKey> {
         if self.services[call.service].free_slots == 0 {
             return None;
         }
         if let Some(prefix) = call.prefix {
-            let cached = self.cached(now, call, prefix, not);
+            let cached = self.pick_cached(now, call, prefix, excluded);
             if cached.is_some() {
                 return cached;
             }
         }
         let mut best: Option<(EndpointKey, f64)> = None;
         for tier in 0..TIERS {
-            let Some((key, score)) = self.draw(now, call, tier, not) else {
+            let Some((key, score)) = self.draw_from_tier(now, call, tier, excluded) else {
                 continue;
             };
-            if score <= BUSY {
+            if score <= BUSY_SCORE {
                 return Some(key);
             }
             if best.is_none_or(|(_, other)| score < other) {
@@ -117,58 +125,58 @@
     }
 
     /// Finds an endpoint on the ring that isn't ahead of the others.
-    fn cached(
+    fn pick_cached(
         &mut self,
         now: Instant,
         call: &Call,
         prefix: u64,
-        not: Option<EndpointKey>,
+        excluded: Option<EndpointKey>,
     ) -> Option<EndpointKey> {
-        let mut found = std::mem::take(&mut self.found);
+        let mut found = std::mem::take(&mut self.ring_candidates);
         found.clear();
         let row = &mut self.services[call.service];
         row.ring.find(prefix, &mut found);
         let row = &self.services[call.service];
         let mean = row.recent_work.value(now) / f64::from(row.usable.max(1));
-        let work = self.expect(call).map_or(0.0, |e| e.mean);
-        let most = mean * BOUND + work;
+        let work = self.estimate(call).map_or(0.0, |e| e.mean);
+        let max_work = mean * MAX_WORK_RATIO + work;
         // Other places count as well: the way there costs milliseconds, reading
         // a prompt again hundreds.
         let mut best: Option<(EndpointKey, f64)> = None;
         for key in &found {
             let row = &self.endpoints[*key];
             let fits = row.pool_index.is_some()
-                && Some(*key) != not
+                && Some(*key) != excluded
                 && row.has_cache_for(now, call.tokens);
-            let recent_work = row.recent_work.value(now);
-            if fits && best.is_none_or(|(_, least)| recent_work < least) {
-                best = Some((*key, recent_work));
+            let endpoint_work = row.recent_work.value(now);
+            if fits && best.is_none_or(|(_, least_work)| endpoint_work < least_work) {
+                best = Some((*key, endpoint_work));
             }
-            if fits && recent_work <= most {
+            if fits && endpoint_work <= max_work {
                 break;
             }
         }
-        self.found = found;
+        self.ring_candidates = found;
         best.map(|(key, _)| key)
     }
 
     /// Draws two endpoints of a tier and takes the less loaded one.
-    fn draw(
+    fn draw_from_tier(
         &mut self,
         now: Instant,
         call: &Call,
         tier: usize,
-        not: Option<EndpointKey>,
+        excluded: Option<EndpointKey>,
     ) -> Option<(EndpointKey, f64)> {
         let pool = &self.services[call.service].pools[tier];
         if pool.is_empty() {
             return None;
         }
         let mut best: Option<(EndpointKey, f64)> = None;
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let key = pool[self.rng.random_range(0..pool.len())];
             let row = &self.endpoints[key];
-            if Some(key) == not || !row.has_cache_for(now, call.tokens) {
+            if Some(key) == excluded || !row.has_cache_for(now, call.tokens) {
                 continue;
             }
             let score = row.score(now);
@@ -179,9 +187,9 @@
                 found => return found,
             }
         }
-        let scan = || pool.iter().take(SCAN).copied();
+        let scan = || pool.iter().take(MAX_SCANNED).copied();
         let fits = |key: &EndpointKey| {
-            Some(*key) != not && self.endpoints[*key].has_cache_for(now, call.tokens)
+            Some(*key) != excluded && self.endpoints[*key].has_cache_for(now, call.tokens)
         };
         best.or_else(|| {
             let key = scan().find(fits)?;
@@ -194,44 +202,52 @@
     /// Load: rollouts of minutes fill every slot that was idle, then parents
     /// come. Harm: they would wait for a rollout to end. Only repeatable calls
     /// yield, the latest first, as they lose least; the floor bounds how many.
-    fn take_back(&mut self, now: Instant, service: ServiceKey) -> bool {
-        let mut taken = false;
+    fn preempt(&mut self, now: Instant, service: ServiceKey) -> bool {
+        let mut preempted = false;
         for class in [Class::Interactive, Class::Partner] {
-            for _ in 0..BACK {
+            for _ in 0..MAX_PREEMPTED {
                 let row = &self.services[service];
-                let waits = row.queue(class).len();
-                if waits == 0 || row.free_slots as usize >= waits || !share::owed(row, class) {
+                let waiting = row.queue(class).len();
+                if waiting == 0
+                    || row.free_slots as usize >= waiting
+                    || !share::is_below_floor(row, class)
+                {
                     break;
                 }
-                let Some(key) = self.yielding(service, class) else {
+                let Some(key) = self.find_preemptible(service, class) else {
                     break;
                 };
-                self.move_call(now, key);
+                self.requeue(now, key);
                 self.calls[key].preemptions += 1;
-                taken = true;
+                preempted = true;
             }
         }
-        taken
+        preempted
     }
 
-    fn yielding(&self, service: ServiceKey, class: Class) -> Option<CallKey> {
+    fn find_preemptible(&self, service: ServiceKey, class: Class) -> Option<CallKey> {
         let row = &self.services[service];
         let (_, first) = row.queue(class).first()?;
-        let mut latest = row.preemptible.iter().rev().take(SCAN).map(|(_, key)| *key);
+        let mut latest = row
+            .preemptible
+            .iter()
+            .rev()
+            .take(MAX_SCANNED)
+            .map(|(_, key)| *key);
         latest.find(|key| {
             let call = &self.calls[*key];
             let lower = call.call.class;
             let used = f64::from(row.running[lower.index()]);
             lower > class
                 && !call.committed
-                && call.preemptions < YIELDS
+                && call.preemptions < MAX_PREEMPTIONS
                 && used > row.spec.floors[lower.index()] * f64::from(row.capacity)
-                && call.work / used > first.work * PATIENCE
+                && call.work / used > first.work * TOLERATED_WAIT_SHARE
         })
     }
 
     /// Takes a repeatable call from where it runs and lets it wait again.
-    pub(super) fn move_call(&mut self, now: Instant, key: CallKey) {
+    pub(super) fn requeue(&mut self, now: Instant, key: CallKey) {
         for attempt_index in 0..2 {
             self.cancel_attempt(now, key, attempt_index);
         }
@@ -249,44 +265,44 @@
     /// meanwhile the call itself is long, and would be long elsewhere. Hedges
     /// are sent only with a tenth of the slots free and out of the retry
     /// budget: under saturation they would take the place of first tries.
-    pub(super) fn hedge(&mut self, now: Instant, key: CallKey) {
+    pub(super) fn start_hedge(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
         let (Some(first), None) = (row.attempts[0], row.attempts[1]) else {
             return;
         };
-        let broke = matches!(
+        let broke_endpoint = matches!(
             row.run_error,
             Some(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
         );
-        if call.alone || broke {
+        if call.alone || broke_endpoint {
             return;
         }
         let service = &self.services[call.service];
-        let slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
-        if !slack
+        let has_slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
+        if !has_slack
             || !row.can_rerun()
             || row.attempts_started >= call.tries
-            || !self.in_time(now, &call)
+            || !self.can_answer_in_time(now, &call)
         {
             return;
         }
-        let there = self.endpoints.get(first.endpoint);
-        let lively = there.is_some_and(|row| {
+        let first_endpoint = self.endpoints.get(first.endpoint);
+        let active = first_endpoint.is_some_and(|row| {
             row.health.is_healthy() && row.health.last_activity.is_some_and(|at| at > first.start)
         });
-        if lively {
+        if active {
             return;
         }
-        let Some(endpoint) = self.pick(now, &call, Some(first.endpoint)) else {
+        let Some(endpoint) = self.pick_endpoint(now, &call, Some(first.endpoint)) else {
             return;
         };
         // What has run for so long takes more than the mean.
-        let price = self
-            .expect(&call)
+        let cost = self
+            .estimate(&call)
             .map_or(RERUN_COST, |e| (e.p99 / e.mean).max(RERUN_COST));
-        if self.services[call.service].budget.try_spend(price) {
-            self.start(now, key, endpoint, false);
+        if self.services[call.service].budget.try_spend(cost) {
+            self.start_attempt(now, key, endpoint, false);
         }
     }
 }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -6,7 +6,7 @@
     id::RequestId,
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, ServiceKey, ServiceSpec, Step,
-        place::PUMP,
+        place::DISPATCH_INTERVAL,
         table::{CallKey, CallRow, EndpointRow, ReceivedReport, ServiceRow, Timer},
     },
 };
@@ -19,24 +19,24 @@
 };
 
 /// Expected seconds of a call before any was answered.
-const UNKNOWN_WORK: f64 = 0.05;
+const DEFAULT_WORK_SECS: f64 = 0.05;
 
 /// Decides where the calls of one entry run.
 ///
 /// Each event names the present instant, which never goes back.
 #[derive(Debug)]
 pub struct Router {
-    pub(super) place: String,
+    pub(super) data_centre: String,
     pub(super) seed: u64,
     pub(super) rng: Pcg64,
-    pub(super) names: HashMap<String, ServiceKey>,
+    pub(super) service_keys: HashMap<String, ServiceKey>,
     pub(super) services: SlotMap<ServiceKey, ServiceRow>,
     pub(super) endpoints: SlotMap<EndpointKey, EndpointRow>,
     pub(super) calls: SlotMap<CallKey, CallRow>,
-    pub(super) index: HashMap<RequestId, CallKey>,
+    pub(super) call_keys: HashMap<RequestId, CallKey>,
     pub(super) timers: BTreeSet<(Instant, Timer)>,
     pub(super) steps: VecDeque<Step>,
-    pub(super) found: Vec<EndpointKey>,
+    pub(super) ring_candidates: Vec<EndpointKey>,
     seq: u64,
 }
 
@@ -45,19 +45,19 @@
     ///
     /// `seed` starts the random choices, so that a test can repeat them.
     #[must_use]
-    pub fn new(place: &str, seed: u64) -> Self {
+    pub fn new(data_centre: &str, seed: u64) -> Self {
         Self {
-            place: place.to_owned(),
+            data_centre: data_centre.to_owned(),
             seed,
             rng: Pcg64::seed_from_u64(seed),
-            names: HashMap::new(),
+            service_keys: HashMap::new(),
             services: SlotMap::with_key(),
             endpoints: SlotMap::with_key(),
             calls: SlotMap::with_key(),
-            index: HashMap::new(),
+            call_keys: HashMap::new(),
             timers: BTreeSet::new(),
             steps: VecDeque::new(),
-            found: Vec::new(),
+            ring_candidates: Vec::new(),
             seq: 0,
         }
     }
@@ -66,18 +66,18 @@
     pub fn set_service(&mut self, now: Instant, name: &str, spec: ServiceSpec) -> ServiceKey {
         if let Some(key) = self.service(name) {
             self.services[key].spec = spec;
-            self.pump(now, key);
+            self.dispatch(now, key);
             return key;
         }
         let key = self.services.insert(ServiceRow::new(spec));
-        self.names.insert(name.to_owned(), key);
+        self.service_keys.insert(name.to_owned(), key);
         key
     }
 
     /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<ServiceKey> {
-        self.names.get(name).copied()
+        self.service_keys.get(name).copied()
     }
 
     /// Adds an endpoint that takes work at once.
@@ -93,7 +93,7 @@
     ) -> EndpointKey {
         let key = self.insert_endpoint(service, spec);
         self.set_tiers(now, service);
-        self.pump(now, service);
+        self.dispatch(now, service);
         key
     }
 
@@ -116,7 +116,7 @@
             .map(|spec| self.insert_endpoint(service, spec))
             .collect();
         self.set_tiers(now, service);
-        self.pump(now, service);
+        self.dispatch(now, service);
         keys
     }
 
@@ -145,12 +145,12 @@
             self.services[service]
                 .awaiting_trial
                 .retain(|key| *key != endpoint);
-            self.trim(now, service);
+            self.refuse_unanswerable(now, service);
         } else if !healthy {
             // Whoever opens it again knows more than an old suspicion.
             self.readmit(now, endpoint);
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
     /// Forgets an endpoint; what still runs there is reported by the entry.
@@ -160,15 +160,15 @@
         };
         self.drop_endpoint(now, endpoint);
         self.set_tiers(now, service);
-        self.trim(now, service);
-        self.pump(now, service);
+        self.refuse_unanswerable(now, service);
+        self.dispatch(now, service);
     }
 
     /// Takes a call in; the answer comes out as steps.
     ///
     /// A call whose id is known already is ignored.
     pub fn arrive(&mut self, now: Instant, call: Call) {
-        if self.index.contains_key(&call.id) {
+        if self.call_keys.contains_key(&call.id) {
             return;
         }
         if !self.services.contains_key(call.service) {
@@ -179,31 +179,31 @@
             });
             return;
         }
-        let work = self.expect(&call).map_or(UNKNOWN_WORK, |e| e.mean);
+        let work = self.estimate(&call).map_or(DEFAULT_WORK_SECS, |e| e.mean);
         self.seq += 1;
         let key = self.calls.insert(CallRow::new(call, work, self.seq));
-        self.index.insert(call.id, key);
+        self.call_keys.insert(call.id, key);
         if self.admit(now, key) {
-            self.pump(now, call.service);
+            self.dispatch(now, call.service);
         }
     }
 
     /// Forgets a call whose caller has gone, and cancels what runs of it.
     pub fn cancel(&mut self, now: Instant, id: RequestId) {
-        if let Some(key) = self.index.get(&id).copied() {
+        if let Some(key) = self.call_keys.get(&id).copied() {
             let service = self.calls[key].call.service;
-            self.forget(now, key);
-            self.pump(now, service);
+            self.remove_call(now, key);
+            self.dispatch(now, service);
         }
     }
 
     /// Notes that an attempt gave a sign of life: `tokens` so far.
     pub fn progress(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, _tokens: u64) {
-        let runs = self
-            .index
+        let running_there = self
+            .call_keys
             .get(&id)
             .is_some_and(|key| self.calls[*key].runs_at(endpoint));
-        if let Some(row) = self.endpoints.get_mut(endpoint).filter(|_| runs) {
+        if let Some(row) = self.endpoints.get_mut(endpoint).filter(|_| running_there) {
             row.health.last_activity = Some(now);
         }
     }
@@ -213,7 +213,7 @@
     /// From then on no other attempt can answer the call, so it is neither
     /// hedged nor moved nor tried again, and a hedge of it is cancelled.
     pub fn commit(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey) {
-        let Some(key) = self.index.get(&id).copied() else {
+        let Some(key) = self.call_keys.get(&id).copied() else {
             return;
         };
         let row = &mut self.calls[key];
@@ -229,7 +229,7 @@
                 self.cancel_attempt(now, key, attempt_index);
             }
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
     /// Notes how an attempt ended.
@@ -238,16 +238,16 @@
     /// answered or a hedge of it still runs. What is told of an attempt that
     /// was cancelled before is ignored.
     pub fn finish(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, outcome: Outcome) {
-        let Some(key) = self.index.get(&id).copied() else {
+        let Some(key) = self.call_keys.get(&id).copied() else {
             return;
         };
         let service = self.calls[key].call.service;
         match outcome {
-            Outcome::Answered => self.answered(now, key, endpoint),
-            Outcome::NotRun(kind) => self.not_run(now, key, endpoint, kind),
-            Outcome::Failed(kind) => self.failed(now, key, endpoint, kind),
+            Outcome::Answered => self.finish_answered(now, key, endpoint),
+            Outcome::NotRun(kind) => self.finish_not_run(now, key, endpoint, kind),
+            Outcome::Failed(kind) => self.finish_failed(now, key, endpoint, kind),
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
     /// Takes in what an endpoint reported of itself.
@@ -271,7 +271,7 @@
         let service = row.service;
         self.refresh(now, endpoint);
         if !self.services[service].queues_empty() {
-            self.pump(now, service);
+            self.dispatch(now, service);
         }
     }
 
@@ -340,35 +340,36 @@
         let row = &mut self.calls[key];
         let service = row.call.service;
         row.timer_at = None;
-        if now >= row.call.deadline || (row.queued && now >= row.last_start) {
+        if now >= row.call.deadline || (row.queued && now >= row.latest_start) {
             let kind = match (row.is_running(), now >= row.call.deadline) {
                 (true, _) => ErrorKind::TimedOut,
                 (false, true) => ErrorKind::Expired,
                 (false, false) => ErrorKind::Saturated,
             };
-            self.time_out(now, key);
-            self.missed(service);
+            self.record_timeout(now, key);
+            self.record_late(service);
             self.refuse(now, key, kind);
-            self.pump(now, service);
+            self.dispatch(now, service);
             return;
         }
         let next = if row.queued {
-            row.last_start
+            row.latest_start
         } else {
             row.call.deadline
         };
         self.set_call_timer(key, next);
-        self.hedge(now, key);
+        self.start_hedge(now, key);
     }
 
     /// Looks again at a service with a backlog: reserves fade without events.
     fn handle_service_timer(&mut self, now: Instant, key: ServiceKey) {
         self.services[key].timer_at = None;
-        self.pump(now, key);
+        self.dispatch(now, key);
         let row = &mut self.services[key];
         if !row.queues_empty() {
-            row.timer_at = Some(now + PUMP);
-            self.timers.insert((now + PUMP, Timer::Service(key)));
+            row.timer_at = Some(now + DISPATCH_INTERVAL);
+            self.timers
+                .insert((now + DISPATCH_INTERVAL, Timer::Service(key)));
         }
     }
 }
--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -14,46 +14,48 @@
 
 /// The reserve, as a share of the slots: rollouts are to use 90 % of what the
 /// others leave.
-const RESERVE: f64 = 0.05;
+const MAX_RESERVED_SHARE: f64 = 0.05;
 /// The reserve follows the urgent classes' recent peak; a quarter of it covers
 /// three standard deviations of Poisson arrivals from a peak of 100 on, and
 /// `taking back` covers smaller ones.
-const PEAK_PART: f64 = 0.25;
+const RESERVED_PEAK_SHARE: f64 = 0.25;
 /// Urgent use below this is none: a peak fades to it in 20 s.
-const FADED: f64 = 0.02;
+const NEGLIGIBLE_PEAK: f64 = 0.02;
 
 /// Returns the class whose first call is to be placed, without `skip`.
-pub(super) fn next(row: &ServiceRow, now: Instant, skip: [bool; 3]) -> Option<Class> {
-    let waits = |class: &Class| !row.queue(*class).is_empty() && !skip[class.index()];
-    let below = Class::ALL.into_iter().find(|c| waits(c) && owed(row, *c));
-    below.or_else(|| {
-        let class = Class::ALL.into_iter().find(waits)?;
+pub(super) fn next_class(row: &ServiceRow, now: Instant, blocked: [bool; 3]) -> Option<Class> {
+    let has_waiting = |class: &Class| !row.queue(*class).is_empty() && !blocked[class.index()];
+    let below_floor = Class::ALL
+        .into_iter()
+        .find(|c| has_waiting(c) && is_below_floor(row, *c));
+    below_floor.or_else(|| {
+        let class = Class::ALL.into_iter().find(has_waiting)?;
         // An endpoint that waits to be tried is room, too: when the others are
         // full it is wanted most.
-        let room = row.free_slots as usize + row.awaiting_trial.len();
-        (room > reserve(row, now, class) as usize).then_some(class)
+        let free = row.free_slots as usize + row.awaiting_trial.len();
+        (free > reserved_slots(row, now, class) as usize).then_some(class)
     })
 }
 
 /// Says whether a class has less than its floor.
-pub(super) fn owed(row: &ServiceRow, class: Class) -> bool {
+pub(super) fn is_below_floor(row: &ServiceRow, class: Class) -> bool {
     let floor = row.spec.floors[class.index()] * f64::from(row.capacity);
     f64::from(row.running[class.index()]) < floor
 }
 
 /// Returns the slots that `class` has to leave free for more urgent ones.
-fn reserve(row: &ServiceRow, now: Instant, class: Class) -> u32 {
+fn reserved_slots(row: &ServiceRow, now: Instant, class: Class) -> u32 {
     let urgent = &row.recent_peaks[..class.index()];
     let peak: f64 = urgent.iter().map(|peak| peak.value(now)).sum();
-    if peak < FADED {
+    if peak < NEGLIGIBLE_PEAK {
         return 0;
     }
-    let most = (f64::from(row.capacity) * RESERVE).floor();
-    ceil_to_u32((1.0 + peak * PEAK_PART).min(most))
+    let max_reserved = (f64::from(row.capacity) * MAX_RESERVED_SHARE).floor();
+    ceil_to_u32((1.0 + peak * RESERVED_PEAK_SHARE).min(max_reserved))
 }
 
 /// Estimates the share of the slots that a class gets while all wait.
-pub(super) fn part(row: &ServiceRow, now: Instant, class: Class) -> f64 {
+pub(super) fn expected_share(row: &ServiceRow, now: Instant, class: Class) -> f64 {
     let capacity = f64::from(row.capacity.max(1));
     let index = class.index();
     let higher: f64 = row.recent_peaks[..index]
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -56,7 +56,7 @@
     /// Its name, unique in the service.
     pub name: String,
     /// The place where it stands.
-    pub place: String,
+    pub data_centre: String,
     /// Requests that its side takes at once.
     pub limit: u32,
     /// Tokens of all requests that its cache memory holds at once; 0 for a
@@ -67,10 +67,10 @@
 impl EndpointSpec {
     /// Creates a description with a limit of 64 requests at once.
     #[must_use]
-    pub fn new(name: &str, place: &str) -> Self {
+    pub fn new(name: &str, data_centre: &str) -> Self {
         Self {
             name: name.to_owned(),
-            place: place.to_owned(),
+            data_centre: data_centre.to_owned(),
             limit: 64,
             tokens: 0,
         }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -219,7 +219,7 @@
     /// When its timer is set.
     pub(super) timer_at: Option<Instant>,
     /// When it can't be answered any more, while it waits.
-    pub(super) last_start: Instant,
+    pub(super) latest_start: Instant,
 }
 
 impl CallRow {
@@ -236,7 +236,7 @@
             last_endpoint: None,
             attempts: [None; 2],
             timer_at: None,
-            last_start: call.deadline,
+            latest_start: call.deadline,
         }
     }
 
