--- a/src/route/shift.rs
+++ b/src/route/shift.rs
@@ -29,21 +29,21 @@
 
 /// Time constant of a need: a burst of callers lasts seconds and is met by
 /// the queues, loading an engine takes half a minute.
-const SMOOTH: f64 = 30.0;
+const DEMAND_DECAY_SECS: f64 = 30.0;
 /// A need must exceed what is there by half an engine, and what is left must
 /// exceed the donor's need by as much: a need that sways by less moves none.
-const MARGIN: f64 = 0.5;
+const DEMAND_MARGIN: f64 = 0.5;
 /// So long must a shortage last before an engine changes its role.
-const HOLD: Duration = Duration::from_secs(15);
+const MIN_SHORTAGE_TIME: Duration = Duration::from_secs(15);
 /// An engine that changed its role keeps it for ten loads' time.
-const REST: Duration = Duration::from_mins(5);
+const MIN_ROLE_TIME: Duration = Duration::from_mins(5);
 /// A change that isn't reported done by then has failed.
-const PATIENCE: Duration = Duration::from_mins(1);
+const CHANGE_TIMEOUT: Duration = Duration::from_mins(1);
 /// An engine whose change failed is tried again after this, doubled each time.
-const BACKOFF: Duration = Duration::from_secs(2);
-const BACKOFF_MOST: Duration = Duration::from_mins(2);
+const MIN_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_mins(2);
 /// Share of a role that changes at once: the rest carry a third more meanwhile.
-const WAVE: f64 = 0.25;
+const MAX_WAVE_SHARE: f64 = 0.25;
 
 /// What an operator lays down for a role.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -83,13 +83,13 @@
 #[derive(Debug)]
 struct Role {
     spec: RoleSpec,
-    need: f64,
-    fresh: Option<Instant>,
-    short: Option<Instant>,
+    demand: f64,
+    demand_at: Option<Instant>,
+    short_since: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Move {
+struct PendingOrder {
     order: Order,
     since: Instant,
 }
@@ -99,23 +99,24 @@
     role: RoleKey,
     version: u64,
     load: f64,
-    moving: Option<Move>,
-    moved: Option<Instant>,
+    pending: Option<PendingOrder>,
+    role_changed_at: Option<Instant>,
     failures: u32,
-    retry: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
 impl Engine {
-    fn serves(&self, role: RoleKey) -> bool {
-        self.role == role && self.moving.is_none()
+    fn is_serving(&self, role: RoleKey) -> bool {
+        self.role == role && self.pending.is_none()
     }
 
-    fn comes_to(&self, role: RoleKey) -> bool {
-        self.moving.is_some_and(|step| step.order.role == role)
+    fn is_joining(&self, role: RoleKey) -> bool {
+        self.pending
+            .is_some_and(|pending| pending.order.role == role)
     }
 
-    fn free(&self, now: Instant) -> bool {
-        self.moving.is_none() && self.retry.is_none_or(|at| at <= now)
+    fn is_available(&self, now: Instant) -> bool {
+        self.pending.is_none() && self.retry_at.is_none_or(|at| at <= now)
     }
 }
 
@@ -125,7 +126,7 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
     roles: SlotMap<RoleKey, Role>,
     engines: SlotMap<EngineKey, Engine>,
 }
@@ -139,7 +140,7 @@
             rate,
             burst: f64::from(burst),
             tokens: f64::from(burst),
-            filled: now,
+            refilled_at: now,
             roles: SlotMap::with_key(),
             engines: SlotMap::with_key(),
         }
@@ -149,9 +150,9 @@
     pub fn add_role(&mut self, spec: RoleSpec) -> RoleKey {
         self.roles.insert(Role {
             spec,
-            need: 0.0,
-            fresh: None,
-            short: None,
+            demand: 0.0,
+            demand_at: None,
+            short_since: None,
         })
     }
 
@@ -167,12 +168,12 @@
         let Some(row) = self.roles.get_mut(role) else {
             return;
         };
-        let keep = row.fresh.map_or(0.0, |fresh| {
-            let age = now.saturating_duration_since(fresh);
-            (-age.as_secs_f64() / SMOOTH).exp()
+        let weight = row.demand_at.map_or(0.0, |demand_at| {
+            let age = now.saturating_duration_since(demand_at);
+            (-age.as_secs_f64() / DEMAND_DECAY_SECS).exp()
         });
-        row.need = engines + keep * (row.need - engines);
-        row.fresh = Some(now);
+        row.demand = engines + weight * (row.demand - engines);
+        row.demand_at = Some(now);
     }
 
     /// Adds an engine that serves `version` in `role`.
@@ -181,10 +182,10 @@
             role,
             version,
             load: 0.0,
-            moving: None,
-            moved: None,
+            pending: None,
+            role_changed_at: None,
             failures: 0,
-            retry: None,
+            retry_at: None,
         })
     }
 
@@ -206,38 +207,40 @@
         let Some(row) = self.engines.get_mut(engine) else {
             return;
         };
-        let order = row.moving.take().map(|step| step.order);
+        let order = row.pending.take().map(|pending| pending.order);
         if row.role != role {
-            row.moved = Some(now);
+            row.role_changed_at = Some(now);
         }
         row.role = role;
         row.version = version;
         if order.is_some_and(|order| order.role != role || order.version != version) {
-            row.fail(now);
+            row.record_failure(now);
         } else {
             row.failures = 0;
-            row.retry = None;
+            row.retry_at = None;
         }
     }
 
     /// Returns the orders that are due; to be called about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<Order> {
-        let age = now.saturating_duration_since(self.filled).as_secs_f64();
+        let age = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
         self.tokens = (self.tokens + age * self.rate).min(self.burst.max(1.0));
-        self.filled = now;
+        self.refilled_at = now;
         for row in self.engines.values_mut() {
-            let late = |step: &Move| step.since + PATIENCE <= now;
-            if row.moving.as_ref().is_some_and(late) {
-                row.moving = None;
-                row.fail(now);
+            let timed_out = |pending: &PendingOrder| pending.since + CHANGE_TIMEOUT <= now;
+            if row.pending.as_ref().is_some_and(timed_out) {
+                row.pending = None;
+                row.record_failure(now);
             }
         }
         let mut orders = Vec::new();
         let roles: Vec<RoleKey> = self.roles.keys().collect();
         // Floors first: a role without engines answers nobody.
-        self.balance(now, &roles, &mut orders);
+        self.order_moves(now, &roles, &mut orders);
         for role in roles {
-            self.update(now, role, &mut orders);
+            self.order_updates(now, role, &mut orders);
         }
         orders
     }
@@ -245,7 +248,7 @@
     /// Returns the engines that serve a role now.
     #[must_use]
     pub fn serving(&self, role: RoleKey) -> usize {
-        self.engines.values().filter(|e| e.serves(role)).count()
+        self.engines.values().filter(|e| e.is_serving(role)).count()
     }
 
     /// Returns the engines of a role that serve another version than they
@@ -260,77 +263,88 @@
     }
 
     /// Changes versions, as many as the wave, the floor and the store allow.
-    fn update(&mut self, now: Instant, role: RoleKey, orders: &mut Vec<Order>) {
+    fn order_updates(&mut self, now: Instant, role: RoleKey, orders: &mut Vec<Order>) {
         let spec = self.roles[role].spec;
         let serving = self.serving(role);
-        let moving = self.engines.values().filter(|e| e.comes_to(role)).count();
-        let wave = (((serving + moving) as f64 * WAVE).floor()).max(1.0);
+        let pending = self.engines.values().filter(|e| e.is_joining(role)).count();
+        let wave_size = (((serving + pending) as f64 * MAX_WAVE_SHARE).floor()).max(1.0);
         let mut stale: Vec<(f64, EngineKey)> = self
             .engines
             .iter()
-            .filter(|(_, e)| e.serves(role) && e.version != spec.version && e.free(now))
+            .filter(|(_, e)| e.is_serving(role) && e.version != spec.version && e.is_available(now))
             .map(|(key, e)| (e.load, key))
             .collect();
         stale.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let spare = serving.saturating_sub(spec.floor);
-        let next = stale.into_iter().take(spare).zip(moving..);
+        let available = serving.saturating_sub(spec.floor);
+        let next = stale.into_iter().take(available).zip(pending..);
         for ((_, engine), count) in next {
-            if count as f64 >= wave || !self.order(now, engine, role, orders) {
+            if count as f64 >= wave_size || !self.issue_order(now, engine, role, orders) {
                 return;
             }
         }
     }
 
     /// Moves one engine to each role that has been short for long enough.
-    fn balance(&mut self, now: Instant, roles: &[RoleKey], orders: &mut Vec<Order>) {
+    fn order_moves(&mut self, now: Instant, roles: &[RoleKey], orders: &mut Vec<Order>) {
         for role in roles {
-            let have = self.with_coming(*role);
+            let present = self.serving_or_joining(*role);
             let spec = self.roles[*role].spec;
-            let below = have < spec.floor;
-            let short = below || self.roles[*role].need >= have as f64 + MARGIN;
+            let below_floor = present < spec.floor;
+            let is_short =
+                below_floor || self.roles[*role].demand >= present as f64 + DEMAND_MARGIN;
             let row = &mut self.roles[*role];
-            row.short = if short { row.short.or(Some(now)) } else { None };
-            let lasted = row.short.is_some_and(|since| since + HOLD <= now);
-            if !below && !lasted {
+            row.short_since = if is_short {
+                row.short_since.or(Some(now))
+            } else {
+                None
+            };
+            let persistent = row
+                .short_since
+                .is_some_and(|since| since + MIN_SHORTAGE_TIME <= now);
+            if !below_floor && !persistent {
                 continue;
             }
-            if let Some(engine) = self.donor(now, *role, below)
-                && self.order(now, engine, *role, orders)
+            if let Some(engine) = self.find_donor(now, *role, below_floor)
+                && self.issue_order(now, engine, *role, orders)
             {
                 // The next one has to be short for as long again.
-                self.roles[*role].short = None;
+                self.roles[*role].short_since = None;
             }
         }
     }
 
-    fn with_coming(&self, role: RoleKey) -> usize {
-        let counts = |e: &&Engine| e.serves(role) || e.comes_to(role);
+    fn serving_or_joining(&self, role: RoleKey) -> usize {
+        let counts = |e: &&Engine| e.is_serving(role) || e.is_joining(role);
         self.engines.values().filter(counts).count()
     }
 
     /// Finds the least loaded engine that another role can do without.
-    fn donor(&self, now: Instant, to: RoleKey, below: bool) -> Option<EngineKey> {
-        let rests = |e: &Engine| e.moved.is_some_and(|at| at + REST > now);
+    fn find_donor(&self, now: Instant, to: RoleKey, below_floor: bool) -> Option<EngineKey> {
+        let recently_moved =
+            |e: &Engine| e.role_changed_at.is_some_and(|at| at + MIN_ROLE_TIME > now);
         let fits = |e: &Engine| {
-            e.role != to && e.free(now) && (below || !rests(e)) && self.spares(e.role, below)
+            e.role != to
+                && e.is_available(now)
+                && (below_floor || !recently_moved(e))
+                && self.can_spare(e.role, below_floor)
         };
         let engines = self.engines.iter().filter(|(_, e)| fits(e));
-        let least = engines.min_by(|a, b| a.1.load.total_cmp(&b.1.load));
-        least.map(|(key, _)| key)
+        let least_loaded = engines.min_by(|a, b| a.1.load.total_cmp(&b.1.load));
+        least_loaded.map(|(key, _)| key)
     }
 
     /// Says whether a role keeps its floor, and its need unless another role is
     /// below its floor, with one engine less.
-    fn spares(&self, role: RoleKey, below: bool) -> bool {
+    fn can_spare(&self, role: RoleKey, below_floor: bool) -> bool {
         let Some(row) = self.roles.get(role) else {
             return true;
         };
-        let left = self.serving(role).saturating_sub(1);
-        let enough = self.with_coming(role) as f64 - 1.0 >= row.need + MARGIN;
-        left >= row.spec.floor && (below || enough)
+        let remaining = self.serving(role).saturating_sub(1);
+        let enough = self.serving_or_joining(role) as f64 - 1.0 >= row.demand + DEMAND_MARGIN;
+        remaining >= row.spec.floor && (below_floor || enough)
     }
 
-    fn order(
+    fn issue_order(
         &mut self,
         now: Instant,
         engine: EngineKey,
@@ -347,16 +361,16 @@
             role,
             version,
         };
-        self.engines[engine].moving = Some(Move { order, since: now });
+        self.engines[engine].pending = Some(PendingOrder { order, since: now });
         orders.push(order);
         true
     }
 }
 
 impl Engine {
-    fn fail(&mut self, now: Instant) {
-        let pause = BACKOFF * 2u32.saturating_pow(self.failures.min(16));
-        self.retry = Some(now + pause.min(BACKOFF_MOST));
+    fn record_failure(&mut self, now: Instant) {
+        let pause = MIN_BACKOFF * 2u32.saturating_pow(self.failures.min(16));
+        self.retry_at = Some(now + pause.min(MAX_BACKOFF));
         self.failures += 1;
     }
 }
