--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,33 +1,35 @@
-//! Admission, queues and placement for the services behind one entry.
+//! Admission, queueing and placement of calls for the services behind one entry.
 //!
 //! The entry feeds events into a [`Router`] and carries out the [`Step`]s that
-//! come out. The router owns the entities in tables (services, endpoints,
-//! calls) and never does input or output, so that the same code runs under
-//! load in the daemon and in virtual time in the tests.
+//! it returns. The router keeps its state in tables of services, endpoints and
+//! calls and does no I/O, so the same code runs in the daemon and in virtual
+//! time in the tests.
 //!
 //! # Design
 //!
-//! * Calls wait here and not at endpoints, because here they can be ordered by
-//!   deadline, expire, move and be refused. So each endpoint gets only as many
-//!   calls as it works on at once (`limit`), and a call that can't be answered
-//!   in time is refused when it arrives (`admit`).
-//! * One estimate carries both: what a call takes, learned for each class and
-//!   size (`learn`). The wait is the work ahead over the slots that the class
-//!   gets (`share`); the limit is the throughput times what a call takes
-//!   without load (Little's law).
-//! * An entry trusts what it sees itself: its own calls in flight and their
-//!   latency. Reports of endpoints only add the load of other entries, and
-//!   fade with age, so that late or absent reports cost speed at most.
-//! * Work is done twice only out of one budget for each service (`retry`), and
-//!   only if it is repeatable, or surely didn't run, and its caller has nothing
-//!   of an answer yet (`attempt`).
-//! * Nothing scans: timers are one ordered set, endpoints with room lie in
-//!   pools, sums are kept up to date by each event. The price is that every
-//!   change of an endpoint's row has to end in `refresh`.
+//! * Calls queue in the entry rather than at endpoints, where they could not be
+//!   reordered, expired or moved. Each endpoint has a concurrency limit
+//!   (`limit`), and a call that can't be answered in time is refused on arrival
+//!   (`admit`).
+//! * Both decisions use service times learned per class and size (`learn`). The
+//!   expected wait is the work ahead divided by the slots that the class gets
+//!   (`share`); the limit is the throughput times the service time without load
+//!   (Little's law).
+//! * Placement relies on the entry's own calls in flight and their latency.
+//!   Load reports only add the load of other entries and lose weight with age,
+//!   so a late or missing report makes placement worse but never wrong.
+//! * Retries and hedges draw on one budget per service (`retry`). A call is run
+//!   again only if it is repeatable or surely did not run, and only while its
+//!   caller has no part of an answer (`attempt`).
+//! * No event scans a table: timers are one ordered set, endpoints with free
+//!   slots are kept in pools, and sums are updated incrementally. Every change
+//!   of an endpoint's row must therefore end with a call of `refresh`.
 //!
-//! What this can't see: endpoints that other entries fill show only in late
-//! reports, refusals of their sides and latency; several entries therefore
-//! find their shares of an endpoint by each following its throughput.
+//! # Limitations
+//!
+//! Load from other entries is visible only in load reports, refusals and
+//! latency. Entries that share an endpoint find their shares of it indirectly:
+//! each one's limit follows the throughput that it gets there.
 //!
 //! # Example
 //!
@@ -74,8 +76,8 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a service in a [`Router`].
+    /// The key of a service in a [`Router`].
     pub struct ServiceKey;
-    /// Names an endpoint in a [`Router`].
+    /// The key of an endpoint in a [`Router`].
     pub struct EndpointKey;
 }
