--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -1,11 +1,10 @@
-//! Whether a call can be answered in time, decided when it arrives.
+//! Admission control: decides on arrival whether a call can meet its deadline.
 //!
-//! Load: a weekend's parents at four times what the booking servers can do.
-//! Harm: each late answer is a caller lost, and the work for it is taken from
-//! one who could have been answered. So a call is let in only if the work
-//! ahead of it, divided by the share of the slots that its class gets, and the
-//! tail of its own service time fit before its deadline. Everything that is
-//! read here is kept up to date by other events: the decision costs no scan.
+//! Under overload, a late answer wastes capacity that another call could have
+//! used. A call is admitted only if its expected wait and the tail of its own
+//! service time fit before its deadline. The expected wait is the work ahead of
+//! it divided by the slots that its class gets. All inputs are maintained
+//! incrementally, so admission scans no table.
 
 use crate::{
     class::Class,
@@ -25,26 +24,23 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// The estimate of the wait is an average, and slots end in bunches: a third
-/// more keeps late answers below one in a thousand of those let in, if nobody
-/// else uses the endpoints.
+/// Initial and lowest factor on the estimated wait, which is only an average.
 pub(super) const BASE_WAIT_MARGIN: f64 = 1.35;
-/// Other entries take slots away unseen. Each call that was let in and can't be
-/// answered raises the care by a tenth, each answer lowers it a little: that
-/// balances at one such call in 2,000 answers when the care is 1.5.
+/// Factor by which an admitted call that misses its deadline raises the margin.
 const WAIT_MARGIN_RAISE: f64 = 1.1;
+/// Part of the excess margin that each answer in time removes.
 const WAIT_MARGIN_EASE: f64 = 0.0005;
-/// Then three quarters of the time left are kept in reserve; more would refuse
-/// calls that an idle service answers.
+/// Upper bound of the margin, above which calls that an idle service could
+/// answer would be refused.
 const MAX_WAIT_MARGIN: f64 = 4.0;
-/// The tail takes at most this part of the time left: a class whose slowest
-/// calls outlast every deadline would otherwise be refused whole.
+/// Cap on the tail of the service time, as a share of the time left. Without it
+/// a class whose slowest calls outlast every deadline would always be refused.
 const MAX_TAIL_SHARE: f64 = 0.5;
-/// A call that waits less than this is not worth refusing for its tail.
+/// Wait below which only the median service time has to fit.
 const NEGLIGIBLE_WAIT_SECS: f64 = 0.001;
 
 impl Router {
-    /// Refuses the call or lets it wait.
+    /// Queues the call, or refuses it and returns `false`.
     pub(super) fn admit(&mut self, now: Instant, key: CallKey) -> bool {
         let row = &self.calls[key];
         let call = row.call;
@@ -73,7 +69,7 @@
         let Some(estimate) = row.service_times.estimate(call) else {
             return Ok(());
         };
-        // With all slots in use the next one that ends is waited for as well.
+        // With all slots in use the call also waits for one to become free.
         let slot_wait = if row.free_slots == 0 {
             estimate.mean
         } else {
@@ -84,7 +80,7 @@
         if !fits_deadline(wait, row.wait_margin, &estimate, time_left) {
             return Err(ErrorKind::Saturated);
         }
-        // Those behind it in the queue must not be made late by it either.
+        // The call must not make those behind it in the queue late either.
         let Some(last) = queue.last().filter(|last| last.deadline > call.deadline) else {
             return Ok(());
         };
@@ -98,7 +94,8 @@
         }
     }
 
-    /// Estimates how long `work` of a class takes to start, in seconds.
+    /// Estimates how long it takes to start `work` seconds of a class's calls,
+    /// in seconds.
     pub(super) fn estimate_wait(
         &self,
         now: Instant,
@@ -129,7 +126,7 @@
             self.timers
                 .insert((now + DISPATCH_INTERVAL, Timer::Service(service)));
         }
-        // What can't be answered any more leaves then, not when its turn comes.
+        // The timer refuses the call as soon as it can't be answered in time.
         let call = self.calls[key].call;
         let median = self.estimate(&call).map_or(0.0, |e| e.p50);
         let latest_start = call.deadline.checked_sub(seconds(median));
@@ -138,10 +135,8 @@
         self.set_call_timer(key, latest_start);
     }
 
-    /// Refuses what can't be answered any more after capacity was lost.
-    ///
-    /// Holding it until its deadline would let callers wait for an answer that
-    /// is already known.
+    /// Refuses queued calls that can't be answered in time after a loss of
+    /// capacity, instead of keeping their callers waiting until the deadline.
     pub(super) fn refuse_unanswerable(&mut self, now: Instant, service: ServiceKey) {
         for class in Class::ALL {
             let row = &self.services[service];
@@ -168,10 +163,10 @@
         }
     }
 
-    /// Gives the final refusal and forgets the call.
+    /// Removes a call and refuses it.
     ///
-    /// Of a call that may have run no kind may say that it didn't: then what
-    /// became of its last attempt is told instead.
+    /// If an attempt may have run, a `kind` that claims otherwise is replaced by
+    /// the error of that attempt.
     pub(super) fn refuse(&mut self, now: Instant, key: CallKey, kind: ErrorKind) {
         let row = &self.calls[key];
         let call = row.call;
@@ -186,6 +181,7 @@
         });
     }
 
+    /// Chooses when a refused caller should come back.
     fn next_return(&mut self, now: Instant, call: &Call) -> Duration {
         let random = self.rng.random();
         let Some(row) = self.services.get(call.service) else {
@@ -198,19 +194,19 @@
         row.return_schedules[call.class.index()].reserve(now, wait, interval, random)
     }
 
-    /// Notes that a call that was let in couldn't be answered in time.
+    /// Records that an admitted call could not be answered in time.
     pub(super) fn record_late(&mut self, service: ServiceKey) {
         let wait_margin = &mut self.services[service].wait_margin;
         *wait_margin = (*wait_margin * WAIT_MARGIN_RAISE).min(MAX_WAIT_MARGIN);
     }
 
-    /// Notes that a call that was let in was answered in time.
+    /// Records that an admitted call was answered in time.
     pub(super) fn record_on_time(&mut self, service: ServiceKey) {
         let wait_margin = &mut self.services[service].wait_margin;
         *wait_margin += WAIT_MARGIN_EASE * (BASE_WAIT_MARGIN - *wait_margin);
     }
 
-    /// Takes a call out of its queue, if it waits.
+    /// Removes a call from its queue, if it is queued.
     pub(super) fn dequeue(&mut self, key: CallKey) {
         let row = &mut self.calls[key];
         if row.queued {
@@ -221,7 +217,7 @@
         }
     }
 
-    /// Removes a call from all tables and cancels what runs of it.
+    /// Removes a call from all tables and cancels its running attempts.
     pub(super) fn remove_call(&mut self, now: Instant, key: CallKey) {
         self.dequeue(key);
         for attempt_index in 0..2 {
