--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -1,9 +1,9 @@
-//! The life of an attempt: start, end, and what follows from its outcome.
+//! Start and end of attempts, and what follows from their outcomes.
 //!
-//! Whether a call may be tried again is decided here alone: it is repeatable,
-//! or it surely didn't run; there is budget and time; and no other attempt of
-//! it runs. A call that runs at most once is never started again after an
-//! attempt of it may have run.
+//! All decisions to retry are made here. A call is retried only if it is
+//! repeatable or surely did not run, budget and time are left, and no other
+//! attempt of it is running. A call that must run at most once is never
+//! restarted after an attempt that may have run.
 
 use crate::{
     class::Class,
@@ -22,14 +22,14 @@
 };
 use std::time::{Duration, Instant};
 
-/// Starts of one call at most, refused ones included: with a third of the
-/// endpoints full, six refusals in a row are less likely than 1 in 700.
+/// Attempts of one call, counting those that did not run, after which it is not
+/// sent again.
 const MAX_STARTS: u8 = 6;
 
-/// Weight of a call in the stretch: 64 calls are 50 ms of a busy service.
+/// Weight of one call in the moving average of the slowdown.
 const SLOWDOWN_WEIGHT: f64 = 1.0 / 64.0;
-/// A call counts as stretched by so much at most: a hundred times longer one
-/// among short ones must not stop admission.
+/// Cap on the slowdown of one call, so that a single very long call among short
+/// ones does not stop admission.
 const MAX_SLOWDOWN: f64 = 8.0;
 
 impl Router {
@@ -83,9 +83,10 @@
         });
     }
 
-    /// Says when the call has taken longer than 19 in 20: soon enough to save a
-    /// caller, late enough to look at few. Rollouts aren't hedged: nobody waits for one
-    /// alone, and two of them cost twice.
+    /// Returns when a hedge of a call that starts now is due: at the 95th
+    /// percentile of its service time, but not before 1.5 times the median.
+    ///
+    /// Rollouts are not hedged, because no caller waits for a single one.
     fn hedge_time(&self, now: Instant, key: CallKey) -> Option<Instant> {
         let row = &self.calls[key];
         let eligible = row.is_repeatable() && row.call.class != Class::Rollout;
@@ -94,7 +95,7 @@
         (at < row.call.deadline).then_some(at)
     }
 
-    /// Takes an attempt out of all sums.
+    /// Removes an attempt from its call and from all sums.
     fn detach(&mut self, now: Instant, key: CallKey, attempt_index: usize) -> Option<Attempt> {
         let row = &mut self.calls[key];
         let attempt = row.attempts[attempt_index].take()?;
@@ -109,7 +110,7 @@
         Some(attempt)
     }
 
-    /// Cancels an attempt; from then on what is told of it is ignored.
+    /// Cancels an attempt; later events of it are ignored.
     pub(super) fn cancel_attempt(&mut self, now: Instant, key: CallKey, attempt_index: usize) {
         let Some(attempt) = self.detach(now, key, attempt_index) else {
             return;
@@ -147,8 +148,8 @@
         let call = self.calls[key].call;
         let elapsed = now - attempt.start;
         self.record_latency(now, &call, &attempt, running, elapsed);
-        // The loser's endpoint took at least so long: without this a slow one
-        // whose calls are all hedged would never be found out.
+        // The attempt that lost to its hedge took at least this long. Without
+        // this sample a slow endpoint whose calls are all hedged stays unnoticed.
         self.record_timeout(now, key);
         self.record_on_time(call.service);
         let slowdown = self
@@ -161,7 +162,8 @@
         self.remove_call(now, key);
     }
 
-    /// Counts a call that ran out of time as one that took at least so long.
+    /// Records how long a call's running attempt has taken so far, unless that is
+    /// still within the baseline.
     pub(super) fn record_timeout(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Moves repeatable calls away from an endpoint that has gone silent.
+    /// Requeues the calls at a silent endpoint that may run elsewhere.
     pub(super) fn rerun_calls(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(row) = self.endpoints.get(endpoint) else {
             return;
@@ -281,7 +283,8 @@
         }
     }
 
-    /// Compares how long an attempt took with its like and with its peers.
+    /// Records the latency of an attempt and compares it with the expected time
+    /// and with the endpoint's peers.
     fn record_latency(
         &mut self,
         now: Instant,
