--- a/src/route/drain.rs
+++ b/src/route/drain.rs
@@ -1,21 +1,18 @@
-//! When a refused caller should come back.
+//! `Retry-After` times of refused callers.
 //!
-//! Callers that are all told "in one second" come back together and are
-//! refused together. Each refusal therefore books the next free instant on a
-//! line that moves on at the rate at which the service drains: callers return
-//! one by one, as fast as they can be served and no faster.
+//! Callers that all got the same delay would come back at once and be refused
+//! again. Each refusal therefore reserves the next free instant of a schedule
+//! that advances at the rate at which the queue is worked off.
 
 use std::time::{Duration, Instant};
 
-/// Never sooner: a caller that comes back within a few round trips only adds
-/// load while the queue is what it was.
+/// Lower bound, so that callers don't return before the queue has changed.
 const MIN_DELAY: Duration = Duration::from_millis(200);
-/// Never later: beyond this the rate will have changed, and a family that was
-/// told two minutes has gone. From here on returns are spread at random.
+/// Upper bound. Returns that would be later are spread at random below it.
 const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// Share of the drain rate that is promised to those who come back: others come
-/// for the first time meanwhile.
+/// Share of the service rate that is scheduled for returning callers; the rest
+/// is for new ones.
 const RETURNING_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,8 +21,11 @@
 }
 
 impl ReturnSchedule {
-    /// Books a return after `wait`, where `gap` is the time in which one call
-    /// drains and `draw` is random in [0, 1).
+    /// Reserves a return no earlier than after `wait` seconds and returns the
+    /// delay until then.
+    ///
+    /// `interval` is the time that the service needs for one call, in seconds;
+    /// `random` is a random number in [0, 1).
     pub(super) fn reserve(
         &mut self,
         now: Instant,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Converts seconds, clamped to what a caller may be told.
+/// Converts seconds to a duration of at most an hour.
 pub(super) fn seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value.clamp(0.0, 3600.0)).unwrap_or(MAX_DELAY)
 }
