--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -1,4 +1,4 @@
-//! The state of endpoints: room, tiers, ejection and return.
+//! State of endpoints: load, tiers, ejection and readmission.
 
 use crate::route::{
     EndpointKey, ServiceKey,
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A report that is older says nothing of a queue.
+/// Pause before a silent endpoint that could not be ejected is checked again.
 pub(super) const SILENCE_RECHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// What others run there is believed less with age, by this time constant.
+/// Time constant by which the reported load of other entries decays.
 const OTHERS_LOAD_DECAY_SECS: f64 = 1.0;
-/// Free cache memory is believed as long: a batch turns over in that time.
+/// Age up to which reported free cache memory is used.
 const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
-/// Near endpoints that an entry uses first. Few links and warm caches; 360
-/// entries with 24 each put about 14 entries on each of 600 endpoints.
+/// Endpoints in the entry's data centre that it uses first. Fewer streams and
+/// warmer caches, at the price of less choice.
 const SUBSET_SIZE: usize = 24;
-/// Share of a service that may be ejected for being slow, silent or failing.
-/// Beyond it the fault is more likely the load's or this entry's own.
+/// Share of a service's endpoints that may be ejected on suspicion. If more look
+/// bad, the load or this entry is the likelier cause.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// A service whose calls may not be repeated has none to try an endpoint with;
-/// after this pause it is let back with a limit of one.
+/// Time after which an endpoint is readmitted without a trial, because a service
+/// may have no repeatable calls to try it with.
 const TRIAL_WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl EndpointRow {
-    /// Says whether its cache memory holds so many tokens more.
+    /// Returns whether its cache memory has room for `tokens` more.
     pub(super) fn has_cache_for(&self, now: Instant, tokens: u32) -> bool {
         let tokens = u64::from(tokens);
         let fits_capacity = self.spec.tokens == 0 || self.tokens + tokens <= self.spec.tokens;
-        // An endpoint with nothing of ours always takes one.
+        // An endpoint without calls of this entry always takes one.
         let unused = self.running == 0;
         let fits_report = self.last_report.is_none_or(|last_report| {
             last_report.report.cache_free == 0
@@ -42,12 +42,13 @@
         unused || (fits_capacity && fits_report)
     }
 
-    /// Returns its load for comparison: lower is better.
+    /// Returns its load relative to its limit and speed; lower is better.
     pub(super) fn score(&self, now: Instant) -> f64 {
         let running = f64::from(self.running) + self.others_load(now) + 1.0;
         running * self.health.latency_ratio() / f64::from(self.limit.get().max(1))
     }
 
+    /// Returns the calls of other entries there, decayed with the report's age.
     pub(super) fn others_load(&self, now: Instant) -> f64 {
         let Some(last_report) = self.last_report else {
             return 0.0;
@@ -91,7 +92,7 @@
 }
 
 impl Router {
-    /// Brings the pools and sums in line with an endpoint's row.
+    /// Updates the pools and sums after a change of an endpoint's row.
     pub(super) fn refresh(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
         let capacity = if row.is_usable() { row.limit.get() } else { 0 };
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Takes an endpoint out of all sums, whatever its state.
+    /// Removes an endpoint from all sums and pools.
     fn remove_from_sums(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
         let accepting = row.accepting;
@@ -147,8 +148,8 @@
         self.endpoints[key].accepting = accepting;
     }
 
-    /// Sorts a service's endpoints into tiers. The subset is the nearest by a
-    /// hash of entry and name: another endpoint more or less changes only one.
+    /// Assigns a service's endpoints to tiers. The subset is chosen by rendezvous
+    /// hashing, so that adding or removing an endpoint changes one member of it.
     pub(super) fn set_tiers(&mut self, now: Instant, service: ServiceKey) {
         let keys = self.services[service].endpoints.clone();
         let rank = |key: &EndpointKey| {
@@ -191,13 +192,13 @@
         }
     }
 
-    /// Stops sending to an endpoint for a while; `sure` goes beyond the share
-    /// of a service that may be ejected on suspicion.
+    /// Ejects an endpoint for a while. Unless `certain`, only while the share of
+    /// ejected endpoints allows it.
     pub(super) fn eject(&mut self, now: Instant, key: EndpointKey, certain: bool) {
         let Some(row) = self.endpoints.get_mut(key) else {
             return;
         };
-        // What was on its way when it was ejected must not lengthen the pause.
+        // Outcomes of calls that were in flight at the ejection don't extend it.
         if matches!(row.health.phase, Phase::Ejected(_)) {
             return;
         }
@@ -236,7 +237,7 @@
         self.refresh(now, key);
     }
 
-    /// Sets the timer that looks for silence or for the end of a pause.
+    /// Sets the timer for the end of a backoff or the next check for silence.
     pub(super) fn schedule_check(&mut self, now: Instant, key: EndpointKey) {
         let row = &self.endpoints[key];
         if let Some(until) = row.limit.backoff_until(now) {
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Says when the endpoint will have been silent for too long.
+    /// Returns when the endpoint will have been silent for too long.
     fn silence_deadline(&self, key: EndpointKey) -> Option<Instant> {
         let row = &self.endpoints[key];
         let (start, call) = row.attempts.first()?;
@@ -300,7 +301,7 @@
         let trial = !self.endpoints[key].health.is_healthy();
         self.eject(now, key, trial);
         if self.endpoints[key].health.is_healthy() {
-            // Too many are out already; look again rather than at once.
+            // Too many endpoints are ejected already.
             self.set_endpoint_timer(key, now + SILENCE_RECHECK_INTERVAL);
         } else {
             self.rerun_calls(now, key);
