--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -1,52 +1,47 @@
-//! Which endpoints are slow, silent, failing or gone.
+//! Outlier detection: slow, silent, failing and unreachable endpoints.
 //!
-//! An endpoint is judged against its peers, not against a fixed time: when all
-//! are slow the load or the work has changed, and ejecting them would only
-//! make it worse. Latency is compared as a logarithm, so that one call that
-//! took a hundred times as long doesn't decide. Silence is judged by the
-//! oldest call that runs without any sign of life, because a stuck endpoint
-//! never gives a latency to be compared.
+//! Latency is compared with that of the endpoint's peers. If all are slow, the
+//! load or the work has changed and ejecting endpoints would make it worse. The
+//! comparison uses logarithms, so that one very long call does not decide. A
+//! stuck endpoint yields no latency; it is detected by the age of its oldest
+//! call without activity.
 //!
-//! An ejected endpoint gets one repeatable call after a pause; its limit then
-//! starts again from one.
+//! An ejected endpoint is tried with one repeatable call after a pause.
 
 use std::time::{Duration, Instant};
 
-/// Weight of a sample. With exponential times the mean of logarithms then
-/// strays by 0.3; `SLOW` is nearly four times that, and ten times slower is
-/// found after seven answers.
+/// Weight of a sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Answers before an endpoint is compared.
+/// Answers before an endpoint is compared with its peers.
 const MIN_SAMPLES: u32 = 6;
-/// Three times slower than the peers, as a logarithm.
+/// Excess of the mean log ratio over the peers' from which an endpoint counts as
+/// slow: about three times slower.
 const OUTLIER_LOG_RATIO: f64 = 1.1;
-/// One call counts as at most twelve times slower: two calls of a hundred times
-/// the work must not eject an endpoint.
+/// Bound of the log ratio of one call, so that a few calls with far more work
+/// don't eject an endpoint.
 const MAX_LOG_RATIO: f64 = 2.5;
-/// Share of failed calls that ejects; 0.1 weight means about seven in a row.
+/// Share of failed calls above which an endpoint is ejected.
 const MAX_FAILURE_RATE: f64 = 0.5;
-/// Refused connections in a row that take an endpoint out.
+/// Refused connections in a row after which an endpoint is ejected.
 const MAX_REFUSED_STREAK: u32 = 3;
-/// First pause; it doubles with each failed trial. One second is what callers
-/// may notice; the longest is how long a repaired endpoint may stay unused.
+/// Time of the first ejection; it doubles with each failed trial.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
-/// Silence of so many times the 99th percentile, and at least the least,
-/// means stuck: a call that is merely long is rarely alone.
+/// Allowed silence as a multiple of the 99th percentile of the service time.
 const SILENCE_FACTOR: f64 = 2.0;
 const MIN_SILENCE_SECS: f64 = 0.1;
-/// Silence allowed before anything is known of the service.
+/// Allowed silence while the service time is unknown.
 const DEFAULT_SILENCE_SECS: f64 = 5.0;
 
 /// Whether an endpoint gets work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
     Healthy,
-    /// Ejected until then.
+    /// Ejected until this instant.
     Ejected(Instant),
-    /// The pause is over; waits for a call to try it with.
+    /// The ejection is over; waits for a trial call.
     AwaitingTrial,
-    /// One call tries it.
+    /// A trial call is running.
     Trial,
 }
 
@@ -58,11 +53,11 @@
     samples: u32,
     failure_rate: f64,
     refused_streak: u32,
-    /// When it last gave a sign of life.
+    /// When a call there last showed progress or was answered.
     pub(super) last_activity: Option<Instant>,
 }
 
-/// The mean of what the fit endpoints of a service show.
+/// Mean log ratio of the healthy endpoints of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Peers {
     sum: f64,
@@ -98,7 +93,7 @@
         (self.failure_rate, self.refused_streak)
     }
 
-    /// Returns how many times slower than expected it answers.
+    /// Returns its mean latency relative to the expected one.
     pub(super) fn latency_ratio(&self) -> f64 {
         if self.samples < MIN_SAMPLES {
             1.0
@@ -107,7 +102,7 @@
         }
     }
 
-    /// Takes its part out of what it is compared with.
+    /// Removes its ratio from the peers' mean.
     pub(super) fn leave_peers(&self, peers: &mut Peers) {
         if self.samples >= MIN_SAMPLES {
             peers.sum -= self.log_ratio;
@@ -115,7 +110,7 @@
         }
     }
 
-    /// Puts its part into what others are compared with.
+    /// Adds its ratio to the peers' mean.
     pub(super) fn join_peers(&self, peers: &mut Peers) {
         if self.samples >= MIN_SAMPLES {
             peers.sum += self.log_ratio;
@@ -123,8 +118,8 @@
         }
     }
 
-    /// Takes in an answer that took `ratio` times what was expected; returns
-    /// whether the endpoint is an outlier among the others in `peers`.
+    /// Records an answer that took `ratio` times the expected time; returns
+    /// whether the endpoint is an outlier among `peers`.
     pub(super) fn record_answer(&mut self, ratio: f64, peers: &Peers) -> bool {
         self.refused_streak = 0;
         self.failure_rate *= 1.0 - SAMPLE_WEIGHT;
@@ -138,18 +133,19 @@
                 .is_some_and(|mean| self.log_ratio > mean + OUTLIER_LOG_RATIO)
     }
 
-    /// Says whether a trial's answer is like those of the peers.
+    /// Returns whether a trial call with this ratio was as fast as the peers.
     pub(super) fn passes_trial(ratio: f64, peers: &Peers) -> bool {
         ratio.ln() < peers.mean().unwrap_or(0.0) + OUTLIER_LOG_RATIO
     }
 
-    /// Takes in a failed call; returns whether they are too many.
+    /// Records a failed call; returns whether too many calls fail.
     pub(super) fn record_failure(&mut self) -> bool {
         self.failure_rate += SAMPLE_WEIGHT * (1.0 - self.failure_rate);
         self.failure_rate > MAX_FAILURE_RATE
     }
 
-    /// Takes in a refused connection; returns whether it counts as down.
+    /// Records a refused connection; returns whether the endpoint counts as
+    /// unreachable.
     pub(super) fn record_refused_connection(&mut self) -> bool {
         self.refused_streak += 1;
         self.refused_streak >= MAX_REFUSED_STREAK
@@ -162,8 +158,7 @@
         until
     }
 
-    /// Lets it back in, with nothing held against it but the length of the
-    /// next pause, which halves.
+    /// Resets all statistics; only the next ejection time is kept, halved.
     pub(super) fn readmit(&mut self) {
         *self = Self {
             ejection_time: (self.ejection_time / 2).max(MIN_EJECTION_TIME),
@@ -173,8 +168,8 @@
     }
 }
 
-/// Returns how long an endpoint may be silent with a call of this 99th
-/// percentile running, in seconds.
+/// Returns how long an endpoint may be silent, in seconds, while it runs a call
+/// with this 99th percentile of the service time.
 pub(super) fn silence_limit(p99: Option<f64>) -> f64 {
     p99.map_or(DEFAULT_SILENCE_SECS, |p99| {
         (p99 * SILENCE_FACTOR).max(MIN_SILENCE_SECS)
