--- a/src/route/learn.rs
+++ b/src/route/learn.rs
@@ -1,36 +1,36 @@
-//! What calls of a service take, learned for each class and size.
+//! Service times of a service, learned for each class and size of call.
 //!
-//! Admission needs the tail of the service time, not only its mean, so each
-//! cell keeps a histogram with logarithmic bins: 24 doublings from 100 us on,
-//! four bins each, an error of at most 19 per cent. Counts are halved now and
-//! then, so that the histogram follows a service that changes. Sizes are
-//! powers of two of the tokens; a plain call has no size and all sizes of work
-//! share one cell, whose tail then tells of the long ones.
+//! Admission needs the tail of the service time as well as its mean, so each
+//! cell keeps a histogram with logarithmic bins: four per doubling, from 100 us
+//! on. Counts are halved at intervals, so that the histogram follows a service
+//! that changes. Sizes are powers of two of the tokens; all plain calls of a
+//! class share one cell.
 
 use crate::{class::Class, route::spec::Call};
 use std::time::Duration;
 
 const BINS: usize = 96;
 const BINS_PER_DOUBLING: f64 = 4.0;
+/// Lower bound of the first bin.
 const FIRST_BIN_SECS: f64 = 100e-6;
 /// Sizes: none, then one for each power of two of tokens.
 const SIZE_CLASSES: usize = 33;
-/// Counts are halved here: at 100 calls a second the memory is 40 s, short
-/// enough to follow new weights, long enough to hold some of the last 0.1 %.
+/// Total count at which all counts are halved: small enough to follow a change
+/// of weights, large enough to hold samples of the slowest 0.1 %.
 const MAX_TOTAL: u32 = 4096;
-/// The quantiles are drawn again after so many calls (at least 1 in 16 of what
-/// the cell holds): drawing them costs as much as 20 other samples.
+/// Calls after which the estimate is refreshed at the latest. A refresh reads the
+/// whole histogram.
 const REFRESH_CALLS: u32 = 16;
-/// The low mark falls at this weight and rises at 1/32 of it: latency that
-/// queues add must not pass for the service's nature within minutes.
+/// Weights of a sample below and above the baseline. The baseline rises slowly,
+/// so that latency added by queueing does not soon pass for service time.
 const BASELINE_FALL_WEIGHT: f64 = 0.1;
 const BASELINE_RISE_WEIGHT: f64 = BASELINE_FALL_WEIGHT / 32.0;
-/// Calls that met few others that are averaged: strays by 3 per cent.
+/// Calls at low load that count in their moving average.
 const MAX_LOW_LOAD_SAMPLES: u32 = 512;
-/// So many calls that met few others are enough: strays by 12 per cent.
+/// Calls at low load from which on their average is used.
 const MIN_LOW_LOAD_SAMPLES: u32 = 64;
-/// Calls that will do if too few met few others. The first to end are the
-/// shortest: fewer calls would give too short a time.
+/// Calls at any load that make the estimate reliable if there are too few at low
+/// load. The first to end are the shortest, so fewer would give too low a mean.
 const MIN_SAMPLES: u32 = 512;
 
 /// What a call is expected to take at an endpoint, in seconds.
@@ -41,13 +41,13 @@
     pub(super) p95: f64,
     pub(super) p99: f64,
     pub(super) p999: f64,
-    /// A level near the fast end, that queues move only slowly.
+    /// A level near the fast end, which queueing raises only slowly.
     pub(super) baseline: f64,
-    /// The mean of calls that met few others at their endpoint.
+    /// Mean without load, from calls at low load if there were enough of them.
     pub(super) unloaded: f64,
-    /// Whether that is known well enough to set limits by it.
+    /// Whether `unloaded` is known well enough to set limits by it.
     pub(super) reliable: bool,
-    /// Whether it comes from calls that met few others.
+    /// Whether `unloaded` comes from calls at low load.
     pub(super) from_low_load: bool,
 }
 
@@ -138,10 +138,10 @@
         }
     }
 
-    /// Averages calls that met few others, and the first ones of all.
+    /// Averages the calls at low load, and the first calls at any load.
     ///
-    /// Those come first under lasting saturation. Their average then stays as
-    /// it is: if it went on it would follow the limit that is set by it.
+    /// Under lasting saturation only the latter exist. Their average is then
+    /// frozen, because it would otherwise follow the limit derived from it.
     fn add_unloaded(&mut self, secs: f64, low_load: bool) {
         if low_load {
             self.low_load.add(secs, MAX_LOW_LOAD_SAMPLES);
@@ -189,7 +189,7 @@
     }
 }
 
-/// The service times of one service.
+/// Learned service times of one service, by class and size.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceTimes {
     cells: Vec<Option<Box<TimeStats>>>,
@@ -210,7 +210,8 @@
             .add(secs, low_load);
     }
 
-    /// Estimates a call; `None` until anything like it was answered.
+    /// Estimates a call's service time, if necessary from other classes or sizes;
+    /// `None` until a call was answered that can stand for it.
     pub(super) fn estimate(&self, call: &Call) -> Option<Estimate> {
         let size = size_class(call.tokens);
         self.get(call.class, size)
@@ -223,7 +224,7 @@
         Some(cell.estimate)
     }
 
-    /// Scales from the nearest known size: work grows with tokens.
+    /// Scales the estimate of the nearest known size by the ratio of the sizes.
     fn scale_from_nearest(&self, size: usize) -> Option<Estimate> {
         if size == 0 {
             return None;
