--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -1,86 +1,79 @@
-//! How many calls one endpoint gets at once.
+//! Concurrency limit of one endpoint.
 //!
-//! Calls that wait inside an endpoint wait where nobody can reorder, expire or
-//! move them, so the queue belongs here. The limit is what the endpoint gets
-//! done without waiting: its throughput while it is kept full, times what a
-//! call takes there without load (Little's law), and a little more. Below the
-//! endpoint's capacity the throughput follows the limit, which therefore
-//! grows; above it the throughput stays, and so does the limit.
+//! The limit is the throughput of the endpoint while it is kept full, times the
+//! service time without load (Little's law), plus some headroom. Below the
+//! endpoint's capacity the throughput follows the limit, which therefore grows;
+//! above it the throughput stays, and so does the limit.
 //!
-//! What a call takes without load is learned from calls that met few others.
-//! Under lasting saturation there are none, so now and then the limit is
-//! lowered for a few calls.
-//!
-//! Weighed and tried: comparing the latency of a window of answers with that
-//! of the best window. With exponential service times the best window lies far
-//! below the mean, ordinary ones then pass for queues, and 15 per cent of the
-//! capacity stayed unused at saturation.
+//! The service time without load is learned from calls at low load. Under
+//! lasting saturation there are none, so the limit is lowered for a few calls
+//! at intervals (a probe).
 
 use crate::route::{drain::seconds, meter::ceil_to_u32};
 use std::time::{Duration, Instant};
 
-/// A new endpoint's limit: enough that four workers are busy from the start,
-/// little enough that a cold cache isn't met by a full batch.
+/// Limit of a new endpoint: keeps some workers busy without a full batch on a
+/// cold cache.
 const INITIAL_LIMIT: f64 = 8.0;
-/// An endpoint that returns begins with one call: it may be ejected again.
+/// Limit after an ejection.
 const TRIAL_LIMIT: f64 = 1.0;
-/// Answers in a window, at least, and for each call of the limit: enough that
-/// a window is longer than one call.
+/// Minimum answers in a window.
 const MIN_WINDOW_ANSWERS: u32 = 8;
+/// Answers in a window per slot of the limit, so that a window is longer than one
+/// call.
 const WINDOW_ANSWERS_PER_SLOT: u32 = 4;
-/// What earlier windows weigh: five of them count, 100 answers or more, whose
-/// sum strays by 10 per cent when times are exponential. After the limit grew
-/// they were held down by the lower one and weigh less.
+/// Factor by which the weight of earlier windows decays with each window.
 const WINDOW_DECAY: f64 = 0.8;
+/// The same after growth, as the lower limit held the earlier windows down.
 const WINDOW_DECAY_GROWN: f64 = 0.3;
-/// Growth by more than this makes earlier windows weigh less.
+/// Growth of the limit from which `WINDOW_DECAY_GROWN` applies.
 const GROWTH_THRESHOLD: f64 = 1.05;
-/// What is kept above the throughput: covers an error of a fifth in what a call
-/// takes, below which the limit would shrink on and on.
+/// Factor on the limit that covers an underestimated service time, which would
+/// otherwise make the limit shrink with each window.
 const HEADROOM: f64 = 1.25;
-/// The same while nothing is known of calls that met few others: what the first
-/// calls of a saturated service take is less than the mean, as the short ones
-/// end first, and a limit that doesn't grow past that error stays where it is.
+/// Headroom while there were too few calls at low load. The first calls of a
+/// saturated service to end are the short ones, so their mean is too low.
 const INITIAL_HEADROOM: f64 = 1.6;
-/// One more, so that a worker doesn't idle for a round trip between calls.
+/// Extra calls, so that workers don't idle for a round trip between two calls.
 const EXTRA_SLOTS: f64 = 1.0;
-/// A window counts as full if so many of its calls met the limit.
+/// Share of a window's answers that must have met the limit for it to count as
+/// full.
 const MIN_FULL_SHARE: f64 = 0.8;
-/// A window counts if so much of its work at most is of calls of which little
-/// is known: a class that seldom comes must not hold the limit where it is.
+/// Share of a window's work that may come from unreliable estimates, so that a
+/// rare class does not freeze the limit.
 const MAX_UNRELIABLE_SHARE: f64 = 0.25;
-/// Samples of the pace that are averaged: strays by 6 per cent.
+/// Samples that count in the moving average of the unloaded ratio.
 const MAX_RATIO_SAMPLES: u32 = 256;
-/// Until there are as many, an endpoint is taken for one like its peers: the
-/// first answers alone would set its pace anywhere from a third to triple.
+/// Weight, in samples, of the assumption that a new endpoint is as fast as its
+/// peers, because the first answers alone vary too much.
 const PRIOR_RATIO_SAMPLES: u32 = 64;
-/// So much of the limit counts as few others. A limit that has run up to four
-/// times the capacity still finds calls that didn't wait, and comes down.
+/// Share of the limit up to which the load is low. It also bounds how far the
+/// limit can exceed the capacity and still find calls that did not wait.
 const LOW_LOAD_SHARE: f64 = 0.25;
-/// The limit falls to few after so long without a call that met few others, and
-/// after so many service times, for so many calls: costs under 1 per cent.
+/// Time without a call at low load, and the same in service times, after both of
+/// which the limit is lowered for a probe.
 const PROBE_INTERVAL: (Duration, u32) = (Duration::from_secs(10), 400);
-/// The same while nothing is known of calls that met few others: an entry that
-/// starts under saturation must soon learn how much the endpoints can do.
+/// The same while there were too few calls at low load, so that an entry that
+/// starts under saturation soon learns the unloaded service time.
 const INITIAL_PROBE_INTERVAL: (Duration, u32) = (Duration::from_secs(1), 20);
+/// Calls at low load after which a probe ends.
 const PROBE_CALLS: u32 = 8;
-/// After a refusal for lack of room nothing is sent for this long: other
-/// entries fill the endpoint, and a refusal costs each a round trip.
+/// Pause in sending after the endpoint refused a call for lack of room.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// An answer as the limit sees it.
+/// One answer, as input of the limit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
     pub(super) elapsed: Duration,
-    /// What such calls take without load, in seconds.
+    /// Service time of such calls without load, in seconds.
     pub(super) unloaded: f64,
-    /// Attempts of ours that ran there, this one included.
+    /// Attempts of this entry that ran there, this one included.
     pub(super) running: u32,
-    /// Whether it met few others when it started.
+    /// Whether the endpoint was at low load when the call started.
     pub(super) low_load: bool,
-    /// Whether `usual` is known well.
+    /// Whether `unloaded` is a reliable estimate.
     pub(super) reliable: bool,
-    /// Whether it comes from calls that met few others.
+    /// Whether `unloaded` comes from calls at low load.
     pub(super) from_low_load: bool,
 }
 
@@ -88,18 +81,18 @@
 pub(super) struct ConcurrencyLimit {
     max: f64,
     current: f64,
-    /// What calls take here without load, over what they usually take.
+    /// Service time here without load, relative to that of all endpoints.
     unloaded_ratio: f64,
     ratio_samples: u32,
     work: f64,
     window_start: Option<Instant>,
     answers: u32,
     full_answers: u32,
-    /// Work of calls of which it isn't known well what they take.
+    /// Part of `work` that comes from unreliable estimates.
     unreliable_work: f64,
-    /// Whether that of some of them comes from calls that met few others.
+    /// Whether any estimate in the window comes from calls at low load.
     from_low_load: bool,
-    /// Faded sums of the work and the seconds of full windows.
+    /// Decayed sums of the work and the length of full windows, in seconds.
     recent_work: f64,
     recent_secs: f64,
     probe_left: u32,
@@ -136,8 +129,7 @@
         ceil_to_u32(self.current)
     }
 
-    /// Says whether a call with `running` others has the endpoint nearly for
-    /// itself.
+    /// Returns whether `running` calls are a low load.
     pub(super) fn is_low_load(&self, running: u32) -> bool {
         f64::from(running) <= (self.current * LOW_LOAD_SHARE).max(1.0)
     }
@@ -146,7 +138,7 @@
         self.backoff_until.filter(|until| *until > now)
     }
 
-    /// Starts again from one call.
+    /// Resets the limit to one call; the unloaded ratio is kept.
     pub(super) fn restart(&mut self) {
         *self = Self {
             max: self.max,
@@ -157,32 +149,26 @@
         };
     }
 
-    /// Takes in what the endpoint's side says that it takes at once.
+    /// Sets the maximum that the endpoint's sidecar reports; 0 means unknown.
     pub(super) fn set_max(&mut self, max: u32) {
         if max > 0 {
             let raised = f64::from(max) > self.max;
             self.max = f64::from(max);
             self.current = self.current.min(self.max);
             if raised {
-                // What was measured under the lower bound says nothing of more
-                // than that, and an operator who raises it would see no effect.
+                // The limit learned under the old maximum is no estimate for the
+                // new one.
                 self.current = self.current.max(INITIAL_LIMIT.min(self.max));
             }
         }
     }
 
-    /// Takes in what a batching engine reports: what it works on, and what waits
-    /// in it.
+    /// Raises the limit by what a batching engine reports of its load.
     ///
-    /// Made for an entry that has just started before engines whose calls take
-    /// seconds: a window of such calls lasts ten seconds and more, and meanwhile
-    /// callers waited here before engines that were nearly idle (64 streams got
-    /// their first token after 2.2 s in the median and 11 s at worst, where the
-    /// engine alone needs 16 ms). An engine knows how much it can work on at once
-    /// and whether anything waits in it. While nothing does, it may get half of
-    /// what it has free: the other half is for other entries, who have the same
-    /// report, and for what was sent since. Once something waits, windows alone
-    /// decide.
+    /// Windows of long calls take too long to find the limit of an engine after
+    /// the entry's start. While no call waits inside the engine, the limit is
+    /// raised by half of its free capacity; the rest is left for other entries
+    /// with the same report.
     pub(super) fn record_engine_load(&mut self, running: u32, queued: u32) {
         if queued == 0 {
             let running = f64::from(running);
@@ -192,7 +178,8 @@
         }
     }
 
-    /// Takes in a refusal for lack of room, with `running` of ours left there.
+    /// Lowers the limit to `running`, the attempts of this entry that are left
+    /// there, after a refusal for lack of room.
     pub(super) fn record_refusal(&mut self, now: Instant, running: u32) {
         self.backoff_until = Some(now + REFUSAL_BACKOFF);
         self.current = f64::from(running).clamp(1.0, self.current);
@@ -202,8 +189,8 @@
 
     pub(super) fn record(&mut self, now: Instant, sample: &Sample) {
         let limit = self.get();
-        // Whether it still met few when it ended must not count: the calls that
-        // end before others come are the short ones.
+        // The load at the end of the call must not count: calls that end before
+        // others arrive are the short ones.
         if sample.low_load && sample.reliable {
             let ratio = sample.elapsed.as_secs_f64() / sample.unloaded;
             self.ratio_samples = (self.ratio_samples + 1).min(MAX_RATIO_SAMPLES);
