--- a/src/route/meter.rs
+++ b/src/route/meter.rs
@@ -1,12 +1,12 @@
-//! Sums that forget: how much happened lately.
+//! Exponentially decaying sums.
 //!
-//! An exponential decay needs one number and one instant for each thing that
-//! is counted, where a window of buckets needs dozens. The price is a soft
-//! edge: what happened one time constant ago still counts 37 per cent.
+//! A decaying sum needs one number and one instant, where a sliding window needs
+//! a bucket for each step. The trade-off is a soft edge: old events lose weight
+//! gradually.
 
 use std::time::{Duration, Instant};
 
-/// A sum whose parts fade with a time constant.
+/// A sum whose parts decay with a time constant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecayingSum {
     sum: f64,
@@ -28,7 +28,7 @@
         self.updated = Some(now);
     }
 
-    /// Keeps the greater of the faded sum and `level`.
+    /// Raises the sum to `level`, if it is lower.
     pub(super) fn raise_to(&mut self, now: Instant, level: f64) {
         self.sum = self.value(now).max(level);
         self.updated = Some(now);
