--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -1,13 +1,13 @@
-//! Which endpoint a call goes to.
+//! Placement: chooses an endpoint for each call.
 //!
-//! Load: many entries that each see only their own calls and late reports of
-//! the rest. Harm: if all sent to the endpoint that looks idlest, all would
-//! send to the same one. So each call draws two endpoints with room and takes
-//! the less loaded one; a call with a prefix goes where the prefix is cached
-//! while that endpoint isn't ahead of the others.
+//! Each entry sees only its own calls and delayed load reports. If all entries
+//! sent to the endpoint that looks least loaded, they would all choose the same
+//! one. So each call draws two endpoints with free slots at random and takes the
+//! less loaded one. A call with a prompt prefix goes to an endpoint that has the
+//! prefix cached, unless that endpoint has much more work than the others.
 //!
-//! Pools of endpoints with room, one for each tier, are kept up to date as
-//! calls start and end; a draw is then independent of the number of endpoints.
+//! Endpoints with free slots are kept in one pool per tier, so that the cost of a
+//! draw does not depend on the number of endpoints.
 
 use crate::{
     class::Class,
@@ -24,28 +24,30 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// A backlog is looked at again so often, for what changes without an event.
+/// Interval at which queued calls are placed again, because reserved slots become
+/// free without an event.
 pub(super) const DISPATCH_INTERVAL: Duration = Duration::from_millis(50);
-/// Draws at most, when those drawn have no cache memory left for the call.
+/// Maximum draws, if endpoints drawn have no cache memory left for the call.
 const MAX_DRAWS: usize = 8;
-/// Endpoints that are looked at one by one if no draw fits.
+/// Maximum rows that are scanned where no draw fits.
 const MAX_SCANNED: usize = 16;
-/// Work that an endpoint may get above the mean before a prefix goes to the
-/// next one: the busiest is to stay within 1.25 of the mean.
+/// Recent work of an endpoint, relative to the mean, above which a prefix goes to
+/// the next one on the ring.
 const MAX_WORK_RATIO: f64 = 1.1;
-/// An endpoint at the entry's place that is fuller than this is compared with
-/// one elsewhere: the limit has headroom, and a wait behind another call is
-/// longer than the way to another place.
+/// Score above which an endpoint is compared with one of the next tier: a wait
+/// there may take longer than the round trip to another data centre.
 const BUSY_SCORE: f64 = 0.7;
-/// Slots that are taken back at a time; the next look is an event away.
+/// Maximum calls that are preempted for a class at a time.
 const MAX_PREEMPTED: usize = 8;
-/// A rollout that lost its slot twice keeps the next one.
+/// Preemptions of one call after which it keeps its slot.
 const MAX_PREEMPTIONS: u8 = 2;
-/// Waiting for a rollout to end is fine for so much of an urgent call's time.
+/// Share of an urgent call's service time that it may wait for a slot without
+/// preempting another call.
 const TOLERATED_WAIT_SHARE: f64 = 0.25;
 
 impl Router {
-    /// Places what waits for a service, as far as there is room.
+    /// Places the queued calls of a service on free slots, preempting others where
+    /// a class is below its floor.
     pub(super) fn dispatch(&mut self, now: Instant, service: ServiceKey) {
         if self.services[service].queues_empty() {
             return;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Chooses an endpoint, and says whether the call tries it out.
+    /// Chooses an endpoint and returns whether the call is a trial of it.
     fn choose_endpoint(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
         let row = &self.calls[key];
         let (call, last) = (row.call, row.last_endpoint);
@@ -124,7 +126,8 @@
         best.map(|(key, _)| key)
     }
 
-    /// Finds an endpoint on the ring that isn't ahead of the others.
+    /// Picks an endpoint that is likely to have the prefix cached: the first on the
+    /// ring within the bound on recent work, or else the one with the least.
     fn pick_cached(
         &mut self,
         now: Instant,
@@ -140,8 +143,8 @@
         let mean = row.recent_work.value(now) / f64::from(row.usable.max(1));
         let work = self.estimate(call).map_or(0.0, |e| e.mean);
         let max_work = mean * MAX_WORK_RATIO + work;
-        // Other places count as well: the way there costs milliseconds, reading
-        // a prompt again hundreds.
+        // The ring ignores tiers: the round trip to another data centre costs less
+        // than processing the prompt again.
         let mut best: Option<(EndpointKey, f64)> = None;
         for key in &found {
             let row = &self.endpoints[*key];
@@ -160,7 +163,7 @@
         best.map(|(key, _)| key)
     }
 
-    /// Draws two endpoints of a tier and takes the less loaded one.
+    /// Draws two endpoints of a tier and returns the less loaded one.
     fn draw_from_tier(
         &mut self,
         now: Instant,
@@ -197,11 +200,11 @@
         })
     }
 
-    /// Takes slots back from rollouts for a class that is below its floor.
+    /// Preempts calls of lower classes for a class that is below its floor, so that
+    /// urgent calls don't wait for rollouts that take minutes.
     ///
-    /// Load: rollouts of minutes fill every slot that was idle, then parents
-    /// come. Harm: they would wait for a rollout to end. Only repeatable calls
-    /// yield, the latest first, as they lose least; the floor bounds how many.
+    /// Only repeatable calls are preempted, the latest first, as they lose the
+    /// least work.
     fn preempt(&mut self, now: Instant, service: ServiceKey) -> bool {
         let mut preempted = false;
         for class in [Class::Interactive, Class::Partner] {
@@ -246,7 +249,7 @@
         })
     }
 
-    /// Takes a repeatable call from where it runs and lets it wait again.
+    /// Cancels the attempts of a repeatable call and queues it again.
     pub(super) fn requeue(&mut self, now: Instant, key: CallKey) {
         for attempt_index in 0..2 {
             self.cancel_attempt(now, key, attempt_index);
@@ -254,17 +257,14 @@
         self.enqueue(now, key);
     }
 
-    /// Starts another attempt elsewhere if the first takes unusually long.
+    /// Starts a second attempt at another endpoint, if the first runs at one that
+    /// seems stuck.
     ///
-    /// A call that broke an attempt is not hedged: it may be what broke the endpoint,
-    /// and two attempts would break two.
-    ///
-    /// Load: one endpoint that has become slow, before it is found out. Harm:
-    /// its callers wait ten times as long. Only what runs at an endpoint that
-    /// has given no sign of life since is hedged: where others are answered
-    /// meanwhile the call itself is long, and would be long elsewhere. Hedges
-    /// are sent only with a tenth of the slots free and out of the retry
-    /// budget: under saturation they would take the place of first tries.
+    /// An endpoint that showed activity since the first attempt began is not
+    /// stuck; the call itself is long and would be long elsewhere. A call of which
+    /// an attempt broke is not hedged, because it may have caused the failure.
+    /// Hedges need an empty queue, a tenth of the slots free and retry budget, so
+    /// that they don't displace first attempts.
     pub(super) fn start_hedge(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
@@ -297,7 +297,7 @@
         let Some(endpoint) = self.pick_endpoint(now, &call, Some(first.endpoint)) else {
             return;
         };
-        // What has run for so long takes more than the mean.
+        // A call that has run this long takes more than the mean.
         let cost = self
             .estimate(&call)
             .map_or(RERUN_COST, |e| (e.p99 / e.mean).max(RERUN_COST));
