--- a/src/route/queue.rs
+++ b/src/route/queue.rs
@@ -1,14 +1,13 @@
-//! The calls of one class that wait for one service.
+//! Queue of one class's calls for one service, earliest deadline first.
 //!
-//! Earliest deadline first: among calls that can all be answered, no other
-//! order answers more of them in time. Its known weakness, that under overload
-//! it spends capacity on what is just about to expire, is kept out by
-//! admission, which lets nothing wait that can't be answered.
+//! Among calls that can all be answered, no other order answers more of them in
+//! time. Under overload it would spend capacity on calls that are about to
+//! expire; admission control prevents that.
 
 use crate::route::table::CallKey;
 use std::{collections::BTreeMap, time::Instant};
 
-/// The place of a call in a queue.
+/// The key that orders calls in a queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct QueueKey {
     pub(super) deadline: Instant,
@@ -18,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueuedCall {
     pub(super) call: CallKey,
-    /// Expected seconds at an endpoint.
+    /// Expected service time in seconds.
     pub(super) work: f64,
 }
 
@@ -44,7 +43,7 @@
 
     pub(super) fn remove(&mut self, queue_key: QueueKey) -> Option<QueuedCall> {
         let row = self.rows.remove(&queue_key)?;
-        // An empty queue has no work, whatever rounding left over.
+        // Removes the rounding error that has accumulated.
         self.work = if self.rows.is_empty() {
             0.0
         } else {
@@ -67,16 +66,15 @@
         self.rows.iter().map(|(queue_key, row)| (*queue_key, *row))
     }
 
-    /// Returns the expected seconds of all that waits.
+    /// Returns the expected service time of all queued calls, in seconds.
     pub(super) fn work(&self) -> f64 {
         self.work
     }
 
-    /// Estimates the expected seconds of what is due before `deadline`.
+    /// Estimates the work of the calls that are due before `deadline`, in seconds.
     ///
-    /// An exact sum would read the queue for each arrival; work spread evenly
-    /// between the first and the last deadline is near enough, and exact for
-    /// callers who all wait equally long, as their deadlines come in order.
+    /// Assumes that the work is spread evenly between the first and the last
+    /// deadline, because an exact sum would read the queue on each arrival.
     pub(super) fn work_before(&self, deadline: Instant) -> f64 {
         let (Some((first, _)), Some(last)) = (self.first(), self.last()) else {
             return 0.0;
