--- a/src/route/retry.rs
+++ b/src/route/retry.rs
@@ -1,21 +1,21 @@
-//! How much may be run again.
+//! Retry budget of a service.
 //!
-//! Retries and hedges multiply load just when there is too much of it. Each
-//! first try earns a share of a retry, and each retry spends a whole one, so
-//! that in the worst fault endpoints see at most that share more work.
+//! Retries and hedges add load when there is too much already. Each first attempt
+//! earns a share of a retry and each retry spends a whole one, which bounds the
+//! extra load to that share.
 
-/// Earned by each first try: endpoint work per useful answer stays at 1.1.
+/// Budget that each first attempt earns.
 const EARNED_PER_CALL: f64 = 0.1;
-/// Saved up at most, and there at the start: a small service, with too few
-/// first tries to earn, still survives the loss of one endpoint's calls.
+/// Initial and maximum balance. It lets a service with few calls retry those of a
+/// lost endpoint.
 const MAX_BALANCE: f64 = 20.0;
-/// Price of another run.
+/// Cost of running a call again.
 pub(super) const RERUN_COST: f64 = 1.0;
-/// Price of sending again what surely didn't run: it costs a message, no
-/// endpoint work, but storms of refusals must end too.
+/// Cost of resending a call that surely did not run. It is lower as no work is
+/// repeated, but bounds the resends after refusals.
 pub(super) const RESEND_COST: f64 = 0.2;
-/// Attempts of one call, hedges included: a call that fails three times is
-/// more likely to be the cause than the victim.
+/// Default maximum of attempts of one call, hedges included. A call that fails
+/// more often is probably the cause of the failures.
 pub(super) const MAX_ATTEMPTS: u8 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
         self.balance = (self.balance + EARNED_PER_CALL).min(MAX_BALANCE);
     }
 
-    /// Takes the price, if there is that much left.
+    /// Spends `cost` if the balance covers it; returns whether it did.
     pub(super) fn try_spend(&mut self, cost: f64) -> bool {
         let sufficient = self.balance >= cost;
         if sufficient {
