--- a/src/route/ring.rs
+++ b/src/route/ring.rs
@@ -1,31 +1,28 @@
-//! Which endpoints have a prompt's prefix cached.
+//! Consistent hashing of prompt prefixes to endpoints.
 //!
-//! A consistent hash names the endpoints for a prefix, in order. It needs no
-//! cache events, so that events that are late or missing cost nothing, and all
-//! entries agree on it without a message. A prefix that is too hot for one
-//! endpoint spills over to the next ones on the ring, always the same, which
-//! then have it cached as well.
+//! The ring gives the endpoints for a prefix in a fixed order, on which all
+//! entries agree without exchanging messages or cache events. A prefix that is
+//! too hot for one endpoint spills over to the next ones on the ring, which then
+//! have it cached as well.
 //!
-//! Endpoints wait beside the ring until somebody asks it. A process that hears of a
-//! thousand of them one after the other would else sort 64,000 points a thousand times,
-//! and many processes never ask.
+//! New endpoints are inserted on the next lookup, all at once, because each
+//! insertion sorts the whole ring and many processes never look up a prefix.
 
 use crate::route::EndpointKey;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Points of each endpoint: shares of the ring differ by about 1/sqrt(64).
+/// Points of each endpoint; more of them even out the endpoints' shares.
 const POINTS_PER_ENDPOINT: u64 = 64;
-/// Endpoints that are tried for a prefix. Under a bound of 1.1 times the mean
-/// load the next with room is rarely further.
+/// Maximum endpoints that are tried for a prefix.
 pub(super) const MAX_CANDIDATES: usize = 8;
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ring {
-    /// Points of the endpoints that are on the ring, in order.
+    /// Points of the inserted endpoints, sorted.
     points: Vec<(u64, EndpointKey)>,
-    /// Endpoints that came since it was asked last, and their names.
+    /// Endpoints to be inserted on the next lookup, with their names.
     pending: Vec<(EndpointKey, String)>,
-    /// Endpoints that are on the ring.
+    /// Number of inserted endpoints.
     endpoint_count: usize,
 }
 
@@ -43,14 +40,13 @@
         }
     }
 
-    /// Returns the first endpoints for a prefix, in order.
+    /// Appends the first endpoints for a prefix to `found`, in order.
     pub(super) fn find(&mut self, prefix: u64, found: &mut Vec<EndpointKey>) {
         self.insert_pending();
         let hash = xxh3_64(&prefix.to_le_bytes());
         let start = self.points.partition_point(|(point, _)| *point < hash);
         let (before, after) = self.points.split_at(start);
-        // A small service has fewer than that: there would be none to find in
-        // the rest of the points.
+        // Stops early where the ring has fewer endpoints than the maximum.
         let max_found = MAX_CANDIDATES.min(self.endpoint_count);
         for (_, key) in after.iter().chain(before).take(MAX_CANDIDATES * 8) {
             if !found.contains(key) {
