--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -1,4 +1,4 @@
-//! The router: its tables, the events that go in, the steps that come out.
+//! The router: its tables, the events that it handles and the steps it returns.
 
 use crate::{
     class::Class,
@@ -18,12 +18,12 @@
     time::{Duration, Instant},
 };
 
-/// Expected seconds of a call before any was answered.
+/// Assumed service time of a call before any was answered.
 const DEFAULT_WORK_SECS: f64 = 0.05;
 
-/// Decides where the calls of one entry run.
+/// Decides where and when the calls of one entry run.
 ///
-/// Each event names the present instant, which never goes back.
+/// Each event carries the current instant, which must not decrease.
 #[derive(Debug)]
 pub struct Router {
     pub(super) data_centre: String,
@@ -41,9 +41,9 @@
 }
 
 impl Router {
-    /// Creates a router for an entry that stands at `place`.
+    /// Creates a router for an entry in a data centre.
     ///
-    /// `seed` starts the random choices, so that a test can repeat them.
+    /// `seed` makes the random choices reproducible.
     #[must_use]
     pub fn new(data_centre: &str, seed: u64) -> Self {
         Self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a service, or changes the one of this name.
+    /// Adds a service, or replaces the settings of the one with this name.
     pub fn set_service(&mut self, now: Instant, name: &str, spec: ServiceSpec) -> ServiceKey {
         if let Some(key) = self.service(name) {
             self.services[key].spec = spec;
@@ -80,11 +80,11 @@
         self.service_keys.get(name).copied()
     }
 
-    /// Adds an endpoint that takes work at once.
+    /// Adds an endpoint, which accepts calls immediately.
     ///
     /// # Panics
     ///
-    /// Panics if `service` is not one of this router.
+    /// Panics if `service` does not belong to this router.
     pub fn add_endpoint(
         &mut self,
         now: Instant,
@@ -97,14 +97,14 @@
         key
     }
 
-    /// Adds endpoints that take work at once.
+    /// Adds several endpoints, which accept calls immediately.
     ///
-    /// Endpoints that become known together are to come together: whose subset each is
-    /// in depends on all of them, and is found out once.
+    /// This is cheaper than adding them one by one, because the service's tiers are
+    /// assigned only once.
     ///
     /// # Panics
     ///
-    /// Panics if `service` is not one of this router.
+    /// Panics if `service` does not belong to this router.
     pub fn add_endpoints(
         &mut self,
         now: Instant,
@@ -129,7 +129,7 @@
         key
     }
 
-    /// Says whether the endpoint takes new work.
+    /// Sets whether an endpoint accepts new calls.
     pub fn set_open(&mut self, now: Instant, endpoint: EndpointKey, open: bool) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
@@ -147,13 +147,14 @@
                 .retain(|key| *key != endpoint);
             self.refuse_unanswerable(now, service);
         } else if !healthy {
-            // Whoever opens it again knows more than an old suspicion.
+            // The entry reopens only endpoints that it knows to be available.
             self.readmit(now, endpoint);
         }
         self.dispatch(now, service);
     }
 
-    /// Forgets an endpoint; what still runs there is reported by the entry.
+    /// Removes an endpoint. The entry still reports the end of each attempt that
+    /// runs there.
     pub fn remove_endpoint(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(service) = self.endpoints.get(endpoint).map(|row| row.service) else {
             return;
@@ -164,9 +165,9 @@
         self.dispatch(now, service);
     }
 
-    /// Takes a call in; the answer comes out as steps.
+    /// Admits or refuses a new call; the outcome follows as steps.
     ///
-    /// A call whose id is known already is ignored.
+    /// A call whose id is already known is ignored.
     pub fn arrive(&mut self, now: Instant, call: Call) {
         if self.call_keys.contains_key(&call.id) {
             return;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Forgets a call whose caller has gone, and cancels what runs of it.
+    /// Removes a call whose caller has disconnected and cancels its attempts.
     pub fn cancel(&mut self, now: Instant, id: RequestId) {
         if let Some(key) = self.call_keys.get(&id).copied() {
             let service = self.calls[key].call.service;
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Notes that an attempt gave a sign of life: `tokens` so far.
+    /// Records progress of an attempt, so that its endpoint does not count as
+    /// silent. The number of tokens so far is ignored.
     pub fn progress(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, _tokens: u64) {
         let running_there = self
             .call_keys
@@ -208,10 +210,10 @@
         }
     }
 
-    /// Notes that the caller has got part of this attempt's answer.
+    /// Records that the caller has received part of this attempt's answer.
     ///
-    /// From then on no other attempt can answer the call, so it is neither
-    /// hedged nor moved nor tried again, and a hedge of it is cancelled.
+    /// From then on no other attempt can answer the call: it is neither hedged,
+    /// moved nor retried, and its other attempt is cancelled.
     pub fn commit(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey) {
         let Some(key) = self.call_keys.get(&id).copied() else {
             return;
@@ -232,11 +234,11 @@
         self.dispatch(now, service);
     }
 
-    /// Notes how an attempt ended.
+    /// Records how an attempt ended.
     ///
-    /// A [`Step::Refuse`] or another [`Step::Start`] follows unless it was
-    /// answered or a hedge of it still runs. What is told of an attempt that
-    /// was cancelled before is ignored.
+    /// Unless the call was answered or another attempt of it is running, it is
+    /// then queued for a retry or refused. Outcomes of cancelled attempts are
+    /// ignored.
     pub fn finish(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, outcome: Outcome) {
         let Some(key) = self.call_keys.get(&id).copied() else {
             return;
@@ -250,15 +252,15 @@
         self.dispatch(now, service);
     }
 
-    /// Takes in what an endpoint reported of itself.
+    /// Records the load that an endpoint reported.
     ///
-    /// The reports may lag, have gaps or be absent altogether.
+    /// Reports may be late, incomplete or missing altogether.
     pub fn report(&mut self, now: Instant, endpoint: EndpointKey, report: LoadReport) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
         row.limit.set_max(report.limit);
-        // Only an engine that batches reports its cache.
+        // Only batching engines report their cache memory.
         if report.cache_free > 0 {
             row.limit.record_engine_load(report.running, report.queued);
         }
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Runs what is due: expiry, hedges, trials and placement.
+    /// Handles the timers that are due: expiry, hedges, health checks and placement.
     pub fn tick(&mut self, now: Instant) {
         while let Some((at, timer)) = self.timers.first().copied() {
             if at > now {
@@ -290,18 +292,18 @@
         }
     }
 
-    /// Says when [`Router::tick`] has something to do at the latest.
+    /// Returns when [`Router::tick`] has to be called at the latest.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the next step, if there is one.
+    /// Removes and returns the next step, if there is one.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Returns how many calls of a class wait for a service.
+    /// Returns the number of queued calls of a class.
     #[must_use]
     pub fn waiting(&self, service: ServiceKey, class: Class) -> usize {
         self.services
@@ -309,14 +311,15 @@
             .map_or(0, |row| row.queue(class).len())
     }
 
-    /// Returns how many attempts of a class run for a service.
+    /// Returns the number of running attempts of a class.
     #[must_use]
     pub fn running(&self, service: ServiceKey, class: Class) -> u32 {
         let row = self.services.get(service);
         row.map_or(0, |row| row.running[class.index()])
     }
 
-    /// Returns how many attempts run at an endpoint, and how many may.
+    /// Returns the number of attempts that run at an endpoint, and its limit, which
+    /// is 0 while the endpoint gets no calls.
     #[must_use]
     pub fn load(&self, endpoint: EndpointKey) -> Option<(u32, u32)> {
         let row = self.endpoints.get(endpoint)?;
@@ -324,7 +327,8 @@
         Some((row.running, limit))
     }
 
-    /// Sets a call's timer unless it goes off sooner: it is then set again.
+    /// Sets a call's timer, unless it is already set to an earlier instant; its
+    /// handler then sets it again.
     pub(super) fn set_call_timer(&mut self, key: CallKey, at: Instant) {
         let row = &mut self.calls[key];
         if row.timer_at.is_some_and(|timer_at| timer_at <= at) {
@@ -361,7 +365,8 @@
         self.start_hedge(now, key);
     }
 
-    /// Looks again at a service with a backlog: reserves fade without events.
+    /// Places queued calls at an interval, because reserved slots become free
+    /// without an event.
     fn handle_service_timer(&mut self, now: Instant, key: ServiceKey) {
         self.services[key].timer_at = None;
         self.dispatch(now, key);
