--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -1,10 +1,9 @@
-//! Which class gets the next free slot of a service.
+//! Sharing of a service's slots between classes.
 //!
-//! The most urgent class goes first, but a class below its floor goes before
-//! all, so that overnight jobs and trainers move even on the busiest day. What
-//! a class doesn't use is lent to whoever waits. A small reserve stays free
-//! for urgent classes that were there lately: without it each parent's request
-//! would wait for a rollout to end, which may take minutes.
+//! Classes below their floor go first, so that none starves; then the most urgent
+//! class with queued calls. Slots that a class does not use are available to the
+//! others. A small reserve is kept free for urgent classes with recent calls, so
+//! that these don't wait for a rollout to end, which may take minutes.
 
 use crate::{
     class::Class,
@@ -12,17 +11,15 @@
 };
 use std::time::Instant;
 
-/// The reserve, as a share of the slots: rollouts are to use 90 % of what the
-/// others leave.
+/// Maximum reserve, as a share of the slots.
 const MAX_RESERVED_SHARE: f64 = 0.05;
-/// The reserve follows the urgent classes' recent peak; a quarter of it covers
-/// three standard deviations of Poisson arrivals from a peak of 100 on, and
-/// `taking back` covers smaller ones.
+/// Reserve as a share of the recent peak of more urgent classes. It covers the
+/// variation of random arrivals at a large peak; preemption covers small ones.
 const RESERVED_PEAK_SHARE: f64 = 0.25;
-/// Urgent use below this is none: a peak fades to it in 20 s.
+/// Decayed peak below which no reserve is kept.
 const NEGLIGIBLE_PEAK: f64 = 0.02;
 
-/// Returns the class whose first call is to be placed, without `skip`.
+/// Returns the class that gets the next slot, without those in `blocked`.
 pub(super) fn next_class(row: &ServiceRow, now: Instant, blocked: [bool; 3]) -> Option<Class> {
     let has_waiting = |class: &Class| !row.queue(*class).is_empty() && !blocked[class.index()];
     let below_floor = Class::ALL
@@ -30,20 +27,19 @@
         .find(|c| has_waiting(c) && is_below_floor(row, *c));
     below_floor.or_else(|| {
         let class = Class::ALL.into_iter().find(has_waiting)?;
-        // An endpoint that waits to be tried is room, too: when the others are
-        // full it is wanted most.
+        // An endpoint that waits for a trial call has a free slot, too.
         let free = row.free_slots as usize + row.awaiting_trial.len();
         (free > reserved_slots(row, now, class) as usize).then_some(class)
     })
 }
 
-/// Says whether a class has less than its floor.
+/// Returns whether a class uses fewer slots than its floor.
 pub(super) fn is_below_floor(row: &ServiceRow, class: Class) -> bool {
     let floor = row.spec.floors[class.index()] * f64::from(row.capacity);
     f64::from(row.running[class.index()]) < floor
 }
 
-/// Returns the slots that `class` has to leave free for more urgent ones.
+/// Returns the number of slots that `class` leaves free for more urgent ones.
 fn reserved_slots(row: &ServiceRow, now: Instant, class: Class) -> u32 {
     let urgent = &row.recent_peaks[..class.index()];
     let peak: f64 = urgent.iter().map(|peak| peak.value(now)).sum();
@@ -54,7 +50,7 @@
     ceil_to_u32((1.0 + peak * RESERVED_PEAK_SHARE).min(max_reserved))
 }
 
-/// Estimates the share of the slots that a class gets while all wait.
+/// Estimates the share of the slots that a class gets while calls are queued.
 pub(super) fn expected_share(row: &ServiceRow, now: Instant, class: Class) -> f64 {
     let capacity = f64::from(row.capacity.max(1));
     let index = class.index();
