--- a/src/route/shift.rs
+++ b/src/route/shift.rs
@@ -1,56 +1,46 @@
-//! Which engines change their role or version, and when.
+//! Assignment of roles and weight versions to engines.
 //!
-//! Load: weights every few minutes for hundreds of engines, and demand that
-//! moves between guests by day and trainers by night. Harm: engines that all
-//! change at once leave callers without any; loads beyond the weight store's
-//! rate slow each other down; engines that follow every wave of demand spend
-//! their time loading. So engines change in waves, within the store's rate and
-//! above each role's floor; a change of version goes as fast as these allow, a
-//! change of role only after a need has lasted.
+//! Engines change in waves: each role keeps its floor of serving engines, and
+//! loads stay within the weight store's rate. Engines move to another role only
+//! after a lasting shortage, so that they don't spend their time loading weights.
 //!
-//! A role is what an engine is for: a service with its adapter and its part of
-//! the work. What an engine serves is what it reports, never what it was told:
-//! a load that failed leaves it on a version nobody meant, which shows here as
-//! one more engine to change.
-//!
-//! Weighed: planning all moves ahead. A plan is wrong as soon as one engine
-//! fails; deciding the next moves on each tick costs one pass over the engines
-//! and needs no repair.
+//! A role is what an engine is used for: a service with its adapter and its part
+//! of the work. An engine counts as serving what it reports, not what it was
+//! ordered to load. Nothing is planned ahead, so a failed load needs no repair.
 
 use slotmap::SlotMap;
 use std::time::{Duration, Instant};
 
 slotmap::new_key_type! {
-    /// Names an engine in a [`Shifter`].
+    /// The key of an engine in a [`Shifter`].
     pub struct EngineKey;
-    /// Names a role in a [`Shifter`].
+    /// The key of a role in a [`Shifter`].
     pub struct RoleKey;
 }
 
-/// Time constant of a need: a burst of callers lasts seconds and is met by
-/// the queues, loading an engine takes half a minute.
+/// Time constant of a role's demand. Shorter bursts are left to the queues.
 const DEMAND_DECAY_SECS: f64 = 30.0;
-/// A need must exceed what is there by half an engine, and what is left must
-/// exceed the donor's need by as much: a need that sways by less moves none.
+/// Engines by which a role's demand must exceed its engines, and by which a
+/// donor's remaining engines must exceed its own demand.
 const DEMAND_MARGIN: f64 = 0.5;
-/// So long must a shortage last before an engine changes its role.
+/// Time that a shortage must last before an engine changes its role.
 const MIN_SHORTAGE_TIME: Duration = Duration::from_secs(15);
-/// An engine that changed its role keeps it for ten loads' time.
+/// Time for which an engine keeps a new role.
 const MIN_ROLE_TIME: Duration = Duration::from_mins(5);
-/// A change that isn't reported done by then has failed.
+/// Time after which an order that is not reported done has failed.
 const CHANGE_TIMEOUT: Duration = Duration::from_mins(1);
-/// An engine whose change failed is tried again after this, doubled each time.
+/// Pause after a failed order; it doubles with each failure.
 const MIN_BACKOFF: Duration = Duration::from_secs(2);
 const MAX_BACKOFF: Duration = Duration::from_mins(2);
-/// Share of a role that changes at once: the rest carry a third more meanwhile.
+/// Maximum share of a role's engines that change at once.
 const MAX_WAVE_SHARE: f64 = 0.25;
 
-/// What an operator lays down for a role.
+/// Settings of a role.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RoleSpec {
-    /// Engines that serve at any time.
+    /// Minimum engines that serve at any time.
     pub floor: usize,
-    /// The version of the weights that they should serve.
+    /// The version of the weights to serve.
     pub version: u64,
 }
 
@@ -61,7 +51,7 @@
         Self { floor: 0, version }
     }
 
-    /// Sets how many engines serve at any time.
+    /// Sets the minimum of engines that serve at any time.
     #[must_use]
     pub const fn floor(mut self, floor: usize) -> Self {
         self.floor = floor;
@@ -74,7 +64,7 @@
 pub struct Order {
     /// The engine.
     pub engine: EngineKey,
-    /// What it is to be for.
+    /// The role to serve.
     pub role: RoleKey,
     /// The version to load.
     pub version: u64,
@@ -156,14 +146,14 @@
         })
     }
 
-    /// Changes what is laid down for a role.
+    /// Replaces the settings of a role.
     pub fn set_role(&mut self, role: RoleKey, spec: RoleSpec) {
         if let Some(row) = self.roles.get_mut(role) {
             row.spec = spec;
         }
     }
 
-    /// Takes in how many engines a role could use now.
+    /// Records how many engines a role could use now.
     pub fn set_need(&mut self, now: Instant, role: RoleKey, engines: f64) {
         let Some(row) = self.roles.get_mut(role) else {
             return;
@@ -189,20 +179,20 @@
         })
     }
 
-    /// Forgets an engine that has left or crashed.
+    /// Removes an engine that has left or crashed.
     pub fn remove_engine(&mut self, engine: EngineKey) {
         self.engines.remove(engine);
     }
 
-    /// Takes in the load of an engine; the least loaded change first.
+    /// Records the load of an engine; the least loaded ones change first.
     pub fn set_load(&mut self, engine: EngineKey, load: f64) {
         if let Some(row) = self.engines.get_mut(engine) {
             row.load = load;
         }
     }
 
-    /// Takes in what an engine really serves after an order, whether or not
-    /// that is what it was told.
+    /// Records what an engine reports to serve after an order, which may differ
+    /// from what was ordered.
     pub fn done(&mut self, now: Instant, engine: EngineKey, role: RoleKey, version: u64) {
         let Some(row) = self.engines.get_mut(engine) else {
             return;
@@ -221,7 +211,7 @@
         }
     }
 
-    /// Returns the orders that are due; to be called about once a second.
+    /// Returns the orders that are due. Should be called about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<Order> {
         let age = now
             .saturating_duration_since(self.refilled_at)
@@ -237,7 +227,7 @@
         }
         let mut orders = Vec::new();
         let roles: Vec<RoleKey> = self.roles.keys().collect();
-        // Floors first: a role without engines answers nobody.
+        // Roles below their floor take precedence over updates.
         self.order_moves(now, &roles, &mut orders);
         for role in roles {
             self.order_updates(now, role, &mut orders);
@@ -245,14 +235,16 @@
         orders
     }
 
-    /// Returns the engines that serve a role now.
+    /// Returns the number of engines that serve a role now.
     #[must_use]
     pub fn serving(&self, role: RoleKey) -> usize {
         self.engines.values().filter(|e| e.is_serving(role)).count()
     }
 
-    /// Returns the engines of a role that serve another version than they
-    /// should; with as many engines as its floor a role can't change them.
+    /// Returns the number of a role's engines that serve another version than the
+    /// role's settings name.
+    ///
+    /// They can't be updated while the role has no more engines than its floor.
     #[must_use]
     pub fn stale(&self, role: RoleKey) -> usize {
         let Some(row) = self.roles.get(role) else {
@@ -262,7 +254,7 @@
         all.filter(|e| e.version != row.spec.version).count()
     }
 
-    /// Changes versions, as many as the wave, the floor and the store allow.
+    /// Orders version updates within the limits of wave, floor and store.
     fn order_updates(&mut self, now: Instant, role: RoleKey, orders: &mut Vec<Order>) {
         let spec = self.roles[role].spec;
         let serving = self.serving(role);
@@ -284,7 +276,8 @@
         }
     }
 
-    /// Moves one engine to each role that has been short for long enough.
+    /// Orders one engine to each role that is below its floor or has been short for
+    /// long enough.
     fn order_moves(&mut self, now: Instant, roles: &[RoleKey], orders: &mut Vec<Order>) {
         for role in roles {
             let present = self.serving_or_joining(*role);
@@ -307,7 +300,7 @@
             if let Some(engine) = self.find_donor(now, *role, below_floor)
                 && self.issue_order(now, engine, *role, orders)
             {
-                // The next one has to be short for as long again.
+                // The next move needs another lasting shortage.
                 self.roles[*role].short_since = None;
             }
         }
@@ -318,7 +311,7 @@
         self.engines.values().filter(counts).count()
     }
 
-    /// Finds the least loaded engine that another role can do without.
+    /// Finds the least loaded engine that another role can spare.
     fn find_donor(&self, now: Instant, to: RoleKey, below_floor: bool) -> Option<EngineKey> {
         let recently_moved =
             |e: &Engine| e.role_changed_at.is_some_and(|at| at + MIN_ROLE_TIME > now);
@@ -333,8 +326,8 @@
         least_loaded.map(|(key, _)| key)
     }
 
-    /// Says whether a role keeps its floor, and its need unless another role is
-    /// below its floor, with one engine less.
+    /// Returns whether a role with one engine less keeps its floor and, unless
+    /// `below_floor` says that another role is below its own, meets its demand.
     fn can_spare(&self, role: RoleKey, below_floor: bool) -> bool {
         let Some(row) = self.roles.get(role) else {
             return true;
@@ -344,6 +337,7 @@
         remaining >= row.spec.floor && (below_floor || enough)
     }
 
+    /// Issues an order if the weight store's rate allows it; returns whether it did.
     fn issue_order(
         &mut self,
         now: Instant,
