--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -1,4 +1,4 @@
-//! What goes into a router and what comes out.
+//! Input and output types of the router.
 
 use crate::{
     class::{Class, Repeat},
@@ -8,19 +8,19 @@
 };
 use std::time::{Duration, Instant};
 
-/// What an operator lays down for a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Requests that may wait, for each class.
+    /// Maximum queued requests of each class.
     pub depth: usize,
-    /// Share of the service that each class is sure of, in [0, 1], by
+    /// Guaranteed share of the service's slots for each class, in [0, 1], by
     /// [`Class::index`]. The shares add up to at most 1.
     pub floors: [f64; 3],
 }
 
 impl ServiceSpec {
-    /// Creates the default: 256 waiting requests a class, and floors of 50, 20
-    /// and 5 per cent.
+    /// Creates the default settings: 256 queued requests per class, and floors of
+    /// 50, 20 and 5 per cent.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Sets how many requests of each class may wait.
+    /// Sets the maximum of queued requests of each class.
     #[must_use]
     pub const fn depth(mut self, depth: usize) -> Self {
         self.depth = depth;
         self
     }
 
-    /// Sets the shares that the classes are sure of.
+    /// Sets the guaranteed shares of the classes.
     #[must_use]
     pub const fn floors(mut self, floors: [f64; 3]) -> Self {
         self.floors = floors;
@@ -50,17 +50,17 @@
     }
 }
 
-/// What is known of an endpoint when it is added.
+/// Description of an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndpointSpec {
     /// Its name, unique in the service.
     pub name: String,
-    /// The place where it stands.
+    /// Its data centre.
     pub data_centre: String,
-    /// Requests that its side takes at once.
+    /// Maximum requests that its sidecar accepts at once.
     pub limit: u32,
-    /// Tokens of all requests that its cache memory holds at once; 0 for a
-    /// plain endpoint, which is limited by count alone.
+    /// Capacity of its cache memory in tokens; 0 for a plain endpoint, which is
+    /// limited only by the number of requests.
     pub tokens: u64,
 }
 
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Sets how many tokens its cache memory holds at once.
+    /// Sets the capacity of its cache memory in tokens.
     #[must_use]
     pub const fn tokens(mut self, tokens: u64) -> Self {
         self.tokens = tokens;
         self
     }
 
-    /// Sets how many requests its side takes at once.
+    /// Sets the maximum of requests that its sidecar accepts at once.
     #[must_use]
     pub const fn limit(mut self, limit: u32) -> Self {
         self.limit = limit;
@@ -94,23 +94,23 @@
 /// One request as the router sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Its first attempt's id; the entry names later attempts itself.
+    /// The id of its first attempt; the entry assigns those of later attempts.
     pub id: RequestId,
-    /// The service that it is for.
+    /// The service that it calls.
     pub service: ServiceKey,
     /// The class of its caller.
     pub class: Class,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for an answer.
     pub deadline: Instant,
     /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// Tokens to be read and generated; 0 for a plain call.
+    /// Tokens of prompt and output; 0 for a plain call.
     pub tokens: u32,
-    /// Hash of the prompt's prefix, to find an engine that has it cached.
+    /// Hash of the prompt's prefix, used to find an engine that has it cached.
     pub prefix: Option<u64>,
-    /// Endpoints that it may be sent to at most, hedges included.
+    /// Maximum attempts, hedges included.
     pub tries: u8,
-    /// Whether it runs at one endpoint at a time.
+    /// Whether it is never hedged.
     pub alone: bool,
 }
 
@@ -131,15 +131,15 @@
         }
     }
 
-    /// Sets whether it runs at one endpoint at a time: one that may have crashed an
-    /// endpoint is not hedged.
+    /// Sets whether it is never hedged, for example because it may have crashed an
+    /// endpoint.
     #[must_use]
     pub const fn alone(mut self, alone: bool) -> Self {
         self.alone = alone;
         self
     }
 
-    /// Sets how many endpoints it may be sent to at most.
+    /// Sets the maximum of attempts, hedges included.
     #[must_use]
     pub const fn tries(mut self, tries: u8) -> Self {
         self.tries = tries;
@@ -153,7 +153,7 @@
         self
     }
 
-    /// Sets how many tokens it reads and generates.
+    /// Sets the number of tokens of prompt and output.
     #[must_use]
     pub const fn tokens(mut self, tokens: u32) -> Self {
         self.tokens = tokens;
@@ -168,60 +168,60 @@
     }
 }
 
-/// What an endpoint reported of itself.
+/// Load that an endpoint reported.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on, from all entries.
+    /// Running requests of all entries.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests that are queued inside it.
     pub queued: u32,
-    /// Requests that its side takes at once; 0 if unknown.
+    /// Maximum requests that its sidecar accepts at once; 0 if unknown.
     pub limit: u32,
-    /// Tokens that it still has to read and generate.
+    /// Tokens that it still has to process.
     pub tokens: u64,
     /// Free cache memory in tokens; 0 if unknown.
     pub cache_free: u64,
-    /// How old the report was when it was sent.
+    /// Age of the report.
     pub age: Duration,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer is there.
+    /// The answer is complete.
     Answered,
-    /// The side refused or could not reach the endpoint: it surely never ran.
+    /// The sidecar refused it or could not reach the endpoint: it surely never ran.
     NotRun(ErrorKind),
     /// It failed, and may have run.
     Failed(ErrorKind),
 }
 
-/// What the entry has to do next.
+/// An action that the entry has to carry out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Send the call to this endpoint.
+    /// Send the call to an endpoint.
     Start {
         /// The call.
         id: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointKey,
-        /// True if another attempt of it still runs elsewhere.
+        /// Whether another attempt of it is running elsewhere.
         hedge: bool,
     },
-    /// Tell this endpoint that the call's answer is no longer wanted.
+    /// Cancel the call's attempt at an endpoint.
     Cancel {
         /// The call.
         id: RequestId,
-        /// Where it runs.
+        /// The endpoint.
         endpoint: EndpointKey,
     },
-    /// Give the caller its final answer, at once.
+    /// Refuse the call immediately.
     Refuse {
         /// The call.
         id: RequestId,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When to come back.
+        /// Delay after which the caller should retry.
         after: Duration,
     },
 }
