--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -23,22 +23,21 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a call in the router's table.
+    /// The key of a call in the router's table.
     pub(super) struct CallKey;
 }
 
-/// Near endpoints of the entry's subset, other near ones, those elsewhere.
+/// Number of tiers: the entry's subset of its data centre, the rest of that data
+/// centre, and other data centres.
 pub(super) const TIERS: usize = 3;
-/// The tier of endpoints at other places.
+/// The tier of endpoints in other data centres.
 pub(super) const REMOTE_TIER: usize = 2;
-/// Time constant of what counts as recent use: a few service times of an
-/// interactive call, so that lent slots are wanted back soon after a burst.
+/// Time constant of the peaks from which reserved slots are computed.
 const PEAK_DECAY: Duration = Duration::from_secs(5);
-/// Time constant of the work that balances prefixes: of 24 calls a second to
-/// one engine the sum then strays by 5 per cent, half of the bound's margin.
+/// Time constant of the recent work by which prefixes are balanced.
 const WORK_DECAY: Duration = Duration::from_secs(20);
 
-/// What the timers are set for.
+/// What a timer is set for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Timer {
     Call(CallKey),
@@ -50,37 +49,38 @@
 pub(super) struct ServiceRow {
     pub(super) spec: ServiceSpec,
     pub(super) endpoints: Vec<EndpointKey>,
-    /// Endpoints with room, by tier.
+    /// Endpoints with free slots, by tier.
     pub(super) pools: [Vec<EndpointKey>; TIERS],
     pub(super) ring: Ring,
     pub(super) queues: [Queue; 3],
-    /// Attempts that run, by class.
+    /// Running attempts, by class.
     pub(super) running: [u32; 3],
-    /// Sum of the limits of the endpoints that take work.
+    /// Sum of the limits of usable endpoints.
     pub(super) capacity: u32,
-    /// Sum of what is free below these limits.
+    /// Sum of the free slots of usable endpoints.
     pub(super) free_slots: u32,
-    /// Endpoints that take work, and those of them at the entry's place.
+    /// Endpoints that accept calls and have a limit above 0.
     pub(super) usable: u32,
+    /// Those of them in the entry's data centre.
     pub(super) usable_local: u32,
-    /// Endpoints that are ejected.
+    /// Number of ejected endpoints, including those on trial.
     pub(super) ejected: u32,
-    /// Ejected endpoints that wait for a call to be tried with.
+    /// Ejected endpoints that wait for a trial call.
     pub(super) awaiting_trial: Vec<EndpointKey>,
     pub(super) peers: Peers,
     pub(super) service_times: ServiceTimes,
-    /// What calls take now, over what they took on average: at the start of a
-    /// burst endpoints fill up long before the averages show it.
+    /// Current service time relative to the estimate; it rises at the start of a
+    /// burst, well before the estimate does.
     pub(super) slowdown: f64,
-    /// How much longer than estimated a wait may become.
+    /// Safety factor on the estimated wait.
     pub(super) wait_margin: f64,
     pub(super) budget: RetryBudget,
     pub(super) return_schedules: [ReturnSchedule; 3],
-    /// Work placed lately, over all endpoints.
+    /// Recently placed work of all endpoints.
     pub(super) recent_work: DecayingSum,
-    /// Peak of attempts by class, lately.
+    /// Decayed peaks of running attempts, by class.
     pub(super) recent_peaks: [DecayingSum; 3],
-    /// Repeatable attempts of lower classes, to take their slots back.
+    /// Running calls that may be preempted, by start.
     pub(super) preemptible: BTreeSet<(Instant, CallKey)>,
     pub(super) timer_at: Option<Instant>,
 }
@@ -122,15 +122,15 @@
     }
 }
 
-/// A report and what was known of the endpoint when it arrived.
+/// A load report and the entry's own load when it arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedReport {
     pub(super) report: LoadReport,
-    /// When it was true.
+    /// When the report was taken.
     pub(super) valid_at: Instant,
-    /// Attempts of this entry that ran then.
+    /// Attempts of this entry that ran when the report arrived.
     pub(super) own_running: u32,
-    /// Tokens sent there since.
+    /// Tokens of the calls sent there since.
     pub(super) tokens_sent: u64,
 }
 
@@ -140,19 +140,19 @@
     pub(super) service: ServiceKey,
     pub(super) accepting: bool,
     pub(super) running: u32,
-    /// Tokens of the attempts that run.
+    /// Tokens of the running attempts.
     pub(super) tokens: u64,
     pub(super) limit: ConcurrencyLimit,
     pub(super) health: Health,
     pub(super) tier: usize,
-    /// Position in its pool, while it has room.
+    /// Position in its tier's pool, while it has free slots.
     pub(super) pool_index: Option<usize>,
-    /// What of it is counted in the service's sums.
+    /// Its part in the service's sums.
     pub(super) counted: Counted,
     pub(super) last_report: Option<ReceivedReport>,
-    /// Work placed there lately.
+    /// Recently placed work.
     pub(super) recent_work: DecayingSum,
-    /// Attempts by their start, to find the oldest.
+    /// Running attempts by start.
     pub(super) attempts: BTreeSet<(Instant, CallKey)>,
     pub(super) timer_at: Option<Instant>,
 }
@@ -193,32 +193,32 @@
     pub(super) endpoint: EndpointKey,
     pub(super) start: Instant,
     pub(super) trial: bool,
-    /// Whether it met few others there.
+    /// Whether the endpoint was at low load when it started.
     pub(super) low_load: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct CallRow {
     pub(super) call: Call,
-    /// Expected seconds at an endpoint.
+    /// Expected service time in seconds.
     pub(super) work: f64,
     pub(super) seq: u64,
-    /// Attempts started.
+    /// Number of attempts so far.
     pub(super) attempts_started: u8,
-    /// Times that its slot was taken back.
+    /// Number of times that it was preempted.
     pub(super) preemptions: u8,
     pub(super) queued: bool,
-    /// Whether its caller has part of an answer.
+    /// Whether its caller has received part of an answer.
     pub(super) committed: bool,
-    /// What to tell if it may have run.
+    /// Error to report if an attempt may have run.
     pub(super) run_error: Option<ErrorKind>,
-    /// Where the last attempt ran.
+    /// Endpoint of the last attempt.
     pub(super) last_endpoint: Option<EndpointKey>,
-    /// The attempt and its hedge.
+    /// Running attempts: at most one and its hedge.
     pub(super) attempts: [Option<Attempt>; 2],
-    /// When its timer is set.
+    /// When its timer is due.
     pub(super) timer_at: Option<Instant>,
-    /// When it can't be answered any more, while it waits.
+    /// Latest start that still meets the deadline, while queued.
     pub(super) latest_start: Instant,
 }
 
@@ -244,7 +244,7 @@
         self.call.repeat == Repeat::Free
     }
 
-    /// Says whether another attempt could still answer it.
+    /// Returns whether another attempt may still answer it.
     pub(super) fn can_rerun(&self) -> bool {
         self.is_repeatable() && !self.committed
     }
