--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -1,42 +1,42 @@
-//! What the router thinks of an endpoint, for those who ask why.
+//! The router's view of an endpoint, for diagnostics.
 
 use crate::route::{EndpointKey, health::Phase, router::Router};
 use std::time::Instant;
 
-/// Whether an endpoint gets work, as far as its health goes.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-    /// It does.
+    /// It gets calls.
     Fit,
     /// It is ejected.
     Ejected,
-    /// The pause after its ejection is over, and a call is to try it.
+    /// Its ejection is over and it waits for a trial call.
     Ready,
-    /// A call tries it.
+    /// A trial call is running.
     Trial,
 }
 
 /// One endpoint as the router sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct View {
-    /// Whether it gets work.
+    /// Its health state.
     pub standing: Standing,
-    /// Attempts of this entry that run there.
+    /// Running attempts of this entry.
     pub running: u32,
-    /// Attempts that may run there.
+    /// Concurrency limit of this entry.
     pub limit: u32,
-    /// Its load for comparison; a call goes to the lower of two.
+    /// Load relative to limit and speed; a call goes to the lower of two.
     pub score: f64,
-    /// How many times longer than expected it takes.
+    /// Mean latency relative to the expected one.
     pub slower: f64,
-    /// Share of its calls that failed lately.
+    /// Share of recent calls that failed.
     pub failing: f64,
-    /// Connections in a row that it refused.
+    /// Refused connections in a row.
     pub refused: u32,
 }
 
 impl Router {
-    /// Returns whether an endpoint gets work, as far as its health goes.
+    /// Returns the health state of an endpoint, if it is known.
     #[must_use]
     pub fn standing(&self, endpoint: EndpointKey) -> Option<Standing> {
         let row = self.endpoints.get(endpoint)?;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Returns what the router thinks of an endpoint.
+    /// Returns the router's view of an endpoint, if it is known.
     #[must_use]
     pub fn view(&self, now: Instant, endpoint: EndpointKey) -> Option<View> {
         let row = self.endpoints.get(endpoint)?;
