--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -1,4 +1,4 @@
-//! Every call gets exactly one final outcome, whatever happens to attempts.
+//! Each call gets exactly one final outcome, whatever happens to its attempts.
 
 use hibiscusroad::{
     Class, ErrorKind, Incarnation, Repeat, RequestId,
@@ -26,7 +26,7 @@
     Arrive {
         class: usize,
         once: bool,
-        wait: u64,
+        timeout_ms: u64,
         tokens: u32,
     },
     Finish {
@@ -54,15 +54,15 @@
     Remove {
         endpoint: usize,
     },
-    Pass {
+    Advance {
         millis: u64,
     },
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..3usize, any::<bool>(), 1..2000u64, 0..2000u32)
-            .prop_map(|(class, once, wait, tokens)| Event::Arrive { class, once, wait, tokens }),
+            .prop_map(|(class, once, timeout_ms, tokens)| Event::Arrive { class, once, timeout_ms, tokens }),
         5 => (any::<usize>(), 0..6u8).prop_map(|(pick, outcome)| Event::Finish { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Event::Progress { pick }),
         1 => any::<usize>().prop_map(|pick| Event::Cancel { pick }),
@@ -72,23 +72,22 @@
         1 => (0..ENDPOINTS, 0..9u32, 0..9u32)
             .prop_map(|(endpoint, running, queued)| Event::Report { endpoint, running, queued }),
         1 => (0..ENDPOINTS * 8).prop_map(|endpoint| Event::Remove { endpoint }),
-        4 => (0..400u64).prop_map(|millis| Event::Pass { millis }),
+        4 => (0..400u64).prop_map(|millis| Event::Advance { millis }),
     ]
 }
 
 #[derive(Default)]
 struct Caller {
     once: bool,
-    /// Attempts that may have run: all but those of which the side said that
-    /// they didn't.
-    ran: u32,
-    finals: u32,
-    /// It has part of an answer, which no other attempt can go on with.
+    /// Attempts, without those that the sidecar reported as not run.
+    may_have_run: u32,
+    final_outcomes: u32,
+    /// Whether it has received part of an answer.
     committed: bool,
-    gone: bool,
+    cancelled: bool,
 }
 
-struct World {
+struct Harness {
     now: Instant,
     router: Router,
     service: ServiceKey,
@@ -97,15 +96,15 @@
     running: Vec<(RequestId, EndpointKey)>,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let now = Instant::now();
         let mut router = Router::new("senec", 3);
         let service = router.set_service(now, "guide-lm", ServiceSpec::new().depth(8));
-        let places = ["senec", "senec", "trnava", "piestany"];
+        let data_centres = ["senec", "senec", "trnava", "piestany"];
         let endpoints = (0..ENDPOINTS)
             .map(|n| {
-                EndpointSpec::new(&format!("e{n}"), places[n])
+                EndpointSpec::new(&format!("e{n}"), data_centres[n])
                     .limit(3)
                     .tokens(3000)
             })
@@ -127,11 +126,11 @@
             Event::Arrive {
                 class,
                 once,
-                wait,
+                timeout_ms,
                 tokens,
             } => {
                 let repeat = if once { Repeat::Once } else { Repeat::Free };
-                let deadline = now + Duration::from_millis(wait);
+                let deadline = now + Duration::from_millis(timeout_ms);
                 let mut call = Call::new(id(seq), self.service, Class::ALL[class], deadline)
                     .repeat(repeat)
                     .tokens(tokens);
@@ -147,19 +146,19 @@
             }
             Event::Finish { pick, outcome } => self.finish(pick, outcome),
             Event::Progress { pick } => {
-                if let Some((id, endpoint)) = self.some(pick) {
+                if let Some((id, endpoint)) = self.pick_running(pick) {
                     self.router.progress(now, id, endpoint, 1);
                 }
             }
             Event::Cancel { pick } => {
-                if let Some((id, _)) = self.some(pick) {
+                if let Some((id, _)) = self.pick_running(pick) {
                     let caller = self.callers.get_mut(&id).expect("it arrived");
-                    caller.gone = true;
+                    caller.cancelled = true;
                     self.router.cancel(now, id);
                 }
             }
             Event::Commit { pick } => {
-                if let Some((id, endpoint)) = self.some(pick) {
+                if let Some((id, endpoint)) = self.pick_running(pick) {
                     let caller = self.callers.get_mut(&id).expect("it arrived");
                     caller.committed = true;
                     self.router.commit(now, id, endpoint);
@@ -185,18 +184,18 @@
                     self.router.remove_endpoint(now, *key);
                 }
             }
-            Event::Pass { millis } => self.pass(Duration::from_millis(millis)),
+            Event::Advance { millis } => self.advance(Duration::from_millis(millis)),
         }
-        self.drain();
+        self.check_steps();
     }
 
-    fn some(&self, pick: usize) -> Option<(RequestId, EndpointKey)> {
+    fn pick_running(&self, pick: usize) -> Option<(RequestId, EndpointKey)> {
         let len = self.running.len();
         (len > 0).then(|| self.running[pick % len])
     }
 
     fn finish(&mut self, pick: usize, outcome: u8) {
-        let Some((id, endpoint)) = self.some(pick) else {
+        let Some((id, endpoint)) = self.pick_running(pick) else {
             return;
         };
         self.running.retain(|other| *other != (id, endpoint));
@@ -208,26 +207,26 @@
         };
         let caller = self.callers.get_mut(&id).expect("it arrived");
         match outcome {
-            Outcome::Answered => caller.finals += 1,
+            Outcome::Answered => caller.final_outcomes += 1,
             Outcome::NotRun(_) if caller.committed => {}
-            Outcome::NotRun(_) => caller.ran -= 1,
+            Outcome::NotRun(_) => caller.may_have_run -= 1,
             Outcome::Failed(_) => {}
         }
         self.router.finish(self.now, id, endpoint, outcome);
     }
 
-    /// Lets time pass as the entry does, which sleeps until the next timer.
-    fn pass(&mut self, by: Duration) {
-        let end = self.now + by;
+    /// Advances the time and handles each timer when it is due.
+    fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some(due) = self.router.next_due().filter(|due| *due <= end) {
             self.now = due.max(self.now);
             self.router.tick(self.now);
-            self.drain();
+            self.check_steps();
         }
         self.now = end;
     }
 
-    fn drain(&mut self) {
+    fn check_steps(&mut self) {
         while let Some(step) = self.router.next_step() {
             match step {
                 Step::Start {
@@ -236,13 +235,13 @@
                     hedge,
                 } => {
                     let caller = self.callers.get_mut(&id).expect("it arrived");
-                    assert!(!(caller.once && caller.ran > 0), "{id} ran twice");
+                    assert!(!(caller.once && caller.may_have_run > 0), "{id} ran twice");
                     assert!(
-                        caller.finals == 0 && !caller.gone,
-                        "{id} started after its end"
+                        caller.final_outcomes == 0 && !caller.cancelled,
+                        "{id} started after its final outcome"
                     );
                     assert!(!caller.committed, "{id} started after its answer began");
-                    caller.ran += 1;
+                    caller.may_have_run += 1;
                     let elsewhere = self.running.iter().any(|(other, _)| *other == id);
                     assert_eq!(hedge, elsewhere);
                     self.running.push((id, endpoint));
@@ -254,11 +253,11 @@
                 }
                 Step::Refuse { id, kind, .. } => {
                     let caller = self.callers.get_mut(&id).expect("it arrived");
-                    caller.finals += 1;
-                    let ran = caller.ran > 0;
+                    caller.final_outcomes += 1;
+                    let has_run = caller.may_have_run > 0;
                     assert!(
-                        !(ran && kind.answer().not_run),
-                        "{id} ran, but was told {kind:?}"
+                        !(has_run && kind.answer().not_run),
+                        "{id} ran, but was refused with {kind:?}"
                     );
                 }
             }
@@ -267,27 +266,25 @@
 }
 
 proptest! {
-    /// Attempts end in every way, endpoints close and vanish, callers leave.
-    /// Each caller that stays gets exactly one final outcome, none is told
-    /// "not run" of a call that may have run, no call that runs at most once is
-    /// started again after it may have run, and nothing is left counted.
+    /// Guards against lost and double outcomes, "not run" reported of a call that may
+    /// have run, repeated runs of non-repeatable calls, and leaks in the counters.
     #[test]
-    fn one_final_outcome(events in prop::collection::vec(event(), 1..200)) {
-        let mut world = World::new();
+    fn each_call_gets_one_final_outcome(events in prop::collection::vec(any_event(), 1..200)) {
+        let mut harness = Harness::new();
         for (seq, event) in (0..).zip(&events) {
-            world.apply(seq, event);
+            harness.apply(seq, event);
         }
-        world.pass(Duration::from_secs(10));
-        for (id, caller) in &world.callers {
-            prop_assert_eq!(caller.finals, u32::from(!caller.gone), "{}", id);
+        harness.advance(Duration::from_secs(10));
+        for (id, caller) in &harness.callers {
+            prop_assert_eq!(caller.final_outcomes, u32::from(!caller.cancelled), "{}", id);
         }
-        prop_assert!(world.running.is_empty());
+        prop_assert!(harness.running.is_empty());
         for class in Class::ALL {
-            prop_assert_eq!(world.router.running(world.service, class), 0);
-            prop_assert_eq!(world.router.waiting(world.service, class), 0);
+            prop_assert_eq!(harness.router.running(harness.service, class), 0);
+            prop_assert_eq!(harness.router.waiting(harness.service, class), 0);
         }
-        for key in &world.endpoints {
-            prop_assert_eq!(world.router.load(*key).map_or(0, |load| load.0), 0);
+        for key in &harness.endpoints {
+            prop_assert_eq!(harness.router.load(*key).map_or(0, |load| load.0), 0);
         }
     }
 }
