--- a/tests/route_once.rs
+++ b/tests/route_once.rs
@@ -1,4 +1,4 @@
-//! What follows from how an attempt ends, and when callers are told.
+//! Retries after each outcome of an attempt, and when callers are refused.
 
 use hibiscusroad::{
     Class, ErrorKind, Incarnation, Repeat, RequestId,
@@ -33,11 +33,10 @@
     Duration::from_secs(secs)
 }
 
-/// The caller reserves a hut and the endpoint breaks off during the request.
-/// Nobody knows whether the hut is reserved, so a second attempt could reserve
-/// two. The caller gets the failure at once and there is no other attempt.
+/// Guards against running a non-repeatable call twice: the failed attempt may have
+/// run.
 #[test]
-fn once_is_never_started_again_after_a_failure() {
+fn non_repeatable_call_is_not_retried_after_a_failure() {
     let (now, mut router, service, endpoint) = setup(4);
     let call = Call::new(id(1), service, Class::Interactive, now + secs(5)).repeat(Repeat::Once);
     router.arrive(now, call);
@@ -61,10 +60,9 @@
     );
 }
 
-/// The side refuses a reservation: it surely didn't run. The caller sees only
-/// that it takes a little longer, as it is started again.
+/// Guards against refusing a call that the sidecar surely did not run.
 #[test]
-fn once_is_started_again_if_it_surely_did_not_run() {
+fn non_repeatable_call_is_retried_if_it_did_not_run() {
     let (now, mut router, service, endpoint) = setup(4);
     let call = Call::new(id(1), service, Class::Interactive, now + secs(5)).repeat(Repeat::Once);
     router.arrive(now, call);
@@ -79,10 +77,10 @@
     );
 }
 
-/// The caller's deadline passes while the endpoint works. The caller is told
-/// at that instant, and that it may have run; the endpoint is told to stop.
+/// Guards against attempts that outlast their deadline, and against reporting a
+/// call that may have run as not run.
 #[test]
-fn a_running_call_is_cancelled_and_answered_at_its_deadline() {
+fn a_running_call_is_cancelled_and_refused_at_its_deadline() {
     let (now, mut router, service, endpoint) = setup(4);
     router.arrive(
         now,
@@ -110,10 +108,9 @@
     assert_eq!(router.load(endpoint).map(|load| load.0), Some(0));
 }
 
-/// The caller waits behind others and its deadline passes. It is told so at
-/// that instant, not when its turn would have come.
+/// Guards against keeping an expired call in the queue until its turn.
 #[test]
-fn a_waiting_call_leaves_at_its_deadline() {
+fn a_queued_call_is_refused_at_its_deadline() {
     let (now, mut router, service, _) = setup(1);
     router.arrive(
         now,
@@ -139,10 +136,10 @@
     );
 }
 
-/// Every endpoint of the service closes while calls wait. None can be answered
-/// any more, so each caller is told at once.
+/// Guards against keeping calls queued until their deadline when none can be
+/// answered any more.
 #[test]
-fn waiting_calls_are_refused_when_the_last_endpoint_closes() {
+fn queued_calls_are_refused_when_the_last_endpoint_closes() {
     let (now, mut router, service, endpoint) = setup(1);
     router.arrive(
         now,
@@ -167,10 +164,9 @@
     );
 }
 
-/// Callers refused together are told different times, so that they don't come
-/// back together.
+/// Guards against callers that are refused together and return together.
 #[test]
-fn returns_are_spread() {
+fn retry_after_times_are_spread() {
     let now = Instant::now();
     let mut router = Router::new("senec", 7);
     let service = router.set_service(now, "hut-desk", ServiceSpec::new());
@@ -190,11 +186,10 @@
     assert_eq!(after.len(), 10);
 }
 
-/// An engine's answer has begun to reach its caller when the engine fails, or
-/// goes silent. Another attempt would give other words, so the caller is told
-/// that the answer broke off; a call that has nothing yet is tried again.
+/// Guards against mixing two attempts' answers: another attempt would generate a
+/// different text.
 #[test]
-fn a_call_with_part_of_an_answer_is_not_tried_again() {
+fn a_call_with_part_of_an_answer_is_not_retried() {
     for committed in [false, true] {
         let (now, mut router, service, endpoint) = setup(4);
         router.arrive(
