--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -1,4 +1,4 @@
-//! Where calls go, where they don't, and when they go elsewhere.
+//! Placement, ejection and hedging.
 
 use hibiscusroad::{
     Class, ErrorKind, Incarnation, Repeat, RequestId,
@@ -8,16 +8,16 @@
 };
 use std::time::{Duration, Instant};
 
-const WORK: Duration = Duration::from_millis(40);
+const SERVICE_TIME: Duration = Duration::from_millis(40);
 
-struct World {
+struct Harness {
     now: Instant,
     router: Router,
     service: ServiceKey,
     seq: u64,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let now = Instant::now();
         let mut router = Router::new("senec", 5);
@@ -30,8 +30,8 @@
         }
     }
 
-    fn endpoint(&mut self, name: &str, place: &str, limit: u32) -> EndpointKey {
-        let spec = EndpointSpec::new(name, place).limit(limit);
+    fn endpoint(&mut self, name: &str, data_centre: &str, limit: u32) -> EndpointKey {
+        let spec = EndpointSpec::new(name, data_centre).limit(limit);
         self.router.add_endpoint(self.now, self.service, spec)
     }
 
@@ -45,13 +45,13 @@
         Call::new(id, self.service, Class::Interactive, deadline)
     }
 
-    /// Lets a call arrive and returns where it starts.
-    fn place(&mut self, call: Call) -> Option<EndpointKey> {
+    /// Submits a call and returns where it starts.
+    fn submit(&mut self, call: Call) -> Option<EndpointKey> {
         self.router.arrive(self.now, call);
-        self.started().map(|(_, endpoint)| endpoint)
+        self.next_start().map(|(_, endpoint)| endpoint)
     }
 
-    fn started(&mut self) -> Option<(RequestId, EndpointKey)> {
+    fn next_start(&mut self) -> Option<(RequestId, EndpointKey)> {
         let steps = std::iter::from_fn(|| self.router.next_step());
         let steps: Vec<Step> = steps.collect();
         steps.iter().find_map(|step| match step {
@@ -60,21 +60,22 @@
         })
     }
 
-    /// Lets calls be answered one after the other, to learn what they take.
-    fn learn(&mut self, calls: usize, slow: Option<EndpointKey>) {
+    /// Runs calls one after the other, so that the router learns their service
+    /// time. They take ten times as long at `slow`.
+    fn answer_calls(&mut self, calls: usize, slow: Option<EndpointKey>) {
         for _ in 0..calls {
             let call = self.call();
-            let endpoint = self.place(call).expect("an endpoint is free");
+            let endpoint = self.submit(call).expect("an endpoint is free");
             let factor = if slow == Some(endpoint) { 10 } else { 1 };
-            self.pass(WORK * factor);
+            self.advance(SERVICE_TIME * factor);
             self.router
                 .finish(self.now, call.id, endpoint, Outcome::Answered);
-            while self.started().is_some() {}
+            while self.next_start().is_some() {}
         }
     }
 
-    fn pass(&mut self, by: Duration) {
-        self.now += by;
+    fn advance(&mut self, duration: Duration) {
+        self.now += duration;
         self.router.tick(self.now);
     }
 
@@ -83,63 +84,64 @@
     }
 }
 
-/// The entry's own place is nearer; another one is used when it is full.
+/// Guards against calls to another data centre while there is room in the own.
 #[test]
-fn the_same_place_comes_first() {
-    let mut world = World::new();
-    let near = world.endpoint("near", "senec", 4);
-    let far = world.endpoint("far", "trnava", 4);
-    let call = world.call();
-    assert_eq!(world.place(call), Some(near));
+fn endpoints_in_the_same_data_centre_come_first() {
+    let mut harness = Harness::new();
+    let near = harness.endpoint("near", "senec", 4);
+    let far = harness.endpoint("far", "trnava", 4);
+    let call = harness.call();
+    assert_eq!(harness.submit(call), Some(near));
     let mut last = near;
     for _ in 0..5 {
-        let call = world.call();
-        last = world.place(call).expect("an endpoint is free");
+        let call = harness.call();
+        last = harness.submit(call).expect("an endpoint is free");
     }
     assert_eq!(last, far);
 }
 
-/// An engine's cache memory is limited by tokens. A prompt that doesn't fit
-/// waits for one that ends, though the engine has slots left.
+/// Guards against overfilling an engine's cache memory while it has free slots.
 #[test]
-fn tokens_limit_an_engine() {
-    let mut world = World::new();
+fn cache_memory_limits_an_engine() {
+    let mut harness = Harness::new();
     let spec = EndpointSpec::new("engine", "senec").tokens(1000);
-    let engine = world.router.add_endpoint(world.now, world.service, spec);
-    let first = world.call().tokens(800);
-    assert_eq!(world.place(first), Some(engine));
-    let second = world.call().tokens(800);
-    assert_eq!(world.place(second), None);
-    let now = world.now + WORK;
-    world
+    let engine = harness
+        .router
+        .add_endpoint(harness.now, harness.service, spec);
+    let first = harness.call().tokens(800);
+    assert_eq!(harness.submit(first), Some(engine));
+    let second = harness.call().tokens(800);
+    assert_eq!(harness.submit(second), None);
+    let now = harness.now + SERVICE_TIME;
+    harness
         .router
         .finish(now, first.id, engine, Outcome::Answered);
-    assert_eq!(world.started(), Some((second.id, engine)));
+    assert_eq!(harness.next_start(), Some((second.id, engine)));
 }
 
-/// An engine reports how much cache memory it has left. Prompts that were sent
-/// since the report count against it.
+/// Guards against using reported free cache memory twice: prompts sent since the
+/// report count against it.
 #[test]
 fn reported_cache_memory_limits_an_engine() {
-    let mut world = World::new();
-    let engine = world.endpoint("engine", "senec", 8);
-    let first = world.call().tokens(100);
-    assert_eq!(world.place(first), Some(engine));
+    let mut harness = Harness::new();
+    let engine = harness.endpoint("engine", "senec", 8);
+    let first = harness.call().tokens(100);
+    assert_eq!(harness.submit(first), Some(engine));
     let report = LoadReport {
         running: 1,
         cache_free: 500,
         ..LoadReport::default()
     };
-    world.router.report(world.now, engine, report);
-    let second = world.call().tokens(400);
-    assert_eq!(world.place(second), Some(engine));
-    let third = world.call().tokens(400);
-    assert_eq!(world.place(third), None);
+    harness.router.report(harness.now, engine, report);
+    let second = harness.call().tokens(400);
+    assert_eq!(harness.submit(second), Some(engine));
+    let third = harness.call().tokens(400);
+    assert_eq!(harness.submit(third), None);
 }
 
-/// The same prompt goes to the engine that has it cached, from every entry.
+/// Guards against entries that cache the same prefix at different engines.
 #[test]
-fn a_prefix_keeps_its_engine() {
+fn a_prefix_goes_to_the_same_engine_from_every_entry() {
     let mut first = None;
     for seed in 0..4 {
         let now = Instant::now();
@@ -157,94 +159,97 @@
         let Some(Step::Start { endpoint, .. }) = router.next_step() else {
             panic!("it starts");
         };
-        let place = keys.iter().position(|key| *key == endpoint);
-        assert_eq!(*first.get_or_insert(place), place);
+        let position = keys.iter().position(|key| *key == endpoint);
+        assert_eq!(*first.get_or_insert(position), position);
     }
 }
 
-/// The endpoint's side has no room, because other entries filled it. The call
-/// goes elsewhere at once, and nothing is sent there for a moment.
+/// Guards against sending again to an endpoint whose sidecar has just refused a
+/// call for lack of room.
 #[test]
-fn a_full_side_is_left_alone_for_a_moment() {
-    let mut world = World::new();
-    let full = world.endpoint("full", "senec", 8);
-    let call = world.call();
-    assert_eq!(world.place(call), Some(full));
-    let other = world.endpoint("other", "senec", 8);
+fn a_full_endpoint_gets_no_calls_for_a_moment() {
+    let mut harness = Harness::new();
+    let full = harness.endpoint("full", "senec", 8);
+    let call = harness.call();
+    assert_eq!(harness.submit(call), Some(full));
+    let other = harness.endpoint("other", "senec", 8);
     let outcome = Outcome::NotRun(ErrorKind::Saturated);
-    world.router.finish(world.now, call.id, full, outcome);
-    assert_eq!(world.started(), Some((call.id, other)));
+    harness.router.finish(harness.now, call.id, full, outcome);
+    assert_eq!(harness.next_start(), Some((call.id, other)));
     for _ in 0..4 {
-        let call = world.call();
-        assert_eq!(world.place(call), Some(other));
+        let call = harness.call();
+        assert_eq!(harness.submit(call), Some(other));
     }
-    assert_eq!(world.limit(full), 1);
+    assert_eq!(harness.limit(full), 1);
 }
 
-/// One of four endpoints answers ten times as slowly. It gets no more calls
-/// for a second, then one to try it, and none again as that one is slow, too.
+/// Guards against sending to an endpoint that is ten times slower than its peers,
+/// beyond single trial calls.
 #[test]
-fn a_slow_endpoint_is_ejected_and_tried() {
-    let mut world = World::new();
-    let keys = ["a", "b", "c", "d"].map(|name| world.endpoint(name, "senec", 8));
-    world.learn(100, None);
-    world.learn(60, Some(keys[0]));
-    assert_eq!(world.limit(keys[0]), 0);
-    world.pass(Duration::from_secs(30));
-    let call = world.call();
-    assert_eq!(world.place(call), Some(keys[0]));
-    world.pass(WORK * 10);
-    let finish = Outcome::Answered;
-    world.router.finish(world.now, call.id, keys[0], finish);
-    assert_eq!(world.limit(keys[0]), 0);
+fn a_slow_endpoint_stays_ejected_after_a_slow_trial() {
+    let mut harness = Harness::new();
+    let keys = ["a", "b", "c", "d"].map(|name| harness.endpoint(name, "senec", 8));
+    harness.answer_calls(100, None);
+    harness.answer_calls(60, Some(keys[0]));
+    assert_eq!(harness.limit(keys[0]), 0);
+    harness.advance(Duration::from_secs(30));
+    let call = harness.call();
+    assert_eq!(harness.submit(call), Some(keys[0]));
+    harness.advance(SERVICE_TIME * 10);
+    let outcome = Outcome::Answered;
+    harness
+        .router
+        .finish(harness.now, call.id, keys[0], outcome);
+    assert_eq!(harness.limit(keys[0]), 0);
 }
 
-/// An ejected endpoint has recovered. The call that tries it is answered like
-/// those of its peers, and it begins again with little.
+/// Guards against keeping a recovered endpoint ejected, and against filling it at
+/// once.
 #[test]
-fn a_recovered_endpoint_begins_with_one_call() {
-    let mut world = World::new();
-    let keys = ["a", "b", "c", "d"].map(|name| world.endpoint(name, "senec", 8));
-    world.learn(100, None);
-    world.learn(60, Some(keys[0]));
-    assert_eq!(world.limit(keys[0]), 0);
-    world.pass(Duration::from_secs(30));
-    let call = world.call();
-    assert_eq!(world.place(call), Some(keys[0]));
-    world.pass(WORK);
-    let finish = Outcome::Answered;
-    world.router.finish(world.now, call.id, keys[0], finish);
-    assert_eq!(world.limit(keys[0]), 1);
+fn a_recovered_endpoint_restarts_with_a_limit_of_one() {
+    let mut harness = Harness::new();
+    let keys = ["a", "b", "c", "d"].map(|name| harness.endpoint(name, "senec", 8));
+    harness.answer_calls(100, None);
+    harness.answer_calls(60, Some(keys[0]));
+    assert_eq!(harness.limit(keys[0]), 0);
+    harness.advance(Duration::from_secs(30));
+    let call = harness.call();
+    assert_eq!(harness.submit(call), Some(keys[0]));
+    harness.advance(SERVICE_TIME);
+    let outcome = Outcome::Answered;
+    harness
+        .router
+        .finish(harness.now, call.id, keys[0], outcome);
+    assert_eq!(harness.limit(keys[0]), 1);
 }
 
-/// An endpoint takes a call and says nothing. A second attempt starts at
-/// another one, whose answer counts, and the first is cancelled. A call that
-/// runs at most once gets no second attempt.
+/// Guards against waiting for a stuck endpoint, and against hedging non-repeatable
+/// calls.
 #[test]
-fn silence_starts_a_hedge_of_what_may_be_repeated() {
+fn silence_triggers_a_hedge_of_repeatable_calls_only() {
     for repeat in [Repeat::Free, Repeat::Once] {
-        let mut world = World::new();
-        world.endpoint("a", "senec", 8);
-        world.endpoint("b", "senec", 8);
-        world.learn(100, None);
-        let call = world.call().repeat(repeat);
-        let first = world.place(call).expect("an endpoint is free");
-        world.pass(WORK * 2);
-        let second = world.started();
+        let mut harness = Harness::new();
+        harness.endpoint("a", "senec", 8);
+        harness.endpoint("b", "senec", 8);
+        harness.answer_calls(100, None);
+        let call = harness.call().repeat(repeat);
+        let first = harness.submit(call).expect("an endpoint is free");
+        harness.advance(SERVICE_TIME * 2);
+        let second = harness.next_start();
         if repeat == Repeat::Once {
             assert_eq!(second, None);
             continue;
         }
         let (_, second) = second.expect("a hedge starts");
         assert_ne!(first, second);
-        world
+        harness
             .router
-            .finish(world.now, call.id, second, Outcome::Answered);
+            .finish(harness.now, call.id, second, Outcome::Answered);
         let cancel = Step::Cancel {
             id: call.id,
             endpoint: first,
         };
-        assert_eq!(world.router.next_step(), Some(cancel));
+        assert_eq!(harness.router.next_step(), Some(cancel));
     }
 }
 
@@ -252,81 +257,83 @@
 #[test]
 fn call_that_may_have_broken_an_endpoint_is_not_hedged() {
     for alone in [true, false] {
-        let mut world = World::new();
+        let mut harness = Harness::new();
         for name in ["a", "b", "c"] {
-            world.endpoint(name, "senec", 8);
+            harness.endpoint(name, "senec", 8);
         }
-        world.learn(100, None);
-        let call = world.call().alone(alone);
-        let first = world.place(call).expect("an endpoint is free");
+        harness.answer_calls(100, None);
+        let call = harness.call().alone(alone);
+        let first = harness.submit(call).expect("an endpoint is free");
         if !alone {
             let broken = Outcome::Failed(ErrorKind::EndpointBroken);
-            world.router.finish(world.now, call.id, first, broken);
-            let (_, second) = world.started().expect("it is tried again");
+            harness.router.finish(harness.now, call.id, first, broken);
+            let (_, second) = harness.next_start().expect("it is tried again");
             assert_ne!(first, second);
         }
-        world.pass(WORK * 3);
-        let steps = std::iter::from_fn(|| world.router.next_step());
+        harness.advance(SERVICE_TIME * 3);
+        let steps = std::iter::from_fn(|| harness.router.next_step());
         let hedges = steps.filter(|step| matches!(step, Step::Start { hedge: true, .. }));
         assert_eq!(hedges.count(), 0);
     }
 }
 
-/// An endpoint refuses connections while ten calls are on their way to it. It is
-/// tried again after one pause, not after ten that double each time.
+/// Guards against doubling the ejection time for each call that was in flight when
+/// the endpoint was ejected.
 #[test]
-fn late_refusals_do_not_lengthen_the_pause() {
-    let mut world = World::new();
-    let gone = world.endpoint("gone", "senec", 8);
-    let calls: Vec<Call> = (0..8).map(|_| world.call()).collect();
+fn late_refusals_do_not_extend_the_ejection() {
+    let mut harness = Harness::new();
+    let unreachable = harness.endpoint("gone", "senec", 8);
+    let calls: Vec<Call> = (0..8).map(|_| harness.call()).collect();
     for call in &calls {
-        assert_eq!(world.place(*call), Some(gone));
+        assert_eq!(harness.submit(*call), Some(unreachable));
     }
-    world.endpoint("other", "senec", 64);
+    harness.endpoint("other", "senec", 64);
     for call in &calls {
         let outcome = Outcome::NotRun(ErrorKind::EndpointDown);
-        world.router.finish(world.now, call.id, gone, outcome);
-        while world.started().is_some() {}
+        harness
+            .router
+            .finish(harness.now, call.id, unreachable, outcome);
+        while harness.next_start().is_some() {}
     }
-    assert_eq!(world.limit(gone), 0);
-    world.pass(Duration::from_millis(1100));
-    let call = world.call();
-    assert_eq!(world.place(call), Some(gone));
+    assert_eq!(harness.limit(unreachable), 0);
+    harness.advance(Duration::from_millis(1100));
+    let call = harness.call();
+    assert_eq!(harness.submit(call), Some(unreachable));
 }
 
-/// All endpoints of a service fail every call. That is hardly the fault
-/// of one of them: at most half are ejected, and callers are still answered.
+/// Guards against ejecting all endpoints when the fault is not theirs.
 #[test]
-fn at_most_half_are_ejected() {
-    let mut world = World::new();
-    let keys = ["a", "b", "c", "d"].map(|name| world.endpoint(name, "senec", 8));
+fn at_most_half_of_the_endpoints_are_ejected() {
+    let mut harness = Harness::new();
+    let keys = ["a", "b", "c", "d"].map(|name| harness.endpoint(name, "senec", 8));
     for _ in 0..200 {
-        let call = world.call().repeat(Repeat::Once);
-        if let Some(endpoint) = world.place(call) {
+        let call = harness.call().repeat(Repeat::Once);
+        if let Some(endpoint) = harness.submit(call) {
             let outcome = Outcome::Failed(ErrorKind::EndpointBroken);
-            world.router.finish(world.now, call.id, endpoint, outcome);
-            while world.started().is_some() {}
+            harness
+                .router
+                .finish(harness.now, call.id, endpoint, outcome);
+            while harness.next_start().is_some() {}
         }
     }
-    let out = keys.iter().filter(|key| world.limit(**key) == 0).count();
-    assert_eq!(out, 2);
+    let ejected = keys.iter().filter(|key| harness.limit(**key) == 0).count();
+    assert_eq!(ejected, 2);
 }
 
-// A process starts before a thousand endpoints. They are taken in together, and a call
-// that comes then is placed as if they had come one by one: the same subset, and for a
-// prompt's prefix the same endpoints.
+// Guards against a bulk insertion that chooses another subset or another order of
+// endpoints for a prefix.
 #[test]
-fn endpoints_that_come_together_are_placed_as_one_by_one() {
+fn endpoints_added_together_are_placed_as_if_added_one_by_one() {
     let now = Instant::now();
     let spec = |n: usize| {
-        let place = if n.is_multiple_of(2) {
+        let data_centre = if n.is_multiple_of(2) {
             "senec"
         } else {
             "trnava"
         };
-        EndpointSpec::new(&format!("endpoint-{n}"), place).limit(1)
+        EndpointSpec::new(&format!("endpoint-{n}"), data_centre).limit(1)
     };
-    let placed = |together: bool| {
+    let placements = |together: bool| {
         let mut router = Router::new("senec", 7);
         let service = router.set_service(now, "service", ServiceSpec::new());
         let keys: Vec<EndpointKey> = if together {
@@ -336,7 +343,7 @@
                 .map(|n| router.add_endpoint(now, service, spec(n)))
                 .collect()
         };
-        let mut found = Vec::new();
+        let mut endpoints = Vec::new();
         for seq in 0..150 {
             let origin = Incarnation(1);
             let id = RequestId { origin, seq };
@@ -345,17 +352,18 @@
             router.arrive(now, call);
             while let Some(step) = router.next_step() {
                 if let Step::Start { endpoint, .. } = step {
-                    found.push(keys.iter().position(|key| *key == endpoint));
+                    endpoints.push(keys.iter().position(|key| *key == endpoint));
                 }
             }
         }
-        found
+        endpoints
     };
-    let (mut together, mut alone) = (placed(true), placed(false));
+    let (mut together, mut one_by_one) = (placements(true), placements(false));
     assert!(together.len() > 100);
-    // While there is room where prefixes are kept; then at random, but nearest first.
-    assert_eq!(together[..50], alone[..50]);
+    // Only the first calls find room at their prefixes' endpoints; later ones are placed
+    // at random.
+    assert_eq!(together[..50], one_by_one[..50]);
     together.sort_unstable();
-    alone.sort_unstable();
-    assert_eq!(together, alone);
+    one_by_one.sort_unstable();
+    assert_eq!(together, one_by_one);
 }
