--- a/tests/route_shift.rs
+++ b/tests/route_shift.rs
@@ -1,18 +1,18 @@
-//! Engines change in waves, above each role's floor and within the store's rate.
+//! Role and version changes of engines: waves, floors and the store's rate.
 
 use hibiscusroad::route::shift::{EngineKey, Order, RoleKey, RoleSpec, Shifter};
 use std::time::{Duration, Instant};
 
-const LOAD: Duration = Duration::from_secs(4);
+const LOAD_TIME: Duration = Duration::from_secs(4);
 
-struct World {
+struct Harness {
     now: Instant,
     shifter: Shifter,
     loading: Vec<(Instant, Order)>,
     orders: Vec<(Instant, Order)>,
 }
 
-impl World {
+impl Harness {
     fn new(rate: f64, burst: u32) -> Self {
         let now = Instant::now();
         Self {
@@ -29,13 +29,13 @@
         (role, keys.collect())
     }
 
-    /// Lets a second pass. Engines that have loaded report what `outcome` makes
-    /// of their order.
-    fn second(&mut self, outcome: impl Fn(Order) -> Option<(RoleKey, u64)>) {
+    /// Advances the time by a second. Engines that have loaded report the result
+    /// that `outcome` returns for their order.
+    fn advance_second(&mut self, outcome: impl Fn(Order) -> Option<(RoleKey, u64)>) {
         self.now += Duration::from_secs(1);
         let (ready, loading) = std::mem::take(&mut self.loading)
             .into_iter()
-            .partition(|(at, _)| *at <= self.now);
+            .partition(|(ready_at, _)| *ready_at <= self.now);
         self.loading = loading;
         for (_, order) in ready {
             if let Some((role, version)) = outcome(order) {
@@ -43,46 +43,46 @@
             }
         }
         for order in self.shifter.tick(self.now) {
-            self.loading.push((self.now + LOAD, order));
+            self.loading.push((self.now + LOAD_TIME, order));
             self.orders.push((self.now, order));
         }
     }
 }
 
 #[expect(clippy::unnecessary_wraps, reason = "one of several outcomes")]
-fn obeys(order: Order) -> Option<(RoleKey, u64)> {
+fn as_ordered(order: Order) -> Option<(RoleKey, u64)> {
     Some((order.role, order.version))
 }
 
-/// New weights for 40 engines. Callers always find at least three quarters of
-/// them, and the store is never asked for more than two loads a second.
+/// Guards against too few serving engines during an update, and against more loads
+/// than the store's rate allows.
 #[test]
-fn a_new_version_goes_out_in_waves() {
-    let mut world = World::new(2.0, 4);
-    let (role, _) = world.role(30, 40);
-    world.shifter.set_role(role, RoleSpec::new(2).floor(30));
+fn a_new_version_is_loaded_in_waves() {
+    let mut harness = Harness::new(2.0, 4);
+    let (role, _) = harness.role(30, 40);
+    harness.shifter.set_role(role, RoleSpec::new(2).floor(30));
     let mut seconds = 0;
-    while world.shifter.stale(role) > 0 {
-        world.second(obeys);
-        assert!(world.shifter.serving(role) >= 30);
+    while harness.shifter.stale(role) > 0 {
+        harness.advance_second(as_ordered);
+        assert!(harness.shifter.serving(role) >= 30);
         seconds += 1;
-        assert!(world.orders.len() <= 4 + 2 * seconds);
-        assert!(seconds < 40, "{} are stale", world.shifter.stale(role));
+        assert!(harness.orders.len() <= 4 + 2 * seconds);
+        assert!(seconds < 40, "{} are stale", harness.shifter.stale(role));
     }
-    assert_eq!(world.orders.len(), 40);
+    assert_eq!(harness.orders.len(), 40);
 }
 
-/// A load fails and leaves the engine on a version nobody meant. It is told
-/// again, less and less often, and the other engines don't wait for it.
+/// Guards against giving up on an engine whose load failed, and against retrying
+/// it without backoff.
 #[test]
-fn a_failed_load_is_tried_again() {
-    let mut world = World::new(10.0, 10);
-    let (role, keys) = world.role(1, 4);
-    world.shifter.set_role(role, RoleSpec::new(2).floor(1));
-    let bad = keys[0];
+fn a_failed_load_is_retried() {
+    let mut harness = Harness::new(10.0, 10);
+    let (role, keys) = harness.role(1, 4);
+    harness.shifter.set_role(role, RoleSpec::new(2).floor(1));
+    let failing = keys[0];
     for _ in 0..60 {
-        world.second(|order| {
-            let version = if order.engine == bad {
+        harness.advance_second(|order| {
+            let version = if order.engine == failing {
                 7
             } else {
                 order.version
@@ -90,73 +90,77 @@
             Some((order.role, version))
         });
     }
-    assert_eq!(world.shifter.stale(role), 1);
-    let tries = world.orders.iter().filter(|(_, o)| o.engine == bad).count();
-    assert!((3..=6).contains(&tries), "{tries}");
+    assert_eq!(harness.shifter.stale(role), 1);
+    let attempts = harness
+        .orders
+        .iter()
+        .filter(|(_, o)| o.engine == failing)
+        .count();
+    assert!((3..=6).contains(&attempts), "{attempts}");
 }
 
-/// An engine never reports that it has loaded. After a minute it counts as
-/// failed, and it isn't counted as serving meanwhile.
+/// Guards against waiting forever for an engine that never reports its load.
 #[test]
-fn a_silent_load_counts_as_failed() {
-    let mut world = World::new(10.0, 10);
-    let (role, _) = world.role(1, 2);
-    world.shifter.set_role(role, RoleSpec::new(2).floor(1));
+fn a_load_without_a_report_counts_as_failed() {
+    let mut harness = Harness::new(10.0, 10);
+    let (role, _) = harness.role(1, 2);
+    harness.shifter.set_role(role, RoleSpec::new(2).floor(1));
     for _ in 0..59 {
-        world.second(|_| None);
+        harness.advance_second(|_| None);
     }
-    assert_eq!(world.orders.len(), 1);
-    assert_eq!(world.shifter.serving(role), 1);
+    assert_eq!(harness.orders.len(), 1);
+    assert_eq!(harness.shifter.serving(role), 1);
     for _ in 0..10 {
-        world.second(|_| None);
+        harness.advance_second(|_| None);
     }
-    assert!(world.orders.len() > 1);
+    assert!(harness.orders.len() > 1);
 }
 
-/// The need of two roles sways by an engine every few seconds. Engines that
-/// followed it would do nothing but load, so none moves.
+/// Guards against engines that follow short fluctuations of demand and spend their
+/// time loading.
 #[test]
-fn a_swaying_need_moves_nothing() {
-    let mut world = World::new(10.0, 10);
-    let (guests, _) = world.role(1, 6);
-    let (trainers, _) = world.role(1, 6);
+fn fluctuating_demand_moves_no_engine() {
+    let mut harness = Harness::new(10.0, 10);
+    let (guests, _) = harness.role(1, 6);
+    let (trainers, _) = harness.role(1, 6);
     for second in 0..600 {
-        let sway = if second / 5 % 2 == 0 { 1.0 } else { -1.0 };
-        world.shifter.set_need(world.now, guests, 5.5 + sway);
-        world.shifter.set_need(world.now, trainers, 5.5 - sway);
-        world.second(obeys);
+        let change = if second / 5 % 2 == 0 { 1.0 } else { -1.0 };
+        harness.shifter.set_need(harness.now, guests, 5.5 + change);
+        harness
+            .shifter
+            .set_need(harness.now, trainers, 5.5 - change);
+        harness.advance_second(as_ordered);
     }
-    assert_eq!(world.orders.len(), 0);
+    assert_eq!(harness.orders.len(), 0);
 }
 
-/// Guests go to bed and trainers could use every engine. Engines move over, but
-/// the guests' floor stays, and no engine moves back and forth.
+/// Guards against moves below the donor's floor, and against engines that move back
+/// and forth.
 #[test]
-fn a_lasting_need_moves_engines_down_to_the_floor() {
-    let mut world = World::new(10.0, 10);
-    let (guests, _) = world.role(2, 6);
-    let (trainers, _) = world.role(1, 2);
+fn lasting_demand_moves_engines_down_to_the_floor() {
+    let mut harness = Harness::new(10.0, 10);
+    let (guests, _) = harness.role(2, 6);
+    let (trainers, _) = harness.role(1, 2);
     for _ in 0..300 {
-        world.shifter.set_need(world.now, guests, 0.5);
-        world.shifter.set_need(world.now, trainers, 20.0);
-        world.second(obeys);
-        assert!(world.shifter.serving(guests) >= 2);
+        harness.shifter.set_need(harness.now, guests, 0.5);
+        harness.shifter.set_need(harness.now, trainers, 20.0);
+        harness.advance_second(as_ordered);
+        assert!(harness.shifter.serving(guests) >= 2);
     }
-    assert_eq!(world.shifter.serving(guests), 2);
-    assert_eq!(world.shifter.serving(trainers), 6);
-    assert_eq!(world.orders.len(), 4);
+    assert_eq!(harness.shifter.serving(guests), 2);
+    assert_eq!(harness.shifter.serving(trainers), 6);
+    assert_eq!(harness.orders.len(), 4);
 }
 
-/// Half of a role's engines crash and it is below its floor. Callers need an
-/// engine now, so one moves at once, whatever the other role could use.
+/// Guards against delaying the move to a role that a crash took below its floor.
 #[test]
-fn a_role_below_its_floor_is_helped_at_once() {
-    let mut world = World::new(10.0, 10);
-    let (desk, keys) = world.role(2, 2);
-    let (trainers, _) = world.role(1, 4);
-    world.shifter.set_need(world.now, trainers, 20.0);
-    world.shifter.remove_engine(keys[0]);
-    world.second(obeys);
-    assert_eq!(world.orders.len(), 1);
-    assert_eq!(world.orders[0].1.role, desk);
+fn a_role_below_its_floor_gets_an_engine_at_once() {
+    let mut harness = Harness::new(10.0, 10);
+    let (short_role, keys) = harness.role(2, 2);
+    let (trainers, _) = harness.role(1, 4);
+    harness.shifter.set_need(harness.now, trainers, 20.0);
+    harness.shifter.remove_engine(keys[0]);
+    harness.advance_second(as_ordered);
+    assert_eq!(harness.orders.len(), 1);
+    assert_eq!(harness.orders[0].1.role, short_role);
 }
