--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -150,7 +150,7 @@
         self.record_latency(now, &call, &attempt, running, elapsed);
         // The attempt that lost to its hedge took at least this long. Without
         // this sample a slow endpoint whose calls are all hedged stays unnoticed.
-        self.record_timeout(now, key);
+        self.record_unfinished(now, key);
         self.record_on_time(call.service);
         let slowdown = self
             .estimate(&call)
@@ -164,7 +164,7 @@
 
     /// Records how long a call's running attempt has taken so far, unless that is
     /// still within the baseline.
-    pub(super) fn record_timeout(&mut self, now: Instant, key: CallKey) {
+    pub(super) fn record_unfinished(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
         let Some(attempt) = row.attempts.iter().flatten().next().copied() else {
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -350,7 +350,7 @@
                 (false, true) => ErrorKind::Expired,
                 (false, false) => ErrorKind::Saturated,
             };
-            self.record_timeout(now, key);
+            self.record_unfinished(now, key);
             self.record_late(service);
             self.refuse(now, key, kind);
             self.dispatch(now, service);
