--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -31,7 +31,8 @@
     /// Returns whether its cache memory has room for `tokens` more.
     pub(super) fn has_cache_for(&self, now: Instant, tokens: u32) -> bool {
         let tokens = u64::from(tokens);
-        let fits_capacity = self.spec.tokens == 0 || self.tokens + tokens <= self.spec.tokens;
+        let fits_capacity =
+            self.spec.cache_tokens == 0 || self.tokens + tokens <= self.spec.cache_tokens;
         // An endpoint without calls of this entry always takes one.
         let unused = self.running == 0;
         let fits_report = self.last_report.is_none_or(|last_report| {
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -61,7 +61,7 @@
     pub limit: u32,
     /// Capacity of its cache memory in tokens; 0 for a plain endpoint, which is
     /// limited only by the number of requests.
-    pub tokens: u64,
+    pub cache_tokens: u64,
 }
 
 impl EndpointSpec {
@@ -72,14 +72,14 @@
             name: name.to_owned(),
             data_centre: data_centre.to_owned(),
             limit: 64,
-            tokens: 0,
+            cache_tokens: 0,
         }
     }
 
     /// Sets the capacity of its cache memory in tokens.
     #[must_use]
-    pub const fn tokens(mut self, tokens: u64) -> Self {
-        self.tokens = tokens;
+    pub const fn cache_tokens(mut self, cache_tokens: u64) -> Self {
+        self.cache_tokens = cache_tokens;
         self
     }
 
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -106,7 +106,7 @@
             .map(|n| {
                 EndpointSpec::new(&format!("e{n}"), data_centres[n])
                     .limit(3)
-                    .tokens(3000)
+                    .cache_tokens(3000)
             })
             .map(|spec| router.add_endpoint(now, service, spec))
             .collect();
--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -104,7 +104,7 @@
 #[test]
 fn cache_memory_limits_an_engine() {
     let mut harness = Harness::new();
-    let spec = EndpointSpec::new("engine", "senec").tokens(1000);
+    let spec = EndpointSpec::new("engine", "senec").cache_tokens(1000);
     let engine = harness
         .router
         .add_endpoint(harness.now, harness.service, spec);
