--- a/src/route/shift.rs
+++ b/src/route/shift.rs
@@ -154,7 +154,7 @@
     }
 
     /// Records how many engines a role could use now.
-    pub fn set_need(&mut self, now: Instant, role: RoleKey, engines: f64) {
+    pub fn set_demand(&mut self, now: Instant, role: RoleKey, engines: f64) {
         let Some(row) = self.roles.get_mut(role) else {
             return;
         };
--- a/tests/route_shift.rs
+++ b/tests/route_shift.rs
@@ -125,10 +125,12 @@
     let (trainers, _) = harness.role(1, 6);
     for second in 0..600 {
         let change = if second / 5 % 2 == 0 { 1.0 } else { -1.0 };
-        harness.shifter.set_need(harness.now, guests, 5.5 + change);
         harness
             .shifter
-            .set_need(harness.now, trainers, 5.5 - change);
+            .set_demand(harness.now, guests, 5.5 + change);
+        harness
+            .shifter
+            .set_demand(harness.now, trainers, 5.5 - change);
         harness.advance_second(as_ordered);
     }
     assert_eq!(harness.orders.len(), 0);
@@ -142,8 +144,8 @@
     let (guests, _) = harness.role(2, 6);
     let (trainers, _) = harness.role(1, 2);
     for _ in 0..300 {
-        harness.shifter.set_need(harness.now, guests, 0.5);
-        harness.shifter.set_need(harness.now, trainers, 20.0);
+        harness.shifter.set_demand(harness.now, guests, 0.5);
+        harness.shifter.set_demand(harness.now, trainers, 20.0);
         harness.advance_second(as_ordered);
         assert!(harness.shifter.serving(guests) >= 2);
     }
@@ -158,7 +160,7 @@
     let mut harness = Harness::new(10.0, 10);
     let (short_role, keys) = harness.role(2, 2);
     let (trainers, _) = harness.role(1, 4);
-    harness.shifter.set_need(harness.now, trainers, 20.0);
+    harness.shifter.set_demand(harness.now, trainers, 20.0);
     harness.shifter.remove_engine(keys[0]);
     harness.advance_second(as_ordered);
     assert_eq!(harness.orders.len(), 1);
