--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -10,11 +10,11 @@
     error::{ErrorKind, Retry},
     route::{
         EndpointKey,
-        drain::seconds,
+        decay::ceil_to_u32,
         health::{Health, Phase},
         limit::Sample,
-        meter::ceil_to_u32,
         retry::{RERUN_COST, RESEND_COST},
+        retry_after::seconds,
         router::Router,
         spec::{Call, Step},
         table::{Attempt, CallKey},
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -2,8 +2,8 @@
 
 use crate::route::{
     EndpointKey, ServiceKey,
-    drain::seconds,
     health::{self, Phase},
+    retry_after::seconds,
     router::Router,
     spec::Call,
     table::{Attempt, CallKey, Counted, EndpointRow, REMOTE_TIER, Timer},
--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -9,7 +9,7 @@
 //! lasting saturation there are none, so the limit is lowered for a few calls
 //! at intervals (a probe).
 
-use crate::route::{drain::seconds, meter::ceil_to_u32};
+use crate::route::{decay::ceil_to_u32, retry_after::seconds};
 use std::time::{Duration, Instant};
 
 /// Limit of a new endpoint: keeps some workers busy without a full batch on a
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -11,7 +11,7 @@
 //!   reordered, expired or moved. Each endpoint has a concurrency limit
 //!   (`limit`), and a call that can't be answered in time is refused on arrival
 //!   (`admit`).
-//! * Both decisions use service times learned per class and size (`learn`). The
+//! * Both decisions use service times learned per class and size (`service_times`). The
 //!   expected wait is the work ahead divided by the slots that the class gets
 //!   (`share`); the limit is the throughput times the service time without load
 //!   (Little's law).
@@ -52,17 +52,17 @@
 
 mod admit;
 mod attempt;
-mod drain;
+mod decay;
 mod endpoint;
 mod health;
-mod learn;
 mod limit;
-mod meter;
-mod place;
+mod placement;
 mod queue;
 mod retry;
+mod retry_after;
 mod ring;
 mod router;
+mod service_times;
 mod share;
 pub mod shift;
 mod spec;
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -6,7 +6,7 @@
     id::RequestId,
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, ServiceKey, ServiceSpec, Step,
-        place::DISPATCH_INTERVAL,
+        placement::DISPATCH_INTERVAL,
         table::{CallKey, CallRow, EndpointRow, ReceivedReport, ServiceRow, Timer},
     },
 };
--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     class::Class,
-    route::{meter::ceil_to_u32, table::ServiceRow},
+    route::{decay::ceil_to_u32, table::ServiceRow},
 };
 use std::time::Instant;
 
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -6,14 +6,14 @@
     route::{
         EndpointKey, ServiceKey,
         admit::BASE_WAIT_MARGIN,
-        drain::ReturnSchedule,
+        decay::DecayingSum,
         health::{Health, Peers},
-        learn::ServiceTimes,
         limit::ConcurrencyLimit,
-        meter::DecayingSum,
         queue::{Queue, QueueKey},
         retry::RetryBudget,
+        retry_after::ReturnSchedule,
         ring::Ring,
+        service_times::ServiceTimes,
         spec::{Call, EndpointSpec, LoadReport, ServiceSpec},
     },
 };
