--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -132,7 +132,7 @@
         let alone = self.crashes.verdict(now, row) != Verdict::Clear;
         let mut call = Call::new(id, service, request.class, row.deadline)
             .repeat(row.repeat)
-            .alone(alone);
+            .no_hedge(alone);
         if let Some(prompt) = request.prompt {
             call = call.tokens(prompt.tokens).prefix(prompt.prefix);
         }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -90,7 +90,7 @@
     let deadline = request.head.deadline;
     let shape = |call: hibiscusroad::route::Call| {
         let call = call.repeat(repeat).tries(tries).tokens(request.tokens);
-        call.alone(alone)
+        call.no_hedge(alone)
     };
     let mut ticket = line
         .calls
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -275,7 +275,7 @@
             row.run_error,
             Some(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
         );
-        if call.alone || broke_endpoint {
+        if call.no_hedge || broke_endpoint {
             return;
         }
         let service = &self.services[call.service];
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -111,7 +111,7 @@
     /// Maximum attempts, hedges included.
     pub tries: u8,
     /// Whether it is never hedged.
-    pub alone: bool,
+    pub no_hedge: bool,
 }
 
 impl Call {
@@ -127,15 +127,15 @@
             tokens: 0,
             prefix: None,
             tries: MAX_ATTEMPTS,
-            alone: false,
+            no_hedge: false,
         }
     }
 
     /// Sets whether it is never hedged, for example because it may have crashed an
     /// endpoint.
     #[must_use]
-    pub const fn alone(mut self, alone: bool) -> Self {
-        self.alone = alone;
+    pub const fn no_hedge(mut self, no_hedge: bool) -> Self {
+        self.no_hedge = no_hedge;
         self
     }
 
--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -262,7 +262,7 @@
             harness.endpoint(name, "senec", 8);
         }
         harness.answer_calls(100, None);
-        let call = harness.call().alone(alone);
+        let call = harness.call().no_hedge(alone);
         let first = harness.submit(call).expect("an endpoint is free");
         if !alone {
             let broken = Outcome::Failed(ErrorKind::EndpointBroken);
