--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -89,7 +89,10 @@
     let tries = u8::try_from(request.attempts).unwrap_or(u8::MAX);
     let deadline = request.head.deadline;
     let shape = |call: hibiscusroad::route::Call| {
-        let call = call.repeat(repeat).tries(tries).tokens(request.tokens);
+        let call = call
+            .repeat(repeat)
+            .max_attempts(tries)
+            .tokens(request.tokens);
         call.no_hedge(alone)
     };
     let mut ticket = line
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -254,7 +254,7 @@
         }
         let call = row.call;
         let retry = row.can_rerun()
-            && row.attempts_started < row.call.tries
+            && row.attempts_started < row.call.max_attempts
             && self.can_answer_in_time(now, &call);
         if retry && self.services[call.service].budget.try_spend(RERUN_COST) {
             self.enqueue(now, key);
@@ -275,7 +275,7 @@
             let unhedged = row.attempts[1].is_none();
             let eligible = unhedged
                 && row.can_rerun()
-                && row.attempts_started < row.call.tries
+                && row.attempts_started < row.call.max_attempts
                 && self.can_answer_in_time(now, &row.call);
             if eligible && self.services[service].budget.try_spend(RERUN_COST) {
                 self.requeue(now, key);
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -282,7 +282,7 @@
         let has_slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
         if !has_slack
             || !row.can_rerun()
-            || row.attempts_started >= call.tries
+            || row.attempts_started >= call.max_attempts
             || !self.can_answer_in_time(now, &call)
         {
             return;
--- a/src/route/retry.rs
+++ b/src/route/retry.rs
@@ -16,7 +16,7 @@
 pub(super) const RESEND_COST: f64 = 0.2;
 /// Default maximum of attempts of one call, hedges included. A call that fails
 /// more often is probably the cause of the failures.
-pub(super) const MAX_ATTEMPTS: u8 = 3;
+pub(super) const DEFAULT_MAX_ATTEMPTS: u8 = 3;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -4,7 +4,7 @@
     class::{Class, Repeat},
     error::ErrorKind,
     id::RequestId,
-    route::{EndpointKey, ServiceKey, retry::MAX_ATTEMPTS},
+    route::{EndpointKey, ServiceKey, retry::DEFAULT_MAX_ATTEMPTS},
 };
 use std::time::{Duration, Instant};
 
@@ -109,7 +109,7 @@
     /// Hash of the prompt's prefix, used to find an engine that has it cached.
     pub prefix: Option<u64>,
     /// Maximum attempts, hedges included.
-    pub tries: u8,
+    pub max_attempts: u8,
     /// Whether it is never hedged.
     pub no_hedge: bool,
 }
@@ -126,7 +126,7 @@
             repeat: Repeat::Free,
             tokens: 0,
             prefix: None,
-            tries: MAX_ATTEMPTS,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
             no_hedge: false,
         }
     }
@@ -141,8 +141,8 @@
 
     /// Sets the maximum of attempts, hedges included.
     #[must_use]
-    pub const fn tries(mut self, tries: u8) -> Self {
-        self.tries = tries;
+    pub const fn max_attempts(mut self, max_attempts: u8) -> Self {
+        self.max_attempts = max_attempts;
         self
     }
 
