--- a/benches/route.rs
+++ b/benches/route.rs
@@ -37,7 +37,7 @@
     fn new(services: usize, prefixes: bool) -> Self {
         let now = Instant::now();
         let mut router = Router::new("senec", 1);
-        let spec = ServiceSpec::new().depth(2 * WAITING);
+        let spec = ServiceSpec::new().max_queued(2 * WAITING);
         let services: Vec<ServiceKey> = (0..services)
             .map(|n| router.set_service(now, &format!("service-{n}"), spec.clone()))
             .collect();
--- a/hibiscusroad-measure/src/policy/balance.rs
+++ b/hibiscusroad-measure/src/policy/balance.rs
@@ -112,7 +112,7 @@
             });
         }
         let mut router = Router::new(PLACES[place], seed);
-        let spec = ServiceSpec::new().depth(DEPTH);
+        let spec = ServiceSpec::new().max_queued(DEPTH);
         let service = router.set_service(now, "service", spec);
         let spec = |n: usize| {
             EndpointSpec::new(&format!("endpoint-{n}"), PLACES[n / scenario.endpoints])
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -87,7 +87,7 @@
     fn default() -> Self {
         let spec = ServiceSpec::new();
         Self {
-            depth: spec.depth,
+            depth: spec.max_queued,
             floor_interactive: spec.floors[Class::Interactive.index()],
             floor_partner: spec.floors[Class::Partner.index()],
             floor_rollout: spec.floors[Class::Rollout.index()],
@@ -111,6 +111,8 @@
     /// Returns the settings for the router.
     #[must_use]
     pub const fn spec(&self) -> ServiceSpec {
-        ServiceSpec::new().depth(self.depth).floors(self.floors())
+        ServiceSpec::new()
+            .max_queued(self.depth)
+            .floors(self.floors())
     }
 }
--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -62,7 +62,7 @@
         if row.usable == 0 && row.awaiting_trial.is_empty() {
             return Err(ErrorKind::NoEndpoint);
         }
-        if queue.len() >= row.spec.depth {
+        if queue.len() >= row.spec.max_queued {
             return Err(ErrorKind::Saturated);
         }
         let time_left = (call.deadline - now).as_secs_f64();
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
     /// Maximum queued requests of each class.
-    pub depth: usize,
+    pub max_queued: usize,
     /// Guaranteed share of the service's slots for each class, in [0, 1], by
     /// [`Class::index`]. The shares add up to at most 1.
     pub floors: [f64; 3],
@@ -24,15 +24,15 @@
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            depth: 256,
+            max_queued: 256,
             floors: [0.5, 0.2, 0.05],
         }
     }
 
     /// Sets the maximum of queued requests of each class.
     #[must_use]
-    pub const fn depth(mut self, depth: usize) -> Self {
-        self.depth = depth;
+    pub const fn max_queued(mut self, max_queued: usize) -> Self {
+        self.max_queued = max_queued;
         self
     }
 
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -100,7 +100,7 @@
     fn new() -> Self {
         let now = Instant::now();
         let mut router = Router::new("senec", 3);
-        let service = router.set_service(now, "guide-lm", ServiceSpec::new().depth(8));
+        let service = router.set_service(now, "guide-lm", ServiceSpec::new().max_queued(8));
         let data_centres = ["senec", "senec", "trnava", "piestany"];
         let endpoints = (0..ENDPOINTS)
             .map(|n| {
