--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -88,9 +88,9 @@
         let spec = ServiceSpec::new();
         Self {
             depth: spec.max_queued,
-            floor_interactive: spec.floors[Class::Interactive.index()],
-            floor_partner: spec.floors[Class::Partner.index()],
-            floor_rollout: spec.floors[Class::Rollout.index()],
+            floor_interactive: spec.min_shares[Class::Interactive.index()],
+            floor_partner: spec.min_shares[Class::Partner.index()],
+            floor_rollout: spec.min_shares[Class::Rollout.index()],
             deadline_ms: 10_000,
             limit: 64,
         }
@@ -113,6 +113,6 @@
     pub const fn spec(&self) -> ServiceSpec {
         ServiceSpec::new()
             .max_queued(self.depth)
-            .floors(self.floors())
+            .min_shares(self.floors())
     }
 }
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -244,7 +244,7 @@
             lower > class
                 && !call.committed
                 && call.preemptions < MAX_PREEMPTIONS
-                && used > row.spec.floors[lower.index()] * f64::from(row.capacity)
+                && used > row.spec.min_shares[lower.index()] * f64::from(row.capacity)
                 && call.work / used > first.work * TOLERATED_WAIT_SHARE
         })
     }
--- a/src/route/share.rs
+++ b/src/route/share.rs
@@ -35,7 +35,7 @@
 
 /// Returns whether a class uses fewer slots than its floor.
 pub(super) fn is_below_floor(row: &ServiceRow, class: Class) -> bool {
-    let floor = row.spec.floors[class.index()] * f64::from(row.capacity);
+    let floor = row.spec.min_shares[class.index()] * f64::from(row.capacity);
     f64::from(row.running[class.index()]) < floor
 }
 
@@ -60,7 +60,9 @@
         .sum();
     let lower: f64 = (index + 1..3)
         .filter(|i| !row.queues[*i].is_empty())
-        .map(|i| row.spec.floors[i])
+        .map(|i| row.spec.min_shares[i])
         .sum();
-    (1.0 - higher - lower).max(row.spec.floors[index]).max(0.01)
+    (1.0 - higher - lower)
+        .max(row.spec.min_shares[index])
+        .max(0.01)
 }
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -15,7 +15,7 @@
     pub max_queued: usize,
     /// Guaranteed share of the service's slots for each class, in [0, 1], by
     /// [`Class::index`]. The shares add up to at most 1.
-    pub floors: [f64; 3],
+    pub min_shares: [f64; 3],
 }
 
 impl ServiceSpec {
@@ -25,7 +25,7 @@
     pub const fn new() -> Self {
         Self {
             max_queued: 256,
-            floors: [0.5, 0.2, 0.05],
+            min_shares: [0.5, 0.2, 0.05],
         }
     }
 
@@ -38,8 +38,8 @@
 
     /// Sets the guaranteed shares of the classes.
     #[must_use]
-    pub const fn floors(mut self, floors: [f64; 3]) -> Self {
-        self.floors = floors;
+    pub const fn min_shares(mut self, min_shares: [f64; 3]) -> Self {
+        self.min_shares = min_shares;
         self
     }
 }
