--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -190,7 +190,7 @@
                 running: load.running,
                 queued: load.queued,
                 limit: load.limit,
-                tokens: load.tokens,
+                pending_tokens: load.tokens,
                 cache_free: load.cache_free,
                 age: Duration::from_millis(load.age_ms.into()),
             };
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -178,7 +178,7 @@
     /// Maximum requests that its sidecar accepts at once; 0 if unknown.
     pub limit: u32,
     /// Tokens that it still has to process.
-    pub tokens: u64,
+    pub pending_tokens: u64,
     /// Free cache memory in tokens; 0 if unknown.
     pub cache_free: u64,
     /// Age of the report.
