--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -195,7 +195,11 @@
             match step {
                 Step::Start { id, endpoint, .. } => self.start(now, id, endpoint),
                 Step::Cancel { id, endpoint } => self.cancel(id, endpoint),
-                Step::Refuse { id, kind, after } => self.refuse(now, id, kind, after),
+                Step::Refuse {
+                    id,
+                    kind,
+                    retry_after,
+                } => self.refuse(now, id, kind, retry_after),
             }
         }
     }
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -254,12 +254,15 @@
         let refused = Step::Refuse {
             id: self.id,
             kind: ErrorKind::Internal,
-            after: Duration::ZERO,
+            retry_after: Duration::ZERO,
         };
         let step = self.steps.recv().await.unwrap_or(refused);
-        if let Step::Refuse { kind, after, .. } = step {
+        if let Step::Refuse {
+            kind, retry_after, ..
+        } = step
+        {
             self.over = true;
-            log::debug!(target: CALLS, after_ms = millis(after); "The router refuses: {kind}.");
+            log::debug!(target: CALLS, after_ms = millis(retry_after); "The router refuses: {kind}.");
         }
         step
     }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -126,10 +126,10 @@
                     begun += 1;
                 }
                 Step::Cancel { endpoint, .. } => running.retain(|(key, _)| *key != endpoint),
-                Step::Refuse { kind, after, .. } => {
+                Step::Refuse { kind, retry_after, .. } => {
                     return match told {
                         Some(answer) => Ended::Answer(Box::new(answer), None),
-                        None => Ended::Refused(kind, after),
+                        None => Ended::Refused(kind, retry_after),
                     };
                 }
             },
--- a/hibiscusroad-measure/src/policy/balance.rs
+++ b/hibiscusroad-measure/src/policy/balance.rs
@@ -62,7 +62,7 @@
 pub(super) enum Order {
     Start { seq: u64, endpoint: usize },
     Cancel { seq: u64, endpoint: usize },
-    Refuse { seq: u64, after: Duration },
+    Refuse { seq: u64, retry_after: Duration },
 }
 
 /// An entry under one of the policies.
@@ -191,7 +191,12 @@
                     seq: id.seq,
                     endpoint: ours.numbers[&endpoint],
                 },
-                Step::Refuse { id, after, .. } => Order::Refuse { seq: id.seq, after },
+                Step::Refuse {
+                    id, retry_after, ..
+                } => Order::Refuse {
+                    seq: id.seq,
+                    retry_after,
+                },
             }),
         }
     }
@@ -205,8 +210,8 @@
         *tries += 1;
         if *tries > PLAIN_TRIES {
             self.calls.remove(&seq);
-            let after = Duration::from_secs(1);
-            self.orders.push_back(Order::Refuse { seq, after });
+            let retry_after = Duration::from_secs(1);
+            self.orders.push_back(Order::Refuse { seq, retry_after });
             return;
         }
         let (prefix, tries) = (*prefix, *tries);
--- a/hibiscusroad-measure/src/policy/driver.rs
+++ b/hibiscusroad-measure/src/policy/driver.rs
@@ -269,7 +269,7 @@
             match order {
                 Order::Start { seq, endpoint } => self.start(seq, endpoint),
                 Order::Cancel { seq, endpoint } => self.cancel(seq, endpoint),
-                Order::Refuse { seq, after } => self.refuse(seq, after),
+                Order::Refuse { seq, retry_after } => self.refuse(seq, retry_after),
             }
         }
         if let Some(due) = self.entries[entry].next_due() {
--- a/src/route/admit.rs
+++ b/src/route/admit.rs
@@ -172,12 +172,12 @@
         let call = row.call;
         let run_error = row.run_error.filter(|_| kind.answer().not_run);
         let kind = run_error.unwrap_or(kind);
-        let after = self.next_return(now, &call);
+        let retry_after = self.next_return(now, &call);
         self.remove_call(now, key);
         self.steps.push_back(Step::Refuse {
             id: call.id,
             kind,
-            after,
+            retry_after,
         });
     }
 
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -176,7 +176,7 @@
             self.steps.push_back(Step::Refuse {
                 id: call.id,
                 kind: ErrorKind::UnknownService,
-                after: Duration::ZERO,
+                retry_after: Duration::ZERO,
             });
             return;
         }
--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -222,6 +222,6 @@
         /// The reason.
         kind: ErrorKind,
         /// Delay after which the caller should retry.
-        after: Duration,
+        retry_after: Duration,
     },
 }
--- a/tests/route_once.rs
+++ b/tests/route_once.rs
@@ -176,14 +176,14 @@
             Call::new(id(seq), service, Class::Interactive, now + secs(1)),
         );
     }
-    let after: HashSet<Duration> = steps(&mut router)
+    let retry_after: HashSet<Duration> = steps(&mut router)
         .iter()
         .filter_map(|step| match step {
-            Step::Refuse { after, .. } => Some(*after),
+            Step::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
         .collect();
-    assert_eq!(after.len(), 10);
+    assert_eq!(retry_after.len(), 10);
 }
 
 /// Guards against mixing two attempts' answers: another attempt would generate a
