--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -13,7 +13,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    route::{Outcome, Standing, View},
+    route::{HealthState, Outcome, View},
 };
 use serde_json::json;
 use slotmap::SecondaryMap;
@@ -48,7 +48,7 @@
 struct Change {
     at: Instant,
     state: &'static str,
-    standing: Option<Standing>,
+    standing: Option<HealthState>,
     view: Option<View>,
     last: Option<ErrorKind>,
     config: u64,
@@ -135,7 +135,7 @@
     /// Keeps how endpoints changed since the last look.
     pub(super) fn trace_endpoints(&mut self, now: Instant) {
         for (key, side) in &self.sides {
-            let (state, standing) = (state(side), self.router.standing(side.endpoint));
+            let (state, standing) = (state(side), self.router.health_state(side.endpoint));
             let Some(entry) = self.trace.changes.entry(key) else {
                 continue;
             };
@@ -196,12 +196,12 @@
     }
 }
 
-const fn standing(standing: Standing) -> &'static str {
+const fn standing(standing: HealthState) -> &'static str {
     match standing {
-        Standing::Fit => "fit",
-        Standing::Ejected => "ejected",
-        Standing::Ready => "to be tried",
-        Standing::Trial => "on trial",
+        HealthState::Healthy => "fit",
+        HealthState::Ejected => "ejected",
+        HealthState::AwaitingTrial => "to be tried",
+        HealthState::Trial => "on trial",
     }
 }
 
@@ -251,8 +251,8 @@
         ("silent", _) => "its link gave nothing for 0.7 s".to_owned(),
         ("unlinked", _) => "there is no link to its side".to_owned(),
         ("unreachable", _) => "nothing listens at its address".to_owned(),
-        (_, Some(Standing::Ejected)) => ejected(change),
-        (_, Some(Standing::Ready | Standing::Trial)) => {
+        (_, Some(HealthState::Ejected)) => ejected(change),
+        (_, Some(HealthState::AwaitingTrial | HealthState::Trial)) => {
             "the pause after its ejection is over".to_owned()
         }
         _ => String::new(),
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -5,13 +5,13 @@
 
 /// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum HealthState {
     /// It gets calls.
-    Fit,
+    Healthy,
     /// It is ejected.
     Ejected,
     /// Its ejection is over and it waits for a trial call.
-    Ready,
+    AwaitingTrial,
     /// A trial call is running.
     Trial,
 }
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct View {
     /// Its health state.
-    pub standing: Standing,
+    pub health: HealthState,
     /// Running attempts of this entry.
     pub running: u32,
     /// Concurrency limit of this entry.
@@ -38,13 +38,13 @@
 impl Router {
     /// Returns the health state of an endpoint, if it is known.
     #[must_use]
-    pub fn standing(&self, endpoint: EndpointKey) -> Option<Standing> {
+    pub fn health_state(&self, endpoint: EndpointKey) -> Option<HealthState> {
         let row = self.endpoints.get(endpoint)?;
         Some(match row.health.phase {
-            Phase::Healthy => Standing::Fit,
-            Phase::Ejected(_) => Standing::Ejected,
-            Phase::AwaitingTrial => Standing::Ready,
-            Phase::Trial => Standing::Trial,
+            Phase::Healthy => HealthState::Healthy,
+            Phase::Ejected(_) => HealthState::Ejected,
+            Phase::AwaitingTrial => HealthState::AwaitingTrial,
+            Phase::Trial => HealthState::Trial,
         })
     }
 
@@ -54,7 +54,7 @@
         let row = self.endpoints.get(endpoint)?;
         let (failing, refused) = row.health.faults();
         Some(View {
-            standing: self.standing(endpoint)?,
+            health: self.health_state(endpoint)?,
             running: row.running,
             limit: row.limit.get(),
             score: row.score(now),
