--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -13,7 +13,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    route::{HealthState, Outcome, View},
+    route::{EndpointView, HealthState, Outcome},
 };
 use serde_json::json;
 use slotmap::SecondaryMap;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Decision {
     Arrived,
-    Placed(String, Option<View>),
+    Placed(String, Option<EndpointView>),
     Ended(String, Outcome),
     Answered,
     Refused(ErrorKind, Duration, usize),
@@ -49,7 +49,7 @@
     at: Instant,
     state: &'static str,
     standing: Option<HealthState>,
-    view: Option<View>,
+    view: Option<EndpointView>,
     last: Option<ErrorKind>,
     config: u64,
 }
@@ -91,7 +91,7 @@
     pub(super) fn trace_placed(&mut self, id: RequestId, key: SideKey) {
         let now = Instant::now();
         let side = &self.sides[key];
-        let view = self.router.view(now, side.endpoint);
+        let view = self.router.endpoint_view(now, side.endpoint);
         let decision = Decision::Placed(side.name.clone(), view);
         self.trace.note(now, id, decision);
     }
@@ -151,7 +151,7 @@
                 at: now,
                 state,
                 standing,
-                view: self.router.view(now, side.endpoint),
+                view: self.router.endpoint_view(now, side.endpoint),
                 last: self.trace.last.get(key).copied(),
                 config: self.config.version(),
             });
@@ -230,15 +230,17 @@
     }
 }
 
-fn seen(view: View) -> String {
-    let View {
+fn seen(view: EndpointView) -> String {
+    let EndpointView {
         running,
         limit,
         score,
-        slower,
+        latency_ratio,
         ..
     } = view;
-    format!("{running} of {limit} running, score {score:.2}, {slower:.1} times the expected time")
+    format!(
+        "{running} of {limit} running, score {score:.2}, {latency_ratio:.1} times the expected time"
+    )
 }
 
 fn reason(change: &Change) -> String {
@@ -266,13 +268,13 @@
     let Some(view) = change.view else {
         return last;
     };
-    let View {
-        slower,
-        failing,
-        refused,
+    let EndpointView {
+        latency_ratio,
+        failure_rate,
+        refused_streak,
         ..
     } = view;
     format!(
-        "{refused} refused connections in a row, {failing:.2} of calls failing, {slower:.1} times the expected time{last}"
+        "{refused_streak} refused connections in a row, {failure_rate:.2} of calls failing, {latency_ratio:.1} times the expected time{last}"
     )
 }
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -72,7 +72,7 @@
 pub use self::{
     router::Router,
     spec::{Call, EndpointSpec, LoadReport, Outcome, ServiceSpec, Step},
-    view::{HealthState, View},
+    view::{EndpointView, HealthState},
 };
 
 slotmap::new_key_type! {
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -18,7 +18,7 @@
 
 /// One endpoint as the router sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
+pub struct EndpointView {
     /// Its health state.
     pub health: HealthState,
     /// Running attempts of this entry.
@@ -28,11 +28,11 @@
     /// Load relative to limit and speed; a call goes to the lower of two.
     pub score: f64,
     /// Mean latency relative to the expected one.
-    pub slower: f64,
+    pub latency_ratio: f64,
     /// Share of recent calls that failed.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Refused connections in a row.
-    pub refused: u32,
+    pub refused_streak: u32,
 }
 
 impl Router {
@@ -50,17 +50,17 @@
 
     /// Returns the router's view of an endpoint, if it is known.
     #[must_use]
-    pub fn view(&self, now: Instant, endpoint: EndpointKey) -> Option<View> {
+    pub fn endpoint_view(&self, now: Instant, endpoint: EndpointKey) -> Option<EndpointView> {
         let row = self.endpoints.get(endpoint)?;
-        let (failing, refused) = row.health.faults();
-        Some(View {
+        let (failure_rate, refused_streak) = row.health.faults();
+        Some(EndpointView {
             health: self.health_state(endpoint)?,
             running: row.running,
             limit: row.limit.get(),
             score: row.score(now),
-            slower: row.health.latency_ratio(),
-            failing,
-            refused,
+            latency_ratio: row.health.latency_ratio(),
+            failure_rate,
+            refused_streak,
         })
     }
 }
