--- a/benches/route.rs
+++ b/benches/route.rs
@@ -76,7 +76,7 @@
         if self.prefixes {
             call = call.tokens(500).prefix(self.seq % 997);
         }
-        self.router.arrive(self.now, call);
+        self.router.submit(self.now, call);
         self.drain();
     }
 
--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -136,7 +136,7 @@
         if let Some(prompt) = request.prompt {
             call = call.tokens(prompt.tokens).prefix(prompt.prefix);
         }
-        self.router.arrive(now, call);
+        self.router.submit(now, call);
     }
 
     /// Gives up the calls whose callers wait no longer.
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -185,7 +185,7 @@
         let (sender, steps) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let call = shape(Call::new(id, key, class, deadline));
-        self.router.borrow_mut().arrive(now, call);
+        self.router.borrow_mut().submit(now, call);
         self.flush();
         Ticket {
             calls: Rc::clone(self),
--- a/hibiscusroad-measure/src/policy/balance.rs
+++ b/hibiscusroad-measure/src/policy/balance.rs
@@ -137,7 +137,7 @@
 
     pub(super) fn arrive(&mut self, now: Instant, make: impl FnOnce(ServiceKey) -> Call) {
         match self {
-            Self::Ours(ours) => ours.router.arrive(now, make(ours.service)),
+            Self::Ours(ours) => ours.router.submit(now, make(ours.service)),
             Self::Plain(plain) => {
                 let call = make(ServiceKey::default());
                 let row = (call.prefix, 0, call.deadline);
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -46,7 +46,7 @@
 //! let endpoint = router.add_endpoint(now, service, EndpointSpec::new("hut-desk-1", "senec"));
 //! let id = RequestId { origin: Incarnation(1), seq: 1 };
 //! let call = Call::new(id, service, Class::Interactive, now + Duration::from_secs(1));
-//! router.arrive(now, call);
+//! router.submit(now, call);
 //! assert_eq!(router.next_step(), Some(Step::Start { id, endpoint, hedge: false }));
 //! ```
 
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -168,7 +168,7 @@
     /// Admits or refuses a new call; the outcome follows as steps.
     ///
     /// A call whose id is already known is ignored.
-    pub fn arrive(&mut self, now: Instant, call: Call) {
+    pub fn submit(&mut self, now: Instant, call: Call) {
         if self.call_keys.contains_key(&call.id) {
             return;
         }
--- a/tests/route_engine.rs
+++ b/tests/route_engine.rs
@@ -29,7 +29,7 @@
             };
             let deadline = now + Duration::from_mins(1);
             let call = Call::new(id, service, Class::Interactive, deadline).tokens(400);
-            router.arrive(now, call);
+            router.submit(now, call);
         }
         Self {
             now,
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -142,7 +142,7 @@
                     ..Caller::default()
                 };
                 self.callers.insert(call.id, caller);
-                self.router.arrive(now, call);
+                self.router.submit(now, call);
             }
             Event::Finish { pick, outcome } => self.finish(pick, outcome),
             Event::Progress { pick } => {
--- a/tests/route_once.rs
+++ b/tests/route_once.rs
@@ -39,7 +39,7 @@
 fn non_repeatable_call_is_not_retried_after_a_failure() {
     let (now, mut router, service, endpoint) = setup(4);
     let call = Call::new(id(1), service, Class::Interactive, now + secs(5)).repeat(Repeat::Once);
-    router.arrive(now, call);
+    router.submit(now, call);
     assert_eq!(steps(&mut router).len(), 1);
     router.finish(
         now,
@@ -65,7 +65,7 @@
 fn non_repeatable_call_is_retried_if_it_did_not_run() {
     let (now, mut router, service, endpoint) = setup(4);
     let call = Call::new(id(1), service, Class::Interactive, now + secs(5)).repeat(Repeat::Once);
-    router.arrive(now, call);
+    router.submit(now, call);
     steps(&mut router);
     router.finish(now, id(1), endpoint, Outcome::NotRun(ErrorKind::Saturated));
     let later = now + Duration::from_millis(50);
@@ -82,7 +82,7 @@
 #[test]
 fn a_running_call_is_cancelled_and_refused_at_its_deadline() {
     let (now, mut router, service, endpoint) = setup(4);
-    router.arrive(
+    router.submit(
         now,
         Call::new(id(1), service, Class::Interactive, now + secs(1)),
     );
@@ -112,11 +112,11 @@
 #[test]
 fn a_queued_call_is_refused_at_its_deadline() {
     let (now, mut router, service, _) = setup(1);
-    router.arrive(
+    router.submit(
         now,
         Call::new(id(1), service, Class::Interactive, now + secs(60)),
     );
-    router.arrive(
+    router.submit(
         now,
         Call::new(id(2), service, Class::Interactive, now + secs(1)),
     );
@@ -141,11 +141,11 @@
 #[test]
 fn queued_calls_are_refused_when_the_last_endpoint_closes() {
     let (now, mut router, service, endpoint) = setup(1);
-    router.arrive(
+    router.submit(
         now,
         Call::new(id(1), service, Class::Interactive, now + secs(60)),
     );
-    router.arrive(
+    router.submit(
         now,
         Call::new(id(2), service, Class::Interactive, now + secs(60)),
     );
@@ -171,7 +171,7 @@
     let mut router = Router::new("senec", 7);
     let service = router.set_service(now, "hut-desk", ServiceSpec::new());
     for seq in 0..10 {
-        router.arrive(
+        router.submit(
             now,
             Call::new(id(seq), service, Class::Interactive, now + secs(1)),
         );
@@ -192,7 +192,7 @@
 fn a_call_with_part_of_an_answer_is_not_retried() {
     for committed in [false, true] {
         let (now, mut router, service, endpoint) = setup(4);
-        router.arrive(
+        router.submit(
             now,
             Call::new(id(1), service, Class::Interactive, now + secs(5)),
         );
--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -47,7 +47,7 @@
 
     /// Submits a call and returns where it starts.
     fn submit(&mut self, call: Call) -> Option<EndpointKey> {
-        self.router.arrive(self.now, call);
+        self.router.submit(self.now, call);
         self.next_start().map(|(_, endpoint)| endpoint)
     }
 
@@ -152,7 +152,7 @@
             .into();
         let id = RequestId::default();
         let deadline = now + Duration::from_secs(5);
-        router.arrive(
+        router.submit(
             now,
             Call::new(id, service, Class::Interactive, deadline).prefix(7),
         );
@@ -349,7 +349,7 @@
             let id = RequestId { origin, seq };
             let deadline = now + Duration::from_secs(10);
             let call = Call::new(id, service, Class::Interactive, deadline).prefix(seq % 9);
-            router.arrive(now, call);
+            router.submit(now, call);
             while let Some(step) = router.next_step() {
                 if let Step::Start { endpoint, .. } = step {
                     endpoints.push(keys.iter().position(|key| *key == endpoint));
