--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -126,7 +126,7 @@
         };
         side.leaving.drained = document.is_drained(&side.name, &side.host, &side.place);
         let (endpoint, open) = (side.endpoint, side.takes_work());
-        self.router.set_open(now, endpoint, open);
+        self.router.set_accepting(now, endpoint, open);
     }
 
     fn welcome(&mut self, now: Instant, key: SideKey, welcome: &Welcome) {
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -158,7 +158,7 @@
         self.targets.borrow_mut().insert(key, Target::of(endpoint));
         self.router
             .borrow_mut()
-            .set_open(now, key, !endpoint.leaving);
+            .set_accepting(now, key, !endpoint.leaving);
     }
 
     fn service(&self, now: Instant, name: &str) -> ServiceKey {
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -130,18 +130,18 @@
     }
 
     /// Sets whether an endpoint accepts new calls.
-    pub fn set_open(&mut self, now: Instant, endpoint: EndpointKey, open: bool) {
+    pub fn set_accepting(&mut self, now: Instant, endpoint: EndpointKey, accepting: bool) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if row.accepting == open {
+        if row.accepting == accepting {
             return;
         }
-        row.accepting = open;
+        row.accepting = accepting;
         let service = row.service;
         let healthy = row.health.is_healthy();
         self.refresh(now, endpoint);
-        if !open {
+        if !accepting {
             self.services[service]
                 .awaiting_trial
                 .retain(|key| *key != endpoint);
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -165,7 +165,8 @@
                 }
             }
             Event::Open { endpoint, open } => {
-                self.router.set_open(now, self.endpoints[endpoint], open);
+                self.router
+                    .set_accepting(now, self.endpoints[endpoint], open);
             }
             Event::Report {
                 endpoint,
--- a/tests/route_once.rs
+++ b/tests/route_once.rs
@@ -150,7 +150,7 @@
         Call::new(id(2), service, Class::Interactive, now + secs(60)),
     );
     steps(&mut router);
-    router.set_open(now, endpoint, false);
+    router.set_accepting(now, endpoint, false);
     let steps = steps(&mut router);
     assert!(
         matches!(
