--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -42,7 +42,7 @@
         });
         attempt.asked = false;
         let (call, endpoint) = (attempt.call, attempt.endpoint);
-        self.router.progress(now, call, endpoint, 0);
+        self.router.record_progress(now, call, endpoint, 0);
     }
 
     /// Takes in bytes of an answer.
@@ -75,7 +75,7 @@
         attempt.pieces += 1;
         let (call, endpoint, pieces) = (attempt.call, attempt.endpoint, attempt.pieces);
         // An engine sends a token a piece, so pieces count tokens well enough.
-        self.router.progress(now, call, endpoint, pieces);
+        self.router.record_progress(now, call, endpoint, pieces);
         self.acknowledge(id);
         let Some(row) = self.calls.get(&call) else {
             return;
--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -196,7 +196,7 @@
             };
             self.sides[key].report = report;
             self.sides[key].weights.clone_from(&load.weights);
-            self.router.report(now, endpoint, report);
+            self.router.record_load(now, endpoint, report);
         }
         self.offer_config(key, beat.config_version);
     }
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -205,7 +205,7 @@
         };
         self.router
             .borrow_mut()
-            .report(Instant::now(), endpoint, report);
+            .record_load(Instant::now(), endpoint, report);
         self.flush();
     }
 
--- a/hibiscusroad-measure/src/policy/balance.rs
+++ b/hibiscusroad-measure/src/policy/balance.rs
@@ -161,7 +161,7 @@
 
     pub(super) fn report(&mut self, now: Instant, endpoint: usize, report: LoadReport) {
         match self {
-            Self::Ours(ours) => ours.router.report(now, ours.keys[endpoint], report),
+            Self::Ours(ours) => ours.router.record_load(now, ours.keys[endpoint], report),
             Self::Plain(plain) => plain.loads[endpoint] = report.running + report.queued,
         }
     }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -200,7 +200,13 @@
 
     /// Records progress of an attempt, so that its endpoint does not count as
     /// silent. The number of tokens so far is ignored.
-    pub fn progress(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, _tokens: u64) {
+    pub fn record_progress(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        endpoint: EndpointKey,
+        _tokens: u64,
+    ) {
         let running_there = self
             .call_keys
             .get(&id)
@@ -255,7 +261,7 @@
     /// Records the load that an endpoint reported.
     ///
     /// Reports may be late, incomplete or missing altogether.
-    pub fn report(&mut self, now: Instant, endpoint: EndpointKey, report: LoadReport) {
+    pub fn record_load(&mut self, now: Instant, endpoint: EndpointKey, report: LoadReport) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
--- a/tests/route_engine.rs
+++ b/tests/route_engine.rs
@@ -54,7 +54,7 @@
             cache_free: 10_000,
             ..LoadReport::default()
         };
-        self.router.report(self.now, self.engine, report);
+        self.router.record_load(self.now, self.engine, report);
         self.count_starts()
     }
 }
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -147,7 +147,7 @@
             Event::Finish { pick, outcome } => self.finish(pick, outcome),
             Event::Progress { pick } => {
                 if let Some((id, endpoint)) = self.pick_running(pick) {
-                    self.router.progress(now, id, endpoint, 1);
+                    self.router.record_progress(now, id, endpoint, 1);
                 }
             }
             Event::Cancel { pick } => {
@@ -178,7 +178,8 @@
                     queued,
                     ..LoadReport::default()
                 };
-                self.router.report(now, self.endpoints[endpoint], report);
+                self.router
+                    .record_load(now, self.endpoints[endpoint], report);
             }
             Event::Remove { endpoint } => {
                 if let Some(key) = self.endpoints.get(endpoint) {
--- a/tests/route_place.rs
+++ b/tests/route_place.rs
@@ -132,7 +132,7 @@
         cache_free: 500,
         ..LoadReport::default()
     };
-    harness.router.report(harness.now, engine, report);
+    harness.router.record_load(harness.now, engine, report);
     let second = harness.call().tokens(400);
     assert_eq!(harness.submit(second), Some(engine));
     let third = harness.call().tokens(400);
