--- a/benches/route.rs
+++ b/benches/route.rs
@@ -126,7 +126,7 @@
         let waiting: usize = self
             .services
             .iter()
-            .map(|s| self.router.waiting(*s, CLASS))
+            .map(|s| self.router.queued(*s, CLASS))
             .sum();
         assert!(waiting > WAITING / 10 * 9, "{waiting} calls wait");
         let running = self.running.len();
--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -84,7 +84,7 @@
         };
         for class in Class::ALL {
             let tags = [("service", name), ("class", class.name())];
-            let queued = self.router.waiting(key, class) as u64;
+            let queued = self.router.queued(key, class) as u64;
             self.metrics.gauge(metrics::QUEUED, queued, &tags);
             let running = self.router.running(key, class).into();
             self.metrics.gauge(metrics::RUNNING, running, &tags);
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -136,7 +136,7 @@
         let document = self.config.newest();
         let rows = document.services.iter().map(|(name, service)| {
             let key = self.router.service(name);
-            let waiting = |class| key.map_or(0, |key| self.router.waiting(key, class));
+            let waiting = |class| key.map_or(0, |key| self.router.queued(key, class));
             row([
                 ("service", json!(name)),
                 ("kind", json!(service.kind)),
--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -129,7 +129,7 @@
 
     fn in_queue(&self, row: &CallRow) -> usize {
         let service = self.router.service(&row.request.service);
-        service.map_or(0, |key| self.router.waiting(key, row.request.class))
+        service.map_or(0, |key| self.router.queued(key, row.request.class))
     }
 
     /// Keeps how endpoints changed since the last look.
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -311,7 +311,7 @@
 
     /// Returns the number of queued calls of a class.
     #[must_use]
-    pub fn waiting(&self, service: ServiceKey, class: Class) -> usize {
+    pub fn queued(&self, service: ServiceKey, class: Class) -> usize {
         self.services
             .get(service)
             .map_or(0, |row| row.queue(class).len())
--- a/tests/route_invariants.rs
+++ b/tests/route_invariants.rs
@@ -283,7 +283,7 @@
         prop_assert!(harness.running.is_empty());
         for class in Class::ALL {
             prop_assert_eq!(harness.router.running(harness.service, class), 0);
-            prop_assert_eq!(harness.router.waiting(harness.service, class), 0);
+            prop_assert_eq!(harness.router.queued(harness.service, class), 0);
         }
         for key in &harness.endpoints {
             prop_assert_eq!(harness.router.load(*key).map_or(0, |load| load.0), 0);
--- a/tests/route_once.rs
+++ b/tests/route_once.rs
@@ -120,7 +120,7 @@
         now,
         Call::new(id(2), service, Class::Interactive, now + secs(1)),
     );
-    assert_eq!(router.waiting(service, Class::Interactive), 1);
+    assert_eq!(router.queued(service, Class::Interactive), 1);
     steps(&mut router);
     router.tick(now + secs(1));
     let steps = steps(&mut router);
