--- a/src/route/shift.rs
+++ b/src/route/reconcile.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 slotmap::new_key_type! {
-    /// The key of an engine in a [`Shifter`].
+    /// The key of an engine in a [`Reconciler`].
     pub struct EngineKey;
-    /// The key of a role in a [`Shifter`].
+    /// The key of a role in a [`Reconciler`].
     pub struct RoleKey;
 }
 
@@ -112,7 +112,7 @@
 
 /// Decides which engines change their role or version.
 #[derive(Debug)]
-pub struct Shifter {
+pub struct Reconciler {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -121,8 +121,8 @@
     engines: SlotMap<EngineKey, Engine>,
 }
 
-impl Shifter {
-    /// Creates a shifter for a weight store that gives `rate` loads a second,
+impl Reconciler {
+    /// Creates a reconciler for a weight store that gives `rate` loads a second,
     /// and up to `burst` at once after a pause.
     #[must_use]
     pub fn new(now: Instant, rate: f64, burst: u32) -> Self {
--- a/src/train/weights.rs
+++ b/src/train/weights.rs
@@ -1,12 +1,12 @@
 //! Rollout of new weights to a run's engines.
 //!
-//! The [`Shifter`] handles waves, the floor of serving engines, the store's rate and
+//! The [`Reconciler`] handles waves, the floor of serving engines, the store's rate and
 //! retries. This module adds the holder's fencing number to orders, and excludes engines
 //! that report an unintended version, for example after a failed swap. Samples of such a
 //! version would be dropped after they are generated. The engine is used again once it
 //! reports an intended version.
 
-use crate::route::shift::{EngineKey, Order, RoleKey, RoleSpec, Shifter};
+use crate::route::reconcile::{EngineKey, Order, Reconciler, RoleKey, RoleSpec};
 use slotmap::SecondaryMap;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 /// The weight versions of one run's engines.
 #[derive(Debug)]
 pub struct Weights {
-    shifter: Shifter,
+    reconciler: Reconciler,
     role: RoleKey,
     fence: u64,
     min_serving: usize,
@@ -45,10 +45,10 @@
         min_serving: usize,
         store_rate: f64,
     ) -> Self {
-        let mut shifter = Shifter::new(now, store_rate, burst(store_rate));
-        let role = shifter.add_role(RoleSpec::new(version).floor(min_serving));
+        let mut reconciler = Reconciler::new(now, store_rate, burst(store_rate));
+        let role = reconciler.add_role(RoleSpec::new(version).floor(min_serving));
         Self {
-            shifter,
+            reconciler,
             role,
             fence,
             min_serving,
@@ -60,14 +60,14 @@
 
     /// Adds an engine that reports `version`.
     pub fn add_engine(&mut self, version: u64) -> EngineKey {
-        let engine = self.shifter.add_engine(self.role, version);
+        let engine = self.reconciler.add_engine(self.role, version);
         self.reported.insert(engine, version);
         engine
     }
 
     /// Removes an engine that has left or crashed.
     pub fn remove_engine(&mut self, engine: EngineKey) {
-        self.shifter.remove_engine(engine);
+        self.reconciler.remove_engine(engine);
         self.reported.remove(engine);
     }
 
@@ -76,20 +76,20 @@
         self.previous = self.target;
         self.target = version;
         let spec = RoleSpec::new(version).floor(self.min_serving);
-        self.shifter.set_role(self.role, spec);
+        self.reconciler.set_role(self.role, spec);
     }
 
     /// Handles the version that an engine reports, with or without an order.
     pub fn report(&mut self, now: Instant, engine: EngineKey, version: u64) {
         if self.reported.insert(engine, version).is_some() {
-            self.shifter.done(now, engine, self.role, version);
+            self.reconciler.done(now, engine, self.role, version);
         }
     }
 
     /// Returns the orders that are due. Must be called about once per second.
     pub fn tick(&mut self, now: Instant) -> Vec<FencedOrder> {
         let fence = self.fence;
-        let orders = self.shifter.tick(now).into_iter();
+        let orders = self.reconciler.tick(now).into_iter();
         orders.map(|order| FencedOrder { order, fence }).collect()
     }
 
@@ -104,13 +104,13 @@
     /// Returns the number of engines that are serving.
     #[must_use]
     pub fn serving(&self) -> usize {
-        self.shifter.serving(self.role)
+        self.reconciler.serving(self.role)
     }
 
     /// Returns the number of engines that don't serve the target version.
     #[must_use]
     pub fn stale(&self) -> usize {
-        self.shifter.stale(self.role)
+        self.reconciler.stale(self.role)
     }
 }
 
--- a/tests/route_shift.rs
+++ b/tests/route_shift.rs
@@ -1,13 +1,13 @@
 //! Role and version changes of engines: waves, floors and the store's rate.
 
-use hibiscusroad::route::shift::{EngineKey, Order, RoleKey, RoleSpec, Shifter};
+use hibiscusroad::route::reconcile::{EngineKey, Order, Reconciler, RoleKey, RoleSpec};
 use std::time::{Duration, Instant};
 
 const LOAD_TIME: Duration = Duration::from_secs(4);
 
 struct Harness {
     now: Instant,
-    shifter: Shifter,
+    reconciler: Reconciler,
     loading: Vec<(Instant, Order)>,
     orders: Vec<(Instant, Order)>,
 }
@@ -17,15 +17,15 @@
         let now = Instant::now();
         Self {
             now,
-            shifter: Shifter::new(now, rate, burst),
+            reconciler: Reconciler::new(now, rate, burst),
             loading: Vec::new(),
             orders: Vec::new(),
         }
     }
 
     fn role(&mut self, floor: usize, engines: usize) -> (RoleKey, Vec<EngineKey>) {
-        let role = self.shifter.add_role(RoleSpec::new(1).floor(floor));
-        let keys = (0..engines).map(|_| self.shifter.add_engine(role, 1));
+        let role = self.reconciler.add_role(RoleSpec::new(1).floor(floor));
+        let keys = (0..engines).map(|_| self.reconciler.add_engine(role, 1));
         (role, keys.collect())
     }
 
@@ -39,10 +39,10 @@
         self.loading = loading;
         for (_, order) in ready {
             if let Some((role, version)) = outcome(order) {
-                self.shifter.done(self.now, order.engine, role, version);
+                self.reconciler.done(self.now, order.engine, role, version);
             }
         }
-        for order in self.shifter.tick(self.now) {
+        for order in self.reconciler.tick(self.now) {
             self.loading.push((self.now + LOAD_TIME, order));
             self.orders.push((self.now, order));
         }
@@ -60,14 +60,16 @@
 fn a_new_version_is_loaded_in_waves() {
     let mut harness = Harness::new(2.0, 4);
     let (role, _) = harness.role(30, 40);
-    harness.shifter.set_role(role, RoleSpec::new(2).floor(30));
+    harness
+        .reconciler
+        .set_role(role, RoleSpec::new(2).floor(30));
     let mut seconds = 0;
-    while harness.shifter.stale(role) > 0 {
+    while harness.reconciler.stale(role) > 0 {
         harness.advance_second(as_ordered);
-        assert!(harness.shifter.serving(role) >= 30);
+        assert!(harness.reconciler.serving(role) >= 30);
         seconds += 1;
         assert!(harness.orders.len() <= 4 + 2 * seconds);
-        assert!(seconds < 40, "{} are stale", harness.shifter.stale(role));
+        assert!(seconds < 40, "{} are stale", harness.reconciler.stale(role));
     }
     assert_eq!(harness.orders.len(), 40);
 }
@@ -78,7 +80,7 @@
 fn a_failed_load_is_retried() {
     let mut harness = Harness::new(10.0, 10);
     let (role, keys) = harness.role(1, 4);
-    harness.shifter.set_role(role, RoleSpec::new(2).floor(1));
+    harness.reconciler.set_role(role, RoleSpec::new(2).floor(1));
     let failing = keys[0];
     for _ in 0..60 {
         harness.advance_second(|order| {
@@ -90,7 +92,7 @@
             Some((order.role, version))
         });
     }
-    assert_eq!(harness.shifter.stale(role), 1);
+    assert_eq!(harness.reconciler.stale(role), 1);
     let attempts = harness
         .orders
         .iter()
@@ -104,12 +106,12 @@
 fn a_load_without_a_report_counts_as_failed() {
     let mut harness = Harness::new(10.0, 10);
     let (role, _) = harness.role(1, 2);
-    harness.shifter.set_role(role, RoleSpec::new(2).floor(1));
+    harness.reconciler.set_role(role, RoleSpec::new(2).floor(1));
     for _ in 0..59 {
         harness.advance_second(|_| None);
     }
     assert_eq!(harness.orders.len(), 1);
-    assert_eq!(harness.shifter.serving(role), 1);
+    assert_eq!(harness.reconciler.serving(role), 1);
     for _ in 0..10 {
         harness.advance_second(|_| None);
     }
@@ -126,10 +128,10 @@
     for second in 0..600 {
         let change = if second / 5 % 2 == 0 { 1.0 } else { -1.0 };
         harness
-            .shifter
+            .reconciler
             .set_demand(harness.now, guests, 5.5 + change);
         harness
-            .shifter
+            .reconciler
             .set_demand(harness.now, trainers, 5.5 - change);
         harness.advance_second(as_ordered);
     }
@@ -144,13 +146,13 @@
     let (guests, _) = harness.role(2, 6);
     let (trainers, _) = harness.role(1, 2);
     for _ in 0..300 {
-        harness.shifter.set_demand(harness.now, guests, 0.5);
-        harness.shifter.set_demand(harness.now, trainers, 20.0);
+        harness.reconciler.set_demand(harness.now, guests, 0.5);
+        harness.reconciler.set_demand(harness.now, trainers, 20.0);
         harness.advance_second(as_ordered);
-        assert!(harness.shifter.serving(guests) >= 2);
+        assert!(harness.reconciler.serving(guests) >= 2);
     }
-    assert_eq!(harness.shifter.serving(guests), 2);
-    assert_eq!(harness.shifter.serving(trainers), 6);
+    assert_eq!(harness.reconciler.serving(guests), 2);
+    assert_eq!(harness.reconciler.serving(trainers), 6);
     assert_eq!(harness.orders.len(), 4);
 }
 
@@ -160,8 +162,8 @@
     let mut harness = Harness::new(10.0, 10);
     let (short_role, keys) = harness.role(2, 2);
     let (trainers, _) = harness.role(1, 4);
-    harness.shifter.set_demand(harness.now, trainers, 20.0);
-    harness.shifter.remove_engine(keys[0]);
+    harness.reconciler.set_demand(harness.now, trainers, 20.0);
+    harness.reconciler.remove_engine(keys[0]);
     harness.advance_second(as_ordered);
     assert_eq!(harness.orders.len(), 1);
     assert_eq!(harness.orders[0].1.role, short_role);
--- a/tests/train_weights.rs
+++ b/tests/train_weights.rs
@@ -1,7 +1,7 @@
 //! Rollouts of new weights in waves, and the use of engines by the versions they report.
 
 use hibiscusroad::{
-    route::shift::EngineKey,
+    route::reconcile::EngineKey,
     train::{RolloutPlan, Weights},
 };
 use std::time::{Duration, Instant};
