--- a/src/route/reconcile.rs
+++ b/src/route/reconcile.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RoleSpec {
     /// Minimum engines that serve at any time.
-    pub floor: usize,
+    pub min_serving: usize,
     /// The version of the weights to serve.
     pub version: u64,
 }
@@ -48,13 +48,16 @@
     /// Creates a role without a floor that serves `version`.
     #[must_use]
     pub const fn new(version: u64) -> Self {
-        Self { floor: 0, version }
+        Self {
+            min_serving: 0,
+            version,
+        }
     }
 
     /// Sets the minimum of engines that serve at any time.
     #[must_use]
-    pub const fn floor(mut self, floor: usize) -> Self {
-        self.floor = floor;
+    pub const fn min_serving(mut self, min_serving: usize) -> Self {
+        self.min_serving = min_serving;
         self
     }
 }
@@ -193,7 +196,7 @@
 
     /// Records what an engine reports to serve after an order, which may differ
     /// from what was ordered.
-    pub fn done(&mut self, now: Instant, engine: EngineKey, role: RoleKey, version: u64) {
+    pub fn record_result(&mut self, now: Instant, engine: EngineKey, role: RoleKey, version: u64) {
         let Some(row) = self.engines.get_mut(engine) else {
             return;
         };
@@ -246,7 +249,7 @@
     ///
     /// They can't be updated while the role has no more engines than its floor.
     #[must_use]
-    pub fn stale(&self, role: RoleKey) -> usize {
+    pub fn outdated(&self, role: RoleKey) -> usize {
         let Some(row) = self.roles.get(role) else {
             return 0;
         };
@@ -267,7 +270,7 @@
             .map(|(key, e)| (e.load, key))
             .collect();
         stale.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let available = serving.saturating_sub(spec.floor);
+        let available = serving.saturating_sub(spec.min_serving);
         let next = stale.into_iter().take(available).zip(pending..);
         for ((_, engine), count) in next {
             if count as f64 >= wave_size || !self.issue_order(now, engine, role, orders) {
@@ -282,7 +285,7 @@
         for role in roles {
             let present = self.serving_or_joining(*role);
             let spec = self.roles[*role].spec;
-            let below_floor = present < spec.floor;
+            let below_floor = present < spec.min_serving;
             let is_short =
                 below_floor || self.roles[*role].demand >= present as f64 + DEMAND_MARGIN;
             let row = &mut self.roles[*role];
@@ -334,7 +337,7 @@
         };
         let remaining = self.serving(role).saturating_sub(1);
         let enough = self.serving_or_joining(role) as f64 - 1.0 >= row.demand + DEMAND_MARGIN;
-        remaining >= row.spec.floor && (below_floor || enough)
+        remaining >= row.spec.min_serving && (below_floor || enough)
     }
 
     /// Issues an order if the weight store's rate allows it; returns whether it did.
--- a/src/train/weights.rs
+++ b/src/train/weights.rs
@@ -46,7 +46,7 @@
         store_rate: f64,
     ) -> Self {
         let mut reconciler = Reconciler::new(now, store_rate, burst(store_rate));
-        let role = reconciler.add_role(RoleSpec::new(version).floor(min_serving));
+        let role = reconciler.add_role(RoleSpec::new(version).min_serving(min_serving));
         Self {
             reconciler,
             role,
@@ -75,14 +75,15 @@
     pub fn roll_out(&mut self, version: u64) {
         self.previous = self.target;
         self.target = version;
-        let spec = RoleSpec::new(version).floor(self.min_serving);
+        let spec = RoleSpec::new(version).min_serving(self.min_serving);
         self.reconciler.set_role(self.role, spec);
     }
 
     /// Handles the version that an engine reports, with or without an order.
     pub fn report(&mut self, now: Instant, engine: EngineKey, version: u64) {
         if self.reported.insert(engine, version).is_some() {
-            self.reconciler.done(now, engine, self.role, version);
+            self.reconciler
+                .record_result(now, engine, self.role, version);
         }
     }
 
@@ -110,7 +111,7 @@
     /// Returns the number of engines that don't serve the target version.
     #[must_use]
     pub fn stale(&self) -> usize {
-        self.reconciler.stale(self.role)
+        self.reconciler.outdated(self.role)
     }
 }
 
--- a/tests/route_shift.rs
+++ b/tests/route_shift.rs
@@ -24,7 +24,9 @@
     }
 
     fn role(&mut self, floor: usize, engines: usize) -> (RoleKey, Vec<EngineKey>) {
-        let role = self.reconciler.add_role(RoleSpec::new(1).floor(floor));
+        let role = self
+            .reconciler
+            .add_role(RoleSpec::new(1).min_serving(floor));
         let keys = (0..engines).map(|_| self.reconciler.add_engine(role, 1));
         (role, keys.collect())
     }
@@ -39,7 +41,8 @@
         self.loading = loading;
         for (_, order) in ready {
             if let Some((role, version)) = outcome(order) {
-                self.reconciler.done(self.now, order.engine, role, version);
+                self.reconciler
+                    .record_result(self.now, order.engine, role, version);
             }
         }
         for order in self.reconciler.tick(self.now) {
@@ -62,14 +65,18 @@
     let (role, _) = harness.role(30, 40);
     harness
         .reconciler
-        .set_role(role, RoleSpec::new(2).floor(30));
+        .set_role(role, RoleSpec::new(2).min_serving(30));
     let mut seconds = 0;
-    while harness.reconciler.stale(role) > 0 {
+    while harness.reconciler.outdated(role) > 0 {
         harness.advance_second(as_ordered);
         assert!(harness.reconciler.serving(role) >= 30);
         seconds += 1;
         assert!(harness.orders.len() <= 4 + 2 * seconds);
-        assert!(seconds < 40, "{} are stale", harness.reconciler.stale(role));
+        assert!(
+            seconds < 40,
+            "{} are stale",
+            harness.reconciler.outdated(role)
+        );
     }
     assert_eq!(harness.orders.len(), 40);
 }
@@ -80,7 +87,9 @@
 fn a_failed_load_is_retried() {
     let mut harness = Harness::new(10.0, 10);
     let (role, keys) = harness.role(1, 4);
-    harness.reconciler.set_role(role, RoleSpec::new(2).floor(1));
+    harness
+        .reconciler
+        .set_role(role, RoleSpec::new(2).min_serving(1));
     let failing = keys[0];
     for _ in 0..60 {
         harness.advance_second(|order| {
@@ -92,7 +101,7 @@
             Some((order.role, version))
         });
     }
-    assert_eq!(harness.reconciler.stale(role), 1);
+    assert_eq!(harness.reconciler.outdated(role), 1);
     let attempts = harness
         .orders
         .iter()
@@ -106,7 +115,9 @@
 fn a_load_without_a_report_counts_as_failed() {
     let mut harness = Harness::new(10.0, 10);
     let (role, _) = harness.role(1, 2);
-    harness.reconciler.set_role(role, RoleSpec::new(2).floor(1));
+    harness
+        .reconciler
+        .set_role(role, RoleSpec::new(2).min_serving(1));
     for _ in 0..59 {
         harness.advance_second(|_| None);
     }
