--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -13,7 +13,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    route::{Outcome, Standing, View},
+    route::{EndpointView, HealthState, Outcome},
 };
 use serde_json::json;
 use slotmap::SecondaryMap;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Decision {
     Arrived,
-    Placed(String, Option<View>),
+    Placed(String, Option<EndpointView>),
     Ended(String, Outcome),
     Answered,
     Refused(ErrorKind, Duration, usize),
@@ -48,8 +48,8 @@
 struct Change {
     at: Instant,
     state: &'static str,
-    standing: Option<Standing>,
-    view: Option<View>,
+    standing: Option<HealthState>,
+    view: Option<EndpointView>,
     last: Option<ErrorKind>,
     config: u64,
 }
@@ -91,7 +91,7 @@
     pub(super) fn trace_placed(&mut self, id: RequestId, key: SideKey) {
         let now = Instant::now();
         let side = &self.sides[key];
-        let view = self.router.view(now, side.endpoint);
+        let view = self.router.endpoint_view(now, side.endpoint);
         let decision = Decision::Placed(side.name.clone(), view);
         self.trace.note(now, id, decision);
     }
@@ -129,13 +129,13 @@
 
     fn in_queue(&self, row: &CallRow) -> usize {
         let service = self.router.service(&row.request.service);
-        service.map_or(0, |key| self.router.waiting(key, row.request.class))
+        service.map_or(0, |key| self.router.queued(key, row.request.class))
     }
 
     /// Keeps how endpoints changed since the last look.
     pub(super) fn trace_endpoints(&mut self, now: Instant) {
         for (key, side) in &self.sides {
-            let (state, standing) = (state(side), self.router.standing(side.endpoint));
+            let (state, standing) = (state(side), self.router.health_state(side.endpoint));
             let Some(entry) = self.trace.changes.entry(key) else {
                 continue;
             };
@@ -151,7 +151,7 @@
                 at: now,
                 state,
                 standing,
-                view: self.router.view(now, side.endpoint),
+                view: self.router.endpoint_view(now, side.endpoint),
                 last: self.trace.last.get(key).copied(),
                 config: self.config.version(),
             });
@@ -196,12 +196,12 @@
     }
 }
 
-const fn standing(standing: Standing) -> &'static str {
+const fn standing(standing: HealthState) -> &'static str {
     match standing {
-        Standing::Fit => "fit",
-        Standing::Ejected => "ejected",
-        Standing::Ready => "to be tried",
-        Standing::Trial => "on trial",
+        HealthState::Healthy => "fit",
+        HealthState::Ejected => "ejected",
+        HealthState::AwaitingTrial => "to be tried",
+        HealthState::Trial => "on trial",
     }
 }
 
@@ -230,15 +230,17 @@
     }
 }
 
-fn seen(view: View) -> String {
-    let View {
+fn seen(view: EndpointView) -> String {
+    let EndpointView {
         running,
         limit,
         score,
-        slower,
+        latency_ratio,
         ..
     } = view;
-    format!("{running} of {limit} running, score {score:.2}, {slower:.1} times the expected time")
+    format!(
+        "{running} of {limit} running, score {score:.2}, {latency_ratio:.1} times the expected time"
+    )
 }
 
 fn reason(change: &Change) -> String {
@@ -251,8 +253,8 @@
         ("silent", _) => "its link gave nothing for 0.7 s".to_owned(),
         ("unlinked", _) => "there is no link to its side".to_owned(),
         ("unreachable", _) => "nothing listens at its address".to_owned(),
-        (_, Some(Standing::Ejected)) => ejected(change),
-        (_, Some(Standing::Ready | Standing::Trial)) => {
+        (_, Some(HealthState::Ejected)) => ejected(change),
+        (_, Some(HealthState::AwaitingTrial | HealthState::Trial)) => {
             "the pause after its ejection is over".to_owned()
         }
         _ => String::new(),
@@ -266,13 +268,13 @@
     let Some(view) = change.view else {
         return last;
     };
-    let View {
-        slower,
-        failing,
-        refused,
+    let EndpointView {
+        latency_ratio,
+        failure_rate,
+        refused_streak,
         ..
     } = view;
     format!(
-        "{refused} refused connections in a row, {failing:.2} of calls failing, {slower:.1} times the expected time{last}"
+        "{refused_streak} refused connections in a row, {failure_rate:.2} of calls failing, {latency_ratio:.1} times the expected time{last}"
     )
 }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -1,20 +1,20 @@
-//! The life of an attempt: start, end, and what follows from its outcome.
+//! Start and end of attempts, and what follows from their outcomes.
 //!
-//! Whether a call may be tried again is decided here alone: it is repeatable,
-//! or it surely didn't run; there is budget and time; and no other attempt of
-//! it runs. A call that runs at most once is never started again after an
-//! attempt of it may have run.
+//! All decisions to retry are made here. A call is retried only if it is
+//! repeatable or surely did not run, budget and time are left, and no other
+//! attempt of it is running. A call that must run at most once is never
+//! restarted after an attempt that may have run.
 
 use crate::{
     class::Class,
     error::{ErrorKind, Retry},
     route::{
         EndpointKey,
-        drain::secs,
+        decay::ceil_to_u32,
         health::{Health, Phase},
         limit::Sample,
-        meter::ceil,
-        retry::{RERUN, RESEND},
+        retry::{RERUN_COST, RESEND_COST},
+        retry_after::seconds,
         router::Router,
         spec::{Call, Step},
         table::{Attempt, CallKey},
@@ -22,52 +22,59 @@
 };
 use std::time::{Duration, Instant};
 
-/// Starts of one call at most, refused ones included: with a third of the
-/// endpoints full, six refusals in a row are less likely than 1 in 700.
-const SENDS: u8 = 6;
+/// Attempts of one call, counting those that did not run, after which it is not
+/// sent again.
+const MAX_STARTS: u8 = 6;
 
-/// Weight of a call in the stretch: 64 calls are 50 ms of a busy service.
-const STRETCH: f64 = 1.0 / 64.0;
-/// A call counts as stretched by so much at most: a hundred times longer one
-/// among short ones must not stop admission.
-const STRETCH_MOST: f64 = 8.0;
+/// Weight of one call in the moving average of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 1.0 / 64.0;
+/// Cap on the slowdown of one call, so that a single very long call among short
+/// ones does not stop admission.
+const MAX_SLOWDOWN: f64 = 8.0;
 
 impl Router {
-    pub(super) fn start(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey, trial: bool) {
-        self.unqueue(key);
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        endpoint: EndpointKey,
+        trial: bool,
+    ) {
+        self.dequeue(key);
         let row = &mut self.calls[key];
-        let (call, work, free) = (row.call, row.work, row.free());
-        let hedge = row.runs();
-        let slot = usize::from(row.attempts[0].is_some());
-        let there = &self.endpoints[endpoint];
-        let others = ceil(there.others(now));
-        let alone = there.limit.few(there.running) && there.limit.few(others);
-        row.attempts[slot] = Some(Attempt {
+        let (call, work, repeatable) = (row.call, row.work, row.is_repeatable());
+        let hedge = row.is_running();
+        let attempt_index = usize::from(row.attempts[0].is_some());
+        let endpoint_row = &self.endpoints[endpoint];
+        let other_calls = ceil_to_u32(endpoint_row.others_load(now));
+        let low_load = endpoint_row.limit.is_low_load(endpoint_row.running)
+            && endpoint_row.limit.is_low_load(other_calls);
+        row.attempts[attempt_index] = Some(Attempt {
             endpoint,
             start: now,
             trial,
-            alone,
+            low_load,
         });
-        row.tries = row.tries.saturating_add(1);
-        row.last = Some(endpoint);
-        let first = row.tries == 1;
+        row.attempts_started = row.attempts_started.saturating_add(1);
+        row.last_endpoint = Some(endpoint);
+        let first = row.attempts_started == 1;
         let service = &mut self.services[call.service];
         let class = call.class.index();
-        service.used[class] += 1;
-        service.peaks[class].raise(now, f64::from(service.used[class]));
-        service.placed.add(now, work);
+        service.running[class] += 1;
+        service.recent_peaks[class].raise_to(now, f64::from(service.running[class]));
+        service.recent_work.add(now, work);
         if first {
             service.budget.earn();
         }
-        if free && !hedge && call.class != Class::Interactive {
-            service.lent.insert((now, key));
+        if repeatable && !hedge && call.class != Class::Interactive {
+            service.preemptible.insert((now, key));
         }
-        self.endpoints[endpoint].take(now, key, &call, work, trial);
+        self.endpoints[endpoint].add_attempt(now, key, &call, work, trial);
         self.refresh(now, endpoint);
-        self.watch(now, endpoint);
+        self.schedule_check(now, endpoint);
         if !hedge {
-            let due = self.hedge_time(now, key).unwrap_or(call.deadline);
-            self.set_call_due(key, due);
+            let timer_at = self.hedge_time(now, key).unwrap_or(call.deadline);
+            self.set_call_timer(key, timer_at);
         }
         self.steps.push_back(Step::Start {
             id: call.id,
@@ -76,39 +83,40 @@
         });
     }
 
-    /// Says when the call has taken longer than 19 in 20: soon enough to save a
-    /// caller, late enough to look at few. Rollouts aren't hedged: nobody waits for one
-    /// alone, and two of them cost twice.
+    /// Returns when a hedge of a call that starts now is due: at the 95th
+    /// percentile of its service time, but not before 1.5 times the median.
+    ///
+    /// Rollouts are not hedged, because no caller waits for a single one.
     fn hedge_time(&self, now: Instant, key: CallKey) -> Option<Instant> {
         let row = &self.calls[key];
-        let may = row.free() && row.call.class != Class::Rollout;
-        let estimate = self.expect(&row.call).filter(|_| may)?;
-        let at = now + secs(estimate.p95.max(estimate.p50 * 1.5));
+        let eligible = row.is_repeatable() && row.call.class != Class::Rollout;
+        let estimate = self.estimate(&row.call).filter(|_| eligible)?;
+        let at = now + seconds(estimate.p95.max(estimate.p50 * 1.5));
         (at < row.call.deadline).then_some(at)
     }
 
-    /// Takes an attempt out of all sums.
-    fn detach(&mut self, now: Instant, key: CallKey, slot: usize) -> Option<Attempt> {
+    /// Removes an attempt from its call and from all sums.
+    fn detach(&mut self, now: Instant, key: CallKey, attempt_index: usize) -> Option<Attempt> {
         let row = &mut self.calls[key];
-        let attempt = row.attempts[slot].take()?;
+        let attempt = row.attempts[attempt_index].take()?;
         let call = row.call;
         let service = &mut self.services[call.service];
-        service.used[call.class.index()] -= 1;
-        service.lent.remove(&(attempt.start, key));
+        service.running[call.class.index()] -= 1;
+        service.preemptible.remove(&(attempt.start, key));
         if let Some(row) = self.endpoints.get_mut(attempt.endpoint) {
-            row.give(key, &attempt, &call);
+            row.remove_attempt(key, &attempt, &call);
             self.refresh(now, attempt.endpoint);
         }
         Some(attempt)
     }
 
-    /// Cancels an attempt; from then on what is told of it is ignored.
-    pub(super) fn cancel_attempt(&mut self, now: Instant, key: CallKey, slot: usize) {
-        let Some(attempt) = self.detach(now, key, slot) else {
+    /// Cancels an attempt; later events of it are ignored.
+    pub(super) fn cancel_attempt(&mut self, now: Instant, key: CallKey, attempt_index: usize) {
+        let Some(attempt) = self.detach(now, key, attempt_index) else {
             return;
         };
         let row = &mut self.calls[key];
-        row.ran = row.ran.or(Some(ErrorKind::TimedOut));
+        row.run_error = row.run_error.or(Some(ErrorKind::TimedOut));
         self.steps.push_back(Step::Cancel {
             id: row.call.id,
             endpoint: attempt.endpoint,
@@ -119,92 +127,100 @@
         }
     }
 
-    fn end(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) -> Option<Attempt> {
+    fn end_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        endpoint: EndpointKey,
+    ) -> Option<Attempt> {
         let attempts = &self.calls[key].attempts;
-        let slot = attempts
+        let attempt_index = attempts
             .iter()
             .position(|attempt| attempt.is_some_and(|a| a.endpoint == endpoint))?;
-        self.detach(now, key, slot)
+        self.detach(now, key, attempt_index)
     }
 
-    pub(super) fn answered(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) {
+    pub(super) fn finish_answered(&mut self, now: Instant, key: CallKey, endpoint: EndpointKey) {
         let running = self.endpoints.get(endpoint).map_or(0, |row| row.running);
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
         let call = self.calls[key].call;
-        let took = now - attempt.start;
-        self.judge(now, &call, &attempt, running, took);
-        // The loser's endpoint took at least so long: without this a slow one
-        // whose calls are all hedged would never be found out.
-        self.time_out(now, key);
-        self.kept(call.service);
-        let stretch = self
-            .expect(&call)
-            .map_or(1.0, |e| took.as_secs_f64() / e.mean);
+        let elapsed = now - attempt.start;
+        self.record_latency(now, &call, &attempt, running, elapsed);
+        // The attempt that lost to its hedge took at least this long. Without
+        // this sample a slow endpoint whose calls are all hedged stays unnoticed.
+        self.record_unfinished(now, key);
+        self.record_on_time(call.service);
+        let slowdown = self
+            .estimate(&call)
+            .map_or(1.0, |e| elapsed.as_secs_f64() / e.mean);
         let service = &mut self.services[call.service];
-        service.stretch += STRETCH * (stretch.min(STRETCH_MOST) - service.stretch);
-        let learned = &mut self.services[call.service].learned;
-        learned.add(&call, took, attempt.alone);
-        self.forget(now, key);
+        service.slowdown += SLOWDOWN_WEIGHT * (slowdown.min(MAX_SLOWDOWN) - service.slowdown);
+        let service_times = &mut self.services[call.service].service_times;
+        service_times.add(&call, elapsed, attempt.low_load);
+        self.remove_call(now, key);
     }
 
-    /// Counts a call that ran out of time as one that took at least so long.
-    pub(super) fn time_out(&mut self, now: Instant, key: CallKey) {
+    /// Records how long a call's running attempt has taken so far, unless that is
+    /// still within the baseline.
+    pub(super) fn record_unfinished(&mut self, now: Instant, key: CallKey) {
         let row = &self.calls[key];
         let call = row.call;
         let Some(attempt) = row.attempts.iter().flatten().next().copied() else {
             return;
         };
-        let took = now - attempt.start;
-        let low = self.expect(&call).map_or(f64::MAX, |e| e.low);
-        if took.as_secs_f64() > low && !attempt.trial {
-            self.judge(now, &call, &attempt, 1, took);
+        let elapsed = now - attempt.start;
+        let baseline = self.estimate(&call).map_or(f64::MAX, |e| e.baseline);
+        if elapsed.as_secs_f64() > baseline && !attempt.trial {
+            self.record_latency(now, &call, &attempt, 1, elapsed);
         }
     }
 
-    pub(super) fn not_run(
+    pub(super) fn finish_not_run(
         &mut self,
         now: Instant,
         key: CallKey,
         endpoint: EndpointKey,
         kind: ErrorKind,
     ) {
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
-        self.refused_there(now, &attempt, kind);
+        self.record_refusal(now, &attempt, kind);
         let row = &self.calls[key];
         let call = row.call;
-        if row.runs() {
+        if row.is_running() {
             return;
         }
-        let again = kind.answer().retry == Retry::After && row.tries < SENDS && !row.committed;
-        let again = again && self.in_time(now, &call);
-        if again && self.services[call.service].budget.spend(RESEND) {
+        let retry = kind.answer().retry == Retry::After
+            && row.attempts_started < MAX_STARTS
+            && !row.committed;
+        let retry = retry && self.can_answer_in_time(now, &call);
+        if retry && self.services[call.service].budget.try_spend(RESEND_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
         }
     }
 
-    fn refused_there(&mut self, now: Instant, attempt: &Attempt, kind: ErrorKind) {
+    fn record_refusal(&mut self, now: Instant, attempt: &Attempt, kind: ErrorKind) {
         let endpoint = attempt.endpoint;
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
         match kind {
             ErrorKind::Saturated | ErrorKind::HandoverFull => {
-                row.limit.refused(now, row.running);
+                row.limit.record_refusal(now, row.running);
                 if attempt.trial {
                     self.readmit(now, endpoint);
                 }
                 self.refresh(now, endpoint);
-                self.watch(now, endpoint);
+                self.schedule_check(now, endpoint);
             }
             ErrorKind::EndpointDown => {
-                let down = row.health.unreached();
-                if down || attempt.trial {
+                let unreachable = row.health.record_refused_connection();
+                if unreachable || attempt.trial {
                     self.eject(now, endpoint, true);
                 }
             }
@@ -214,39 +230,41 @@
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn finish_failed(
         &mut self,
         now: Instant,
         key: CallKey,
         endpoint: EndpointKey,
         kind: ErrorKind,
     ) {
-        let Some(attempt) = self.end(now, key, endpoint) else {
+        let Some(attempt) = self.end_attempt(now, key, endpoint) else {
             return;
         };
-        let bad = self
+        let failing = self
             .endpoints
             .get_mut(endpoint)
-            .is_some_and(|row| row.health.failed());
-        if bad || attempt.trial {
+            .is_some_and(|row| row.health.record_failure());
+        if failing || attempt.trial {
             self.eject(now, endpoint, attempt.trial);
         }
         let row = &mut self.calls[key];
-        row.ran = Some(kind);
-        if row.runs() {
+        row.run_error = Some(kind);
+        if row.is_running() {
             return;
         }
         let call = row.call;
-        let again = row.movable() && row.tries < row.call.tries && self.in_time(now, &call);
-        if again && self.services[call.service].budget.spend(RERUN) {
+        let retry = row.can_rerun()
+            && row.attempts_started < row.call.max_attempts
+            && self.can_answer_in_time(now, &call);
+        if retry && self.services[call.service].budget.try_spend(RERUN_COST) {
             self.enqueue(now, key);
         } else {
             self.refuse(now, key, kind);
         }
     }
 
-    /// Moves repeatable calls away from an endpoint that has gone silent.
-    pub(super) fn move_all(&mut self, now: Instant, endpoint: EndpointKey) {
+    /// Requeues the calls at a silent endpoint that may run elsewhere.
+    pub(super) fn rerun_calls(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(row) = self.endpoints.get(endpoint) else {
             return;
         };
@@ -254,36 +272,37 @@
         let keys: Vec<CallKey> = row.attempts.iter().map(|(_, key)| *key).collect();
         for key in keys {
             let row = &self.calls[key];
-            let alone = row.attempts[1].is_none();
-            let may = alone
-                && row.movable()
-                && row.tries < row.call.tries
-                && self.in_time(now, &row.call);
-            if may && self.services[service].budget.spend(RERUN) {
-                self.move_call(now, key);
+            let unhedged = row.attempts[1].is_none();
+            let eligible = unhedged
+                && row.can_rerun()
+                && row.attempts_started < row.call.max_attempts
+                && self.can_answer_in_time(now, &row.call);
+            if eligible && self.services[service].budget.try_spend(RERUN_COST) {
+                self.requeue(now, key);
             }
         }
     }
 
-    /// Compares how long an attempt took with its like and with its peers.
-    fn judge(
+    /// Records the latency of an attempt and compares it with the expected time
+    /// and with the endpoint's peers.
+    fn record_latency(
         &mut self,
         now: Instant,
         call: &Call,
         attempt: &Attempt,
         running: u32,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        let secs = took.as_secs_f64().max(1e-6);
-        let estimate = self.expect(call);
-        let ratio = estimate.map_or(1.0, |e| secs / e.low);
+        let secs = elapsed.as_secs_f64().max(1e-6);
+        let estimate = self.estimate(call);
+        let ratio = estimate.map_or(1.0, |e| secs / e.baseline);
         let Some(row) = self.endpoints.get_mut(attempt.endpoint) else {
             return;
         };
-        row.health.life = Some(now);
+        row.health.last_activity = Some(now);
         let peers = &mut self.services[call.service].peers;
         if attempt.trial {
-            if Health::passes(ratio, peers) {
+            if Health::passes_trial(ratio, peers) {
                 self.readmit(now, attempt.endpoint);
             } else {
                 self.eject(now, attempt.endpoint, true);
@@ -291,20 +310,20 @@
             return;
         }
         let sample = Sample {
-            took,
-            usual: estimate.map_or(secs, |e| e.usual),
+            elapsed,
+            unloaded: estimate.map_or(secs, |e| e.unloaded),
             running,
-            alone: attempt.alone,
-            sure: estimate.is_some_and(|e| e.sure),
-            settled: estimate.is_some_and(|e| e.settled),
+            low_load: attempt.low_load,
+            reliable: estimate.is_some_and(|e| e.reliable),
+            from_low_load: estimate.is_some_and(|e| e.from_low_load),
         };
-        row.limit.sample(now, &sample);
-        if !row.health.fit() {
+        row.limit.record(now, &sample);
+        if !row.health.is_healthy() {
             return;
         }
-        row.health.leave(peers);
-        let outlier = row.health.answered(ratio, peers);
-        row.health.join(peers);
+        row.health.leave_peers(peers);
+        let outlier = row.health.record_answer(ratio, peers);
+        row.health.join_peers(peers);
         if outlier {
             self.eject(now, attempt.endpoint, false);
         }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -5,15 +5,15 @@
     error::ErrorKind,
     route::{
         EndpointKey, ServiceKey,
-        admit::CARE,
-        drain::Returns,
+        admit::BASE_WAIT_MARGIN,
+        decay::DecayingSum,
         health::{Health, Peers},
-        learn::Learned,
-        limit::Limit,
-        meter::Meter,
-        queue::{Queue, Spot},
-        retry::Budget,
+        limit::ConcurrencyLimit,
+        queue::{Queue, QueueKey},
+        retry::RetryBudget,
+        retry_after::ReturnSchedule,
         ring::Ring,
+        service_times::ServiceTimes,
         spec::{Call, EndpointSpec, LoadReport, ServiceSpec},
     },
 };
@@ -23,24 +23,23 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a call in the router's table.
+    /// The key of a call in the router's table.
     pub(super) struct CallKey;
 }
 
-/// Near endpoints of the entry's subset, other near ones, those elsewhere.
+/// Number of tiers: the entry's subset of its data centre, the rest of that data
+/// centre, and other data centres.
 pub(super) const TIERS: usize = 3;
-/// The tier of endpoints at other places.
-pub(super) const FAR: usize = 2;
-/// Time constant of what counts as recent use: a few service times of an
-/// interactive call, so that lent slots are wanted back soon after a burst.
-const RECENT: Duration = Duration::from_secs(5);
-/// Time constant of the work that balances prefixes: of 24 calls a second to
-/// one engine the sum then strays by 5 per cent, half of the bound's margin.
-const PLACED: Duration = Duration::from_secs(20);
+/// The tier of endpoints in other data centres.
+pub(super) const REMOTE_TIER: usize = 2;
+/// Time constant of the peaks from which reserved slots are computed.
+const PEAK_DECAY: Duration = Duration::from_secs(5);
+/// Time constant of the recent work by which prefixes are balanced.
+const WORK_DECAY: Duration = Duration::from_secs(20);
 
-/// What the timers are set for.
+/// What a timer is set for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Due {
+pub(super) enum Timer {
     Call(CallKey),
     Endpoint(EndpointKey),
     Service(ServiceKey),
@@ -50,39 +49,40 @@
 pub(super) struct ServiceRow {
     pub(super) spec: ServiceSpec,
     pub(super) endpoints: Vec<EndpointKey>,
-    /// Endpoints with room, by tier.
+    /// Endpoints with free slots, by tier.
     pub(super) pools: [Vec<EndpointKey>; TIERS],
     pub(super) ring: Ring,
     pub(super) queues: [Queue; 3],
-    /// Attempts that run, by class.
-    pub(super) used: [u32; 3],
-    /// Sum of the limits of the endpoints that take work.
-    pub(super) lanes: u32,
-    /// Sum of what is free below these limits.
-    pub(super) free: u32,
-    /// Endpoints that take work, and those of them at the entry's place.
+    /// Running attempts, by class.
+    pub(super) running: [u32; 3],
+    /// Sum of the limits of usable endpoints.
+    pub(super) capacity: u32,
+    /// Sum of the free slots of usable endpoints.
+    pub(super) free_slots: u32,
+    /// Endpoints that accept calls and have a limit above 0.
     pub(super) usable: u32,
-    pub(super) near: u32,
-    /// Endpoints that are ejected.
-    pub(super) out: u32,
-    /// Ejected endpoints that wait for a call to be tried with.
-    pub(super) ready: Vec<EndpointKey>,
+    /// Those of them in the entry's data centre.
+    pub(super) usable_local: u32,
+    /// Number of ejected endpoints, including those on trial.
+    pub(super) ejected: u32,
+    /// Ejected endpoints that wait for a trial call.
+    pub(super) awaiting_trial: Vec<EndpointKey>,
     pub(super) peers: Peers,
-    pub(super) learned: Learned,
-    /// What calls take now, over what they took on average: at the start of a
-    /// burst endpoints fill up long before the averages show it.
-    pub(super) stretch: f64,
-    /// How much longer than estimated a wait may become.
-    pub(super) care: f64,
-    pub(super) budget: Budget,
-    pub(super) returns: [Returns; 3],
-    /// Work placed lately, over all endpoints.
-    pub(super) placed: Meter,
-    /// Peak of attempts by class, lately.
-    pub(super) peaks: [Meter; 3],
-    /// Repeatable attempts of lower classes, to take their slots back.
-    pub(super) lent: BTreeSet<(Instant, CallKey)>,
-    pub(super) due: Option<Instant>,
+    pub(super) service_times: ServiceTimes,
+    /// Current service time relative to the estimate; it rises at the start of a
+    /// burst, well before the estimate does.
+    pub(super) slowdown: f64,
+    /// Safety factor on the estimated wait.
+    pub(super) wait_margin: f64,
+    pub(super) budget: RetryBudget,
+    pub(super) return_schedules: [ReturnSchedule; 3],
+    /// Recently placed work of all endpoints.
+    pub(super) recent_work: DecayingSum,
+    /// Decayed peaks of running attempts, by class.
+    pub(super) recent_peaks: [DecayingSum; 3],
+    /// Running calls that may be preempted, by start.
+    pub(super) preemptible: BTreeSet<(Instant, CallKey)>,
+    pub(super) timer_at: Option<Instant>,
 }
 
 impl ServiceRow {
@@ -93,23 +93,23 @@
             pools: Default::default(),
             ring: Ring::default(),
             queues: Default::default(),
-            used: [0; 3],
-            lanes: 0,
-            free: 0,
+            running: [0; 3],
+            capacity: 0,
+            free_slots: 0,
             usable: 0,
-            near: 0,
-            out: 0,
-            ready: Vec::new(),
+            usable_local: 0,
+            ejected: 0,
+            awaiting_trial: Vec::new(),
             peers: Peers::default(),
-            learned: Learned::new(),
-            stretch: 1.0,
-            care: CARE,
-            budget: Budget::new(),
-            returns: [Returns::default(); 3],
-            placed: Meter::new(PLACED),
-            peaks: [Meter::new(RECENT); 3],
-            lent: BTreeSet::new(),
-            due: None,
+            service_times: ServiceTimes::new(),
+            slowdown: 1.0,
+            wait_margin: BASE_WAIT_MARGIN,
+            budget: RetryBudget::new(),
+            return_schedules: [ReturnSchedule::default(); 3],
+            recent_work: DecayingSum::new(WORK_DECAY),
+            recent_peaks: [DecayingSum::new(PEAK_DECAY); 3],
+            preemptible: BTreeSet::new(),
+            timer_at: None,
         }
     }
 
@@ -117,74 +117,74 @@
         &self.queues[class.index()]
     }
 
-    pub(super) fn idle(&self) -> bool {
+    pub(super) fn queues_empty(&self) -> bool {
         self.queues.iter().all(Queue::is_empty)
     }
 }
 
-/// A report and what was known of the endpoint when it arrived.
+/// A load report and the entry's own load when it arrived.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct ReceivedReport {
     pub(super) report: LoadReport,
-    /// When it was true.
-    pub(super) at: Instant,
-    /// Attempts of this entry that ran then.
-    pub(super) own: u32,
-    /// Tokens sent there since.
-    pub(super) sent: u64,
+    /// When the report was taken.
+    pub(super) valid_at: Instant,
+    /// Attempts of this entry that ran when the report arrived.
+    pub(super) own_running: u32,
+    /// Tokens of the calls sent there since.
+    pub(super) tokens_sent: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct EndpointRow {
     pub(super) spec: EndpointSpec,
     pub(super) service: ServiceKey,
-    pub(super) open: bool,
+    pub(super) accepting: bool,
     pub(super) running: u32,
-    /// Tokens of the attempts that run.
+    /// Tokens of the running attempts.
     pub(super) tokens: u64,
-    pub(super) limit: Limit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) health: Health,
     pub(super) tier: usize,
-    /// Position in its pool, while it has room.
-    pub(super) slot: Option<usize>,
-    /// What of it is counted in the service's sums.
+    /// Position in its tier's pool, while it has free slots.
+    pub(super) pool_index: Option<usize>,
+    /// Its part in the service's sums.
     pub(super) counted: Counted,
-    pub(super) seen: Option<Seen>,
-    /// Work placed there lately.
-    pub(super) placed: Meter,
-    /// Attempts by their start, to find the oldest.
+    pub(super) last_report: Option<ReceivedReport>,
+    /// Recently placed work.
+    pub(super) recent_work: DecayingSum,
+    /// Running attempts by start.
     pub(super) attempts: BTreeSet<(Instant, CallKey)>,
-    pub(super) due: Option<Instant>,
+    pub(super) timer_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counted {
-    pub(super) lanes: u32,
-    pub(super) free: u32,
+    pub(super) capacity: u32,
+    pub(super) free_slots: u32,
 }
 
 impl EndpointRow {
     pub(super) fn new(service: ServiceKey, spec: EndpointSpec) -> Self {
         Self {
-            limit: Limit::new(spec.limit),
+            limit: ConcurrencyLimit::new(spec.limit),
             spec,
             service,
-            open: true,
+            accepting: true,
             running: 0,
             tokens: 0,
             health: Health::new(),
             tier: 0,
-            slot: None,
+            pool_index: None,
             counted: Counted::default(),
-            seen: None,
-            placed: Meter::new(PLACED),
+            last_report: None,
+            recent_work: DecayingSum::new(WORK_DECAY),
             attempts: BTreeSet::new(),
-            due: None,
+            timer_at: None,
         }
     }
 
-    pub(super) fn usable(&self) -> bool {
-        self.open && self.health.fit()
+    pub(super) fn is_usable(&self) -> bool {
+        self.accepting && self.health.is_healthy()
     }
 }
 
@@ -193,33 +193,33 @@
     pub(super) endpoint: EndpointKey,
     pub(super) start: Instant,
     pub(super) trial: bool,
-    /// Whether it met few others there.
-    pub(super) alone: bool,
+    /// Whether the endpoint was at low load when it started.
+    pub(super) low_load: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct CallRow {
     pub(super) call: Call,
-    /// Expected seconds at an endpoint.
+    /// Expected service time in seconds.
     pub(super) work: f64,
     pub(super) seq: u64,
-    /// Attempts started.
-    pub(super) tries: u8,
-    /// Times that its slot was taken back.
-    pub(super) yields: u8,
-    pub(super) waits: bool,
-    /// Whether its caller has part of an answer.
+    /// Number of attempts so far.
+    pub(super) attempts_started: u8,
+    /// Number of times that it was preempted.
+    pub(super) preemptions: u8,
+    pub(super) queued: bool,
+    /// Whether its caller has received part of an answer.
     pub(super) committed: bool,
-    /// What to tell if it may have run.
-    pub(super) ran: Option<ErrorKind>,
-    /// Where the last attempt ran.
-    pub(super) last: Option<EndpointKey>,
-    /// The attempt and its hedge.
+    /// Error to report if an attempt may have run.
+    pub(super) run_error: Option<ErrorKind>,
+    /// Endpoint of the last attempt.
+    pub(super) last_endpoint: Option<EndpointKey>,
+    /// Running attempts: at most one and its hedge.
     pub(super) attempts: [Option<Attempt>; 2],
-    /// When its timer is set.
-    pub(super) due: Option<Instant>,
-    /// When it can't be answered any more, while it waits.
-    pub(super) last_start: Instant,
+    /// When its timer is due.
+    pub(super) timer_at: Option<Instant>,
+    /// Latest start that still meets the deadline, while queued.
+    pub(super) latest_start: Instant,
 }
 
 impl CallRow {
@@ -228,35 +228,35 @@
             call,
             work,
             seq,
-            tries: 0,
-            yields: 0,
-            waits: false,
+            attempts_started: 0,
+            preemptions: 0,
+            queued: false,
             committed: false,
-            ran: None,
-            last: None,
+            run_error: None,
+            last_endpoint: None,
             attempts: [None; 2],
-            due: None,
-            last_start: call.deadline,
+            timer_at: None,
+            latest_start: call.deadline,
         }
     }
 
-    pub(super) fn free(&self) -> bool {
+    pub(super) fn is_repeatable(&self) -> bool {
         self.call.repeat == Repeat::Idempotent
     }
 
-    /// Says whether another attempt could still answer it.
-    pub(super) fn movable(&self) -> bool {
-        self.free() && !self.committed
+    /// Returns whether another attempt may still answer it.
+    pub(super) fn can_rerun(&self) -> bool {
+        self.is_repeatable() && !self.committed
     }
 
-    pub(super) fn spot(&self) -> Spot {
-        Spot {
+    pub(super) fn queue_key(&self) -> QueueKey {
+        QueueKey {
             deadline: self.call.deadline,
             seq: self.seq,
         }
     }
 
-    pub(super) fn runs(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         self.attempts.iter().any(Option::is_some)
     }
 
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -1,66 +1,66 @@
-//! What the router thinks of an endpoint, for those who ask why.
+//! The router's view of an endpoint, for diagnostics.
 
 use crate::route::{EndpointKey, health::Phase, router::Router};
 use std::time::Instant;
 
-/// Whether an endpoint gets work, as far as its health goes.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
-    /// It does.
-    Fit,
+pub enum HealthState {
+    /// It gets calls.
+    Healthy,
     /// It is ejected.
     Ejected,
-    /// The pause after its ejection is over, and a call is to try it.
-    Ready,
-    /// A call tries it.
+    /// Its ejection is over and it waits for a trial call.
+    AwaitingTrial,
+    /// A trial call is running.
     Trial,
 }
 
 /// One endpoint as the router sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
-    /// Whether it gets work.
-    pub standing: Standing,
-    /// Attempts of this entry that run there.
+pub struct EndpointView {
+    /// Its health state.
+    pub health: HealthState,
+    /// Running attempts of this entry.
     pub running: u32,
-    /// Attempts that may run there.
+    /// Concurrency limit of this entry.
     pub limit: u32,
-    /// Its load for comparison; a call goes to the lower of two.
+    /// Load relative to limit and speed; a call goes to the lower of two.
     pub score: f64,
-    /// How many times longer than expected it takes.
-    pub slower: f64,
-    /// Share of its calls that failed lately.
-    pub failing: f64,
-    /// Connections in a row that it refused.
-    pub refused: u32,
+    /// Mean latency relative to the expected one.
+    pub latency_ratio: f64,
+    /// Share of recent calls that failed.
+    pub failure_rate: f64,
+    /// Refused connections in a row.
+    pub refused_streak: u32,
 }
 
 impl Router {
-    /// Returns whether an endpoint gets work, as far as its health goes.
+    /// Returns the health state of an endpoint, if it is known.
     #[must_use]
-    pub fn standing(&self, endpoint: EndpointKey) -> Option<Standing> {
+    pub fn health_state(&self, endpoint: EndpointKey) -> Option<HealthState> {
         let row = self.endpoints.get(endpoint)?;
         Some(match row.health.phase {
-            Phase::Fit => Standing::Fit,
-            Phase::Out(_) => Standing::Ejected,
-            Phase::Ready => Standing::Ready,
-            Phase::Trial => Standing::Trial,
+            Phase::Healthy => HealthState::Healthy,
+            Phase::Ejected(_) => HealthState::Ejected,
+            Phase::AwaitingTrial => HealthState::AwaitingTrial,
+            Phase::Trial => HealthState::Trial,
         })
     }
 
-    /// Returns what the router thinks of an endpoint.
+    /// Returns the router's view of an endpoint, if it is known.
     #[must_use]
-    pub fn view(&self, now: Instant, endpoint: EndpointKey) -> Option<View> {
+    pub fn endpoint_view(&self, now: Instant, endpoint: EndpointKey) -> Option<EndpointView> {
         let row = self.endpoints.get(endpoint)?;
-        let (failing, refused) = row.health.faults();
-        Some(View {
-            standing: self.standing(endpoint)?,
+        let (failure_rate, refused_streak) = row.health.faults();
+        Some(EndpointView {
+            health: self.health_state(endpoint)?,
             running: row.running,
             limit: row.limit.get(),
             score: row.score(now),
-            slower: row.health.factor(),
-            failing,
-            refused,
+            latency_ratio: row.health.latency_ratio(),
+            failure_rate,
+            refused_streak,
         })
     }
 }
