--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -19,8 +19,7 @@
 };
 use std::time::{Duration, Instant};
 
-/// A generation below this share of the usual token rate is slow. The rates of engines
-/// with different batch sizes differ by less.
+/// A generation below this share of the usual token rate is slow.
 const SLOW_RATE_RATIO: f64 = 0.5;
 
 /// Without a report for this time, the engine or the connection is considered lost.
