--- a/hibiscusroad-cli/src/args.rs
+++ b/hibiscusroad-cli/src/args.rs
@@ -1,7 +1,7 @@
 //! The command line, the environment and the operator's settings file.
 //!
-//! What is given on the command line goes before the environment, and that
-//! before the file.
+//! An option on the command line overrides the environment, which overrides the
+//! file.
 
 use crate::format::{self, Format};
 use lexopt::prelude::*;
@@ -13,11 +13,11 @@
     path::{Path, PathBuf},
 };
 
-/// Names of environment variables.
+/// The names of the environment variables.
 pub mod env {
-    /// Entries, separated by commas.
+    /// The addresses of entries, separated by commas.
     pub const ENTRY: &str = "HIBISCUSROAD_ENTRY";
-    /// The operator's settings file.
+    /// The path of the operator's settings file.
     pub const CONFIG: &str = "HIBISCUSROAD_CONFIG";
     /// The operator's name.
     pub const USER: &str = "USER";
@@ -56,25 +56,25 @@
 Exit codes: 0 done, 1 refused, 2 usage or syntax, 3 outcome unknown,
 4 nobody reached.";
 
-/// What the operator wants.
+/// What one run of the program does.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Job {
+pub enum Action {
     /// Print the help.
     Help,
     /// Print the version.
     Version,
-    /// Tell the story of an id from logs.
+    /// Print the timeline of an id from logs.
     Trace {
-        /// The request, batch or item.
+        /// The id of a request, batch or item.
         id: String,
-        /// The logs; standard input, if there is none.
+        /// The log files; standard input if empty.
         logs: Vec<PathBuf>,
     },
-    /// Tell what the steps of trainers waited for.
+    /// Print what the training steps waited for.
     Steps {
-        /// The logs; standard input, if there is none.
+        /// The log files; standard input if empty.
         logs: Vec<PathBuf>,
-        /// How the table is printed.
+        /// The output format of the table.
         format: Format,
     },
     /// Run statements.
@@ -84,16 +84,16 @@
 /// Where statements come from.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum Source {
-    /// From the terminal, one by one.
+    /// An interactive prompt on the terminal.
     #[default]
     Prompt,
-    /// From the command line.
+    /// The command line.
     Text(String),
-    /// From a file; `-` is standard input.
+    /// A file; `-` is standard input.
     File(PathBuf),
 }
 
-/// A secret, which never reaches an output.
+/// A bearer token, redacted in debug output.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Token(pub String);
 
@@ -103,64 +103,64 @@
     }
 }
 
-/// How statements are run.
+/// The options for running statements.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Options {
     /// Where statements come from.
     pub source: Source,
-    /// Entries in the order in which they are tried.
+    /// The addresses of the entries, in the order in which they are tried.
     pub entries: Vec<SocketAddr>,
-    /// The token.
+    /// The token for the entries.
     pub token: Option<Token>,
-    /// How tables are printed.
+    /// The output format of tables.
     pub format: Format,
-    /// Only show what a command would change.
-    pub dry: bool,
-    /// Allow what is dangerous.
+    /// Whether to show what a command would change without changing it.
+    pub dry_run: bool,
+    /// Whether to allow dangerous changes.
     pub force: bool,
-    /// The version that commands are written for.
-    pub base: Option<u64>,
-    /// The id of a command that is asked again.
-    pub id: Option<String>,
-    /// Who asks.
-    pub who: String,
+    /// The configuration version on which commands are based.
+    pub base_version: Option<u64>,
+    /// The id of the command that is retried.
+    pub command_id: Option<String>,
+    /// The operator's name, for the audit trail.
+    pub user: String,
 }
 
-/// What is wrong with the command line or the operator's settings.
+/// An error in the command line or the operator's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An option or its value is wrong.
+    /// An option is unknown or its value is invalid.
     #[error("{0}; see hibiscusroad --help")]
-    Option(#[from] lexopt::Error),
-    /// No such format.
+    InvalidOption(#[from] lexopt::Error),
+    /// The output format is unknown.
     #[error(transparent)]
-    Format(#[from] format::Unknown),
-    /// An entry's address is wrong.
+    Format(#[from] format::UnknownFormat),
+    /// An entry's address is invalid.
     #[error("entry {0:?} is no IP:PORT, such as 127.0.0.1:8081")]
-    Entry(String),
-    /// No entry is named anywhere.
-    #[error("no entry is named; give --entry IP:PORT or set HIBISCUSROAD_ENTRY")]
+    InvalidEntry(String),
+    /// No entry is configured.
+    #[error("no entry is configured; give --entry IP:PORT or set HIBISCUSROAD_ENTRY")]
     NoEntry,
-    /// `trace` needs an id.
-    #[error("trace needs the id of a request, batch or item")]
-    NoId,
-    /// `--id` needs the base that the command was sent with.
-    #[error("--id needs --base VERSION as it was printed with the id")]
-    NoBase,
+    /// `trace` has no id.
+    #[error("trace requires the id of a request, batch or item")]
+    MissingId,
+    /// `--id` is given without `--base`.
+    #[error("--id requires --base VERSION, as printed with the id")]
+    MissingBase,
     /// A file can't be read.
-    #[error("{}: {source}", .file.display())]
-    File {
-        /// The file.
-        file: PathBuf,
-        /// Why.
+    #[error("{}: {source}", .path.display())]
+    ReadFile {
+        /// The path of the file.
+        path: PathBuf,
+        /// The cause.
         source: io::Error,
     },
-    /// The operator's settings file is wrong.
-    #[error("{}: {source}", .file.display())]
-    Config {
-        /// The file.
-        file: PathBuf,
-        /// Why.
+    /// The operator's settings file is invalid.
+    #[error("{}: {source}", .path.display())]
+    InvalidSettings {
+        /// The path of the file.
+        path: PathBuf,
+        /// The cause.
         source: Box<toml::de::Error>,
     },
 }
@@ -168,106 +168,113 @@
 /// The operator's settings file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Config {
+struct Settings {
     entries: Vec<String>,
     token_file: Option<PathBuf>,
     format: Option<String>,
-    who: Option<String>,
+    #[serde(rename = "who")]
+    user: Option<String>,
 }
 
+/// The parsed command line, before the environment and the settings file are
+/// applied.
 #[derive(Default)]
 struct Flags {
     entries: Vec<String>,
     token_file: Option<PathBuf>,
     format: Option<String>,
-    who: Option<String>,
-    words: Vec<String>,
-    file: Option<PathBuf>,
+    user: Option<String>,
+    positionals: Vec<String>,
+    script: Option<PathBuf>,
     options: Options,
     steps: bool,
 }
 
-/// Reads the command line, with `env` to look up environment variables.
+/// Parses the command line, looking up environment variables with `env`.
 ///
 /// # Errors
 ///
-/// Returns the first thing that is wrong.
+/// Returns the first error found.
 pub fn parse(
     args: impl IntoIterator<Item = OsString>,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Result<Job, Error> {
+) -> Result<Action, Error> {
     let mut flags = Flags::default();
     let mut parser = lexopt::Parser::from_args(args);
     while let Some(arg) = parser.next()? {
         match arg {
-            Short('h') | Long("help") => return Ok(Job::Help),
-            Short('V') | Long("version") => return Ok(Job::Version),
+            Short('h') | Long("help") => return Ok(Action::Help),
+            Short('V') | Long("version") => return Ok(Action::Version),
             Long("entry") => flags.entries.push(parser.value()?.string()?),
             Long("token-file") => flags.token_file = Some(parser.value()?.into()),
             Long("format") => flags.format = Some(parser.value()?.string()?),
             Long("steps") => flags.steps = true,
-            Long("dry-run") => flags.options.dry = true,
+            Long("dry-run") => flags.options.dry_run = true,
             Long("force") => flags.options.force = true,
-            Long("base") => flags.options.base = Some(parser.value()?.parse()?),
-            Long("id") => flags.options.id = Some(parser.value()?.string()?),
-            Long("as") => flags.who = Some(parser.value()?.string()?),
-            Short('f') if flags.file.is_none() => flags.file = Some(parser.value()?.into()),
-            Value(word) if flags.file.is_none() => flags.words.push(word.string()?),
+            Long("base") => flags.options.base_version = Some(parser.value()?.parse()?),
+            Long("id") => flags.options.command_id = Some(parser.value()?.string()?),
+            Long("as") => flags.user = Some(parser.value()?.string()?),
+            Short('f') if flags.script.is_none() => flags.script = Some(parser.value()?.into()),
+            Value(value) if flags.script.is_none() => flags.positionals.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
-    if flags.words.first().is_some_and(|word| word == "trace") {
-        return trace(flags);
+    if flags
+        .positionals
+        .first()
+        .is_some_and(|word| word == "trace")
+    {
+        return parse_trace(flags);
     }
-    resolve(flags, env).map(|options| Job::Run(Box::new(options)))
+    resolve(flags, env).map(|options| Action::Run(Box::new(options)))
 }
 
-fn trace(flags: Flags) -> Result<Job, Error> {
-    let mut words = flags.words.into_iter().skip(1);
+fn parse_trace(flags: Flags) -> Result<Action, Error> {
+    let mut positionals = flags.positionals.into_iter().skip(1);
     if flags.steps {
         let format = flags.format.unwrap_or_else(|| "table".to_owned());
-        return Ok(Job::Steps {
-            logs: words.map(PathBuf::from).collect(),
+        return Ok(Action::Steps {
+            logs: positionals.map(PathBuf::from).collect(),
             format: format.parse()?,
         });
     }
-    let id = words.next().ok_or(Error::NoId)?;
-    let logs = words.map(PathBuf::from).collect();
-    Ok(Job::Trace { id, logs })
+    let id = positionals.next().ok_or(Error::MissingId)?;
+    let logs = positionals.map(PathBuf::from).collect();
+    Ok(Action::Trace { id, logs })
 }
 
 fn resolve(flags: Flags, env: &dyn Fn(&str) -> Option<String>) -> Result<Options, Error> {
-    let config = match env(env::CONFIG) {
-        Some(file) => load(Path::new(&file))?,
-        None => Config::default(),
+    let settings = match env(env::CONFIG) {
+        Some(path) => read_settings(Path::new(&path))?,
+        None => Settings::default(),
     };
     let mut options = flags.options;
-    if options.id.is_some() && options.base.is_none() {
-        return Err(Error::NoBase);
+    if options.command_id.is_some() && options.base_version.is_none() {
+        return Err(Error::MissingBase);
     }
-    let named = env(env::ENTRY).map(|list| list.split(',').map(str::to_owned).collect());
-    let given = Some(flags.entries).filter(|list| !list.is_empty());
-    options.entries = entries(given.or(named).unwrap_or(config.entries))?;
-    if let Some(file) = flags.token_file.or(config.token_file) {
-        options.token = Some(Token(read(&file)?.trim().to_owned()));
+    let from_env = env(env::ENTRY).map(|list| list.split(',').map(str::to_owned).collect());
+    let from_args = Some(flags.entries).filter(|list| !list.is_empty());
+    options.entries = parse_entries(from_args.or(from_env).unwrap_or(settings.entries))?;
+    if let Some(path) = flags.token_file.or(settings.token_file) {
+        options.token = Some(Token(read_file(&path)?.trim().to_owned()));
     }
-    if let Some(word) = flags.format.or(config.format) {
-        options.format = word.parse()?;
+    if let Some(name) = flags.format.or(settings.format) {
+        options.format = name.parse()?;
     }
-    let who = flags.who.or(config.who).or_else(|| env(env::USER));
-    options.who = who.unwrap_or_else(|| "operator".to_owned());
-    options.source = match flags.file {
-        Some(file) => Source::File(file),
-        None if flags.words.is_empty() => Source::Prompt,
-        None => Source::Text(flags.words.join(" ")),
+    let user = flags.user.or(settings.user).or_else(|| env(env::USER));
+    options.user = user.unwrap_or_else(|| "operator".to_owned());
+    options.source = match flags.script {
+        Some(path) => Source::File(path),
+        None if flags.positionals.is_empty() => Source::Prompt,
+        None => Source::Text(flags.positionals.join(" ")),
     };
     Ok(options)
 }
 
-fn entries(list: Vec<String>) -> Result<Vec<SocketAddr>, Error> {
+fn parse_entries(list: Vec<String>) -> Result<Vec<SocketAddr>, Error> {
     let parsed = list
         .into_iter()
-        .map(|text| text.trim().parse().ok().ok_or(Error::Entry(text)));
+        .map(|text| text.trim().parse().ok().ok_or(Error::InvalidEntry(text)));
     let entries: Vec<SocketAddr> = parsed.collect::<Result<_, _>>()?;
     if entries.is_empty() {
         return Err(Error::NoEntry);
@@ -275,16 +282,16 @@
     Ok(entries)
 }
 
-fn load(file: &Path) -> Result<Config, Error> {
-    toml::from_str(&read(file)?).map_err(|source| Error::Config {
-        file: file.to_owned(),
+fn read_settings(path: &Path) -> Result<Settings, Error> {
+    toml::from_str(&read_file(path)?).map_err(|source| Error::InvalidSettings {
+        path: path.to_owned(),
         source: Box::new(source),
     })
 }
 
-fn read(file: &Path) -> Result<String, Error> {
-    fs::read_to_string(file).map_err(|source| Error::File {
-        file: file.to_owned(),
+fn read_file(path: &Path) -> Result<String, Error> {
+    fs::read_to_string(path).map_err(|source| Error::ReadFile {
+        path: path.to_owned(),
         source,
     })
 }
--- a/hibiscusroad-cli/src/format.rs
+++ b/hibiscusroad-cli/src/format.rs
@@ -32,17 +32,17 @@
 /// A word that is no format.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 #[error("no format {0:?}; there are table, json, csv")]
-pub struct Unknown(pub String);
+pub struct UnknownFormat(pub String);
 
 impl FromStr for Format {
-    type Err = Unknown;
+    type Err = UnknownFormat;
 
-    fn from_str(word: &str) -> Result<Self, Unknown> {
+    fn from_str(word: &str) -> Result<Self, UnknownFormat> {
         match word {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
             "csv" => Ok(Self::Csv),
-            other => Err(Unknown(other.to_owned())),
+            other => Err(UnknownFormat(other.to_owned())),
         }
     }
 }
--- a/hibiscusroad-cli/src/main.rs
+++ b/hibiscusroad-cli/src/main.rs
@@ -1,7 +1,7 @@
 //! `hibiscusroad`: the operators' command line.
 
 use hibiscusroad_cli::{
-    args::{self, HELP, Job, Options, Source},
+    args::{self, Action, HELP, Options, Source},
     format::{self, Format},
     language::{self, Statement},
     session::{Exit, Session},
@@ -19,11 +19,11 @@
 fn main() -> ExitCode {
     let env = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
     let exit = match args::parse(std::env::args_os().skip(1), &env) {
-        Ok(Job::Help) => print(HELP),
-        Ok(Job::Version) => print(&format!("hibiscusroad {}", env!("CARGO_PKG_VERSION"))),
-        Ok(Job::Trace { id, logs }) => trace(&id, &logs),
-        Ok(Job::Steps { logs, format }) => steps(&logs, format),
-        Ok(Job::Run(options)) => run(*options),
+        Ok(Action::Help) => print(HELP),
+        Ok(Action::Version) => print(&format!("hibiscusroad {}", env!("CARGO_PKG_VERSION"))),
+        Ok(Action::Trace { id, logs }) => trace(&id, &logs),
+        Ok(Action::Steps { logs, format }) => steps(&logs, format),
+        Ok(Action::Run(options)) => run(*options),
         Err(error) => usage(&error.to_string()),
     };
     match exit {
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -66,7 +66,7 @@
     }
 
     pub(crate) const fn is_dry(&self) -> bool {
-        self.options.dry
+        self.options.dry_run
     }
 
     pub(crate) const fn is_forced(&self) -> bool {
@@ -80,7 +80,7 @@
     /// Returns the output's error.
     pub fn run(&mut self, statements: &[Statement]) -> io::Result<Exit> {
         let changes = |s: &&Statement| !matches!(s, Statement::Show(_) | Statement::Explain { .. });
-        if self.options.id.is_some() && statements.iter().filter(changes).count() != 1 {
+        if self.options.command_id.is_some() && statements.iter().filter(changes).count() != 1 {
             writeln!(self.err, "--id goes with exactly one command")?;
             return Ok(Exit::Usage);
         }
@@ -176,7 +176,7 @@
         // A command that is asked again may have taken effect; "refused" from
         // here would not be true of it.
         let drain = matches!(change, Change::Drain { .. });
-        if !drain || self.options.force || self.options.id.is_some() {
+        if !drain || self.options.force || self.options.command_id.is_some() {
             return self.change(change);
         }
         let rows = match self.ask("show/endpoints")? {
@@ -205,13 +205,13 @@
             Ok(base) => base,
             Err(exit) => return Ok(exit),
         };
-        let id = self.options.id.clone();
+        let id = self.options.command_id.clone();
         let command = Command {
             id: id.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())),
             base,
-            who: self.options.who.clone(),
+            who: self.options.user.clone(),
             change: change.clone(),
-            dry: self.options.dry,
+            dry: self.options.dry_run,
             force: self.options.force,
         };
         let outcome = self.client.change(&command);
@@ -220,7 +220,7 @@
 
     /// Returns the version that a command is written for.
     fn base(&mut self) -> io::Result<Result<u64, Exit>> {
-        if let Some(base) = self.options.base {
+        if let Some(base) = self.options.base_version {
             return Ok(Ok(base));
         }
         Ok(self.ask("show/config")?.map(|_| self.newest))
--- a/hibiscusroad-cli/tests/options.rs
+++ b/hibiscusroad-cli/tests/options.rs
@@ -1,14 +1,14 @@
 //! The command line, the environment and the settings file, in this order.
 
 use hibiscusroad_cli::{
-    args::{self, Error, Job, Options, Source},
+    args::{self, Action, Error, Options, Source},
     format::Format,
 };
 use std::{ffi::OsString, fs, path::PathBuf};
 
 type Env<'a> = &'a [(&'a str, &'a str)];
 
-fn parse(line: &str, env: Env<'_>) -> Result<Job, Error> {
+fn parse(line: &str, env: Env<'_>) -> Result<Action, Error> {
     let args = line.split_whitespace().map(OsString::from);
     let env = |name: &str| {
         let found = env.iter().find(|(known, _)| *known == name);
@@ -19,7 +19,7 @@
 
 fn options(line: &str, env: Env<'_>) -> Options {
     match parse(line, env).unwrap() {
-        Job::Run(options) => *options,
+        Action::Run(options) => *options,
         other => panic!("{other:?}"),
     }
 }
@@ -45,7 +45,7 @@
         &[config, entry],
     );
     assert_eq!(all.entries, ["127.0.0.1:9".parse().unwrap()]);
-    assert_eq!((all.who.as_str(), all.format), ("jana", Format::Json));
+    assert_eq!((all.user.as_str(), all.format), ("jana", Format::Json));
     assert_eq!(all.source, Source::Text("show hosts".to_owned()));
     assert_eq!(all.token.unwrap().0, "a-secret");
 
@@ -55,7 +55,7 @@
 
     let file = options("", &[config, ("USER", "root")]);
     assert_eq!(file.entries, ["127.0.0.1:3".parse().unwrap()]);
-    assert_eq!((file.who.as_str(), file.format), ("eva", Format::Csv));
+    assert_eq!((file.user.as_str(), file.format), ("eva", Format::Csv));
     assert_eq!(file.source, Source::Prompt);
 }
 
@@ -81,6 +81,6 @@
 
 #[test]
 fn help_and_version_need_no_entry() {
-    assert_eq!(parse("--help", &[]).unwrap(), Job::Help);
-    assert_eq!(parse("-V", &[]).unwrap(), Job::Version);
+    assert_eq!(parse("--help", &[]).unwrap(), Action::Help);
+    assert_eq!(parse("-V", &[]).unwrap(), Action::Version);
 }
--- a/hibiscusroad-cli/tests/outcomes.rs
+++ b/hibiscusroad-cli/tests/outcomes.rs
@@ -37,7 +37,7 @@
 fn options(entries: &[SocketAddr]) -> Options {
     Options {
         entries: entries.to_vec(),
-        who: "jana".to_owned(),
+        user: "jana".to_owned(),
         ..Options::default()
     }
 }
@@ -94,8 +94,8 @@
 fn unknown_command_is_asked_again() {
     let entry = Fake::start(vec![say(200, DONE)]);
     let mut options = options(&[entry.address]);
-    options.id = Some("0a1b".to_owned());
-    options.base = Some(4);
+    options.command_id = Some("0a1b".to_owned());
+    options.base_version = Some(4);
     let told = run(options, "set note = a");
     assert_eq!(told.exit, Exit::Done);
     let command = command(&entry);
@@ -168,7 +168,7 @@
     let dry = r#"{"outcome":"dry","version":5,"changes":[{"key":"drains.hosts.a","old":null,"new":"yes"}]}"#;
     let entry = Fake::start(vec![say(200, CONFIG), say(200, dry)]);
     let mut options = options(&[entry.address]);
-    options.dry = true;
+    options.dry_run = true;
     let told = run(options, "set note = a");
     assert_eq!(told.exit, Exit::Done);
     let expected = "dry: version 5\nkey             old  new\ndrains.hosts.a  -    yes\n";
--- a/hibiscusroad-cli/tests/trace.rs
+++ b/hibiscusroad-cli/tests/trace.rs
@@ -1,7 +1,7 @@
 //! The story of an id from logs of several processes.
 
 use hibiscusroad_cli::{
-    args::{self, Job},
+    args::{self, Action},
     trace::Logs,
 };
 use std::{
@@ -63,7 +63,7 @@
         let args = words.iter().map(std::ffi::OsString::from);
         args::parse(args, &|_| None)
     };
-    let job = Job::Trace {
+    let job = Action::Trace {
         id: "b1".to_owned(),
         logs: vec![PathBuf::from("x.log")],
     };
@@ -136,7 +136,7 @@
 #[test]
 fn command_line_takes_steps_and_a_format() {
     let args = ["trace", "--steps", "--format", "csv", "x.log"].map(std::ffi::OsString::from);
-    let job = Job::Steps {
+    let job = Action::Steps {
         logs: vec![PathBuf::from("x.log")],
         format: hibiscusroad_cli::format::Format::Csv,
     };
