--- a/hibiscusroad-cli/src/client.rs
+++ b/hibiscusroad-cli/src/client.rs
@@ -1,11 +1,11 @@
-//! Asking entries, one after another, until one has an answer.
+//! A client that fails over between entries.
 //!
-//! A question goes to the next entry whenever one has no answer. A change goes
-//! on too, under the same command id, and takes effect at most once however
-//! many entries work on it. What must be kept apart is what may be said in the
-//! end: "refused" only if no entry can have passed the change on. An answer
-//! that got lost makes the outcome unknown until an entry knows better, and
-//! then a later entry's "the table is down" proves nothing.
+//! A query is retried at the next entry if one doesn't response. So is a change:
+//! its command id makes it take effect at most once, however many entries
+//! process it. A change is reported as refused only if no entry can have
+//! applied it. Once a response has been lost the outcome is unknown until an
+//! entry confirms it; a later entry's "the table is down" speaks only for that
+//! entry's own attempt.
 
 use crate::{args::Token, rows::Row};
 use hibiscusroad::config::{Command, Edit};
@@ -13,19 +13,18 @@
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 use ureq::{Agent, Timeout, http::Response};
 
-/// An entry that doesn't take a connection in this time is left for the next.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Entries work on a change for 5 s; a silent one is given up soon after.
-const ANSWER: Duration = Duration::from_secs(8);
+/// Longer than the 5 s for which an entry processes a change.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Rounds over all entries while a change's outcome is unknown.
-const ROUNDS: usize = 2;
+/// How often all entries are tried while the outcome of a change is unknown.
+const MAX_ROUNDS: usize = 2;
 
-/// A verdict on the change itself, in which all entries agree.
-const CONFLICT: u16 = 409;
+/// The status of a refusal that every entry would give for the same change.
+const STATUS_CONFLICT: u16 = 409;
 
-/// Whom to ask and how to be known there.
+/// A client of the entries' HTTP API for operators.
 #[derive(Debug)]
 pub struct Client {
     entries: Vec<SocketAddr>,
@@ -33,48 +32,48 @@
     agent: Agent,
 }
 
-/// An answer to a question.
+/// An entry's response to a query.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-pub struct Shown {
+pub struct QueryResponse {
     /// The rows.
     #[serde(default)]
     pub rows: Vec<Row>,
-    /// Whom the entry could not ask.
-    #[serde(default)]
-    pub lacks: Vec<String>,
-    /// The version in force at the entry.
+    /// The sources that the entry could not reach.
+    #[serde(default, rename = "lacks")]
+    pub unreachable: Vec<String>,
+    /// The configuration version in force at the entry.
     #[serde(default)]
     pub version: u64,
 }
 
-/// Why a question has no answer.
+/// An error of a query.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 pub enum Error {
-    /// An entry answered with a refusal.
+    /// An entry refused the query.
     #[error("{0}")]
     Refused(String),
     /// No entry answered.
     #[error("no entry answered: {}", .0.join("; "))]
-    Nobody(Vec<String>),
+    Unreachable(Vec<String>),
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It made this version.
+    /// The change was applied and created this version.
     Done(u64),
-    /// It would make this version with these edits.
-    Dry(u64, Vec<Edit>),
-    /// It surely has no effect.
+    /// The change would create this version with these edits.
+    DryRun(u64, Vec<Edit>),
+    /// The change was not applied.
     Refused(String),
-    /// Nobody can say yet.
+    /// The change may or may not have been applied.
     Unknown(Vec<String>),
-    /// No entry was reached, so it surely has no effect.
-    Nobody(Vec<String>),
+    /// No entry was reached, so the change was not applied.
+    Unreachable(Vec<String>),
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Reply {
+struct ChangeReply {
     #[serde(default)]
     outcome: String,
     #[serde(default)]
@@ -87,28 +86,28 @@
     changes: Vec<Edit>,
 }
 
-struct Answer {
+struct RawResponse {
     status: u16,
     body: Vec<u8>,
 }
 
 enum Failure {
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The entry may have got it.
-    Lost(String),
+    /// The entry may have received the request.
+    MaybeSent(String),
 }
 
 impl Client {
-    /// Creates a client of these entries, asked in this order.
+    /// Creates a client that tries `entries` in order.
     #[must_use]
     pub fn new(entries: Vec<SocketAddr>, token: Option<Token>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT))
-            .timeout_global(Some(ANSWER))
-            // A pooled connection may have died unseen; a fresh one tells at
-            // once whether the entry is there.
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
+            // A request on a stale pooled connection could be lost, while a
+            // failed connect proves that nothing was sent.
             .max_idle_connections(0)
             .proxy(None)
             .build();
@@ -119,84 +118,87 @@
         }
     }
 
-    /// Asks for the rows at `path`, below `/v1/`.
+    /// Queries the rows at `path`, relative to `/v1/`.
     ///
     /// # Errors
     ///
-    /// Returns what entries answered instead, if any did.
-    pub fn ask(&self, path: &str) -> Result<Shown, Error> {
+    /// Returns [`Error::Refused`] if any entry responded with an error, and
+    /// [`Error::Unreachable`] otherwise.
+    pub fn query(&self, path: &str) -> Result<QueryResponse, Error> {
         let mut problems = Vec::new();
         let mut refusal = None;
         for entry in &self.entries {
             match self.get(*entry, path) {
-                Ok(answer) if answer.status == 200 => match serde_json::from_slice(&answer.body) {
-                    Ok(shown) => return Ok(shown),
-                    Err(error) => problems.push(format!("{entry}: not understood: {error}")),
-                },
-                Ok(answer) => refusal = Some(answer.detail(*entry)),
-                Err(Failure::NotSent(error) | Failure::Lost(error)) => {
+                Ok(response) if response.status == 200 => {
+                    match serde_json::from_slice(&response.body) {
+                        Ok(response) => return Ok(response),
+                        Err(error) => problems.push(format!("{entry}: invalid response: {error}")),
+                    }
+                }
+                Ok(response) => refusal = Some(response.detail(*entry)),
+                Err(Failure::NotSent(error) | Failure::MaybeSent(error)) => {
                     problems.push(format!("{entry}: {error}"));
                 }
             }
         }
-        Err(refusal.map_or(Error::Nobody(problems), Error::Refused))
+        Err(refusal.map_or(Error::Unreachable(problems), Error::Refused))
     }
 
-    /// Sends a change until its outcome is certain or all entries were asked.
+    /// Submits a change until its outcome is known or the attempts are used up.
     #[must_use]
-    pub fn change(&self, command: &Command) -> Outcome {
+    pub fn submit(&self, command: &Command) -> Outcome {
         let mut problems = Vec::new();
         let mut refusal = None;
-        let mut unsure = false;
-        for _ in 0..ROUNDS {
+        let mut maybe_applied = false;
+        for _ in 0..MAX_ROUNDS {
             for entry in &self.entries {
-                let answer = match self.post(*entry, command) {
-                    Ok(answer) => answer,
+                let response = match self.post(*entry, command) {
+                    Ok(response) => response,
                     Err(failure) => {
-                        unsure |= matches!(failure, Failure::Lost(_));
-                        let (Failure::NotSent(error) | Failure::Lost(error)) = failure;
+                        maybe_applied |= matches!(failure, Failure::MaybeSent(_));
+                        let (Failure::NotSent(error) | Failure::MaybeSent(error)) = failure;
                         problems.push(format!("{entry}: {error}"));
                         continue;
                     }
                 };
-                let reply = answer.reply();
+                let reply = response.parse_reply();
                 match reply.outcome.as_str() {
                     "done" => return Outcome::Done(reply.version),
-                    "dry" => return Outcome::Dry(reply.version, reply.changes),
-                    "refused" if answer.status == CONFLICT => {
-                        return Outcome::Refused(answer.detail(*entry));
+                    "dry" => return Outcome::DryRun(reply.version, reply.changes),
+                    "refused" if response.status == STATUS_CONFLICT => {
+                        return Outcome::Refused(response.detail(*entry));
                     }
-                    "refused" => refusal = Some(answer.detail(*entry)),
-                    // "unknown", and whatever is no answer of an entry.
+                    "refused" => refusal = Some(response.detail(*entry)),
+                    // "unknown", or not a response of an entry.
                     _ => {
-                        unsure = true;
-                        problems.push(answer.detail(*entry));
+                        maybe_applied = true;
+                        problems.push(response.detail(*entry));
                     }
                 }
             }
-            if !unsure {
+            if !maybe_applied {
                 break;
             }
         }
-        match (unsure, refusal) {
+        match (maybe_applied, refusal) {
             (true, _) => Outcome::Unknown(problems),
             (false, Some(refusal)) => Outcome::Refused(refusal),
-            (false, None) => Outcome::Nobody(problems),
+            (false, None) => Outcome::Unreachable(problems),
         }
     }
 
-    fn get(&self, entry: SocketAddr, path: &str) -> Result<Answer, Failure> {
+    fn get(&self, entry: SocketAddr, path: &str) -> Result<RawResponse, Failure> {
         let mut request = self.agent.get(format!("http://{entry}/v1/{path}"));
         if let Some(token) = &self.token {
             request = request.header("authorization", format!("Bearer {}", token.0));
         }
         request
             .call()
-            .map_err(|error| failure(&error))
-            .and_then(read)
+            .map_err(|error| classify_error(&error))
+            .and_then(read_response)
     }
 
-    fn post(&self, entry: SocketAddr, command: &Command) -> Result<Answer, Failure> {
+    fn post(&self, entry: SocketAddr, command: &Command) -> Result<RawResponse, Failure> {
         let body = serde_json::to_vec(command).map_err(|e| Failure::NotSent(e.to_string()))?;
         let mut request = self
             .agent
@@ -207,39 +209,39 @@
         }
         request
             .send(&body)
-            .map_err(|error| failure(&error))
-            .and_then(read)
+            .map_err(|error| classify_error(&error))
+            .and_then(read_response)
     }
 }
 
-impl Answer {
-    fn reply(&self) -> Reply {
+impl RawResponse {
+    fn parse_reply(&self) -> ChangeReply {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
     fn detail(&self, entry: SocketAddr) -> String {
-        let reply = self.reply();
+        let reply = self.parse_reply();
         let text = reply.detail.or(reply.title);
-        let text = text.unwrap_or_else(|| format!("status {} without a reason", self.status));
+        let text = text.unwrap_or_else(|| format!("status {} without a detail", self.status));
         format!("{entry}: {text}")
     }
 }
 
-fn read(mut response: Response<ureq::Body>) -> Result<Answer, Failure> {
+fn read_response(mut response: Response<ureq::Body>) -> Result<RawResponse, Failure> {
     let body = response.body_mut().read_to_vec();
-    Ok(Answer {
+    Ok(RawResponse {
         status: response.status().as_u16(),
-        body: body.map_err(|error| Failure::Lost(error.to_string()))?,
+        body: body.map_err(|error| Failure::MaybeSent(error.to_string()))?,
     })
 }
 
-/// Says whether a failed exchange can have reached the entry.
+/// Classifies an error by whether the request can have reached the entry.
 ///
-/// Only what surely comes before the first byte counts as not sent. An
-/// unreachable host is no such case: the network may report it while the
-/// answer is awaited.
-fn failure(error: &ureq::Error) -> Failure {
-    let unsent = match error {
+/// Only errors that always precede the first byte count as not sent. "Host
+/// unreachable" does not: the network may report it while the client waits for
+/// the response.
+fn classify_error(error: &ureq::Error) -> Failure {
+    let is_unsent = match error {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
         | ureq::Error::BadUri(_)
@@ -249,9 +251,9 @@
         _ => false,
     };
     let text = error.to_string();
-    if unsent {
+    if is_unsent {
         Failure::NotSent(text)
     } else {
-        Failure::Lost(text)
+        Failure::MaybeSent(text)
     }
 }
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -151,20 +151,20 @@
 
     /// Asks, and tells whom the answer lacks or why there is none.
     pub(crate) fn ask(&mut self, path: &str) -> io::Result<Result<Vec<Row>, Exit>> {
-        match self.client.ask(path) {
-            Ok(shown) => {
-                self.newest = self.newest.max(shown.version);
-                if !shown.lacks.is_empty() {
-                    let lacks = shown.lacks.join(", ");
-                    writeln!(self.err, "this answer lacks: {lacks}")?;
+        match self.client.query(path) {
+            Ok(response) => {
+                self.newest = self.newest.max(response.version);
+                if !response.unreachable.is_empty() {
+                    let unreachable = response.unreachable.join(", ");
+                    writeln!(self.err, "this answer lacks: {unreachable}")?;
                 }
-                Ok(Ok(shown.rows))
+                Ok(Ok(response.rows))
             }
             Err(error @ Error::Refused(_)) => {
                 writeln!(self.err, "refused: {error}")?;
                 Ok(Err(Exit::Refused))
             }
-            Err(error @ Error::Nobody(_)) => {
+            Err(error @ Error::Unreachable(_)) => {
                 writeln!(self.err, "{error}; {NEXT_NOBODY}")?;
                 Ok(Err(Exit::Nobody))
             }
@@ -214,7 +214,7 @@
             dry: self.options.dry_run,
             force: self.options.force,
         };
-        let outcome = self.client.change(&command);
+        let outcome = self.client.submit(&command);
         self.tell(&command, outcome)
     }
 
@@ -233,7 +233,7 @@
                 self.say("done", version, &[])?;
                 Ok(Exit::Done)
             }
-            Outcome::Dry(version, edits) => {
+            Outcome::DryRun(version, edits) => {
                 self.say("dry", version, &edits)?;
                 Ok(Exit::Done)
             }
@@ -250,7 +250,7 @@
                 )?;
                 Ok(Exit::Unknown)
             }
-            Outcome::Nobody(problems) => {
+            Outcome::Unreachable(problems) => {
                 writeln!(
                     self.err,
                     "nothing was sent: {}; {NEXT_NOBODY}",
