--- a/hibiscusroad-cli/src/lib.rs
+++ b/hibiscusroad-cli/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub mod args;
 pub mod client;
-pub mod danger;
+pub mod drain_check;
 pub mod format;
 pub mod language;
 pub mod rows;
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -3,7 +3,7 @@
 use crate::{
     args::Options,
     client::{Client, Error, Outcome},
-    danger,
+    drain_check,
     format::{self, Format},
     language::{About, Show, Statement},
     rows::{self, Row, Table},
@@ -183,11 +183,11 @@
             Ok(rows) => rows,
             Err(exit) => return Ok(exit),
         };
-        let stopped = danger::stopped(change, &rows);
-        if stopped.is_empty() {
+        let services = drain_check::services_without_endpoint(change, &rows);
+        if services.is_empty() {
             return self.change(change);
         }
-        self.want_force(&stopped.join(", "))
+        self.want_force(&services.join(", "))
     }
 
     /// Refuses what leaves `services` without an endpoint that takes work.
