--- a/hibiscusroad-cli/src/format.rs
+++ b/hibiscusroad-cli/src/format.rs
@@ -1,9 +1,9 @@
-//! Tables as text, JSON and CSV.
+//! Output of tables as text, JSON and CSV.
 //!
-//! The text form is for people: it shortens long cells and shows instants as
-//! times. JSON and CSV are for programs and change nothing.
+//! The text format is for people: it truncates long cells and formats
+//! timestamps. JSON and CSV are for programs and contain the values unchanged.
 
-use crate::rows::{Table, text};
+use crate::rows::{Table, cell_text};
 use serde_json::{Map, Value};
 use std::{
     io::{self, Write},
@@ -11,13 +11,13 @@
     time::{Duration, UNIX_EPOCH},
 };
 
-/// Characters of a cell that people are shown.
-const WIDEST: usize = 60;
+/// In characters, for the text format.
+const MAX_CELL_WIDTH: usize = 60;
 
-/// The column of instants, in milliseconds since 1970 UTC.
-const INSTANT: &str = "at_ms";
+/// The column of timestamps, in milliseconds since the Unix epoch.
+const TIMESTAMP_COLUMN: &str = "at_ms";
 
-/// How a table is printed.
+/// The output format of a table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Format {
     /// Aligned columns for people.
@@ -25,20 +25,20 @@
     Table,
     /// One JSON array of objects.
     Json,
-    /// Comma-separated values (RFC 4180) with a line of names.
+    /// Comma-separated values (RFC 4180) with a header line.
     Csv,
 }
 
-/// A word that is no format.
+/// The name of a format is unknown.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
-#[error("no format {0:?}; there are table, json, csv")]
+#[error("unknown format {0:?}; expected one of table, json, csv")]
 pub struct UnknownFormat(pub String);
 
 impl FromStr for Format {
     type Err = UnknownFormat;
 
-    fn from_str(word: &str) -> Result<Self, UnknownFormat> {
-        match word {
+    fn from_str(name: &str) -> Result<Self, UnknownFormat> {
+        match name {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
             "csv" => Ok(Self::Csv),
@@ -51,19 +51,19 @@
 ///
 /// # Errors
 ///
-/// Returns the output's error.
+/// Returns an error if writing to `out` fails.
 pub fn write(out: &mut dyn Write, format: Format, table: &Table) -> io::Result<()> {
     match format {
-        Format::Table => aligned(out, table),
-        Format::Json => json(out, table),
-        Format::Csv => csv(out, table),
+        Format::Table => write_aligned(out, table),
+        Format::Json => write_json(out, table),
+        Format::Csv => write_csv(out, table),
     }
 }
 
-fn aligned(out: &mut dyn Write, table: &Table) -> io::Result<()> {
+fn write_aligned(out: &mut dyn Write, table: &Table) -> io::Result<()> {
     let mut lines = vec![table.columns.clone()];
     for row in &table.rows {
-        let cell = |column: &String| short(column, row.get(column));
+        let cell = |column: &String| display_cell(column, row.get(column));
         lines.push(table.columns.iter().map(cell).collect());
     }
     let width = |i: usize| lines.iter().map(|line| line[i].chars().count()).max();
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-fn json(out: &mut dyn Write, table: &Table) -> io::Result<()> {
+fn write_json(out: &mut dyn Write, table: &Table) -> io::Result<()> {
     let object = |row: &Map<String, Value>| {
         let cell = |column: &String| (column.clone(), row.get(column).cloned().unwrap_or_default());
         Value::Object(table.columns.iter().map(cell).collect())
@@ -88,42 +88,42 @@
     writeln!(out, "{}", Value::Array(rows))
 }
 
-fn csv(out: &mut dyn Write, table: &Table) -> io::Result<()> {
+fn write_csv(out: &mut dyn Write, table: &Table) -> io::Result<()> {
     let mut lines = vec![table.columns.clone()];
-    lines.extend(cells(table));
+    lines.extend(text_rows(table));
     for line in lines {
-        let line: Vec<String> = line.iter().map(|cell| field(cell)).collect();
+        let line: Vec<String> = line.iter().map(|cell| quote_csv(cell)).collect();
         write!(out, "{}\r\n", line.join(","))?;
     }
     Ok(())
 }
 
-fn cells(table: &Table) -> impl Iterator<Item = Vec<String>> {
+fn text_rows(table: &Table) -> impl Iterator<Item = Vec<String>> {
     let line = |row: &Map<String, Value>| {
-        let cell = |column: &String| text(row.get(column));
+        let cell = |column: &String| cell_text(row.get(column));
         table.columns.iter().map(cell).collect()
     };
     table.rows.iter().map(line)
 }
 
-/// Returns a cell for people.
-fn short(column: &str, cell: Option<&Value>) -> String {
-    if column == INSTANT
+/// Returns the cell as printed in the text format.
+fn display_cell(column: &str, cell: Option<&Value>) -> String {
+    if column == TIMESTAMP_COLUMN
         && let Some(ms) = cell.and_then(Value::as_u64)
     {
-        let at = UNIX_EPOCH + Duration::from_millis(ms);
-        return humantime::format_rfc3339_millis(at).to_string();
+        let time = UNIX_EPOCH + Duration::from_millis(ms);
+        return humantime::format_rfc3339_millis(time).to_string();
     }
-    // Names come from other hosts; a control character among them could make a
-    // terminal show what is not there.
-    let text = text(cell).replace(char::is_control, "?");
-    if text.chars().count() <= WIDEST {
+    // Cells hold strings from other hosts, which could contain terminal control
+    // sequences.
+    let text = cell_text(cell).replace(char::is_control, "?");
+    if text.chars().count() <= MAX_CELL_WIDTH {
         return text;
     }
-    text.chars().take(WIDEST - 1).chain(['…']).collect()
+    text.chars().take(MAX_CELL_WIDTH - 1).chain(['…']).collect()
 }
 
-fn field(cell: &str) -> String {
+fn quote_csv(cell: &str) -> String {
     if cell.contains([',', '"', '\r', '\n']) {
         format!("\"{}\"", cell.replace('"', "\"\""))
     } else {
--- a/hibiscusroad-cli/src/rows.rs
+++ b/hibiscusroad-cli/src/rows.rs
@@ -1,86 +1,92 @@
-//! Choosing, ordering and cutting the rows of an answer.
+//! Filtering, sorting and limiting the rows of a response.
 //!
-//! Entries answer with whole tables, and this is done here, in the operator's
-//! process: an entry under load should not sort tables for an operator. At the
-//! size to come the largest table has about a thousand rows.
+//! Entries return whole tables, and the client processes them, so that queries
+//! take little of a loaded entry's time. Tables are small: the largest is
+//! expected to have about a thousand rows.
 
 use crate::language::{Filter, Literal, Op, Order, Show};
 use hibiscusroad::config::Edit;
 use serde_json::{Map, Value};
 use std::{cmp::Ordering, collections::BTreeSet};
 
-/// One row, by column.
+/// One row: values by column.
 pub type Row = Map<String, Value>;
 
-/// Columns that come first if they are there; the others follow by name.
-const FIRST: &[&str] = &[
+/// The columns that are printed first, in this order. All others follow sorted
+/// by name.
+const LEADING_COLUMNS: &[&str] = &[
     "name", "service", "endpoint", "entry", "kind", "host", "place", "region", "address", "state",
     "key", "value", "version",
 ];
 
-/// Columns that come last: how old a row is and where it comes from.
-const LAST: &[&str] = &["age_ms", "source"];
+/// The columns that are printed last.
+const TRAILING_COLUMNS: &[&str] = &["age_ms", "source"];
 
-/// A column that no row has.
+/// A query names a column that no row has.
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
-#[error("no column {column}; there are {}", .known.join(", "))]
-pub struct Unknown {
+#[error("no column {column}; there are {}", .available.join(", "))]
+pub struct UnknownColumn {
     /// The column.
     pub column: String,
-    /// The columns that rows have.
-    pub known: Vec<String>,
+    /// The columns of the rows.
+    pub available: Vec<String>,
 }
 
-/// What is printed.
+/// A table to print.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// The columns in their order.
+    /// The names of the columns, in order.
     pub columns: Vec<String>,
-    /// The rows in their order.
+    /// The rows, in order.
     pub rows: Vec<Row>,
 }
 
-/// Does with an answer's rows what the question says.
+/// Applies the columns, filters, order and limit of a query to rows.
 ///
 /// # Errors
 ///
-/// Returns the first column that the question names and no row has. Without
-/// rows nothing is known of columns, and any is taken.
-pub fn select(show: &Show, mut rows: Vec<Row>) -> Result<Table, Unknown> {
-    let known = columns(&rows);
-    let ordered = show.order.iter().map(|order| &order.column);
-    let filtered = show.filters.iter().map(|filter| &filter.column);
-    for column in show.columns.iter().chain(filtered).chain(ordered) {
-        if !rows.is_empty() && !known.contains(column) {
+/// Returns the first column of the query that no row has. If there are no rows,
+/// any column is accepted.
+pub fn select(show: &Show, mut rows: Vec<Row>) -> Result<Table, UnknownColumn> {
+    let available = columns(&rows);
+    let sort_columns = show.order.iter().map(|order| &order.column);
+    let filter_columns = show.filters.iter().map(|filter| &filter.column);
+    for column in show
+        .columns
+        .iter()
+        .chain(filter_columns)
+        .chain(sort_columns)
+    {
+        if !rows.is_empty() && !available.contains(column) {
             let column = column.clone();
-            return Err(Unknown { column, known });
+            return Err(UnknownColumn { column, available });
         }
     }
-    rows.retain(|row| show.filters.iter().all(|filter| holds(filter, row)));
+    rows.retain(|row| show.filters.iter().all(|filter| matches(filter, row)));
     if let Some(order) = &show.order {
-        rows.sort_by(|a, b| compare(order, a, b));
+        rows.sort_by(|a, b| compare_rows(order, a, b));
     }
     rows.truncate(show.limit.unwrap_or(usize::MAX));
     let columns = if show.columns.is_empty() {
-        known
+        available
     } else {
         show.columns.clone()
     };
     Ok(Table { columns, rows })
 }
 
-/// Returns all rows with all their columns.
+/// Returns a table of all rows and columns.
 #[must_use]
-pub fn all(rows: Vec<Row>) -> Table {
+pub fn to_table(rows: Vec<Row>) -> Table {
     Table {
         columns: columns(&rows),
         rows,
     }
 }
 
-/// Returns what a change replaces, as a table.
+/// Returns a table of the keys that a change edits, with old and new values.
 #[must_use]
-pub fn edits(edits: &[Edit]) -> Table {
+pub fn edits_table(edits: &[Edit]) -> Table {
     let row = |edit: &Edit| {
         let cells = [
             ("key", Value::from(edit.key.as_str())),
@@ -98,18 +104,19 @@
     }
 }
 
-/// Returns a cell as plain text.
+/// Returns a cell as plain text, `-` for an empty one.
 #[must_use]
-pub fn text(cell: Option<&Value>) -> String {
+pub fn cell_text(cell: Option<&Value>) -> String {
     match cell {
         None | Some(Value::Null) => "-".to_owned(),
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(list)) => {
-            let parts: Vec<String> = list.iter().map(|part| text(Some(part))).collect();
+            let parts: Vec<String> = list.iter().map(|part| cell_text(Some(part))).collect();
             parts.join(",")
         }
         Some(Value::Object(map)) => {
-            let part = |(key, value): (&String, &Value)| format!("{key}={}", text(Some(value)));
+            let part =
+                |(key, value): (&String, &Value)| format!("{key}={}", cell_text(Some(value)));
             let parts: Vec<String> = map.iter().map(part).collect();
             parts.join(" ")
         }
@@ -123,49 +130,50 @@
         .flat_map(Map::keys)
         .map(String::as_str)
         .collect();
-    let listed = |list: &'static [&'static str]| list.iter().copied().filter(|c| all.contains(c));
-    let between = |column: &&str| !FIRST.contains(column) && !LAST.contains(column);
-    listed(FIRST)
-        .chain(all.iter().copied().filter(between))
-        .chain(listed(LAST))
+    let present = |list: &'static [&'static str]| list.iter().copied().filter(|c| all.contains(c));
+    let is_other =
+        |column: &&str| !LEADING_COLUMNS.contains(column) && !TRAILING_COLUMNS.contains(column);
+    present(LEADING_COLUMNS)
+        .chain(all.iter().copied().filter(is_other))
+        .chain(present(TRAILING_COLUMNS))
         .map(str::to_owned)
         .collect()
 }
 
-fn holds(filter: &Filter, row: &Row) -> bool {
+fn matches(filter: &Filter, row: &Row) -> bool {
     let Filter { column, op, value } = filter;
     let cell = row.get(column).unwrap_or(&Value::Null);
     match op {
-        Op::Contains => text(Some(cell)).contains(&value.text),
-        Op::Equal => against(cell, value) == Some(Ordering::Equal),
-        Op::Differs => against(cell, value) != Some(Ordering::Equal),
-        Op::Less => against(cell, value) == Some(Ordering::Less),
-        Op::AtMost => against(cell, value).is_some_and(Ordering::is_le),
-        Op::Greater => against(cell, value) == Some(Ordering::Greater),
-        Op::AtLeast => against(cell, value).is_some_and(Ordering::is_ge),
+        Op::Contains => cell_text(Some(cell)).contains(&value.text),
+        Op::Equal => compare_to_literal(cell, value) == Some(Ordering::Equal),
+        Op::Differs => compare_to_literal(cell, value) != Some(Ordering::Equal),
+        Op::Less => compare_to_literal(cell, value) == Some(Ordering::Less),
+        Op::AtMost => compare_to_literal(cell, value).is_some_and(Ordering::is_le),
+        Op::Greater => compare_to_literal(cell, value) == Some(Ordering::Greater),
+        Op::AtLeast => compare_to_literal(cell, value).is_some_and(Ordering::is_ge),
     }
 }
 
-/// Compares a cell with a written value; an empty cell is neither less nor
-/// greater than anything.
-fn against(cell: &Value, value: &Literal) -> Option<Ordering> {
+/// Compares a cell with a literal, as numbers if both are. Returns `None` for an
+/// empty cell.
+fn compare_to_literal(cell: &Value, value: &Literal) -> Option<Ordering> {
     match (cell.as_f64(), value.number) {
         _ if cell.is_null() => None,
-        (Some(cell), Some(number)) => cell.partial_cmp(&number),
-        _ => Some(text(Some(cell)).as_str().cmp(&value.text)),
+        (Some(cell), Some(literal)) => cell.partial_cmp(&literal),
+        _ => Some(cell_text(Some(cell)).as_str().cmp(&value.text)),
     }
 }
 
-fn compare(order: &Order, a: &Row, b: &Row) -> Ordering {
+fn compare_rows(order: &Order, a: &Row, b: &Row) -> Ordering {
     let (a, b) = (a.get(&order.column), b.get(&order.column));
     let numbers = a.and_then(Value::as_f64).zip(b.and_then(Value::as_f64));
-    let rising = match numbers {
+    let ascending = match numbers {
         Some((a, b)) => a.total_cmp(&b),
-        None => text(a).cmp(&text(b)),
+        None => cell_text(a).cmp(&cell_text(b)),
     };
     if order.descending {
-        rising.reverse()
+        ascending.reverse()
     } else {
-        rising
+        ascending
     }
 }
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -139,7 +139,7 @@
             About::Endpoint => "endpoint",
         };
         match self.ask(&format!("explain/{about}/{name}"))? {
-            Ok(rows) => self.print(&rows::all(rows)),
+            Ok(rows) => self.print(&rows::to_table(rows)),
             Err(exit) => Ok(exit),
         }
     }
@@ -270,6 +270,6 @@
         if edits.is_empty() {
             return Ok(());
         }
-        format::write(self.out, self.options.format, &rows::edits(edits))
+        format::write(self.out, self.options.format, &rows::edits_table(edits))
     }
 }
--- a/hibiscusroad-cli/tests/rows.rs
+++ b/hibiscusroad-cli/tests/rows.rs
@@ -1,7 +1,7 @@
-//! Choosing, ordering and printing rows.
+//! Tests the filtering, sorting and printing of rows.
 //!
-//! `NAME.FORMAT.hib` is asked of the rows in `endpoints.json`, and
-//! `NAME.FORMAT.expected` is what is printed, or the error.
+//! The query in `NAME.FORMAT.hib` is applied to the rows in `endpoints.json`.
+//! `NAME.FORMAT.expected` holds the output, or the error.
 
 use hibiscusroad_cli::{
     format,
@@ -15,20 +15,20 @@
         serde_json::from_str(&fs::read_to_string(file.with_file_name("endpoints.json"))?)?;
     let statements = language::parse(&fs::read_to_string(file)?)?;
     let [Statement::Show(show)] = statements.as_slice() else {
-        return Err("one question is expected".into());
+        return Err("one show statement is expected".into());
     };
-    let stem = Path::new(file.file_stem().ok_or("no name")?);
-    let word = stem
+    let stem = Path::new(file.file_stem().ok_or("no file stem")?);
+    let format = stem
         .extension()
-        .and_then(|word| word.to_str())
+        .and_then(|extension| extension.to_str())
         .ok_or("no format")?;
-    let mut found = Vec::new();
+    let mut output = Vec::new();
     match rows::select(show, rows) {
-        Ok(table) => format::write(&mut found, word.parse()?, &table)?,
-        Err(error) => found.extend(format!("{error}\n").into_bytes()),
+        Ok(table) => format::write(&mut output, format.parse()?, &table)?,
+        Err(error) => output.extend(format!("{error}\n").into_bytes()),
     }
     let expected = fs::read_to_string(file.with_extension("expected"))?;
-    assert_eq!(String::from_utf8(found)?, expected);
+    assert_eq!(String::from_utf8(output)?, expected);
     Ok(())
 }
 
