--- a/hibiscusroad-cli/src/client.rs
+++ b/hibiscusroad-cli/src/client.rs
@@ -38,9 +38,9 @@
     /// The rows.
     #[serde(default)]
     pub rows: Vec<Row>,
-    /// The sources that the entry could not reach.
+    /// The entries and sidecars whose rows are missing.
     #[serde(default, rename = "lacks")]
-    pub unreachable: Vec<String>,
+    pub missing_sources: Vec<String>,
     /// The configuration version in force at the entry.
     #[serde(default)]
     pub version: u64,
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Running statements one after another and telling what became of them.
+//! A session that runs statements and reports their outcomes.
 
 use crate::{
     args::Options,
@@ -17,34 +17,34 @@
     time::Duration,
 };
 
-const NEXT_NOBODY: &str = "check the addresses and that entries run";
+const UNREACHABLE_HINT: &str = "check the addresses and whether the entries are running";
 
-/// How a statement ended; the discriminant is the exit code.
+/// The result of a statement; the discriminant is the exit code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Exit {
-    /// Done, or answered.
+    /// The change was applied, or the query was answered.
     Done = 0,
-    /// Refused: it surely has no effect.
+    /// The statement was refused and has no effect.
     Refused = 1,
-    /// The command line or a statement is wrong.
+    /// The command line or a statement is invalid.
     Usage = 2,
-    /// Nobody can say yet whether it has an effect.
+    /// It is unknown whether the change was applied.
     Unknown = 3,
     /// No entry was reached.
-    Nobody = 4,
+    Unreachable = 4,
 }
 
-/// Statements of one operator to one set of entries.
+/// A session of one operator with one set of entries.
 pub struct Session<'a> {
     pub(crate) client: Client,
     pub(crate) out: &'a mut dyn Write,
     pub(crate) err: &'a mut dyn Write,
     options: Options,
-    // The newest version known to exist. An entry that has not heard of it yet
-    // would otherwise name an older one, and a file's second command would
-    // conflict with its first.
-    newest: u64,
+    // The newest configuration version seen. Another entry may not know it yet;
+    // without it, the second command of a file would be based on an older
+    // version and conflict with the first.
+    newest_version: u64,
 }
 
 impl fmt::Debug for Session<'_> {
@@ -54,18 +54,18 @@
 }
 
 impl<'a> Session<'a> {
-    /// Creates a session that answers on `out` and explains on `err`.
+    /// Creates a session that writes results to `out` and diagnostics to `err`.
     pub fn new(options: Options, out: &'a mut dyn Write, err: &'a mut dyn Write) -> Self {
         Self {
             client: Client::new(options.entries.clone(), options.token.clone()),
             out,
             err,
             options,
-            newest: 0,
+            newest_version: 0,
         }
     }
 
-    pub(crate) const fn is_dry(&self) -> bool {
+    pub(crate) const fn is_dry_run(&self) -> bool {
         self.options.dry_run
     }
 
@@ -73,19 +73,20 @@
         self.options.force
     }
 
-    /// Runs statements until one is not done.
+    /// Runs statements until one doesn't end with [`Exit::Done`].
     ///
     /// # Errors
     ///
-    /// Returns the output's error.
+    /// Returns an error if writing to an output fails.
     pub fn run(&mut self, statements: &[Statement]) -> io::Result<Exit> {
-        let changes = |s: &&Statement| !matches!(s, Statement::Show(_) | Statement::Explain { .. });
-        if self.options.command_id.is_some() && statements.iter().filter(changes).count() != 1 {
-            writeln!(self.err, "--id goes with exactly one command")?;
+        let is_command =
+            |s: &&Statement| !matches!(s, Statement::Show(_) | Statement::Explain { .. });
+        if self.options.command_id.is_some() && statements.iter().filter(is_command).count() != 1 {
+            writeln!(self.err, "--id requires exactly one command")?;
             return Ok(Exit::Usage);
         }
         for statement in statements {
-            let exit = self.one(statement)?;
+            let exit = self.run_statement(statement)?;
             if exit != Exit::Done {
                 return Ok(exit);
             }
@@ -93,15 +94,15 @@
         Ok(Exit::Done)
     }
 
-    fn one(&mut self, statement: &Statement) -> io::Result<Exit> {
+    fn run_statement(&mut self, statement: &Statement) -> io::Result<Exit> {
         match statement {
             Statement::Show(show) => self.show(show),
             Statement::Watch { every, show } => self.watch(*every, show),
             Statement::Explain { about, name } => self.explain(*about, name),
-            Statement::Change(change) => self.guarded(change),
+            Statement::Change(change) => self.submit_checked(change),
             Statement::Stop { service, within } => self.stop(service, *within),
             Statement::Promote { .. } => {
-                writeln!(self.err, "refused: entries don't take promote yet")?;
+                writeln!(self.err, "refused: entries don't support promote yet")?;
                 Ok(Exit::Refused)
             }
         }
@@ -110,8 +111,8 @@
     fn watch(&mut self, every: Duration, show: &Show) -> io::Result<Exit> {
         loop {
             let exit = self.show(show)?;
-            // Nobody to ask is a state that an operator watches out for, too.
-            if !matches!(exit, Exit::Done | Exit::Nobody) {
+            // Keeps polling while no entry is reachable.
+            if !matches!(exit, Exit::Done | Exit::Unreachable) {
                 return Ok(exit);
             }
             self.out.flush()?;
@@ -120,7 +121,7 @@
     }
 
     fn show(&mut self, show: &Show) -> io::Result<Exit> {
-        let rows = match self.ask(&format!("show/{}", show.subject))? {
+        let rows = match self.query(&format!("show/{}", show.subject))? {
             Ok(rows) => rows,
             Err(exit) => return Ok(exit),
         };
@@ -134,11 +135,11 @@
     }
 
     fn explain(&mut self, about: About, name: &str) -> io::Result<Exit> {
-        let about = match about {
+        let kind = match about {
             About::Request => "request",
             About::Endpoint => "endpoint",
         };
-        match self.ask(&format!("explain/{about}/{name}"))? {
+        match self.query(&format!("explain/{kind}/{name}"))? {
             Ok(rows) => self.print(&rows::to_table(rows)),
             Err(exit) => Ok(exit),
         }
@@ -149,14 +150,14 @@
         Ok(Exit::Done)
     }
 
-    /// Asks, and tells whom the answer lacks or why there is none.
-    pub(crate) fn ask(&mut self, path: &str) -> io::Result<Result<Vec<Row>, Exit>> {
+    /// Returns the rows at `path`, and reports missing sources or an error.
+    pub(crate) fn query(&mut self, path: &str) -> io::Result<Result<Vec<Row>, Exit>> {
         match self.client.query(path) {
             Ok(response) => {
-                self.newest = self.newest.max(response.version);
-                if !response.unreachable.is_empty() {
-                    let unreachable = response.unreachable.join(", ");
-                    writeln!(self.err, "this answer lacks: {unreachable}")?;
+                self.newest_version = self.newest_version.max(response.version);
+                if !response.missing_sources.is_empty() {
+                    let sources = response.missing_sources.join(", ");
+                    writeln!(self.err, "this answer lacks: {sources}")?;
                 }
                 Ok(Ok(response.rows))
             }
@@ -165,43 +166,44 @@
                 Ok(Err(Exit::Refused))
             }
             Err(error @ Error::Unreachable(_)) => {
-                writeln!(self.err, "{error}; {NEXT_NOBODY}")?;
-                Ok(Err(Exit::Nobody))
+                writeln!(self.err, "{error}; {UNREACHABLE_HINT}")?;
+                Ok(Err(Exit::Unreachable))
             }
         }
     }
 
-    /// Sends a change, unless it is dangerous, and tells its outcome.
-    fn guarded(&mut self, change: &Change) -> io::Result<Exit> {
-        // A command that is asked again may have taken effect; "refused" from
-        // here would not be true of it.
-        let drain = matches!(change, Change::Drain { .. });
-        if !drain || self.options.force || self.options.command_id.is_some() {
-            return self.change(change);
+    /// Submits a change, unless it is a drain that requires `--force`.
+    fn submit_checked(&mut self, change: &Change) -> io::Result<Exit> {
+        // A retried command may have been applied already, so it must not be
+        // reported as refused by this check.
+        let is_drain = matches!(change, Change::Drain { .. });
+        if !is_drain || self.options.force || self.options.command_id.is_some() {
+            return self.submit(change);
         }
-        let rows = match self.ask("show/endpoints")? {
+        let rows = match self.query("show/endpoints")? {
             Ok(rows) => rows,
             Err(exit) => return Ok(exit),
         };
         let services = drain_check::services_without_endpoint(change, &rows);
         if services.is_empty() {
-            return self.change(change);
+            return self.submit(change);
         }
-        self.want_force(&services.join(", "))
+        self.refuse_without_force(&services.join(", "))
     }
 
-    /// Refuses what leaves `services` without an endpoint that takes work.
-    pub(crate) fn want_force(&mut self, services: &str) -> io::Result<Exit> {
+    /// Reports a change refused because it leaves `services` without an open
+    /// endpoint.
+    pub(crate) fn refuse_without_force(&mut self, services: &str) -> io::Result<Exit> {
         writeln!(
             self.err,
-            "refused: no endpoint of {services} would take work; repeat with --force if this is meant"
+            "refused: no endpoint of {services} would take work; repeat with --force to proceed"
         )?;
         Ok(Exit::Refused)
     }
 
-    /// Sends a change and tells its outcome.
-    pub(crate) fn change(&mut self, change: &Change) -> io::Result<Exit> {
-        let base = match self.base()? {
+    /// Submits a change and reports its outcome.
+    pub(crate) fn submit(&mut self, change: &Change) -> io::Result<Exit> {
+        let base = match self.base_version()? {
             Ok(base) => base,
             Err(exit) => return Ok(exit),
         };
@@ -215,26 +217,26 @@
             force: self.options.force,
         };
         let outcome = self.client.submit(&command);
-        self.tell(&command, outcome)
+        self.report_outcome(&command, outcome)
     }
 
-    /// Returns the version that a command is written for.
-    fn base(&mut self) -> io::Result<Result<u64, Exit>> {
+    /// Returns the version on which a command is based.
+    fn base_version(&mut self) -> io::Result<Result<u64, Exit>> {
         if let Some(base) = self.options.base_version {
             return Ok(Ok(base));
         }
-        Ok(self.ask("show/config")?.map(|_| self.newest))
+        Ok(self.query("show/config")?.map(|_| self.newest_version))
     }
 
-    fn tell(&mut self, command: &Command, outcome: Outcome) -> io::Result<Exit> {
+    fn report_outcome(&mut self, command: &Command, outcome: Outcome) -> io::Result<Exit> {
         match outcome {
             Outcome::Done(version) => {
-                self.newest = self.newest.max(version);
-                self.say("done", version, &[])?;
+                self.newest_version = self.newest_version.max(version);
+                self.print_outcome("done", version, &[])?;
                 Ok(Exit::Done)
             }
             Outcome::DryRun(version, edits) => {
-                self.say("dry", version, &edits)?;
+                self.print_outcome("dry", version, &edits)?;
                 Ok(Exit::Done)
             }
             Outcome::Refused(reason) => {
@@ -246,22 +248,22 @@
                 writeln!(self.err, "unknown: {}", problems.join("; "))?;
                 writeln!(
                     self.err,
-                    "ask again with the same statement and --id {id} --base {base}"
+                    "repeat the same statement with --id {id} --base {base}"
                 )?;
                 Ok(Exit::Unknown)
             }
             Outcome::Unreachable(problems) => {
                 writeln!(
                     self.err,
-                    "nothing was sent: {}; {NEXT_NOBODY}",
+                    "nothing was sent: {}; {UNREACHABLE_HINT}",
                     problems.join("; ")
                 )?;
-                Ok(Exit::Nobody)
+                Ok(Exit::Unreachable)
             }
         }
     }
 
-    fn say(&mut self, outcome: &str, version: u64, edits: &[Edit]) -> io::Result<()> {
+    fn print_outcome(&mut self, outcome: &str, version: u64, edits: &[Edit]) -> io::Result<()> {
         if self.options.format == Format::Json {
             let line = json!({ "outcome": outcome, "version": version, "changes": edits });
             return writeln!(self.out, "{line}");
--- a/hibiscusroad-cli/src/stop.rs
+++ b/hibiscusroad-cli/src/stop.rs
@@ -1,9 +1,9 @@
-//! `stop service`: a graceful stop with a deadline and progress.
+//! `stop service`: a graceful stop with a timeout and progress reports.
 //!
-//! It is made of what entries offer anyway: each endpoint of the service is
-//! drained, so that its side takes no new work, and then the endpoints are
-//! looked at until none runs anything. No request is cut off: if the time is
-//! over first, the drains stand and the operator is told what still runs.
+//! The client drains each endpoint of the service, so that its sidecar accepts
+//! no new work, and polls the endpoints until no request is running. No request
+//! is aborted: at the timeout the endpoints stay drained, and the operator sees
+//! what is still running.
 
 use crate::{
     rows::Row,
@@ -17,33 +17,33 @@
     time::{Duration, Instant},
 };
 
-/// Time between two looks.
-const EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-const ENDPOINT: &str = "endpoint";
-const KEY: &str = "key";
-const RUNNING: &str = "running";
-const SERVICE: &str = "service";
-const STATE: &str = "state";
+const ENDPOINT_COLUMN: &str = "endpoint";
+const KEY_COLUMN: &str = "key";
+const RUNNING_COLUMN: &str = "running";
+const SERVICE_COLUMN: &str = "service";
+const STATE_COLUMN: &str = "state";
 
-/// The state of an endpoint that its side said takes no new work.
-const DRAINED: &str = "drained";
+/// The state of an endpoint whose sidecar has confirmed the drain.
+const DRAINED_STATE: &str = "drained";
 
-/// Keys of drained endpoints in `show config`, up to the name.
-const DRAINS: &str = "drains.endpoints.";
+/// The prefix of the configuration keys of drained endpoints, followed by the
+/// name.
+const DRAIN_KEY_PREFIX: &str = "drains.endpoints.";
 
 impl Session<'_> {
-    /// Drains the endpoints of a service and waits until none runs anything.
+    /// Drains the endpoints of a service and waits until none runs a request.
     pub(crate) fn stop(&mut self, service: &str, within: Duration) -> io::Result<Exit> {
         if !self.is_forced() {
-            return self.want_force(service);
+            return self.refuse_without_force(service);
         }
         let start = Instant::now();
-        let rows = match endpoints(self, service)? {
+        let rows = match service_endpoints(self, service)? {
             Ok(rows) => rows,
             Err(exit) => return Ok(exit),
         };
-        let config = match self.ask("show/config")? {
+        let config = match self.query("show/config")? {
             Ok(config) => config,
             Err(exit) => return Ok(exit),
         };
@@ -54,75 +54,87 @@
             )?;
             return Ok(Exit::Refused);
         }
-        let keys = config.iter().filter_map(|row| text(row, KEY));
-        let drained: BTreeSet<&str> = keys.filter_map(|key| key.strip_prefix(DRAINS)).collect();
-        let names = rows.iter().filter_map(|row| text(row, ENDPOINT));
+        let keys = config.iter().filter_map(|row| text_cell(row, KEY_COLUMN));
+        let drained: BTreeSet<&str> = keys
+            .filter_map(|key| key.strip_prefix(DRAIN_KEY_PREFIX))
+            .collect();
+        let names = rows
+            .iter()
+            .filter_map(|row| text_cell(row, ENDPOINT_COLUMN));
         for name in names.filter(|name| !drained.contains(name)) {
             let change = Change::Drain {
                 target: Target::Endpoint,
                 name: name.to_owned(),
             };
-            let exit = self.change(&change)?;
+            let exit = self.submit(&change)?;
             if exit != Exit::Done {
                 return Ok(exit);
             }
         }
-        if self.is_dry() {
+        if self.is_dry_run() {
             return Ok(Exit::Done);
         }
-        wait(self, service, start, within)
+        wait_until_idle(self, service, start, within)
     }
 }
 
-fn wait(
+fn wait_until_idle(
     session: &mut Session<'_>,
     service: &str,
     start: Instant,
     within: Duration,
 ) -> io::Result<Exit> {
     loop {
-        // Sides learn of the drains a moment later, so that a look at once
-        // could find an idle endpoint that still takes work.
-        thread::sleep(EVERY);
-        let rows = match endpoints(session, service)? {
+        // Sidecars learn of the drains with a delay, so an immediate poll could
+        // find an endpoint that is idle but still accepts work.
+        thread::sleep(POLL_INTERVAL);
+        let rows = match service_endpoints(session, service)? {
             Ok(rows) => rows,
             Err(exit) => return Ok(exit),
         };
-        // An endpoint whose side is silent may run anything, so it counts as
-        // not stopped.
-        let open = rows.iter().filter(|row| text(row, STATE) != Some(DRAINED));
-        let (open, running) = (open.count(), rows.iter().map(running).sum::<u64>());
-        if open == 0 && running == 0 {
+        // An endpoint without a current report of its sidecar may still run
+        // requests, so it counts as not drained.
+        let undrained = rows
+            .iter()
+            .filter(|row| text_cell(row, STATE_COLUMN) != Some(DRAINED_STATE));
+        let (undrained, running) = (
+            undrained.count(),
+            rows.iter().map(running_count).sum::<u64>(),
+        );
+        if undrained == 0 && running == 0 {
             writeln!(session.out, "done: {service} takes no work and runs none")?;
             return Ok(Exit::Done);
         }
-        let spent = start.elapsed().as_secs();
+        let elapsed = start.elapsed().as_secs();
         writeln!(
             session.err,
-            "{spent} s: {running} requests run, {open} endpoints not known to be drained"
+            "{elapsed} s: {running} requests run, {undrained} endpoints not known to be drained"
         )?;
         if start.elapsed() > within {
             writeln!(
                 session.err,
-                "not finished: the drains stand; ask again to wait on, or undrain"
+                "not finished: the endpoints stay drained; repeat the command to keep waiting, or undrain them"
             )?;
             return Ok(Exit::Refused);
         }
     }
 }
 
-fn endpoints(session: &mut Session<'_>, service: &str) -> io::Result<Result<Vec<Row>, Exit>> {
-    let rows = session.ask("show/endpoints")?;
+fn service_endpoints(
+    session: &mut Session<'_>,
+    service: &str,
+) -> io::Result<Result<Vec<Row>, Exit>> {
+    let rows = session.query("show/endpoints")?;
     Ok(rows.map(|mut rows| {
-        rows.retain(|row| text(row, SERVICE) == Some(service));
+        rows.retain(|row| text_cell(row, SERVICE_COLUMN) == Some(service));
         rows
     }))
 }
 
-fn text<'a>(row: &'a Row, column: &str) -> Option<&'a str> {
+fn text_cell<'a>(row: &'a Row, column: &str) -> Option<&'a str> {
     row.get(column)?.as_str()
 }
 
-fn running(row: &Row) -> u64 {
-    row.get(RUNNING).and_then(Value::as_u64).unwrap_or(0)
+fn running_count(row: &Row) -> u64 {
+    row.get(RUNNING_COLUMN).and_then(Value::as_u64).unwrap_or(0)
 }
--- a/hibiscusroad-cli/tests/outcomes.rs
+++ b/hibiscusroad-cli/tests/outcomes.rs
@@ -144,7 +144,7 @@
     let told = run(options(&[nobody(), entry.address]), "set note = a");
     assert_eq!(told.exit, Exit::Done);
     let told = run(options(&[nobody(), nobody()]), "set note = a; show hosts");
-    assert_eq!(told.exit, Exit::Nobody);
+    assert_eq!(told.exit, Exit::Unreachable);
     assert_eq!(told.out, "");
 }
 
