--- a/hibiscusroad-cli/src/language/error.rs
+++ b/hibiscusroad-cli/src/language/error.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a text, and where.
+//! Syntax errors with their position in the source.
 
 use std::{fmt, ops::Range};
 
-/// A text that is no list of statements.
+/// A syntax error.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Error {
     line: usize,
@@ -13,12 +13,12 @@
 }
 
 impl Error {
-    /// Creates an error about the bytes `span` of `source`.
+    /// Creates an error at the byte range `span` of `source`.
     pub(super) fn new(source: &str, span: Range<usize>, expected: Vec<String>) -> Self {
-        let start = source[..span.start].rfind('\n').map_or(0, |at| at + 1);
+        let start = source[..span.start].rfind('\n').map_or(0, |pos| pos + 1);
         let end = source[start..]
             .find('\n')
-            .map_or(source.len(), |at| start + at);
+            .map_or(source.len(), |pos| start + pos);
         let found = match source[span.clone()].trim() {
             "" => "the end".to_owned(),
             word => format!("`{word}`"),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns what may stand at that point.
+    /// Returns descriptions of the tokens that are valid at this position.
     #[must_use]
     pub fn expected(&self) -> &[String] {
         &self.expected
@@ -41,13 +41,12 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Spaces and carets count characters, so that letters of more than one
-        // byte don't push the caret away.
-        let before = self.text[..self.span.start].chars().count();
+        // Counted in characters, because the span counts bytes.
+        let indent = self.text[..self.span.start].chars().count();
         let width = self.text[self.span.clone()].chars().count().max(1);
         writeln!(f, "line {}: found {}", self.line, self.found)?;
         writeln!(f, "  {}", self.text)?;
-        writeln!(f, "  {}{}", " ".repeat(before), "^".repeat(width))?;
+        writeln!(f, "  {}{}", " ".repeat(indent), "^".repeat(width))?;
         write!(f, "expected {}", self.expected.join(", "))
     }
 }
--- a/hibiscusroad-cli/src/language/mod.rs
+++ b/hibiscusroad-cli/src/language/mod.rs
@@ -1,19 +1,17 @@
 //! The operators' query and command language.
 //!
-//! A text is cut into tokens ([`token`]), and the tokens are read as
-//! [`Statement`]s ([`parse`]), both with winnow. Two passes instead of one,
-//! because an error then points at a whole word and can say what stood there
-//! and what may stand there. A keyword that was read commits: nothing is tried
-//! twice, so the first error is the right one.
+//! The source is split into tokens ([`token`]) and then parsed into
+//! [`Statement`]s ([`parse`]). With a separate lexer, errors point at whole
+//! tokens. The parser doesn't backtrack after a keyword.
 //!
-//! The whole text is read before anything is sent. A file with a slip in its
-//! last line changes nothing.
+//! The whole source is parsed before anything is sent, so a file with a syntax
+//! error changes nothing.
 //!
 //! The grammar is in docs/LANGUAGE.md.
 
 mod error;
 mod parse;
-mod take;
+mod terminal;
 mod token;
 
 pub use self::{error::Error, parse::parse};
@@ -24,41 +22,41 @@
 /// One statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// Asks once.
+    /// Queries once.
     Show(Show),
-    /// Asks again and again.
+    /// Queries periodically.
     Watch {
-        /// From one answer to the next question.
+        /// The delay between a response and the next query.
         every: Duration,
-        /// What is asked.
+        /// The query.
         show: Show,
     },
-    /// Asks why.
+    /// Asks entries what they know about a request or an endpoint.
     Explain {
-        /// What the name stands for.
+        /// What the name refers to.
         about: About,
-        /// A request's id or an endpoint's name.
+        /// The id of a request or the name of an endpoint.
         name: String,
     },
     /// Changes the configuration.
     Change(Change),
     /// Stops a service gracefully.
     Stop {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// How long work in flight may take.
+        /// The time limit for work in flight.
         within: Duration,
     },
-    /// Makes a service's engines serve a version.
+    /// Makes a service's engines serve a version of their weights.
     Promote {
         /// The version.
         version: String,
-        /// The service.
+        /// The name of the service.
         service: String,
     },
 }
 
-/// What `explain` is about.
+/// The subject of an `explain` statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum About {
     /// One request.
@@ -67,22 +65,22 @@
     Endpoint,
 }
 
-/// A question.
+/// A query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Show {
-    /// One of [`SUBJECTS`].
+    /// The table to query, one of [`SUBJECTS`].
     pub subject: &'static str,
-    /// The columns in this order; empty for all.
+    /// The columns to print, in order; empty for all.
     pub columns: Vec<String>,
-    /// What a row must fulfil, all of them.
+    /// The conditions, all of which a row must fulfil.
     pub filters: Vec<Filter>,
-    /// How rows are ordered.
+    /// The sort order.
     pub order: Option<Order>,
-    /// How many rows at most.
+    /// The maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// What can be shown.
+/// The tables that can be queried.
 pub const SUBJECTS: &[&str] = &[
     "services",
     "endpoints",
@@ -103,13 +101,13 @@
 pub struct Filter {
     /// The column.
     pub column: String,
-    /// The comparison.
+    /// The comparison operator.
     pub op: Op,
-    /// The other side.
+    /// The right-hand side.
     pub value: Literal,
 }
 
-/// A comparison.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Op {
     /// `=`
@@ -128,20 +126,20 @@
     Contains,
 }
 
-/// A written value.
+/// A literal value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Literal {
-    /// As it was written, without quotes.
+    /// The source text, without quotes.
     pub text: String,
-    /// As a number, if it can be one; a duration counts in milliseconds.
+    /// The numeric value, if any; milliseconds for a duration.
     pub number: Option<f64>,
 }
 
-/// An order of rows.
+/// The sort order of rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
     /// The column.
     pub column: String,
-    /// Greatest first.
+    /// Whether the greatest comes first.
     pub descending: bool,
 }
--- a/hibiscusroad-cli/src/language/parse.rs
+++ b/hibiscusroad-cli/src/language/parse.rs
@@ -1,13 +1,13 @@
-//! Statements from tokens.
+//! The parser of statements.
 
 use super::{
     About, Filter, Op, Order, SUBJECTS, Show, Statement,
     error::Error,
-    take::{
-        Input, comma, duration, expect, expect_one, integer, keyword, literal, name, next, read,
-        share, sign, skip,
+    terminal::{
+        Input, accept_keyword, comma, convert_word, duration, expected, expected_one_of, fraction,
+        integer, keyword, literal, name, peek, symbol,
     },
-    token::{TokenKind, tokens},
+    token::{TokenKind, tokenize},
 };
 use hibiscusroad::config::{Change, Kind, Rule, Target};
 use serde_json::{Map, Value};
@@ -19,8 +19,8 @@
     stream::{Stream, TokenSlice},
 };
 
-/// Work in flight gets this long if `stop` names no time.
-const DEFAULT_STOP: Duration = Duration::from_secs(30);
+/// The time limit for work in flight if `stop` has no `within`.
+const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 const VERBS: &[&str] = &[
     "show", "watch", "explain", "create", "alter", "drop", "set", "drain", "undrain", "stop",
@@ -46,27 +46,26 @@
     ("~", Op::Contains),
 ];
 
-/// Reads all statements of a text.
+/// Parses all statements of `source`.
 ///
 /// # Errors
 ///
-/// Returns the first place where the text is no statement, with what may stand
-/// there.
+/// Returns the first syntax error.
 pub fn parse(source: &str) -> Result<Vec<Statement>, Error> {
-    let tokens = tokens(source)?;
-    let found: Result<Vec<Option<Statement>>, _> =
-        repeat(0.., line).parse(TokenSlice::new(&tokens));
-    match found {
-        Ok(lines) => Ok(lines.into_iter().flatten().collect()),
+    let tokens = tokenize(source)?;
+    let parsed: Result<Vec<Option<Statement>>, _> =
+        repeat(0.., statement_or_blank).parse(TokenSlice::new(&tokens));
+    match parsed {
+        Ok(statements) => Ok(statements.into_iter().flatten().collect()),
         Err(error) => {
             let token = &tokens[error.offset().min(tokens.len() - 1)];
-            let expected = error.inner().context().map(describe).collect();
+            let expected = error.inner().context().map(description).collect();
             Err(Error::new(source, token.span.clone(), expected))
         }
     }
 }
 
-fn describe(context: &StrContext) -> String {
+fn description(context: &StrContext) -> String {
     match context {
         StrContext::Expected(StrContextValue::StringLiteral(word)) => (*word).to_owned(),
         StrContext::Expected(value) => value.to_string(),
@@ -74,20 +73,20 @@
     }
 }
 
-/// Reads one statement and its end, or an empty line.
-fn line(input: &mut Input<'_>) -> ModalResult<Option<Statement>> {
-    match next(input) {
+/// Parses one statement with its terminator, or a terminator alone.
+fn statement_or_blank(input: &mut Input<'_>) -> ModalResult<Option<Statement>> {
+    match peek(input) {
         None => return Err(ErrMode::Backtrack(ContextError::new())),
-        Some(TokenKind::End) => {
+        Some(TokenKind::Terminator) => {
             input.next_token();
             return Ok(None);
         }
         Some(_) => {}
     }
     let statement = statement(input)?;
-    match next(input) {
-        Some(TokenKind::End) => input.next_token(),
-        _ => return Err(expect_one("the end of the statement")),
+    match peek(input) {
+        Some(TokenKind::Terminator) => input.next_token(),
+        _ => return Err(expected("the end of the statement")),
     };
     Ok(Some(statement))
 }
@@ -99,7 +98,7 @@
         "explain" => explain(input),
         "create" => create(input).map(Statement::Change),
         "alter" => alter(input).map(Statement::Change),
-        "drop" => remove(input).map(Statement::Change),
+        "drop" => drop_service(input).map(Statement::Change),
         "set" => set(input).map(Statement::Change),
         "drain" => drain(input, |target, name| Change::Drain { target, name }),
         "undrain" => drain(input, |target, name| Change::Undrain { target, name }),
@@ -112,21 +111,21 @@
     let subject = keyword(input, SUBJECTS)?;
     let columns = columns(input)?;
     let mut filters = Vec::new();
-    if skip(input, "where") {
+    if accept_keyword(input, "where") {
         filters.push(filter(input)?);
-        while skip(input, "and") {
+        while accept_keyword(input, "and") {
             filters.push(filter(input)?);
         }
     }
-    let order = if skip(input, "order") {
+    let order = if accept_keyword(input, "order") {
         keyword(input, &["by"])?;
         let column = name(input, "a column")?;
-        let descending = skip(input, "desc");
+        let descending = accept_keyword(input, "desc");
         Some(Order { column, descending })
     } else {
         None
     };
-    let limit = if skip(input, "limit") {
+    let limit = if accept_keyword(input, "limit") {
         Some(usize::try_from(integer(input)?).unwrap_or(usize::MAX))
     } else {
         None
@@ -141,9 +140,9 @@
 }
 
 fn columns(input: &mut Input<'_>) -> ModalResult<Vec<String>> {
-    let clause = |word: &String| ["where", "order", "limit"].contains(&word.as_str());
-    match next(input) {
-        Some(TokenKind::Word(word)) if !clause(word) => {
+    let is_clause = |word: &String| ["where", "order", "limit"].contains(&word.as_str());
+    match peek(input) {
+        Some(TokenKind::Word(word)) if !is_clause(word) => {
             let column = |input: &mut Input<'_>| name(input, "a column");
             separated(1.., column, comma).parse_next(input)
         }
@@ -153,13 +152,13 @@
 
 fn filter(input: &mut Input<'_>) -> ModalResult<Filter> {
     let column = name(input, "a column")?;
-    let op = match next(input) {
-        Some(TokenKind::Sign(sign)) => OPS.iter().find(|(known, _)| known == sign),
+    let op = match peek(input) {
+        Some(TokenKind::Symbol(symbol)) => OPS.iter().find(|(text, _)| text == symbol),
         _ => None,
     };
     let Some((_, op)) = op else {
-        let signs: Vec<&str> = OPS.iter().map(|(sign, _)| *sign).collect();
-        return Err(expect(&signs));
+        let symbols: Vec<&str> = OPS.iter().map(|(symbol, _)| *symbol).collect();
+        return Err(expected_one_of(&symbols));
     };
     input.next_token();
     let value = literal(input)?;
@@ -168,8 +167,8 @@
 }
 
 fn watch(input: &mut Input<'_>) -> ModalResult<Statement> {
-    let expected = "seconds or a duration such as 2 or 500ms";
-    let every = read(input, expected, |word| {
+    let description = "seconds or a duration such as 2 or 500ms";
+    let every = convert_word(input, description, |word| {
         let seconds = word.parse().ok().map(Duration::from_secs);
         seconds.or_else(|| humantime::parse_duration(word).ok())
     })?;
@@ -179,11 +178,11 @@
 }
 
 fn explain(input: &mut Input<'_>) -> ModalResult<Statement> {
-    let (about, expected) = match keyword(input, &["request", "endpoint"])? {
+    let (about, description) = match keyword(input, &["request", "endpoint"])? {
         "request" => (About::Request, "a request's id"),
         _ => (About::Endpoint, "an endpoint's name"),
     };
-    let name = name(input, expected)?;
+    let name = name(input, description)?;
     Ok(Statement::Explain { about, name })
 }
 
@@ -195,15 +194,15 @@
         "model" => Kind::Model,
         _ => Kind::Plain,
     };
-    let pairs = if skip(input, "with") {
+    let pairs = if accept_keyword(input, "with") {
         pairs(input)?
     } else {
         Map::new()
     };
-    // Keys and values were checked above, so that this fails for a key that
-    // stands in the list but not in the rule.
+    // The keys and values are already checked, so this fails only if a key of
+    // `RULE_KEYS` is missing in `Rule`.
     let rule: Option<Rule> = serde_json::from_value(pairs.into()).ok();
-    let rule = rule.ok_or_else(|| expect(RULE_KEYS))?;
+    let rule = rule.ok_or_else(|| expected_one_of(RULE_KEYS))?;
     Ok(Change::CreateService { name, kind, rule })
 }
 
@@ -215,7 +214,7 @@
     Ok(Change::AlterService { name, set })
 }
 
-fn remove(input: &mut Input<'_>) -> ModalResult<Change> {
+fn drop_service(input: &mut Input<'_>) -> ModalResult<Change> {
     keyword(input, &["service"])?;
     let name = name(input, "a service's name")?;
     Ok(Change::DropService { name })
@@ -223,7 +222,7 @@
 
 fn set(input: &mut Input<'_>) -> ModalResult<Change> {
     let key = name(input, "a key")?;
-    sign(input, "=")?;
+    symbol(input, "=")?;
     let value = literal(input)?.text;
     Ok(Change::Set { key, value })
 }
@@ -232,22 +231,22 @@
     input: &mut Input<'_>,
     change: impl Fn(Target, String) -> Change,
 ) -> ModalResult<Statement> {
-    let (target, expected) = match keyword(input, &["host", "place", "endpoint"])? {
+    let (target, description) = match keyword(input, &["host", "place", "endpoint"])? {
         "host" => (Target::Host, "a host's name"),
-        "place" => (Target::Place, "a place's name"),
+        "place" => (Target::Place, "a data centre's name"),
         _ => (Target::Endpoint, "an endpoint's name"),
     };
-    let name = name(input, expected)?;
+    let name = name(input, description)?;
     Ok(Statement::Change(change(target, name)))
 }
 
 fn stop(input: &mut Input<'_>) -> ModalResult<Statement> {
     keyword(input, &["service"])?;
     let service = name(input, "a service's name")?;
-    let within = if skip(input, "within") {
+    let within = if accept_keyword(input, "within") {
         duration(input)?
     } else {
-        DEFAULT_STOP
+        DEFAULT_STOP_TIMEOUT
     };
     Ok(Statement::Stop { service, within })
 }
@@ -260,7 +259,7 @@
     Ok(Statement::Promote { version, service })
 }
 
-/// Reads `KEY = VALUE, ...` for the rule of a service.
+/// Parses `KEY = VALUE, ...` for the rule of a service.
 fn pairs(input: &mut Input<'_>) -> ModalResult<Map<String, Value>> {
     let list: Vec<(String, Value)> = separated(1.., pair, comma).parse_next(input)?;
     Ok(list.into_iter().collect())
@@ -268,13 +267,13 @@
 
 fn pair(input: &mut Input<'_>) -> ModalResult<(String, Value)> {
     let key = keyword(input, RULE_KEYS)?;
-    sign(input, "=")?;
+    symbol(input, "=")?;
     match key {
         "depth" | "limit" => Ok((key.to_owned(), integer(input)?.into())),
         "deadline" => {
             let millis = u64::try_from(duration(input)?.as_millis()).unwrap_or(u64::MAX);
             Ok(("deadline_ms".to_owned(), millis.into()))
         }
-        _ => Ok((key.to_owned(), share(input)?.into())),
+        _ => Ok((key.to_owned(), fraction(input)?.into())),
     }
 }
--- a/hibiscusroad-cli/src/language/take.rs
+++ b/hibiscusroad-cli/src/language/terminal.rs
@@ -1,4 +1,4 @@
-//! Taking single tokens, with what was expected if another stands there.
+//! Parsers of single tokens. An error lists the expected tokens.
 
 use super::{
     Literal,
@@ -11,28 +11,31 @@
     stream::{Stream, TokenSlice},
 };
 
-/// The tokens that are left.
+/// The remaining tokens.
 pub(super) type Input<'t> = TokenSlice<'t, Token>;
 
 pub(super) fn integer(input: &mut Input<'_>) -> ModalResult<u32> {
-    read(input, "a whole number", |word| word.parse().ok())
+    convert_word(input, "a whole number", |word| word.parse().ok())
 }
 
-pub(super) fn share(input: &mut Input<'_>) -> ModalResult<f64> {
-    read(input, "a share from 0 to 1", |word| {
+/// Parses a number from 0 to 1.
+pub(super) fn fraction(input: &mut Input<'_>) -> ModalResult<f64> {
+    convert_word(input, "a share from 0 to 1", |word| {
         word.parse()
             .ok()
-            .filter(|share| (0.0..=1.0).contains(share))
+            .filter(|fraction| (0.0..=1.0).contains(fraction))
     })
 }
 
 pub(super) fn duration(input: &mut Input<'_>) -> ModalResult<Duration> {
-    let expected = "a duration such as 250ms, 10s or 2m";
-    read(input, expected, |word| humantime::parse_duration(word).ok())
+    let description = "a duration such as 250ms, 10s or 2m";
+    convert_word(input, description, |word| {
+        humantime::parse_duration(word).ok()
+    })
 }
 
 pub(super) fn literal(input: &mut Input<'_>) -> ModalResult<Literal> {
-    match next(input) {
+    match peek(input) {
         Some(TokenKind::Quoted(text)) => {
             input.next_token();
             let text = text.clone();
@@ -45,57 +48,59 @@
             let text = text.clone();
             Ok(Literal { text, number })
         }
-        _ => Err(expect_one("a value")),
+        _ => Err(expected("a value")),
     }
 }
 
-pub(super) fn name(input: &mut Input<'_>, expected: &'static str) -> ModalResult<String> {
-    match next(input) {
+pub(super) fn name(input: &mut Input<'_>, description: &'static str) -> ModalResult<String> {
+    match peek(input) {
         Some(TokenKind::Word(text) | TokenKind::Quoted(text)) => {
             input.next_token();
             Ok(text.clone())
         }
-        _ => Err(expect_one(expected)),
+        _ => Err(expected(description)),
     }
 }
 
-/// Returns the next token without taking it.
-pub(super) fn next<'t>(input: &Input<'t>) -> Option<&'t TokenKind> {
+/// Returns the next token without consuming it.
+pub(super) fn peek<'t>(input: &Input<'t>) -> Option<&'t TokenKind> {
     input.peek_token().map(|token| &token.kind)
 }
 
-/// Takes a word that `accept` makes a value of.
-pub(super) fn read<T>(
+/// Consumes a word and converts it to a value.
+pub(super) fn convert_word<T>(
     input: &mut Input<'_>,
-    expected: &'static str,
-    accept: impl FnOnce(&str) -> Option<T>,
+    description: &'static str,
+    convert: impl FnOnce(&str) -> Option<T>,
 ) -> ModalResult<T> {
-    let value = match next(input) {
-        Some(TokenKind::Word(word)) => accept(word),
+    let value = match peek(input) {
+        Some(TokenKind::Word(word)) => convert(word),
         _ => None,
     };
-    let value = value.ok_or_else(|| expect_one(expected))?;
+    let value = value.ok_or_else(|| expected(description))?;
     input.next_token();
     Ok(value)
 }
 
-/// Takes one of `words`, in any case.
+/// Consumes one of `words`, ignoring case.
 pub(super) fn keyword(
     input: &mut Input<'_>,
     words: &'static [&'static str],
 ) -> ModalResult<&'static str> {
-    let found = match next(input) {
-        Some(TokenKind::Word(word)) => words.iter().find(|known| known.eq_ignore_ascii_case(word)),
+    let found = match peek(input) {
+        Some(TokenKind::Word(word)) => words
+            .iter()
+            .find(|keyword| keyword.eq_ignore_ascii_case(word)),
         _ => None,
     };
-    let found = found.ok_or_else(|| expect(words))?;
+    let found = found.ok_or_else(|| expected_one_of(words))?;
     input.next_token();
     Ok(found)
 }
 
-/// Takes `word` if it comes next, and says whether it did.
-pub(super) fn skip(input: &mut Input<'_>, word: &str) -> bool {
-    let next = next(input);
+/// Consumes `word` if it is next, ignoring case, and returns whether it was.
+pub(super) fn accept_keyword(input: &mut Input<'_>, word: &str) -> bool {
+    let next = peek(input);
     let found = matches!(next, Some(TokenKind::Word(next)) if next.eq_ignore_ascii_case(word));
     if found {
         input.next_token();
@@ -103,20 +108,21 @@
     found
 }
 
-pub(super) fn sign(input: &mut Input<'_>, sign: &'static str) -> ModalResult<()> {
-    match next(input) {
-        Some(TokenKind::Sign(next)) if *next == sign => {
+pub(super) fn symbol(input: &mut Input<'_>, symbol: &'static str) -> ModalResult<()> {
+    match peek(input) {
+        Some(TokenKind::Symbol(next)) if *next == symbol => {
             input.next_token();
             Ok(())
         }
-        _ => Err(expect(&[sign])),
+        _ => Err(expected_one_of(&[symbol])),
     }
 }
 
-/// Takes a comma; without one the list is at its end, which is no error.
+/// Consumes a comma. The error for another token lets the parser backtrack,
+/// because the list ends there.
 pub(super) fn comma(input: &mut Input<'_>) -> ModalResult<()> {
-    match next(input) {
-        Some(TokenKind::Sign(",")) => {
+    match peek(input) {
+        Some(TokenKind::Symbol(",")) => {
             input.next_token();
             Ok(())
         }
@@ -124,7 +130,7 @@
     }
 }
 
-pub(super) fn expect(words: &[&'static str]) -> ErrMode<ContextError> {
+pub(super) fn expected_one_of(words: &[&'static str]) -> ErrMode<ContextError> {
     let mut error = ContextError::new();
     for word in words {
         error.push(StrContext::Expected(StrContextValue::StringLiteral(word)));
@@ -132,7 +138,7 @@
     ErrMode::Cut(error)
 }
 
-pub(super) fn expect_one(description: &'static str) -> ErrMode<ContextError> {
+pub(super) fn expected(description: &'static str) -> ErrMode<ContextError> {
     let mut error = ContextError::new();
     error.push(StrContext::Expected(StrContextValue::Description(
         description,
--- a/hibiscusroad-cli/src/language/token.rs
+++ b/hibiscusroad-cli/src/language/token.rs
@@ -1,4 +1,4 @@
-//! Words, signs and ends of statements.
+//! The lexer.
 
 use super::error::Error;
 use std::ops::Range;
@@ -9,51 +9,51 @@
     token::{any, one_of, take_while},
 };
 
-/// One token and the bytes where it stands.
+/// A token and its byte range in the source.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Token {
     pub kind: TokenKind,
     pub span: Range<usize>,
 }
 
-/// What a token is.
+/// The kind and text of a token.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum TokenKind {
     /// A word, number, duration or name without quotes.
     Word(String),
-    /// A text in quotes, without them.
+    /// A quoted string, without the quotes.
     Quoted(String),
-    /// `,` or a comparison.
-    Sign(&'static str),
-    /// `;`, a new line, or the end of the text.
-    End,
+    /// `,` or a comparison operator.
+    Symbol(&'static str),
+    /// `;`, a newline, or the end of the source.
+    Terminator,
 }
 
 type Input<'s> = LocatingSlice<&'s str>;
 
-/// Cuts a text into tokens, the last of which is an end.
-pub(super) fn tokens(source: &str) -> Result<Vec<Token>, Error> {
+/// Splits `source` into tokens, of which the last is a terminator.
+pub(super) fn tokenize(source: &str) -> Result<Vec<Token>, Error> {
     let mut input = LocatingSlice::new(source);
     let mut tokens = Vec::new();
     loop {
-        skip(&mut input).unwrap_or_default();
+        skip_blanks(&mut input).unwrap_or_default();
         let start = source.len() - input.len();
         if input.is_empty() {
-            let kind = TokenKind::End;
+            let kind = TokenKind::Terminator;
             let span = start..start;
             tokens.push(Token { kind, span });
             return Ok(tokens);
         }
-        let (kind, span) = kind
+        let (kind, span) = token_kind
             .with_span()
             .parse_next(&mut input)
             .ok()
-            .ok_or_else(|| unreadable(source, start))?;
+            .ok_or_else(|| invalid_token(source, start))?;
         tokens.push(Token { kind, span });
     }
 }
 
-fn unreadable(source: &str, start: usize) -> Error {
+fn invalid_token(source: &str, start: usize) -> Error {
     let first = source[start..].chars().next().unwrap_or_default();
     let span = start..start + first.len_utf8();
     let expected = match first {
@@ -63,19 +63,19 @@
     Error::new(source, span, vec![expected])
 }
 
-/// Skips spaces and comments, but no new line, which ends a statement.
-fn skip(input: &mut Input<'_>) -> ModalResult<()> {
-    let space = take_while(1.., (' ', '\t', '\r')).void();
+/// Skips blanks and comments, but not newlines, which end a statement.
+fn skip_blanks(input: &mut Input<'_>) -> ModalResult<()> {
+    let blank = take_while(1.., (' ', '\t', '\r')).void();
     let comment = ('#', till_line_ending).void();
-    repeat(0.., alt((space, comment))).parse_next(input)
+    repeat(0.., alt((blank, comment))).parse_next(input)
 }
 
-fn kind(input: &mut Input<'_>) -> ModalResult<TokenKind> {
+fn token_kind(input: &mut Input<'_>) -> ModalResult<TokenKind> {
     dispatch! {peek(any);
-        ';' | '\n' => any.value(TokenKind::End),
+        ';' | '\n' => any.value(TokenKind::Terminator),
         '\'' => quoted('\''),
         '"' => quoted('"'),
-        ',' | '=' | '!' | '<' | '>' | '~' => sign.map(TokenKind::Sign),
+        ',' | '=' | '!' | '<' | '>' | '~' => symbol.map(TokenKind::Symbol),
         _ => word.map(|word: &str| TokenKind::Word(word.to_owned())),
     }
     .parse_next(input)
@@ -87,14 +87,14 @@
 
 fn quoted<'s>(quote: char) -> impl FnMut(&mut Input<'s>) -> ModalResult<TokenKind> {
     move |input| {
-        let inside = take_while(0.., move |c: char| c != quote && c != '\n');
-        delimited(quote, inside, quote)
+        let content = take_while(0.., move |c: char| c != quote && c != '\n');
+        delimited(quote, content, quote)
             .map(|text: &str| TokenKind::Quoted(text.to_owned()))
             .parse_next(input)
     }
 }
 
-fn sign(input: &mut Input<'_>) -> ModalResult<&'static str> {
+fn symbol(input: &mut Input<'_>) -> ModalResult<&'static str> {
     alt((
         "!=".value("!="),
         "<=".value("<="),
--- a/hibiscusroad-cli/tests/language.rs
+++ b/hibiscusroad-cli/tests/language.rs
@@ -1,8 +1,8 @@
-//! Statements as they are read, and errors as operators see them.
+//! Tests the parser and its error messages.
 //!
-//! `NAME.hib` is parsed; `NAME.expected` holds one line a statement, or the
-//! error. The examples of docs/LANGUAGE.md and the files of the deployments
-//! must parse.
+//! `NAME.hib` is parsed; `NAME.expected` holds one line for each statement, or
+//! the error. The examples in docs/LANGUAGE.md and the setup files of the
+//! deployments must parse, too.
 
 use hibiscusroad_cli::language;
 use std::{fs, path::Path};
@@ -10,12 +10,12 @@
 const FENCE: &str = "```";
 
 fn reads(file: &Path) -> datatest_stable::Result<()> {
-    let found = match language::parse(&fs::read_to_string(file)?) {
+    let output = match language::parse(&fs::read_to_string(file)?) {
         Ok(statements) => statements.iter().map(|s| format!("{s:?}")).collect(),
         Err(error) => vec![error.to_string()],
     };
     let expected = fs::read_to_string(file.with_extension("expected"))?;
-    assert_eq!(found.join("\n"), expected.trim_end());
+    assert_eq!(output.join("\n"), expected.trim_end());
     Ok(())
 }
 
