--- a/hibiscusroad-cli/tests/language.rs
+++ b/hibiscusroad-cli/tests/language.rs
@@ -9,7 +9,7 @@
 
 const FENCE: &str = "```";
 
-fn reads(file: &Path) -> datatest_stable::Result<()> {
+fn parses(file: &Path) -> datatest_stable::Result<()> {
     let output = match language::parse(&fs::read_to_string(file)?) {
         Ok(statements) => statements.iter().map(|s| format!("{s:?}")).collect(),
         Err(error) => vec![error.to_string()],
@@ -19,26 +19,26 @@
     Ok(())
 }
 
-fn deployment(file: &Path) -> datatest_stable::Result<()> {
+fn parses_deployment_setup(file: &Path) -> datatest_stable::Result<()> {
     let statements = language::parse(&fs::read_to_string(file)?)?;
     assert_eq!(statements.len(), 2);
     Ok(())
 }
 
-fn examples(file: &Path) -> datatest_stable::Result<()> {
+fn parses_documented_examples(file: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(file)?;
     let blocks = text.split(FENCE).skip(1).step_by(2);
-    let mut count = 0;
+    let mut statement_count = 0;
     for block in blocks.filter_map(|block| block.strip_prefix("hib\n")) {
         let statements = language::parse(block).map_err(|error| format!("{block}\n{error}"))?;
-        count += statements.len();
+        statement_count += statements.len();
     }
-    assert!(count > 20, "{count} examples");
+    assert!(statement_count > 20, "{statement_count} examples");
     Ok(())
 }
 
 datatest_stable::harness! {
-    { test = reads, root = "tests/data/language", pattern = r"\.hib$" },
-    { test = deployment, root = "../deploy", pattern = r"\.hib$" },
-    { test = examples, root = "../docs", pattern = r"^LANGUAGE\.md$" },
+    { test = parses, root = "tests/data/language", pattern = r"\.hib$" },
+    { test = parses_deployment_setup, root = "../deploy", pattern = r"\.hib$" },
+    { test = parses_documented_examples, root = "../docs", pattern = r"^LANGUAGE\.md$" },
 }
--- a/hibiscusroad-cli/tests/rows.rs
+++ b/hibiscusroad-cli/tests/rows.rs
@@ -10,7 +10,7 @@
 };
 use std::{fs, path::Path};
 
-fn prints(file: &Path) -> datatest_stable::Result<()> {
+fn prints_query_result(file: &Path) -> datatest_stable::Result<()> {
     let rows: Vec<Row> =
         serde_json::from_str(&fs::read_to_string(file.with_file_name("endpoints.json"))?)?;
     let statements = language::parse(&fs::read_to_string(file)?)?;
@@ -33,5 +33,5 @@
 }
 
 datatest_stable::harness! {
-    { test = prints, root = "tests/data/rows", pattern = r"\.hib$" },
+    { test = prints_query_result, root = "tests/data/rows", pattern = r"\.hib$" },
 }
