--- a/hibiscusroad-cli/src/main.rs
+++ b/hibiscusroad-cli/src/main.rs
@@ -79,8 +79,8 @@
         let name = file.file_stem().unwrap_or_default();
         logs.add(&name.to_string_lossy(), &text);
     }
-    if logs.odd() > 0 {
-        eprintln!("{} lines are no log lines", logs.odd());
+    if logs.unparsed() > 0 {
+        eprintln!("{} lines are no log lines", logs.unparsed());
     }
     Ok(logs)
 }
--- a/hibiscusroad-cli/src/trace/mod.rs
+++ b/hibiscusroad-cli/src/trace/mod.rs
@@ -1,14 +1,12 @@
-//! The story of one request, batch or item, from the logs of all processes.
+//! Timelines of requests, batches and items from the logs of all processes.
 //!
-//! A gateway writes a JSON line for each decision, with the ids it touches. The
-//! story of an id is every line that names it, and, for an item, the lines that
-//! say who ran its batch. It is told in the order in which things happened,
-//! although the clocks of hosts may differ by seconds: some lines tell of one
-//! write to the store, which all processes hear of within milliseconds. They
-//! show by how much each clock is off, and each process's lines are moved by
-//! that much.
+//! A gateway logs each decision as a JSON line with the ids involved. The
+//! timeline of an id contains each line with that id and, for an item, the lines
+//! about the owner of its batch. Clocks of hosts may differ by seconds, so the
+//! times are corrected by each process's offset, estimated from log lines that
+//! all processes write within milliseconds of the same store write.
 //!
-//! [`steps`] tells what the steps of trainers waited for.
+//! [`steps`] analyses what training steps waited for.
 
 mod steps;
 
@@ -19,128 +17,129 @@
     time::{Duration, SystemTime},
 };
 
-/// Sentences of lines that all processes write about the same write.
-const SHARED: &[&str] = &[
+/// The messages that all processes log about the same store write.
+const SHARED_MESSAGES: &[&str] = &[
     "A configuration is in force.",
     "A weight version was named.",
 ];
-/// Sentences that say who ran a batch.
-const OWNERS: &[&str] = &[
+/// The messages about the owner of a batch.
+const OWNER_MESSAGES: &[&str] = &[
     "A batch is accepted.",
     "A batch is taken over.",
     "A batch is run here.",
     "A batch is no longer run here.",
     "A batch is ended.",
 ];
-/// What every line has; the rest are the inputs that decided.
-const FRAME: &[&str] = &["time", "level", "part", "text"];
+/// The fields of every line; all others are specific to the message.
+const COMMON_FIELDS: &[&str] = &["time", "level", "part", "text"];
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug)]
-struct Line {
+struct LogLine {
     process: String,
-    /// Milliseconds since the epoch, by its process's clock.
-    at: f64,
+    /// Milliseconds since the Unix epoch by the clock of the process.
+    time_ms: f64,
     fields: Map<String, Value>,
 }
 
-impl Line {
-    fn text(&self, name: &str) -> &str {
+impl LogLine {
+    fn str_field(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or("")
     }
 
-    fn names(&self, id: &str) -> bool {
-        let mut inputs = self.inputs();
-        inputs.any(|(_, value)| value.as_str() == Some(id))
+    fn mentions(&self, id: &str) -> bool {
+        let mut fields = self.message_fields();
+        fields.any(|(_, value)| value.as_str() == Some(id))
     }
 
-    fn inputs(&self) -> impl Iterator<Item = (&String, &Value)> {
-        let inputs = self.fields.iter();
-        inputs.filter(|(name, _)| !FRAME.contains(&name.as_str()))
+    fn message_fields(&self) -> impl Iterator<Item = (&String, &Value)> {
+        let fields = self.fields.iter();
+        fields.filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
     }
 
-    /// What a line is about that other processes write too.
-    fn shared(&self) -> Option<String> {
-        let text = self.text("text");
-        let about = || ["model", "version"].map(|name| self.fields.get(name).cloned());
-        SHARED
+    /// Returns a key of the store write that all processes log, if the line is
+    /// about one.
+    fn shared_key(&self) -> Option<String> {
+        let text = self.str_field("text");
+        let ids = || ["model", "version"].map(|name| self.fields.get(name).cloned());
+        SHARED_MESSAGES
             .contains(&text)
-            .then(|| format!("{text} {:?}", about()))
+            .then(|| format!("{text} {:?}", ids()))
     }
 }
 
-/// Logs of several processes.
+/// The logs of several processes.
 #[derive(Debug, Default)]
 pub struct Logs {
-    lines: Vec<Line>,
-    /// Lines that could not be read.
-    odd: usize,
+    lines: Vec<LogLine>,
+    /// The number of lines that could not be parsed.
+    unparsed: usize,
 }
 
 impl Logs {
-    /// Creates logs without a line.
+    /// Creates an empty set of logs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a log; `name` stands for its process until a line names it.
+    /// Adds a log. `name` is used as the process until a line names the process.
     pub fn add(&mut self, name: &str, text: &str) {
         let mut process = name.to_owned();
         for text in text.lines().filter(|line| !line.trim().is_empty()) {
-            let Some((at, fields)) = parse(text) else {
-                self.odd += 1;
+            let Some((time_ms, fields)) = parse_line(text) else {
+                self.unparsed += 1;
                 continue;
             };
-            let named = gathered(text).map(str::to_owned);
-            let mut line = Line {
+            let prefix = process_prefix(text).map(str::to_owned);
+            let mut line = LogLine {
                 process: process.clone(),
-                at,
+                time_ms,
                 fields,
             };
-            if let Some((started, _)) = line.text("text").split_once(" starts as ") {
+            if let Some((started, _)) = line.str_field("text").split_once(" starts as ") {
                 started.clone_into(&mut process);
             }
-            line.process = named.unwrap_or_else(|| process.clone());
+            line.process = prefix.unwrap_or_else(|| process.clone());
             self.lines.push(line);
         }
     }
 
-    /// Returns how many lines could not be read.
+    /// Returns the number of lines that could not be parsed.
     #[must_use]
-    pub const fn odd(&self) -> usize {
-        self.odd
+    pub const fn unparsed(&self) -> usize {
+        self.unparsed
     }
 
-    /// Tells the story of an id; `None` if no line names it.
+    /// Returns the timeline of an id, or `None` if no line mentions it.
     #[must_use]
     pub fn story(&self, id: &str) -> Option<String> {
-        let mut found: Vec<&Line> = self.lines.iter().filter(|line| line.names(id)).collect();
-        let first = found.first()?;
-        let batch = first.text("batch");
+        let mut lines: Vec<&LogLine> = self.lines.iter().filter(|line| line.mentions(id)).collect();
+        let first = lines.first()?;
+        let batch = first.str_field("batch");
         if !batch.is_empty() && batch != id {
-            let owners = self
-                .lines
-                .iter()
-                .filter(|line| line.text("batch") == batch && OWNERS.contains(&line.text("text")));
-            found.extend(owners);
+            let owner_lines = self.lines.iter().filter(|line| {
+                line.str_field("batch") == batch && OWNER_MESSAGES.contains(&line.str_field("text"))
+            });
+            lines.extend(owner_lines);
         }
-        let offsets = self.offsets();
-        let at = |line: &Line| line.at - offsets.get(line.process.as_str()).unwrap_or(&0.0);
-        found.sort_by(|a, b| at(a).total_cmp(&at(b)));
-        let start = found.first().map_or(0.0, |line| at(line));
+        let offsets = self.clock_offsets();
+        let corrected =
+            |line: &LogLine| line.time_ms - offsets.get(line.process.as_str()).unwrap_or(&0.0);
+        lines.sort_by(|a, b| corrected(a).total_cmp(&corrected(b)));
+        let start = lines.first().map_or(0.0, |line| corrected(line));
         let mut out = String::new();
-        for line in found {
-            // Writing to a string never fails.
+        for line in lines {
+            // Writing to a `String` never fails.
             let _ = write!(
                 out,
                 "{:>9.3} s  {:<16} {:<8} {}",
-                (at(line) - start) / 1000.0,
+                (corrected(line) - start) / 1000.0,
                 line.process,
-                line.text("part"),
-                line.text("text")
+                line.str_field("part"),
+                line.str_field("text")
             );
-            for (name, value) in line.inputs() {
+            for (name, value) in line.message_fields() {
                 let _ = match value.as_str() {
                     Some(text) => write!(out, " {name}={text}"),
                     None => write!(out, " {name}={value}"),
@@ -151,49 +150,50 @@
         Some(out)
     }
 
-    /// Finds by how much each process's clock is ahead of the first one's.
-    fn offsets(&self) -> HashMap<&str, f64> {
+    /// Estimates each process's clock offset from the median clock, in
+    /// milliseconds.
+    fn clock_offsets(&self) -> HashMap<&str, f64> {
         let mut shared: BTreeMap<String, Vec<(&str, f64)>> = BTreeMap::new();
         for line in &self.lines {
-            if let Some(about) = line.shared() {
+            if let Some(key) = line.shared_key() {
                 shared
-                    .entry(about)
+                    .entry(key)
                     .or_default()
-                    .push((&line.process, line.at));
+                    .push((&line.process, line.time_ms));
             }
         }
-        let mut ahead: HashMap<&str, Vec<f64>> = HashMap::new();
+        let mut differences: HashMap<&str, Vec<f64>> = HashMap::new();
         for lines in shared.values() {
-            let mut times: Vec<f64> = lines.iter().map(|(_, at)| *at).collect();
+            let mut times: Vec<f64> = lines.iter().map(|(_, time)| *time).collect();
             times.sort_by(f64::total_cmp);
-            // The median process is the measure: a few clocks are off, not most.
-            let middle = times[times.len() / 2];
-            for (process, at) in lines {
-                ahead.entry(process).or_default().push(at - middle);
+            // The median is correct as long as most clocks are.
+            let median = times[times.len() / 2];
+            for (process, time) in lines {
+                differences.entry(process).or_default().push(time - median);
             }
         }
-        let medians = ahead.into_iter().map(|(process, mut found)| {
-            found.sort_by(f64::total_cmp);
-            (process, found[found.len() / 2])
+        let medians = differences.into_iter().map(|(process, mut values)| {
+            values.sort_by(f64::total_cmp);
+            (process, values[values.len() / 2])
         });
         medians.collect()
     }
 }
 
-/// Returns the process that whoever gathered the logs of several wrote before a
-/// line: the word right before it.
-fn gathered(line: &str) -> Option<&str> {
-    let (before, _) = line.split_once('{')?;
-    let word = before.split_whitespace().next_back()?;
+/// Returns the process name that a log collector put directly before the JSON
+/// object; a prefix that ends with a colon is none.
+fn process_prefix(line: &str) -> Option<&str> {
+    let (prefix, _) = line.split_once('{')?;
+    let word = prefix.split_whitespace().next_back()?;
     (!word.ends_with(':')).then_some(word)
 }
 
-fn parse(line: &str) -> Option<(f64, Map<String, Value>)> {
-    // What stands before the brace was put there by whoever gathered the logs.
+fn parse_line(line: &str) -> Option<(f64, Map<String, Value>)> {
+    // Log collectors may put a prefix before the JSON object.
     let line = &line[line.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(line).ok()?;
     let time = humantime::parse_rfc3339(fields.get("time")?.as_str()?).ok()?;
-    let since = time.duration_since(SystemTime::UNIX_EPOCH);
-    let since = since.unwrap_or(Duration::ZERO);
-    Some((since.as_secs_f64() * 1000.0, fields))
+    let since_epoch = time.duration_since(SystemTime::UNIX_EPOCH);
+    let since_epoch = since_epoch.unwrap_or(Duration::ZERO);
+    Some((since_epoch.as_secs_f64() * 1000.0, fields))
 }
--- a/hibiscusroad-cli/tests/trace.rs
+++ b/hibiscusroad-cli/tests/trace.rs
@@ -38,7 +38,7 @@
 #[test]
 fn items_story_is_in_order_though_clocks_differ() {
     let logs = logs();
-    assert_eq!(logs.odd(), 1);
+    assert_eq!(logs.unparsed(), 1);
     let story = logs.story("i1").unwrap();
     let lines: Vec<&str> = story.lines().collect();
     let expected = [
