--- a/hibiscusroad-cli/src/lib.rs
+++ b/hibiscusroad-cli/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operators' command line of hibiscusroad.
 //!
-//! A statement is read by [`language`], asked of entries by [`client`], and its
-//! rows are chosen by [`rows`] and printed by [`mod@format`]. [`session`] joins
-//! them and says how each statement ended. [`trace`] tells a request's story
-//! from logs, without asking anybody.
+//! [`language`] parses statements, [`client`] sends them to entries, [`rows`]
+//! filters and sorts the rows of responses, and [`mod@format`] prints them.
+//! [`session`] runs statements with these modules and reports their outcomes.
+//! [`trace`] builds timelines from log files, without any request to an entry.
 //!
 //! # Example
 //!
--- a/hibiscusroad-cli/src/main.rs
+++ b/hibiscusroad-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscusroad`: the operators' command line.
+//! The `hibiscusroad` program: the operators' command line.
 
 use hibiscusroad_cli::{
     args::{self, Action, HELP, Options, Source},
@@ -19,16 +19,16 @@
 fn main() -> ExitCode {
     let env = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
     let exit = match args::parse(std::env::args_os().skip(1), &env) {
-        Ok(Action::Help) => print(HELP),
-        Ok(Action::Version) => print(&format!("hibiscusroad {}", env!("CARGO_PKG_VERSION"))),
-        Ok(Action::Trace { id, logs }) => trace(&id, &logs),
-        Ok(Action::Steps { logs, format }) => steps(&logs, format),
-        Ok(Action::Run(options)) => run(*options),
-        Err(error) => usage(&error.to_string()),
+        Ok(Action::Help) => print_line(HELP),
+        Ok(Action::Version) => print_line(&format!("hibiscusroad {}", env!("CARGO_PKG_VERSION"))),
+        Ok(Action::Trace { id, logs }) => print_timeline(&id, &logs),
+        Ok(Action::Steps { logs, format }) => print_steps(&logs, format),
+        Ok(Action::Run(options)) => run_statements(*options),
+        Err(error) => report_usage_error(&error.to_string()),
     };
     match exit {
         Ok(exit) => ExitCode::from(exit as u8),
-        // Whoever read the output has enough of it.
+        // The reader of the output closed it early, as `head` does.
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("hibiscusroad: {error}");
@@ -37,84 +37,84 @@
     }
 }
 
-fn print(text: &str) -> io::Result<Exit> {
+fn print_line(text: &str) -> io::Result<Exit> {
     writeln!(io::stdout(), "{text}")?;
     Ok(Exit::Done)
 }
 
-fn usage(text: &str) -> io::Result<Exit> {
+fn report_usage_error(text: &str) -> io::Result<Exit> {
     writeln!(io::stderr(), "{text}")?;
     Ok(Exit::Usage)
 }
 
-fn trace(id: &str, files: &[PathBuf]) -> io::Result<Exit> {
-    let logs = match logs(files) {
+fn print_timeline(id: &str, paths: &[PathBuf]) -> io::Result<Exit> {
+    let logs = match read_logs(paths) {
         Ok(logs) => logs,
-        Err(error) => return usage(&error),
+        Err(error) => return report_usage_error(&error),
     };
-    let Some(story) = logs.story(id) else {
-        writeln!(io::stderr(), "no line names {id}")?;
+    let Some(timeline) = logs.story(id) else {
+        writeln!(io::stderr(), "no log line mentions {id}")?;
         return Ok(Exit::Refused);
     };
-    write!(io::stdout(), "{story}")?;
+    write!(io::stdout(), "{timeline}")?;
     Ok(Exit::Done)
 }
 
-fn steps(files: &[PathBuf], format: Format) -> io::Result<Exit> {
-    let logs = match logs(files) {
+fn print_steps(paths: &[PathBuf], format: Format) -> io::Result<Exit> {
+    let logs = match read_logs(paths) {
         Ok(logs) => logs,
-        Err(error) => return usage(&error),
+        Err(error) => return report_usage_error(&error),
     };
     format::write(&mut io::stdout(), format, &logs.steps())?;
     Ok(Exit::Done)
 }
 
-/// Reads logs; the error says which file can't be read.
-fn logs(files: &[PathBuf]) -> Result<Logs, String> {
-    let input = [PathBuf::from("-")];
-    let files = if files.is_empty() { &input } else { files };
+/// Reads log files, or standard input if `paths` is empty.
+fn read_logs(paths: &[PathBuf]) -> Result<Logs, String> {
+    let stdin = [PathBuf::from("-")];
+    let paths = if paths.is_empty() { &stdin } else { paths };
     let mut logs = Logs::new();
-    for file in files {
-        let text = read(file).map_err(|error| format!("{}: {error}", file.display()))?;
-        let name = file.file_stem().unwrap_or_default();
+    for path in paths {
+        let text = read_file(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        let name = path.file_stem().unwrap_or_default();
         logs.add(&name.to_string_lossy(), &text);
     }
     if logs.unparsed() > 0 {
-        eprintln!("{} lines are no log lines", logs.unparsed());
+        eprintln!("skipped {} lines that are not log lines", logs.unparsed());
     }
     Ok(logs)
 }
 
-fn run(options: Options) -> io::Result<Exit> {
+fn run_statements(options: Options) -> io::Result<Exit> {
     let source = options.source.clone();
     let (mut out, mut err) = (io::stdout(), io::stderr());
     let mut session = Session::new(options, &mut out, &mut err);
     let text = match source {
         Source::Text(text) => text,
-        Source::File(file) => match read(&file) {
+        Source::File(path) => match read_file(&path) {
             Ok(text) => text,
-            Err(error) => return usage(&format!("{}: {error}", file.display())),
+            Err(error) => return report_usage_error(&format!("{}: {error}", path.display())),
         },
-        Source::Prompt if io::stdin().is_terminal() => return prompt(&mut session),
-        Source::Prompt => return usage("no statement; see hibiscusroad --help"),
+        Source::Prompt if io::stdin().is_terminal() => return run_prompt(&mut session),
+        Source::Prompt => return report_usage_error("no statement given; see hibiscusroad --help"),
     };
     match language::parse(&text) {
         Ok(statements) => session.run(&statements),
-        Err(error) => usage(&error.to_string()),
+        Err(error) => report_usage_error(&error.to_string()),
     }
 }
 
-fn read(file: &Path) -> io::Result<String> {
-    if file != Path::new("-") {
-        return fs::read_to_string(file);
+fn read_file(path: &Path) -> io::Result<String> {
+    if path != Path::new("-") {
+        return fs::read_to_string(path);
     }
     let mut text = String::new();
     io::stdin().read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// Runs lines until the input ends; a line that fails doesn't end it.
-fn prompt(session: &mut Session<'_>) -> io::Result<Exit> {
+/// Runs lines until `exit` or the end of the input, whether or not they fail.
+fn run_prompt(session: &mut Session<'_>) -> io::Result<Exit> {
     loop {
         write!(io::stdout(), "{PROMPT}")?;
         io::stdout().flush()?;
