--- a/hibiscusroad-cli/tests/fake/mod.rs
+++ b/hibiscusroad-cli/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A small entry whose answers are laid down beforehand.
+//! A fake entry with scripted responses.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -11,67 +11,69 @@
     thread,
 };
 
-/// What a fake does with one request.
+/// What the fake entry does with a request.
 #[derive(Clone, Debug)]
-pub enum Deed {
-    /// Answers with this status and JSON.
-    Say(u16, String),
-    /// Reads the request and closes the connection.
-    Drop,
+pub enum Action {
+    /// Responds with a status and a JSON body.
+    Respond(u16, String),
+    /// Closes the connection without a response.
+    Close,
 }
 
-/// One request as it came in.
+/// A received request.
 #[derive(Debug)]
-pub struct Seen {
+pub struct Request {
     pub path: String,
-    pub token: Option<String>,
+    pub authorization: Option<String>,
     pub body: String,
 }
 
 /// A fake entry.
 #[derive(Debug)]
-pub struct Fake {
+pub struct FakeEntry {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub requests: Receiver<Request>,
 }
 
-impl Fake {
-    /// Starts a fake that does `deeds` in turn and the last one for ever.
-    pub fn start(deeds: Vec<Deed>) -> Self {
+impl FakeEntry {
+    /// Starts an entry that performs `actions` in turn and then repeats the last.
+    pub fn start(actions: Vec<Action>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tx, seen) = mpsc::channel();
-        let count = Arc::new(AtomicUsize::new(0));
+        let (tx, requests) = mpsc::channel();
+        let received = Arc::new(AtomicUsize::new(0));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let n = count.fetch_add(1, Ordering::SeqCst).min(deeds.len() - 1);
+                let idx = received
+                    .fetch_add(1, Ordering::SeqCst)
+                    .min(actions.len() - 1);
                 let mut stream = stream.unwrap();
-                if tx.send(read(&stream)).is_err() {
+                if tx.send(read_request(&stream)).is_err() {
                     return;
                 }
-                if let Deed::Say(status, body) = &deeds[n] {
-                    answer(&mut stream, *status, body);
+                if let Action::Respond(status, body) = &actions[idx] {
+                    write_response(&mut stream, *status, body);
                 }
             }
         });
-        Self { address, seen }
+        Self { address, requests }
     }
 }
 
-/// Returns an address on which nobody listens.
-pub fn nobody() -> SocketAddr {
+/// Returns an address at which no server listens.
+pub fn closed_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
 }
 
-fn read(stream: &TcpStream) -> Seen {
+fn read_request(stream: &TcpStream) -> Request {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     let path = line.split(' ').nth(1).unwrap_or_default().to_owned();
-    let (mut token, mut length) = (None, 0);
+    let (mut authorization, mut length) = (None, 0);
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).unwrap();
@@ -79,7 +81,7 @@
             break;
         };
         match name.to_ascii_lowercase().as_str() {
-            "authorization" => token = Some(value.to_owned()),
+            "authorization" => authorization = Some(value.to_owned()),
             "content-length" => length = value.parse().unwrap(),
             _ => {}
         }
@@ -87,10 +89,14 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).unwrap();
     let body = String::from_utf8(body).unwrap();
-    Seen { path, token, body }
+    Request {
+        path,
+        authorization,
+        body,
+    }
 }
 
-fn answer(stream: &mut TcpStream, status: u16, body: &str) {
+fn write_response(stream: &mut TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} Said\r\nContent-Length: {length}\r\nConnection: close");
     write!(stream, "{head}\r\n\r\n{body}").unwrap();
--- a/hibiscusroad-cli/tests/options.rs
+++ b/hibiscusroad-cli/tests/options.rs
@@ -1,4 +1,4 @@
-//! The command line, the environment and the settings file, in this order.
+//! Tests the precedence of command line, environment and settings file, and errors.
 
 use hibiscusroad_cli::{
     args::{self, Action, Error, Options, Source},
@@ -11,8 +11,8 @@
 fn parse(line: &str, env: Env<'_>) -> Result<Action, Error> {
     let args = line.split_whitespace().map(OsString::from);
     let env = |name: &str| {
-        let found = env.iter().find(|(known, _)| *known == name);
-        found.map(|(_, value)| (*value).to_owned())
+        let variable = env.iter().find(|(key, _)| *key == name);
+        variable.map(|(_, value)| (*value).to_owned())
     };
     args::parse(args, &env)
 }
@@ -24,43 +24,49 @@
     }
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
-    let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&file, text).unwrap();
-    file
+fn write_file(name: &str, text: &str) -> PathBuf {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    fs::write(&path, text).unwrap();
+    path
 }
 
 #[test]
-fn flags_go_before_environment_and_file() {
-    let token = file("token", "a-secret\n");
+fn flags_override_environment_and_file() {
+    let token = write_file("token", "a-secret\n");
     let text = format!(
         "entries = [\"127.0.0.1:3\"]\ntoken_file = {token:?}\nformat = \"csv\"\nwho = \"eva\"\n"
     );
-    let config = file("cli.toml", &text);
+    let config = write_file("cli.toml", &text);
     let config = ("HIBISCUSROAD_CONFIG", config.to_str().unwrap());
     let entry = ("HIBISCUSROAD_ENTRY", "127.0.0.1:1, 127.0.0.1:2");
 
-    let all = options(
+    let from_flags = options(
         "--entry 127.0.0.1:9 --as jana --format json show hosts",
         &[config, entry],
     );
-    assert_eq!(all.entries, ["127.0.0.1:9".parse().unwrap()]);
-    assert_eq!((all.user.as_str(), all.format), ("jana", Format::Json));
-    assert_eq!(all.source, Source::Text("show hosts".to_owned()));
-    assert_eq!(all.token.unwrap().0, "a-secret");
+    assert_eq!(from_flags.entries, ["127.0.0.1:9".parse().unwrap()]);
+    assert_eq!(
+        (from_flags.user.as_str(), from_flags.format),
+        ("jana", Format::Json)
+    );
+    assert_eq!(from_flags.source, Source::Text("show hosts".to_owned()));
+    assert_eq!(from_flags.token.unwrap().0, "a-secret");
 
-    let env = options("-f x.hib", &[config, entry]);
-    assert_eq!(env.entries.len(), 2);
-    assert_eq!(env.source, Source::File("x.hib".into()));
+    let from_env = options("-f x.hib", &[config, entry]);
+    assert_eq!(from_env.entries.len(), 2);
+    assert_eq!(from_env.source, Source::File("x.hib".into()));
 
-    let file = options("", &[config, ("USER", "root")]);
-    assert_eq!(file.entries, ["127.0.0.1:3".parse().unwrap()]);
-    assert_eq!((file.user.as_str(), file.format), ("eva", Format::Csv));
-    assert_eq!(file.source, Source::Prompt);
+    let from_file = options("", &[config, ("USER", "root")]);
+    assert_eq!(from_file.entries, ["127.0.0.1:3".parse().unwrap()]);
+    assert_eq!(
+        (from_file.user.as_str(), from_file.format),
+        ("eva", Format::Csv)
+    );
+    assert_eq!(from_file.source, Source::Prompt);
 }
 
 #[test]
-fn wrong_lines_say_what_to_do() {
+fn errors_name_the_remedy() {
     let entry = [("HIBISCUSROAD_ENTRY", "127.0.0.1:1")];
     let missing = [("HIBISCUSROAD_CONFIG", "/nonexistent.toml")];
     let cases: [(&str, Env<'_>, &str); 8] = [
--- a/hibiscusroad-cli/tests/outcomes.rs
+++ b/hibiscusroad-cli/tests/outcomes.rs
@@ -1,8 +1,8 @@
-//! What an operator is told when entries fail in the middle of a command.
+//! Tests the outcomes that operators see when entries fail during a command.
 
 mod fake;
 
-use fake::{Deed, Fake, nobody};
+use fake::{Action, FakeEntry, closed_address};
 use hibiscusroad_cli::{
     args::{Options, Token},
     language,
@@ -15,22 +15,22 @@
 const DONE: &str = r#"{"outcome":"done","version":5}"#;
 const DOWN: &str = r#"{"outcome":"refused","problem":"store-down","detail":"the table is down"}"#;
 
-struct Told {
+struct Output {
     exit: Exit,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
-fn run(options: Options, text: &str) -> Told {
+fn run(options: Options, source: &str) -> Output {
     let (mut out, mut err) = (Vec::new(), Vec::new());
-    let statements = language::parse(text).unwrap();
+    let statements = language::parse(source).unwrap();
     let exit = Session::new(options, &mut out, &mut err)
         .run(&statements)
         .unwrap();
-    Told {
+    Output {
         exit,
-        out: String::from_utf8(out).unwrap(),
-        err: String::from_utf8(err).unwrap(),
+        stdout: String::from_utf8(out).unwrap(),
+        stderr: String::from_utf8(err).unwrap(),
     }
 }
 
@@ -42,242 +42,247 @@
     }
 }
 
-fn say(status: u16, body: &str) -> Deed {
-    Deed::Say(status, body.to_owned())
+fn respond(status: u16, body: &str) -> Action {
+    Action::Respond(status, body.to_owned())
 }
 
-fn command(fake: &Fake) -> Value {
-    let seen = fake.seen.recv().unwrap();
-    assert_eq!(seen.path, "/v1/change");
-    serde_json::from_str(&seen.body).unwrap()
+fn receive_command(entry: &FakeEntry) -> Value {
+    let request = entry.requests.recv().unwrap();
+    assert_eq!(request.path, "/v1/change");
+    serde_json::from_str(&request.body).unwrap()
 }
 
-// The first entry takes the command and its answer is lost. The operator sees
-// one command done: the second entry is asked under the same id, under which
-// the command takes effect at most once.
+// After a lost response, a retry with a new id could apply the command twice.
 #[test]
-fn lost_answer_is_asked_again_under_its_id() {
-    let first = Fake::start(vec![say(200, CONFIG), Deed::Drop]);
-    let second = Fake::start(vec![say(200, DONE)]);
-    let told = run(options(&[first.address, second.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Done);
-    assert_eq!(told.out, "done: version 5\n");
-    first.seen.recv().unwrap();
-    let (one, two) = (command(&first), command(&second));
-    assert_eq!(one, two);
-    assert_eq!(one["base"], 4);
-    assert_eq!(one["who"], "jana");
+fn lost_response_is_retried_with_same_id() {
+    let first = FakeEntry::start(vec![respond(200, CONFIG), Action::Close]);
+    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let output = run(options(&[first.address, second.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Done);
+    assert_eq!(output.stdout, "done: version 5\n");
+    first.requests.recv().unwrap();
+    let (first_command, second_command) = (receive_command(&first), receive_command(&second));
+    assert_eq!(first_command, second_command);
+    assert_eq!(first_command["base"], 4);
+    assert_eq!(first_command["who"], "jana");
 }
 
-// The first entry's answer is lost, and the second can't reach the table. Its
-// "nothing was changed" is true of its own attempt only, so the operator must
-// hear "unknown" and the id to ask again with.
+// A refusal by the second entry doesn't prove that the first one, whose response
+// was lost, didn't apply the command.
 #[test]
-fn refusal_after_lost_answer_stays_unknown() {
-    let first = Fake::start(vec![say(200, CONFIG), Deed::Drop]);
-    let second = Fake::start(vec![say(503, DOWN)]);
-    let told = run(options(&[first.address, second.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Unknown);
-    first.seen.recv().unwrap();
-    let id = command(&first)["id"].as_str().unwrap().to_owned();
+fn refusal_after_lost_response_stays_unknown() {
+    let first = FakeEntry::start(vec![respond(200, CONFIG), Action::Close]);
+    let second = FakeEntry::start(vec![respond(503, DOWN)]);
+    let output = run(options(&[first.address, second.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Unknown);
+    first.requests.recv().unwrap();
+    let id = receive_command(&first)["id"].as_str().unwrap().to_owned();
     assert!(
-        told.err.contains(&format!("--id {id} --base 4")),
+        output.stderr.contains(&format!("--id {id} --base 4")),
         "{}",
-        told.err
+        output.stderr
     );
-    assert!(!told.err.contains("refused"), "{}", told.err);
+    assert!(!output.stderr.contains("refused"), "{}", output.stderr);
 }
 
-// The operator asks again with the printed id, and the command had taken
-// effect: the entry finds its row and says with which version.
+// A retry with the printed id must send the original id and base version.
 #[test]
-fn unknown_command_is_asked_again() {
-    let entry = Fake::start(vec![say(200, DONE)]);
+fn retried_command_keeps_id_and_base() {
+    let entry = FakeEntry::start(vec![respond(200, DONE)]);
     let mut options = options(&[entry.address]);
     options.command_id = Some("0a1b".to_owned());
     options.base_version = Some(4);
-    let told = run(options, "set note = a");
-    assert_eq!(told.exit, Exit::Done);
-    let command = command(&entry);
+    let output = run(options, "set note = a");
+    assert_eq!(output.exit, Exit::Done);
+    let command = receive_command(&entry);
     assert_eq!(command["id"], "0a1b");
     assert_eq!(command["base"], 4);
 }
 
-// The first entry can't reach the table and has sent nothing. The second can,
-// and the operator sees the command done.
+// The first entry can't reach the table, but the second one can.
 #[test]
-fn entry_without_table_is_left_for_the_next() {
-    let first = Fake::start(vec![say(200, CONFIG), say(503, DOWN)]);
-    let second = Fake::start(vec![say(200, DONE)]);
-    let told = run(options(&[first.address, second.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Done);
+fn command_fails_over_from_entry_without_table() {
+    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(503, DOWN)]);
+    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let output = run(options(&[first.address, second.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Done);
 }
 
-// All entries have lost the table, and none has sent anything: the refusal is
-// certain, and asking again later can't do harm.
+// No entry can have applied the command, so its outcome is not unknown.
 #[test]
-fn all_without_table_is_refused() {
-    let first = Fake::start(vec![say(200, CONFIG), say(503, DOWN)]);
-    let told = run(options(&[first.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Refused);
-    assert!(told.err.contains("the table is down"), "{}", told.err);
+fn command_is_refused_if_no_entry_reaches_table() {
+    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(503, DOWN)]);
+    let output = run(options(&[first.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Refused);
+    assert!(
+        output.stderr.contains("the table is down"),
+        "{}",
+        output.stderr
+    );
 }
 
-// Two operators race, and the other came first. A verdict of one entry is the
-// verdict of all, so no other entry is asked.
+// A conflict is final: all entries would give the same verdict.
 #[test]
-fn conflict_names_the_winner_and_ends() {
+fn conflict_is_not_retried() {
     let conflict = r#"{"outcome":"refused","version":5,"detail":"eva came first with version 5"}"#;
-    let first = Fake::start(vec![say(200, CONFIG), say(409, conflict)]);
-    let second = Fake::start(vec![say(200, DONE)]);
-    let told = run(options(&[first.address, second.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Refused);
-    assert!(told.err.contains("eva came first"), "{}", told.err);
-    second.seen.try_recv().unwrap_err();
+    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(409, conflict)]);
+    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let output = run(options(&[first.address, second.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Refused);
+    assert!(
+        output.stderr.contains("eva came first"),
+        "{}",
+        output.stderr
+    );
+    second.requests.try_recv().unwrap_err();
 }
 
-// Nothing listens at the first address; the second entry answers. Then nobody
-// does: nothing was sent, and the exit code says so.
+// Entries that refuse connections are skipped; the exit code tells if all do.
 #[test]
-fn dead_entries_are_passed_over() {
-    let entry = Fake::start(vec![say(200, CONFIG), say(200, DONE)]);
-    let told = run(options(&[nobody(), entry.address]), "set note = a");
-    assert_eq!(told.exit, Exit::Done);
-    let told = run(options(&[nobody(), nobody()]), "set note = a; show hosts");
-    assert_eq!(told.exit, Exit::Unreachable);
-    assert_eq!(told.out, "");
+fn unreachable_entries_are_skipped() {
+    let entry = FakeEntry::start(vec![respond(200, CONFIG), respond(200, DONE)]);
+    let output = run(options(&[closed_address(), entry.address]), "set note = a");
+    assert_eq!(output.exit, Exit::Done);
+    let output = run(
+        options(&[closed_address(), closed_address()]),
+        "set note = a; show hosts",
+    );
+    assert_eq!(output.exit, Exit::Unreachable);
+    assert_eq!(output.stdout, "");
 }
 
-// The entry asked for the second command has not heard of the version that the
-// first one made. It must not conflict with its own predecessor.
+// The entry doesn't know the version of the first command yet when the second one
+// is based on it. The second command must not conflict with the first.
 #[test]
-fn commands_of_one_file_follow_each_other() {
-    let deeds = [CONFIG, DONE, CONFIG, DONE].map(|body| say(200, body));
-    let entry = Fake::start(deeds.to_vec());
-    let told = run(options(&[entry.address]), "set note = a\nset note = b");
-    assert_eq!(told.exit, Exit::Done);
-    let seen: Vec<_> = (0..4).map(|_| entry.seen.recv().unwrap()).collect();
-    let second: Value = serde_json::from_str(&seen[3].body).unwrap();
+fn second_command_is_based_on_first() {
+    let actions = [CONFIG, DONE, CONFIG, DONE].map(|body| respond(200, body));
+    let entry = FakeEntry::start(actions.to_vec());
+    let output = run(options(&[entry.address]), "set note = a\nset note = b");
+    assert_eq!(output.exit, Exit::Done);
+    let requests: Vec<_> = (0..4).map(|_| entry.requests.recv().unwrap()).collect();
+    let second: Value = serde_json::from_str(&requests[3].body).unwrap();
     assert_eq!(second["base"], 5);
-    let first: Value = serde_json::from_str(&seen[1].body).unwrap();
+    let first: Value = serde_json::from_str(&requests[1].body).unwrap();
     assert_ne!(first["id"], second["id"]);
 }
 
 #[test]
-fn dry_run_shows_edits() {
+fn dry_run_prints_edits() {
     let dry = r#"{"outcome":"dry","version":5,"changes":[{"key":"drains.hosts.a","old":null,"new":"yes"}]}"#;
-    let entry = Fake::start(vec![say(200, CONFIG), say(200, dry)]);
+    let entry = FakeEntry::start(vec![respond(200, CONFIG), respond(200, dry)]);
     let mut options = options(&[entry.address]);
     options.dry_run = true;
-    let told = run(options, "set note = a");
-    assert_eq!(told.exit, Exit::Done);
+    let output = run(options, "set note = a");
+    assert_eq!(output.exit, Exit::Done);
     let expected = "dry: version 5\nkey             old  new\ndrains.hosts.a  -    yes\n";
-    assert_eq!(told.out, expected);
+    assert_eq!(output.stdout, expected);
 }
 
 #[test]
-fn token_is_sent_and_not_shown() {
-    let entry = Fake::start(vec![say(
+fn token_is_sent_and_not_printed() {
+    let entry = FakeEntry::start(vec![respond(
         401,
         r#"{"outcome":"refused","detail":"wrong token"}"#,
     )]);
     let mut options = options(&[entry.address]);
     options.token = Some(Token("a-secret-of-jana".to_owned()));
     assert!(!format!("{options:?}").contains("secret"));
-    let told = run(options, "show hosts");
-    assert_eq!(told.exit, Exit::Refused);
-    assert!(!told.err.contains("secret"), "{}", told.err);
-    let token = entry.seen.recv().unwrap().token;
-    assert_eq!(token.as_deref(), Some("Bearer a-secret-of-jana"));
+    let output = run(options, "show hosts");
+    assert_eq!(output.exit, Exit::Refused);
+    assert!(!output.stderr.contains("secret"), "{}", output.stderr);
+    let authorization = entry.requests.recv().unwrap().authorization;
+    assert_eq!(authorization.as_deref(), Some("Bearer a-secret-of-jana"));
 }
 
 #[test]
-fn missing_part_of_an_answer_is_told() {
+fn missing_sources_are_reported() {
     let body =
         r#"{"rows":[{"host":"a","age_ms":3,"source":"list"}],"lacks":["entry-senec"],"version":4}"#;
-    let entry = Fake::start(vec![say(200, body)]);
-    let told = run(options(&[entry.address]), "show hosts");
-    assert_eq!(told.exit, Exit::Done);
-    assert_eq!(told.out, "host  age_ms  source\na     3       list\n");
-    assert_eq!(told.err, "this answer lacks: entry-senec\n");
+    let entry = FakeEntry::start(vec![respond(200, body)]);
+    let output = run(options(&[entry.address]), "show hosts");
+    assert_eq!(output.exit, Exit::Done);
+    assert_eq!(output.stdout, "host  age_ms  source\na     3       list\n");
+    assert_eq!(output.stderr, "this answer lacks: entry-senec\n");
 }
 
-// `stop service` drains what still takes work. An endpoint whose side is silent
-// may run anything; the operator hears "done" only when all sides said that
-// they are drained and run nothing.
+// An endpoint whose sidecar doesn't report may still run requests, so the stop
+// must not count as done.
 #[test]
 fn stop_waits_for_work_in_flight() {
     let rows = |state: &str, running: u32| {
         let row = format!(
             r#""service":"hut-desk","endpoint":"hut-desk-1","state":"{state}","running":{running}"#
         );
-        say(200, &format!(r#"{{"rows":[{{{row}}}],"version":4}}"#))
+        respond(200, &format!(r#"{{"rows":[{{{row}}}],"version":4}}"#))
     };
-    let deeds = vec![
+    let actions = vec![
         rows("open", 2),
-        say(200, CONFIG),
-        say(200, CONFIG),
-        say(200, DONE),
+        respond(200, CONFIG),
+        respond(200, CONFIG),
+        respond(200, DONE),
         rows("silent", 0),
         rows("drained", 1),
         rows("drained", 0),
     ];
-    let entry = Fake::start(deeds);
+    let entry = FakeEntry::start(actions);
     let mut options = options(&[entry.address]);
     options.force = true;
-    let told = run(options, "stop service hut-desk within 20s");
-    assert_eq!(told.exit, Exit::Done, "{}", told.err);
+    let output = run(options, "stop service hut-desk within 20s");
+    assert_eq!(output.exit, Exit::Done, "{}", output.stderr);
     assert!(
-        told.err.contains("1 requests run, 0 endpoints"),
+        output.stderr.contains("1 requests run, 0 endpoints"),
         "{}",
-        told.err
+        output.stderr
     );
     assert!(
-        told.out
+        output
+            .stdout
             .ends_with("done: hut-desk takes no work and runs none\n")
     );
 }
 
-// An operator drains the host of the last endpoint that takes work. Nothing is
-// sent, and the refusal names the service whose callers would all be refused.
+// Without an open endpoint, all callers of a service would be refused.
 #[test]
-fn drain_of_last_endpoint_wants_force() {
+fn drain_of_last_endpoint_requires_force() {
     let rows = r#"{"rows":[
         {"service":"hut-desk","endpoint":"hut-desk-1","host":"a","state":"open"},
         {"service":"hut-desk","endpoint":"hut-desk-2","host":"b","state":"silent"},
         {"service":"guide-lm","endpoint":"guide-lm-1","host":"a","state":"open"},
         {"service":"guide-lm","endpoint":"guide-lm-2","host":"b","state":"open"}],"version":4}"#;
-    let entry = Fake::start(vec![say(200, rows)]);
-    for text in [
+    let entry = FakeEntry::start(vec![respond(200, rows)]);
+    for statement in [
         "drain host a",
         "drain endpoint hut-desk-1",
         "stop service hut-desk",
     ] {
-        let told = run(options(&[entry.address]), text);
-        assert_eq!(told.exit, Exit::Refused, "{text}");
+        let output = run(options(&[entry.address]), statement);
+        assert_eq!(output.exit, Exit::Refused, "{statement}");
         assert!(
-            told.err.contains("no endpoint of hut-desk would"),
+            output.stderr.contains("no endpoint of hut-desk would"),
             "{}",
-            told.err
+            output.stderr
         );
     }
     assert!(
         entry
-            .seen
+            .requests
             .try_iter()
-            .all(|seen| seen.path == "/v1/show/endpoints")
+            .all(|request| request.path == "/v1/show/endpoints")
     );
-    let safe = Fake::start(vec![say(200, rows), say(200, CONFIG), say(200, DONE)]);
-    let told = run(options(&[safe.address]), "drain host b");
-    assert_eq!(told.exit, Exit::Done, "{}", told.err);
+    let safe = FakeEntry::start(vec![
+        respond(200, rows),
+        respond(200, CONFIG),
+        respond(200, DONE),
+    ]);
+    let output = run(options(&[safe.address]), "drain host b");
+    assert_eq!(output.exit, Exit::Done, "{}", output.stderr);
 }
 
-// A host names itself with a control sequence. In an operator's terminal it
-// must not clear the screen or write over other rows.
+// Names from other hosts must not control the operator's terminal.
 #[test]
 fn control_characters_are_not_printed() {
     let body = r#"{"rows":[{"host":"a\u001b[2Jb","source":"list"}],"version":4}"#;
-    let entry = Fake::start(vec![say(200, body)]);
-    let told = run(options(&[entry.address]), "show hosts");
-    assert_eq!(told.out, "host    source\na?[2Jb  list\n");
+    let entry = FakeEntry::start(vec![respond(200, body)]);
+    let output = run(options(&[entry.address]), "show hosts");
+    assert_eq!(output.stdout, "host    source\na?[2Jb  list\n");
 }
--- a/hibiscusroad-cli/tests/trace.rs
+++ b/hibiscusroad-cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The story of an id from logs of several processes.
+//! Tests timelines and the analysis of steps from the logs of several processes.
 
 use hibiscusroad_cli::{
     args::{self, Action},
@@ -9,38 +9,37 @@
     process::{Command, Stdio},
 };
 
-const ONE: &str = r#"{"time":"2026-01-02T03:04:05.000Z","level":"INFO","part":"process","text":"gateway-1 starts as gateway in senec."}
+const FIRST_LOG: &str = r#"{"time":"2026-01-02T03:04:05.000Z","level":"INFO","part":"process","text":"gateway-1 starts as gateway in senec."}
 {"time":"2026-01-02T03:04:05.100Z","level":"INFO","part":"config","text":"A configuration is in force.","version":7,"row":3}
 {"time":"2026-01-02T03:04:06.000Z","level":"INFO","part":"batches","text":"A batch is accepted.","batch":"b1","row":5}
 {"time":"2026-01-02T03:04:06.500Z","level":"INFO","part":"batches","text":"A run of an item broke off.","batch":"b1","item":"i1","endpoint":"e1","cause":"Lost"}
 {"time":"2026-01-02T03:04:06.600Z","level":"INFO","part":"batches","text":"The text of an item is whole.","batch":"b1","item":"i2","endpoint":"e1"}
 "#;
-/// Its clock is five seconds behind.
-const TWO: &str = r#"gathered: {"time":"2026-01-02T03:04:00.101Z","level":"INFO","part":"config","text":"A configuration is in force.","version":7,"row":3}
+/// From a process whose clock is five seconds behind.
+const SECOND_LOG: &str = r#"gathered: {"time":"2026-01-02T03:04:00.101Z","level":"INFO","part":"config","text":"A configuration is in force.","version":7,"row":3}
 not a line
 {"time":"2026-01-02T03:04:03.000Z","level":"INFO","part":"batches","text":"A batch is taken over.","batch":"b1","why":"Silent"}
 {"time":"2026-01-02T03:04:04.000Z","level":"INFO","part":"batches","text":"The text of an item is whole.","batch":"b1","item":"i1","endpoint":"e2"}
 "#;
-const THREE: &str = r#"{"time":"2026-01-02T03:04:05.102Z","level":"INFO","part":"config","text":"A configuration is in force.","version":7,"row":3}
+const THIRD_LOG: &str = r#"{"time":"2026-01-02T03:04:05.102Z","level":"INFO","part":"config","text":"A configuration is in force.","version":7,"row":3}
 "#;
 
 fn logs() -> Logs {
     let mut logs = Logs::new();
-    logs.add("one", ONE);
-    logs.add("two", TWO);
-    logs.add("three", THREE);
+    logs.add("one", FIRST_LOG);
+    logs.add("two", SECOND_LOG);
+    logs.add("three", THIRD_LOG);
     logs
 }
 
-// An engineer asks why an item was late. Its first owner's run was lost and the
-// owner went silent; the second owner's clock is five seconds behind, and its
-// lines must still come after those of the first.
+// The takeover must follow the first owner's lines, although the second owner's
+// clock is five seconds behind.
 #[test]
-fn items_story_is_in_order_though_clocks_differ() {
+fn item_timeline_is_ordered_despite_clock_offsets() {
     let logs = logs();
     assert_eq!(logs.unparsed(), 1);
-    let story = logs.story("i1").unwrap();
-    let lines: Vec<&str> = story.lines().collect();
+    let timeline = logs.story("i1").unwrap();
+    let lines: Vec<&str> = timeline.lines().collect();
     let expected = [
         "    0.000 s  gateway-1        batches  A batch is accepted. batch=b1 row=5",
         "    0.500 s  gateway-1        batches  A run of an item broke off. batch=b1 cause=Lost endpoint=e1 item=i1",
@@ -51,32 +50,32 @@
 }
 
 #[test]
-fn batchs_story_has_all_its_items() {
-    let story = logs().story("b1").unwrap();
-    assert_eq!(story.lines().count(), 5);
+fn batch_timeline_has_all_items() {
+    let timeline = logs().story("b1").unwrap();
+    assert_eq!(timeline.lines().count(), 5);
     assert_eq!(logs().story("nothing"), None);
 }
 
 #[test]
-fn command_line_takes_an_id_and_logs() {
-    let parse = |words: &[&str]| {
-        let args = words.iter().map(std::ffi::OsString::from);
+fn trace_accepts_id_and_logs() {
+    let parse = |args: &[&str]| {
+        let args = args.iter().map(std::ffi::OsString::from);
         args::parse(args, &|_| None)
     };
-    let job = Action::Trace {
+    let action = Action::Trace {
         id: "b1".to_owned(),
         logs: vec![PathBuf::from("x.log")],
     };
-    assert_eq!(parse(&["trace", "b1", "x.log"]).unwrap(), job);
+    assert_eq!(parse(&["trace", "b1", "x.log"]).unwrap(), action);
     let error = parse(&["trace"]).unwrap_err();
     assert!(error.to_string().contains("id"));
 }
 
 #[test]
-fn unknown_id_and_missing_file_are_told() {
-    let run = |words: &[&str]| {
+fn unknown_id_and_missing_file_are_reported() {
+    let run = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscusroad"));
-        command.args(words).stdin(Stdio::null()).output().unwrap()
+        command.args(args).stdin(Stdio::null()).output().unwrap()
     };
     assert_eq!(run(&["trace", "b1"]).status.code(), Some(1));
     let missing = run(&["trace", "b1", "/no/such/log"]);
@@ -84,9 +83,9 @@
     assert!(String::from_utf8_lossy(&missing.stderr).contains("/no/such/log"));
 }
 
-/// Two gateways, of which the first is lost: a step of two groups whose trainer
-/// waits for one. The item that it waits for last is `a2`.
-const STEP: &str = r#"{"time":"2026-01-02T03:04:05.000Z","text":"g1 starts as gateway in senec.","part":"process"}
+/// A step with a target of one group whose owner `g1` is lost. Its last awaited item
+/// is `a2`.
+const STEP_LOG: &str = r#"{"time":"2026-01-02T03:04:05.000Z","text":"g1 starts as gateway in senec.","part":"process"}
 {"time":"2026-01-02T03:04:06.000Z","text":"A batch is accepted.","part":"batches","batch":"b1","model":"m","step":4,"items":3,"groups":2,"target":1,"carried":0}
 {"time":"2026-01-02T03:04:07.000Z","text":"The text of an item is whole.","part":"batches","batch":"b1","item":"a1","group":"a","endpoint":"e1","before":"None","events":10,"pace_us":40000,"took_ms":600,"waited_ms":390,"weights_ms":390,"room_ms":0}
 {"time":"2026-01-02T03:04:07.020Z","text":"The text of an item is scored.","part":"batches","batch":"b1","item":"a1"}
@@ -100,16 +99,14 @@
 {"time":"2026-01-02T03:04:12.000Z","text":"A batch is accepted.","part":"batches","batch":"b2","model":"m","step":5,"items":3,"groups":2,"target":1,"carried":0}
 "#;
 
-// An engineer asks why a step took six seconds. Its last item waited for weights and
-// room, was refused, lost its owner, and ran on for two seconds at another; each
-// moment counts for one cause, so that the causes add up to what the step took.
+// Each moment of a step must count for exactly one cause.
 #[test]
-fn causes_of_a_step_add_up_to_its_time() {
+fn step_causes_add_up_to_its_duration() {
     let mut logs = Logs::new();
-    logs.add("one", STEP);
+    logs.add("one", STEP_LOG);
     let table = logs.steps();
     let step = &table.rows[0];
-    let cell = |name: &str| step[name].as_f64().unwrap();
+    let seconds_of = |name: &str| step[name].as_f64().unwrap();
     let causes = [
         ("begin", 0.1),
         ("weights", 0.4),
@@ -122,11 +119,17 @@
         ("listing", 0.05),
         ("trainer", 0.6),
     ];
-    for (name, seconds) in causes {
-        assert!((cell(name) - seconds).abs() < 0.011, "{name}: {step:?}");
+    for (name, expected) in causes {
+        assert!(
+            (seconds_of(name) - expected).abs() < 0.011,
+            "{name}: {step:?}"
+        );
     }
-    let sum: f64 = causes.iter().map(|(name, _)| cell(name)).sum();
-    assert!((sum - cell("took")).abs() < 0.05 * cell("took"), "{step:?}");
+    let sum: f64 = causes.iter().map(|(name, _)| seconds_of(name)).sum();
+    assert!(
+        (sum - seconds_of("took")).abs() < 0.05 * seconds_of("took"),
+        "{step:?}"
+    );
     assert_eq!(step["events"], 41.0);
     assert_eq!(step["state"], "ended");
     assert_eq!(table.rows[1]["state"], "open");
@@ -134,11 +137,11 @@
 }
 
 #[test]
-fn command_line_takes_steps_and_a_format() {
+fn trace_steps_accepts_format() {
     let args = ["trace", "--steps", "--format", "csv", "x.log"].map(std::ffi::OsString::from);
-    let job = Action::Steps {
+    let action = Action::Steps {
         logs: vec![PathBuf::from("x.log")],
         format: hibiscusroad_cli::format::Format::Csv,
     };
-    assert_eq!(args::parse(args, &|_| None).unwrap(), job);
+    assert_eq!(args::parse(args, &|_| None).unwrap(), action);
 }
