--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -211,9 +211,9 @@
         let command = Command {
             id: id.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())),
             base,
-            who: self.options.user.clone(),
+            operator: self.options.user.clone(),
             change: change.clone(),
-            dry: self.options.dry_run,
+            dry_run: self.options.dry_run,
             force: self.options.force,
         };
         let outcome = self.client.submit(&command);
--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/ask.rs
@@ -144,12 +144,13 @@
     }
 
     fn leases(&self) -> Result<Shown, Refusal> {
-        let leases = leases::all(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
+        let leases =
+            leases::read_all(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
         let rows = leases.into_iter().map(|(duty, lease)| {
             let mut row = Row::new();
             row.insert("duty".to_owned(), json!(duty));
             row.insert("holder".to_owned(), json!(lease.holder));
-            row.insert("fence".to_owned(), json!(lease.fence));
+            row.insert("fence".to_owned(), json!(lease.fencing_token));
             row.insert("renewals".to_owned(), json!(lease.renewals));
             from_table(row)
         });
--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -1,6 +1,6 @@
 //! Calls that carry an idempotency key, on their way to a single run.
 //!
-//! What has to happen is decided by [`Holder`]; this carries it out. Calls of
+//! What has to happen is decided by [`KeyedRequest`]; this carries it out. Calls of
 //! one key at this entry take turns: a side has one viewer of an attempt an
 //! entry, and a repeat that waits for the first needs no write at all. When its
 //! turn comes it finds the first one's row and gets its answer from the side.
@@ -13,11 +13,13 @@
         side::{Listing, SideKey},
         tables::Tables,
     },
-    platform::{Host, State},
+    platform::{Host, HostState},
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    claim::{Action, Claim, Fate, Holder, Job, Verdict, fingerprint, row_key},
+    claim::{
+        Action, Claim, ClaimOutcome, ClaimWrite, KeyedRequest, ReportedState, fingerprint, row_key,
+    },
     route::{EndpointKey, Outcome},
 };
 use hibiscusroad_wire::{Seal, to_side::Frame};
@@ -28,7 +30,7 @@
 pub(super) struct Keyed {
     /// The key of its row.
     pub(super) row: String,
-    pub(super) holder: Holder,
+    pub(super) request: KeyedRequest,
     /// The endpoint that the router chose.
     slot: Option<(EndpointKey, SideKey)>,
 }
@@ -40,7 +42,7 @@
         let print = fingerprint(&request.method, &request.path, &request.body);
         Some(Self {
             row: row_key(&request.service, key),
-            holder: Holder::new(print),
+            request: KeyedRequest::new(print),
             slot: None,
         })
     }
@@ -72,7 +74,7 @@
         if line.is_empty() {
             self.keys.remove(&keyed.row);
         }
-        if let Some(bytes) = keyed.holder.stale() {
+        if let Some(bytes) = keyed.request.into_stale_row() {
             // Best done, not needed: see the writer.
             let _ = self.writes.try_send(Write::Release(keyed.row, bytes));
         }
@@ -96,17 +98,17 @@
         let request = &row.request;
         let claim = Claim {
             attempt,
-            side: side.name.clone(),
+            endpoint: side.name.clone(),
             incarnation: side.incarnation,
             address: side.address,
-            body: fingerprint(&request.method, &request.path, &request.body),
-            created: wall_ms(),
+            fingerprint: fingerprint(&request.method, &request.path, &request.body),
+            created_ms: wall_ms(),
         };
         let Some(keyed) = &mut row.keyed else {
             return;
         };
         keyed.slot = Some((endpoint, key));
-        let action = keyed.holder.place(claim);
+        let action = keyed.request.start_claim(claim);
         self.act(now, call, action);
     }
 
@@ -115,7 +117,7 @@
         let row = self.calls.get_mut(&call);
         if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
             keyed.slot = None;
-            keyed.holder.displace();
+            keyed.request.discard_claim();
         }
     }
 
@@ -125,34 +127,34 @@
         now: Instant,
         call: RequestId,
         attempt: RequestId,
-        verdict: Verdict,
+        outcome: ClaimOutcome,
     ) {
-        self.count_claim(&verdict);
+        self.count_claim(&outcome);
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        let action = keyed.and_then(|k| k.holder.written(attempt, verdict, wall_ms()));
+        let action = keyed.and_then(|k| k.request.apply_outcome(attempt, outcome, wall_ms()));
         if let Some(action) = action {
             self.act(now, call, action);
         }
     }
 
     /// Takes in what the side says of the attempt that a call asked for.
-    pub(super) fn fate(&mut self, now: Instant, call: RequestId, fate: Fate) {
+    pub(super) fn fate(&mut self, now: Instant, call: RequestId, state: ReportedState) {
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
-        if let Some(action) = keyed.and_then(|keyed| keyed.holder.fate(fate)) {
+        if let Some(action) = keyed.and_then(|keyed| keyed.request.apply_state(state)) {
             self.act(now, call, action);
         }
     }
 
     fn act(&mut self, now: Instant, call: RequestId, action: Action) {
         match action {
-            Action::Write(claim, expect) => self.write_claim(now, call, claim, expect),
+            Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
-            Action::Ask(claim) => self.ask(now, call, &claim),
+            Action::QuerySidecar(claim) => self.ask(now, call, &claim),
             // The frame that said so asks for the answer.
             Action::Follow(_) => {}
-            Action::Place => self.admit(now, call),
+            Action::SelectEndpoint => self.admit(now, call),
             Action::Refuse(kind) => self.refuse(now, call, kind, come_back()),
         }
     }
@@ -162,15 +164,23 @@
         now: Instant,
         call: RequestId,
         claim: Claim,
-        expect: Option<Vec<u8>>,
+        expected: Option<Vec<u8>>,
     ) {
         let row = self.calls.get_mut(&call);
         let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) else {
             return;
         };
         let key = keyed.row.clone();
-        let job = Box::new(Job { key, claim, expect });
-        if self.writes.try_send(Write::Claim(call, job)).is_err() {
+        let claim_write = Box::new(ClaimWrite {
+            key,
+            claim,
+            expected,
+        });
+        if self
+            .writes
+            .try_send(Write::Claim(call, claim_write))
+            .is_err()
+        {
             self.refuse(now, call, ErrorKind::HandoverFull, come_back());
         }
     }
@@ -205,14 +215,14 @@
         };
         let service = row.request.service.clone();
         let key = self
-            .side(&service, &claim.side)
+            .side(&service, &claim.endpoint)
             .or_else(|| self.add_guest(now, &service, claim));
         let Some(key) = key else {
-            return self.fate(now, call, Fate::Gone);
+            return self.fate(now, call, ReportedState::SidecarGone);
         };
         let side = &self.sides[key];
         if side.link.is_some() && side.incarnation != claim.incarnation {
-            return self.fate(now, call, Fate::Gone);
+            return self.fate(now, call, ReportedState::SidecarGone);
         }
         let linked = side.link.is_some();
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
@@ -230,15 +240,15 @@
     fn add_guest(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
-            place: String::new(),
+            data_centre: String::new(),
             role: "side".to_owned(),
             service: service.to_owned(),
-            endpoint: claim.side.clone(),
+            endpoint: claim.endpoint.clone(),
             address: claim.address,
-            state: State::Leaving,
+            state: HostState::Leaving,
         };
         self.add_side(now, &host);
-        let key = self.side(service, &claim.side)?;
+        let key = self.side(service, &claim.endpoint)?;
         self.sides[key].listing = Listing::Guest;
         Some(key)
     }
@@ -247,7 +257,7 @@
     pub(super) fn end_guest(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {}
-            Outcome::NotRun(_) => self.fate(now, attempt.call, Fate::Sealed),
+            Outcome::NotRun(_) => self.fate(now, attempt.call, ReportedState::Sealed),
             Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, come_back()),
         }
     }
@@ -256,7 +266,7 @@
 /// Notes that a call's own attempt surely never runs.
 pub(super) fn keyed_not_run(row: Option<&mut CallRow>) {
     if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
-        keyed.holder.not_run();
+        keyed.request.mark_not_run();
     }
 }
 
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -273,7 +273,7 @@
         .await;
         let object = object.map_err(|failure| failure.to_string())?;
         let object = object.ok_or("its submission is not there")?;
-        let submission = batch::submission(&object).map_err(|error| error.to_string())?;
+        let submission = batch::decode_submission(&object).map_err(|error| error.to_string())?;
         Ok(Loaded {
             results: results.map_err(|failure| failure.to_string())?,
             pieces: pieces.map_err(|failure| failure.to_string())?,
@@ -296,11 +296,11 @@
         let now = Instant::now();
         let catalog = self.known.catalog();
         let route = catalog.and_then(|c| c.find(&head.host, &head.path).cloned());
-        let attempts = route.as_ref().map_or(1, |route| route.attempts);
-        let single = route.as_ref().is_some_and(|route| route.single);
+        let attempts = route.as_ref().map_or(1, |route| route.max_attempts);
+        let single = route.as_ref().is_some_and(|route| route.single_version);
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
-            match batch::result_item(result) {
+            match batch::decode_item_id(result) {
                 Ok(item) => batch.restore(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str(); "A kept result is broken."),
@@ -328,7 +328,7 @@
             submission,
             priority: head.priority,
             due: accepted + route.as_ref().and_then(|r| r.due).unwrap_or_default(),
-            expires: route.and_then(|r| r.ttl).map(|ttl| accepted + ttl),
+            expires: route.and_then(|r| r.item_ttl).map(|ttl| accepted + ttl),
             version: Cell::new(version),
             batch: RefCell::new(batch),
             listed: RefCell::new(results),
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -17,7 +17,7 @@
     },
     table::{Change, Commit, Range, RowId},
 };
-use hibiscusroad_platform::table::MOST_ENTRIES;
+use hibiscusroad_platform::table::MAX_ENTRIES;
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
@@ -38,7 +38,7 @@
 
     /// Keeps what has come since the last time.
     pub(super) async fn keep_once(&self, owned: &Owned) {
-        let mut pieces = owned.batch.borrow().unkept(MOST_ENTRIES / 2);
+        let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
@@ -79,7 +79,7 @@
         // The slash behind the batch is followed by a zero in byte order.
         let end = format!("{id}0");
         let range = Range {
-            from: Some(&from),
+            start: Some(&from),
             end: Some(&end),
             ..Range::part(PIECES, &part)
         };
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -12,8 +12,11 @@
 use super::{meters::Meters, store::Store, subject::Subject};
 use crate::logs::CALLS;
 use hibiscusroad::{
-    quarantine::{Contact, Crash, Fingerprint, Ledger, Life, OpenAttempts, Verdict},
-    roster::News,
+    quarantine::{
+        Crash, EndpointIncarnation, Fingerprint, Ledger, UnresolvedAttempts, UpdateContinuity,
+        Verdict,
+    },
+    roster::EndpointChange,
     table::RowId,
 };
 use std::{
@@ -41,10 +44,10 @@
     store: Rc<Store>,
     meters: Rc<Meters>,
     ledger: RefCell<Ledger>,
-    open: RefCell<OpenAttempts>,
+    open: RefCell<UnresolvedAttempts>,
     entries: RefCell<HashMap<String, Entry>>,
     /// When the entries were told of.
-    contact: Cell<Contact>,
+    contact: Cell<UpdateContinuity>,
     /// Rows that are not written yet; `None` for those to be removed.
     unkept: RefCell<BTreeMap<RowId, Option<Vec<u8>>>>,
     /// Rows that this process wrote.
@@ -60,9 +63,9 @@
             store,
             meters,
             ledger: RefCell::new(Ledger::new(limit, keep)),
-            open: RefCell::new(OpenAttempts::new()),
+            open: RefCell::new(UnresolvedAttempts::new()),
             entries: RefCell::default(),
-            contact: Cell::new(Contact::new()),
+            contact: Cell::new(UpdateContinuity::new()),
             unkept: RefCell::default(),
             own: RefCell::default(),
             quarantined: RefCell::default(),
@@ -85,17 +88,17 @@
     }
 
     /// Takes in changes of the roster.
-    pub(super) fn roster(&self, news: &[News]) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
         for news in news {
             match news {
-                News::Seen(endpoint) => {
+                EndpointChange::Updated(endpoint) => {
                     let entry = Entry {
-                        born: endpoint.born,
+                        born: endpoint.started_ms,
                         leaving: endpoint.leaving,
                     };
                     self.entries.borrow_mut().insert(endpoint.id.clone(), entry);
                 }
-                News::Gone(id) => self.gone(id),
+                EndpointChange::Removed(id) => self.gone(id),
             }
         }
     }
@@ -103,47 +106,47 @@
     /// Notes that the store told of the endpoints' entries.
     pub(super) fn confirm(&self) {
         let mut contact = self.contact.get();
-        contact.hear(Instant::now());
+        contact.record_update(Instant::now());
         self.contact.set(contact);
     }
 
     fn gone(&self, id: &str) {
         let known = self.entries.borrow().get(id).copied();
         if let Some(entry) = known {
-            self.ended(&Life {
+            self.ended(&EndpointIncarnation {
                 endpoint: id.to_owned(),
-                born: entry.born,
+                started_ms: entry.born,
             });
         }
         self.entries.borrow_mut().remove(id);
     }
 
     /// Says whether an endpoint told that it leaves: its end is planned then.
-    fn is_leaving(&self, life: &Life) -> bool {
+    fn is_leaving(&self, life: &EndpointIncarnation) -> bool {
         let entries = self.entries.borrow();
         let entry = entries.get(&life.endpoint);
-        entry.is_some_and(|entry| entry.leaving && entry.born == life.born)
+        entry.is_some_and(|entry| entry.leaving && entry.born == life.started_ms)
     }
 
     /// Notes that an endpoint has ended: what was in flight there may be the cause.
-    fn ended(&self, life: &Life) {
+    fn ended(&self, life: &EndpointIncarnation) {
         if self.is_leaving(life) {
             return;
         }
-        let open = self.open.borrow_mut().ended(Instant::now(), life);
+        let open = self.open.borrow_mut().record_end(Instant::now(), life);
         for (request, path) in open {
             self.record(request, life, &path);
         }
     }
 
     /// Notes that a request was in flight at an endpoint that ended.
-    fn record(&self, request: Fingerprint, life: &Life, path: &str) {
+    fn record(&self, request: Fingerprint, life: &EndpointIncarnation, path: &str) {
         if self.is_leaving(life) {
             return;
         }
         let crash = Crash {
             request,
-            life: life.clone(),
+            incarnation: life.clone(),
             at: self.now(),
             path: path.chars().take(PATH).collect(),
         };
@@ -165,8 +168,8 @@
             return;
         }
         let request = subject.fingerprint();
-        self.open.borrow_mut().forget(request);
-        let rows = self.ledger.borrow_mut().forget(request);
+        self.open.borrow_mut().remove_request(request);
+        let rows = self.ledger.borrow_mut().remove_request(request);
         if rows.is_empty() {
             return;
         }
--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -14,7 +14,7 @@
 use super::{batches::Batches, boot::BootClock, store::Store};
 use crate::logs::DUTY as PART;
 use hibiscusroad::{
-    lease::{Holding, Lease, Next, Row as LeaseRow, Terms},
+    lease::{Holding, Lease, LeaseRow, LeaseTimes, NextAction},
     table::{Change, Commit, Row, RowId},
 };
 use std::{
@@ -66,14 +66,14 @@
 
 impl Duty {
     pub(super) fn new(life: &str, lease_ms: u64, store: Rc<Store>, batches: Rc<Batches>) -> Self {
-        let terms = Terms::new().span(Duration::from_millis(lease_ms));
+        let times = LeaseTimes::new().with_ttl(Duration::from_millis(lease_ms));
         Self {
             life: life.to_owned(),
             lease_ms,
             clock: BootClock::new(),
             store,
             batches,
-            lease: RefCell::new(Lease::new(life, terms)),
+            lease: RefCell::new(Lease::new(life, times)),
             rival: RefCell::default(),
             before: RefCell::default(),
             writing: Mutex::default(),
@@ -99,7 +99,7 @@
 
     /// Returns the fencing number while this process holds the lease.
     pub(super) fn fence(&self) -> Option<u64> {
-        self.lease.borrow().fence(self.clock.now())
+        self.lease.borrow().fencing_token(self.clock.now())
     }
 
     /// Waits until this process has taken or renewed the lease.
@@ -114,7 +114,7 @@
 
     /// Notes that another holder is known to have a higher fencing number.
     pub(super) fn beaten(&self) {
-        self.lease.borrow_mut().beaten();
+        self.lease.borrow_mut().record_conflict();
         self.wake();
     }
 
@@ -122,7 +122,7 @@
     /// `None` if it isn't.
     pub(super) async fn transact(&self, change: Change) -> Option<Commit> {
         let _alone = self.writing.lock().await;
-        let version = self.lease.borrow().version(self.clock.now())?;
+        let version = self.lease.borrow().held_version(self.clock.now())?;
         let done = self
             .store
             .transact(&change.expect(duty_row(), version))
@@ -132,7 +132,7 @@
             if !same.any(|row| row.version == version) {
                 log::info!(target: PART, row = version;
                     "Nothing is sent: the lease is no longer held here.");
-                self.lease.borrow_mut().beaten();
+                self.lease.borrow_mut().record_conflict();
                 return None;
             }
         }
@@ -142,9 +142,9 @@
     /// Gives the lease back, so that another process takes it at once.
     pub(super) async fn leave(&self) {
         let _alone = self.writing.lock().await;
-        self.lease.borrow_mut().give_back();
-        let step = self.lease.borrow_mut().next(self.clock.now());
-        if let Next::Write { version, row } = step {
+        self.lease.borrow_mut().release();
+        let step = self.lease.borrow_mut().next_action(self.clock.now());
+        if let NextAction::Write { version, row } = step {
             self.write(version, &row).await;
         }
     }
@@ -159,11 +159,11 @@
             }
             let now = self.clock.now();
             let alone = self.writing.lock().await;
-            let step = self.lease.borrow_mut().next(now);
+            let step = self.lease.borrow_mut().next_action(now);
             match step {
-                Next::Read => self.read().await,
-                Next::Write { version, row } => self.write(version, &row).await,
-                Next::Sleep(until) => {
+                NextAction::Read => self.read().await,
+                NextAction::Write { version, row } => self.write(version, &row).await,
+                NextAction::Sleep(until) => {
                     drop(alone);
                     self.pause(until.saturating_duration_since(now)).await;
                 }
@@ -188,7 +188,7 @@
 
     /// Looks whether the other holder is gone; `true` if its duty may be taken.
     async fn suspect(&self) -> bool {
-        let Some(holding) = self.lease.borrow().other() else {
+        let Some(holding) = self.lease.borrow().other_holding() else {
             return false;
         };
         let known = self.rival.borrow().clone();
@@ -207,9 +207,9 @@
         let share = u64::try_from(count.div_ceil(TAKERS)).unwrap_or(1);
         sleep(Duration::from_millis(draw * share)).await;
         self.read().await;
-        let same = self.lease.borrow().other().as_ref() == Some(&holding);
+        let same = self.lease.borrow().other_holding().as_ref() == Some(&holding);
         if same {
-            log::info!(target: PART, holder = holding.holder.as_str(), fence = holding.fence,
+            log::info!(target: PART, holder = holding.holder.as_str(), fence = holding.fencing_token,
                 why:? = why; "The holder of the duties is taken to be gone.");
             self.lease.borrow_mut().suspect(holding);
         }
@@ -225,12 +225,12 @@
                 if let Some((_, row)) = &found {
                     self.before.replace(row.holder.clone());
                 }
-                self.lease.borrow_mut().seen(now, found);
+                self.lease.borrow_mut().record_read(now, found);
             }
             Err(failure) => {
                 log::debug!(target: PART, error = failure.to_string().as_str();
                     "The lease could not be read.");
-                self.lease.borrow_mut().lost(now);
+                self.lease.borrow_mut().record_failure(now);
                 sleep(AGAIN).await;
             }
         }
@@ -246,15 +246,15 @@
         let now = self.clock.now();
         match done {
             Commit::Done { version, .. } => {
-                self.lease.borrow_mut().written(version);
+                self.lease.borrow_mut().record_write(version);
                 if let (None, Some(fence)) = (held, self.fence()) {
                     log::info!(target: PART, holder = self.life.as_str(), fence = fence,
                         from = self.before.borrow().as_str(); "The lease of the duties is held.");
                 }
             }
-            Commit::Conflict(_) => self.lease.borrow_mut().beaten(),
+            Commit::Conflict(_) => self.lease.borrow_mut().record_conflict(),
             Commit::Refused | Commit::Unknown => {
-                self.lease.borrow_mut().lost(now);
+                self.lease.borrow_mut().record_failure(now);
                 sleep(AGAIN).await;
             }
         }
@@ -277,7 +277,7 @@
             "The lease's row is broken; it is waited for as another's.");
         LeaseRow {
             holder: "unknown".to_owned(),
-            fence: row.version,
+            fencing_token: row.version,
             renewals: 0,
         }
     })
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -49,7 +49,7 @@
 /// What a request is for.
 enum Target<'a> {
     /// A batch that was accepted before.
-    Batch(batch::Call),
+    Batch(batch::BatchRequest),
     Route(&'a Route),
 }
 
@@ -108,13 +108,13 @@
         let Some(service) = drawn_service(route) else {
             return problem(ErrorKind::NoEndpoint, UNKNOWING);
         };
-        let tokens = text(&parts.headers, header::TOKENS).and_then(header::tokens);
+        let tokens = text(&parts.headers, header::TOKENS).and_then(header::parse_tokens);
         let head = head(parts, id, deadline, &catalog, account);
         let request = Forward {
             service: service.to_owned(),
             class: class(route),
             kind: route.kind,
-            attempts: route.attempts,
+            attempts: route.max_attempts,
             tokens: tokens.unwrap_or(0),
             subject: Subject::new(&head, head.account.as_deref(), &content),
             content,
@@ -159,7 +159,7 @@
         parts: &Parts,
     ) -> Result<Permitted<'a>, ErrorKind> {
         let (method, uri) = (parts.method.as_str(), &parts.uri);
-        let target = match batch::call(method, uri.path(), uri.query()) {
+        let target = match batch::parse_request(method, uri.path(), uri.query()) {
             Some(call) => Target::Batch(call),
             None => host(parts)
                 .and_then(|host| catalog.find(host, uri.path()))
@@ -170,8 +170,8 @@
             Target::Batch(call) => self.batches.is_public(call.batch()),
             Target::Route(route) => route.public,
         };
-        let values = parts.headers.get_all(header::KEY).iter();
-        let shown = header::credential(values.map(HeaderValue::as_bytes));
+        let values = parts.headers.get_all(header::AUTHORIZATION).iter();
+        let shown = header::parse_credential(values.map(HeaderValue::as_bytes));
         let account = catalog.admit(public, shown)?;
         // A key may have been taken away since the configuration was confirmed.
         if account.is_some() && self.known.is_expired(now) {
@@ -192,7 +192,7 @@
         if parts.method != hyper::Method::POST {
             return problem(ErrorKind::BadMethod, Duration::ZERO);
         }
-        let most = limits.body.min(SUBMISSION);
+        let most = limits.body_bytes.min(SUBMISSION);
         let body = match read(body, most).await {
             Ok((body, None)) => body,
             Ok((_, Some(rest))) => {
@@ -287,11 +287,11 @@
 }
 
 async fn content(body: Incoming, limits: Limits, deadline: Instant) -> Result<Content, ErrorKind> {
-    if body.size_hint().lower() > limits.body as u64 {
+    if body.size_hint().lower() > limits.body_bytes as u64 {
         skip(body).await;
         return Err(ErrorKind::BodyTooLarge);
     }
-    let whole = WHOLE.min(limits.body);
+    let whole = WHOLE.min(limits.body_bytes);
     let read = tokio::time::timeout_at(deadline.into(), read(body, whole));
     let (first, rest) = read.await.map_err(|_elapsed| ErrorKind::Expired)??;
     Ok(match rest {
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -13,7 +13,7 @@
     platform::Backoff,
 };
 use hibiscusroad::{
-    roster::{Endpoint, News, Roster},
+    roster::{Endpoint, EndpointChange, Roster},
     table::{Changes, Range, Row},
 };
 use hibiscusroad_platform::{catalog, roster, table};
@@ -92,7 +92,7 @@
         return Ok(None);
     };
     let version = changes.version.max(after);
-    if !changes.rows.is_empty() || !changes.gone.is_empty() {
+    if !changes.rows.is_empty() || !changes.removed.is_empty() {
         (sink.change)(changes);
     }
     (sink.confirm)();
@@ -112,7 +112,7 @@
     });
     let all = Rc::clone(&take);
     Sink {
-        table: table::OPERATOR,
+        table: table::OPERATOR_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| all(rows)),
         change: Box::new(move |changes| take(changes.rows)),
@@ -124,10 +124,10 @@
 pub(super) fn operator_row(known: &Known, calls: &Calls, row: &Row) {
     let key = row.id.key.as_str();
     if key == table::CONFIG_KEY {
-        match catalog::catalog(&row.value) {
+        match catalog::decode_catalog(&row.value) {
             Ok(catalog) => {
                 calls.configure(&catalog);
-                let (version, shared) = (catalog.version, catalog.shared_keys());
+                let (version, shared) = (catalog.version, catalog.shared_key_count());
                 let before = known.catalog().map_or(0, |known| known.version);
                 if known.offer(catalog) {
                     log::info!(target: CONFIG, version = version, from = before, row = row.version;
@@ -143,7 +143,7 @@
                 "A configuration is broken; the one before stays in force."),
         }
     } else if key.starts_with(table::VERSION_PREFIX) {
-        match catalog::named_version(&row.value) {
+        match catalog::decode_version(&row.value) {
             Ok(named) => {
                 if known.name(&named.model, named.version) {
                     log::info!(target: CONFIG, model = named.model.as_str(),
@@ -157,7 +157,7 @@
 }
 
 /// Takes in changes of the roster.
-type Hearer = Box<dyn Fn(&[News])>;
+type Hearer = Box<dyn Fn(&[EndpointChange])>;
 
 /// The roster and those who hear of its changes.
 pub(super) struct Members {
@@ -170,7 +170,7 @@
 }
 
 impl Members {
-    pub(super) fn new(meters: Rc<Meters>, hear: impl Fn(&[News]) + 'static) -> Self {
+    pub(super) fn new(meters: Rc<Meters>, hear: impl Fn(&[EndpointChange]) + 'static) -> Self {
         Self {
             roster: RefCell::new(Roster::new()),
             broken: RefCell::default(),
@@ -182,7 +182,7 @@
 
     /// Notes that the store answers again.
     pub(super) fn store_back(&self) {
-        self.roster.borrow_mut().store_back(Instant::now());
+        self.roster.borrow_mut().record_recovery(Instant::now());
     }
 
     /// Returns the endpoint of an id.
@@ -205,17 +205,17 @@
                 Some(due) => sleep_until(due.into()).await,
                 None => self.lapsing.notified().await,
             }
-            let news = self.roster.borrow_mut().tick(Instant::now());
+            let news = self.roster.borrow_mut().expire(Instant::now());
             self.tell(&news);
         }
     }
 
-    fn tell(&self, news: &[News]) {
+    fn tell(&self, news: &[EndpointChange]) {
         for news in news {
             match news {
-                News::Seen(e) => log::info!(target: HOSTS, endpoint = e.id.as_str(),
+                EndpointChange::Updated(e) => log::info!(target: HOSTS, endpoint = e.id.as_str(),
                     service = e.service.as_str(), leaving = e.leaving; "An endpoint is known."),
-                News::Gone(id) => log::info!(target: HOSTS, endpoint = id.as_str();
+                EndpointChange::Removed(id) => log::info!(target: HOSTS, endpoint = id.as_str();
                     "An endpoint is gone."),
             }
         }
@@ -229,7 +229,7 @@
 pub(super) fn endpoints(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
     let all = Rc::clone(&members);
     Sink {
-        table: table::ENDPOINTS,
+        table: table::ENDPOINTS_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| {
             let found = rows.iter().filter_map(|row| all.understood(row)).collect();
@@ -240,13 +240,13 @@
         change: Box::new(move |changes| {
             let now = Instant::now();
             let mut news = Vec::new();
-            for id in &changes.gone {
+            for id in &changes.removed {
                 news.extend(members.roster.borrow_mut().remove(now, &id.key));
             }
             for row in &changes.rows {
                 let mut roster = members.roster.borrow_mut();
                 match members.understood(row) {
-                    Some(endpoint) => news.extend(roster.set(endpoint)),
+                    Some(endpoint) => news.extend(roster.update(endpoint)),
                     // It names no endpoint any more, as if it were not there.
                     None => news.extend(roster.remove(now, &row.id.key)),
                 }
@@ -263,7 +263,7 @@
     /// time that it changes, and counted.
     fn understood(&self, row: &Row) -> Option<Endpoint> {
         let key = row.id.key.as_str();
-        let error = match roster::endpoint(key, &row.value) {
+        let error = match roster::decode_endpoint(key, &row.value) {
             Ok(endpoint) => {
                 self.broken.borrow_mut().remove(key);
                 return Some(endpoint);
--- a/hibiscusroad-daemon/src/gateway/usage/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/mod.rs
@@ -15,7 +15,7 @@
 use hibiscusroad::{
     clock::millis,
     table::{Change, Commit},
-    usage::{Tally, Windows, pause},
+    usage::{Tally, Windows, write_interval},
 };
 use std::{
     cell::RefCell,
@@ -74,7 +74,7 @@
 
     fn note(&self, account: &str, at: Duration) {
         if let Some(windows) = self.windows {
-            self.tally.borrow_mut().note(windows.at(at), account);
+            self.tally.borrow_mut().record(windows.at(at), account);
             self.changed.notify_one();
         }
     }
@@ -86,7 +86,7 @@
             if self.tally.borrow().is_empty() {
                 self.changed.notified().await;
             }
-            sleep(pause(self.store.peer_count() + 1)).await;
+            sleep(write_interval(self.store.peer_count() + 1)).await;
             if self.write().await {
                 backoff.reset();
             } else {
@@ -116,7 +116,7 @@
         }
         let done = matches!(self.store.transact(&change).await, Commit::Done { .. });
         if done {
-            self.tally.borrow_mut().kept();
+            self.tally.borrow_mut().confirm_write();
         }
         done
     }
--- a/hibiscusroad-daemon/src/platform/hosts.rs
+++ b/hibiscusroad-daemon/src/platform/hosts.rs
@@ -13,7 +13,7 @@
 /// State of a host in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum HostState {
     /// The host is in service.
     Live,
     /// The platform will remove the host soon.
@@ -26,7 +26,7 @@
     /// Name of the host.
     pub name: String,
     /// Data centre of the host.
-    pub place: String,
+    pub data_centre: String,
     /// Role of the process: `entry` or `side`.
     pub role: String,
     /// Service of a sidecar's endpoint; empty for an entry.
@@ -36,7 +36,7 @@
     /// Listening address for streams (sidecar) or operators (entry).
     pub address: SocketAddr,
     /// State of the host.
-    pub state: State,
+    pub state: HostState,
 }
 
 #[derive(Debug, Deserialize)]
@@ -56,7 +56,7 @@
     service: String,
     #[serde(default)]
     endpoint: String,
-    state: State,
+    state: HostState,
 }
 
 /// Client of the host list.
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlatformError`] if the service can't be reached or the response is invalid.
+    /// Returns an error if the service can't be reached or the response is invalid.
     pub fn fetch(&self) -> Result<Vec<Host>, PlatformError> {
         let hosts = self.fetch_cached();
         if hosts.is_err() {
@@ -148,7 +148,7 @@
     let labels = group.labels;
     group.targets.into_iter().map(move |address| Host {
         name: labels.host.clone(),
-        place: labels.data_centre.clone(),
+        data_centre: labels.data_centre.clone(),
         role: labels.role.clone(),
         service: labels.service.clone(),
         endpoint: labels.endpoint.clone(),
--- a/hibiscusroad-measure/src/train/driver.rs
+++ b/hibiscusroad-measure/src/train/driver.rs
@@ -6,7 +6,7 @@
     plain::{Plain, Sample},
     score::Score,
 };
-use hibiscusroad::train::{Event, GenKey, Head, Row, RowName, Run, Span, shares};
+use hibiscusroad::train::{Event, GenerationKey, Head, Row, RowName, Run, Span, fair_shares};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::{
@@ -37,8 +37,8 @@
     pub(super) head: Option<(u64, Head)>,
     pub(super) rows: BTreeMap<RowName, Row>,
     pub(super) inbox: Vec<(f64, Event)>,
-    pub(super) texts: HashMap<GenKey, Vec<Span>>,
-    pub(super) begun: HashMap<GenKey, f64>,
+    pub(super) texts: HashMap<GenerationKey, Vec<Span>>,
+    pub(super) begun: HashMap<GenerationKey, f64>,
     pub(super) ages: HashMap<(u64, u32), f64>,
     pub(super) cursor: u64,
     pub(super) version: u64,
@@ -267,12 +267,12 @@
         let wanted = self
             .trainers
             .each_ref()
-            .map(|t| t.run.as_ref().map_or(0, Run::wanted));
-        let given = shares(alive * self.load.lanes, &wanted);
+            .map(|t| t.run.as_ref().map_or(0, Run::demand));
+        let given = fair_shares(alive * self.load.lanes, &wanted);
         let at = self.instant();
         for (trainer, limit) in self.trainers.iter_mut().zip(given) {
             if let Some(run) = &mut trainer.run {
-                run.handle(at, Event::Share(limit));
+                run.handle(at, Event::LimitChanged(limit));
             }
         }
     }
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -50,19 +50,19 @@
     /// The longest time that a request may wait for its answer.
     pub timeout: Option<Duration>,
     /// The target latency, within which an answer has its full value.
-    pub target: Option<Duration>,
+    pub target_latency: Option<Duration>,
     /// The priority among routes; 0 is the highest.
     pub priority: u8,
     /// The services that run the requests.
     pub shares: Vec<Share>,
     /// Most endpoints to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The time from the first submission within which a batch should be complete.
     pub due: Option<Duration>,
     /// The time from its submission after which an item may be abandoned.
-    pub ttl: Option<Duration>,
+    pub item_ttl: Option<Duration>,
     /// Whether the whole text of a result must come from one weight version.
-    pub single: bool,
+    pub single_version: bool,
     /// Whether callers need no key.
     pub public: bool,
 }
@@ -90,8 +90,8 @@
 pub struct EngineSpec {
     /// Requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens that fit into the memory of one engine.
-    pub memory: u64,
+    /// Tokens that fit into the key-value cache of one engine.
+    pub kv_capacity: u64,
     /// The models that the engines run.
     pub models: Vec<String>,
 }
@@ -102,7 +102,7 @@
     /// The name.
     pub name: String,
     /// Connections that each endpoint accepts from all callers together.
-    pub connections: Option<u32>,
+    pub max_connections: Option<u32>,
     /// Set if the endpoints are model engines.
     pub engine: Option<EngineSpec>,
 }
@@ -111,23 +111,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Most bytes of the headers of a request.
-    pub headers: usize,
+    pub header_bytes: usize,
     /// Most bytes of the body of a request.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time to receive the headers.
-    pub reading: Duration,
+    pub header_timeout: Duration,
     /// Longest time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Returns the limits that apply unless the configuration sets others.
     fn default() -> Self {
         Self {
-            headers: 16 << 10,
-            body: 1 << 20,
-            reading: Duration::from_secs(10),
-            idle: Duration::from_mins(1),
+            header_bytes: 16 << 10,
+            body_bytes: 1 << 20,
+            header_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_mins(1),
         }
     }
 }
@@ -170,15 +170,15 @@
 
     /// Sets the accounts; without them, callers need no keys.
     #[must_use]
-    pub fn accounts(mut self, accounts: Accounts) -> Self {
+    pub fn with_accounts(mut self, accounts: Accounts) -> Self {
         self.accounts = Some(accounts);
         self
     }
 
     /// Returns the number of keys that several accounts have, which authenticate none of them.
     #[must_use]
-    pub fn shared_keys(&self) -> usize {
-        self.accounts.as_ref().map_or(0, Accounts::shared_keys)
+    pub fn shared_key_count(&self) -> usize {
+        self.accounts.as_ref().map_or(0, Accounts::shared_key_count)
     }
 
     /// Returns whether callers are authenticated by keys.
--- a/src/claim/batch.rs
+++ b/src/claim/batch.rs
@@ -5,18 +5,18 @@
 
 /// One claim to be written.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Job {
+pub struct ClaimWrite {
     /// The row's key.
     pub key: String,
     /// The row's new content.
     pub claim: Claim,
     /// The content that the row must have; none if it must be absent.
-    pub expect: Option<Vec<u8>>,
+    pub expected: Option<Vec<u8>>,
 }
 
 /// The table's answer to a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Said {
+pub enum TableAnswer {
     /// Everything was written.
     Committed,
     /// Nothing was written; the rows that exist, by key.
@@ -29,7 +29,7 @@
 
 /// The outcome of one claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// The row is the request's own claim.
     Won,
     /// The row is another request's claim.
@@ -44,7 +44,7 @@
 /// Claims that are written in one transaction. No two have the same key.
 #[derive(Debug, Default)]
 pub struct Batch {
-    jobs: Vec<Job>,
+    writes: Vec<ClaimWrite>,
 }
 
 impl Batch {
@@ -57,48 +57,54 @@
     /// Adds a claim, or returns it if the batch has one with the same key,
     /// because a transaction may write a row only once.
     #[must_use]
-    pub fn add(&mut self, job: Job) -> Option<Job> {
-        if self.jobs.iter().any(|other| other.key == job.key) {
-            return Some(job);
+    pub fn add(&mut self, write: ClaimWrite) -> Option<ClaimWrite> {
+        if self.writes.iter().any(|other| other.key == write.key) {
+            return Some(write);
         }
-        self.jobs.push(job);
+        self.writes.push(write);
         None
     }
 
     /// Returns the undecided claims, which have to be written.
     #[must_use]
-    pub fn jobs(&self) -> &[Job] {
-        &self.jobs
+    pub fn writes(&self) -> &[ClaimWrite] {
+        &self.writes
     }
 
-    /// Applies the table's answer to a transaction with all [`Batch::jobs`];
+    /// Applies the table's answer to a transaction with all [`Batch::writes`];
     /// removes and returns the claims that it decides.
     ///
     /// The remaining ones have to be written again. That is safe after
-    /// [`Said::Unknown`] too: if the first write takes effect, the second one
+    /// [`TableAnswer::Unknown`] too: if the first write takes effect, the second one
     /// finds the request's own claim.
-    pub fn settle(&mut self, said: Said) -> Vec<(Job, Verdict)> {
-        match said {
-            Said::Committed => self.decide_all(&Verdict::Won),
-            Said::Down => self.decide_all(&Verdict::Down),
-            Said::Unknown => Vec::new(),
-            Said::Conflict(rows) => self.apply_conflict(rows),
+    pub fn apply(&mut self, answer: TableAnswer) -> Vec<(ClaimWrite, ClaimOutcome)> {
+        match answer {
+            TableAnswer::Committed => self.decide_all(&ClaimOutcome::Won),
+            TableAnswer::Down => self.decide_all(&ClaimOutcome::Down),
+            TableAnswer::Unknown => Vec::new(),
+            TableAnswer::Conflict(rows) => self.apply_conflict(rows),
         }
     }
 
-    fn decide_all(&mut self, verdict: &Verdict) -> Vec<(Job, Verdict)> {
-        let jobs = mem::take(&mut self.jobs);
-        jobs.into_iter().map(|j| (j, verdict.clone())).collect()
+    fn decide_all(&mut self, outcome: &ClaimOutcome) -> Vec<(ClaimWrite, ClaimOutcome)> {
+        let writes = mem::take(&mut self.writes);
+        writes
+            .into_iter()
+            .map(|write| (write, outcome.clone()))
+            .collect()
     }
 
-    fn apply_conflict(&mut self, mut rows: Vec<(String, Vec<u8>)>) -> Vec<(Job, Verdict)> {
+    fn apply_conflict(
+        &mut self,
+        mut rows: Vec<(String, Vec<u8>)>,
+    ) -> Vec<(ClaimWrite, ClaimOutcome)> {
         let mut decided = Vec::new();
-        for job in mem::take(&mut self.jobs) {
-            let position = rows.iter().position(|(key, _)| *key == job.key);
+        for write in mem::take(&mut self.writes) {
+            let position = rows.iter().position(|(key, _)| *key == write.key);
             let row = position.map(|i| rows.swap_remove(i).1);
-            match decide(&job, row) {
-                Some(verdict) => decided.push((job, verdict)),
-                None => self.jobs.push(job),
+            match decide(&write, row) {
+                Some(outcome) => decided.push((write, outcome)),
+                None => self.writes.push(write),
             }
         }
         decided
@@ -106,16 +112,16 @@
 }
 
 /// Decides one claim by the row that exists; none if it can still be written.
-fn decide(job: &Job, row: Option<Vec<u8>>) -> Option<Verdict> {
-    if row == job.expect {
+fn decide(write: &ClaimWrite, row: Option<Vec<u8>>) -> Option<ClaimOutcome> {
+    if row == write.expected {
         return None;
     }
     let Some(bytes) = row else {
-        return Some(Verdict::Free);
+        return Some(ClaimOutcome::Free);
     };
     let stored = StoredClaim::new(bytes);
-    if stored.is_for(job.claim.attempt) {
-        return Some(Verdict::Won);
+    if stored.is_for(write.claim.attempt) {
+        return Some(ClaimOutcome::Won);
     }
-    Some(Verdict::Held(stored))
+    Some(ClaimOutcome::Held(stored))
 }
--- a/src/gate/types.rs
+++ b/src/gate/types.rs
@@ -16,7 +16,7 @@
 ///
 /// A little more than three heartbeats, so that one missed heartbeat does not
 /// close the link.
-pub const LINK_SILENCE: Duration = Duration::from_millis(800);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long the tombstone of an attempt is kept.
 ///
@@ -26,7 +26,7 @@
 
 /// Limits of a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct GateSpec {
+pub struct GateLimits {
     /// Requests that the endpoint runs at once.
     pub max_running: u32,
     /// Bytes of all buffered answers.
@@ -43,7 +43,7 @@
     pub retention: Duration,
 }
 
-impl GateSpec {
+impl GateLimits {
     /// Creates limits with default values.
     ///
     /// The time to attach again is longer than an entry needs to notice a silent
@@ -65,7 +65,7 @@
 
 /// A request to start an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct StartRequest {
     /// The attempt.
     pub id: RequestId,
     /// When its caller stops waiting.
@@ -74,7 +74,7 @@
     pub repeat: Repeat,
 }
 
-/// The gate's decision about an [`Ask`].
+/// The gate's decision about an [`StartRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// The sidecar has to call the endpoint, exactly once.
@@ -87,7 +87,7 @@
 
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum AttemptState {
     /// Never started, and never will.
     Sealed,
     /// In flight at the endpoint.
@@ -127,11 +127,11 @@
 
 /// A weight version and the first token that it produced.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Run {
+pub struct VersionRun {
     /// The version that the engine reported with the token.
     pub version: String,
     /// Index of the token, from 0.
-    pub first: u64,
+    pub first_token: u64,
 }
 
 /// A frame to an entry about an attempt.
@@ -158,7 +158,7 @@
         /// Bytes of the body.
         length: u64,
         /// Weight versions that produced it.
-        runs: Arc<[Run]>,
+        runs: Arc<[VersionRun]>,
     },
     /// There is no answer, and there will be none.
     Refused {
@@ -168,11 +168,11 @@
         kind: ErrorKind,
     },
     /// The state of the attempt.
-    Standing {
+    State {
         /// The attempt.
         id: RequestId,
         /// Its state.
-        standing: Standing,
+        state: AttemptState,
     },
 }
 
@@ -216,9 +216,9 @@
     /// Calls open at the endpoint, those being aborted included.
     pub running: u32,
     /// Calls that the endpoint may run at once.
-    pub limit: u32,
+    pub max_running: u32,
     /// Bytes of buffered answers.
-    pub held: usize,
+    pub buffered: usize,
     /// Number of tombstones.
     pub tombstones: usize,
     /// Attempts that are running or done, retained answers included.
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,16 +1,17 @@
 //! The lease of a duty, as one process sees it.
 
-use crate::lease::Terms;
+use crate::lease::LeaseTimes;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
 /// The table's row of a duty.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Row {
+pub struct LeaseRow {
     /// The name of the holding process, with its incarnation; empty if free.
     pub holder: String,
     /// The fencing token, which increases with each change of holder.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// Increases with each renewal, so that every write changes the row.
     pub renewals: u64,
 }
@@ -23,33 +24,33 @@
     /// The name of the holding process, with its incarnation.
     pub holder: String,
     /// Its fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
-impl Row {
+impl LeaseRow {
     /// Returns the holding that the row records.
     #[must_use]
     pub fn holding(&self) -> Holding {
         Holding {
             holder: self.holder.clone(),
-            fence: self.fence,
+            fencing_token: self.fencing_token,
         }
     }
 }
 
 /// The next action for a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
-    /// Read the row and report it by [`Lease::seen`].
+pub enum NextAction {
+    /// Read the row and report it by [`Lease::record_read`].
     Read,
     /// Write the row if it still has this version (0: if it is absent), and
-    /// report the result by [`Lease::written`], [`Lease::lost`] or
-    /// [`Lease::beaten`].
+    /// report the result by [`Lease::record_write`], [`Lease::record_failure`] or
+    /// [`Lease::record_conflict`].
     Write {
         /// The version that the row must have.
         version: u64,
         /// The row to write.
-        row: Row,
+        row: LeaseRow,
     },
     /// Do nothing until then.
     Sleep(Instant),
@@ -62,15 +63,15 @@
     /// The row names a holder, and was first seen with this version at `since`.
     Watching {
         version: u64,
-        row: Row,
+        row: LeaseRow,
         since: Instant,
     },
     /// The row is absent or was released.
-    Free { version: u64, fence: u64 },
+    Free { version: u64, fencing_token: u64 },
     /// This process holds the duty, from before the last renewal was sent.
     Held {
         version: u64,
-        row: Row,
+        row: LeaseRow,
         since: Instant,
     },
 }
@@ -82,7 +83,7 @@
 #[derive(Clone, Debug)]
 struct PendingWrite {
     version: u64,
-    row: Row,
+    row: LeaseRow,
     first_sent: Instant,
 }
 
@@ -90,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Lease {
     name: String,
-    terms: Terms,
+    times: LeaseTimes,
     state: State,
     last_read: Option<Instant>,
     pending: Option<PendingWrite>,
@@ -109,10 +110,10 @@
     /// `name` must be different for each incarnation of a process, since a new
     /// one doesn't know the orders of its predecessor.
     #[must_use]
-    pub fn new(name: &str, terms: Terms) -> Self {
+    pub fn new(name: &str, times: LeaseTimes) -> Self {
         Self {
             name: name.to_owned(),
-            terms,
+            times,
             state: State::Unknown,
             last_read: None,
             pending: None,
@@ -124,7 +125,7 @@
     /// Returns the holding in the row that was last read, if it is another
     /// process's.
     #[must_use]
-    pub fn other(&self) -> Option<Holding> {
+    pub fn other_holding(&self) -> Option<Holding> {
         match &self.state {
             State::Watching { row, .. } if row.holder != self.name => Some(row.holding()),
             _ => None,
@@ -134,9 +135,9 @@
     /// Returns the version of the row while this process holds the duty: the
     /// condition for writes that only the holder may do.
     #[must_use]
-    pub fn version(&self, now: Instant) -> Option<u64> {
+    pub fn held_version(&self, now: Instant) -> Option<u64> {
         match &self.state {
-            State::Held { version, .. } if self.fence(now).is_some() => Some(*version),
+            State::Held { version, .. } if self.fencing_token(now).is_some() => Some(*version),
             _ => None,
         }
     }
@@ -152,16 +153,18 @@
 
     /// Returns the fencing token while this process holds the duty.
     #[must_use]
-    pub fn fence(&self, now: Instant) -> Option<u64> {
+    pub fn fencing_token(&self, now: Instant) -> Option<u64> {
         match &self.state {
-            State::Held { row, since, .. } if now < self.expires_at(*since) => Some(row.fence),
+            State::Held { row, since, .. } if now < self.expires_at(*since) => {
+                Some(row.fencing_token)
+            }
             _ => None,
         }
     }
 
     /// Releases the duty with the next write, so that another process need not
     /// wait for the lease to expire.
-    pub const fn give_back(&mut self) {
+    pub const fn release(&mut self) {
         self.releasing = true;
     }
 
@@ -172,34 +175,37 @@
     }
 
     /// Decides the action at `now`.
-    pub fn next(&mut self, now: Instant) -> Next {
+    pub fn next_action(&mut self, now: Instant) -> NextAction {
         let next = match &self.state {
-            State::Unknown => Next::Read,
-            State::Free { .. } if self.releasing => Next::Sleep(now + self.terms.ttl),
-            State::Free { version, fence } => Next::Write {
+            State::Unknown => NextAction::Read,
+            State::Free { .. } if self.releasing => NextAction::Sleep(now + self.times.ttl),
+            State::Free {
+                version,
+                fencing_token,
+            } => NextAction::Write {
                 version: *version,
-                row: self.acquiring_row(*fence + 1),
+                row: self.acquiring_row(*fencing_token + 1),
             },
             State::Watching {
                 version,
                 row,
                 since,
             } => {
-                let next_read = self.last_read.unwrap_or(now) + self.terms.renewal_interval;
+                let next_read = self.last_read.unwrap_or(now) + self.times.renewal_interval;
                 // A holder whose lease expired during an outage finds its own row
                 // and need not wait: no one has taken the duty since.
                 let is_own = row.holder == self.name;
                 let is_suspected = self.suspected == Some(row.holding());
-                let is_available = is_own || is_suspected || now >= *since + self.terms.ttl;
+                let is_available = is_own || is_suspected || now >= *since + self.times.ttl;
                 if !self.releasing && is_available && self.is_recently_read(now) {
-                    Next::Write {
+                    NextAction::Write {
                         version: *version,
-                        row: self.acquiring_row(row.fence + 1),
+                        row: self.acquiring_row(row.fencing_token + 1),
                     }
                 } else if now >= next_read {
-                    Next::Read
+                    NextAction::Read
                 } else {
-                    Next::Sleep(next_read)
+                    NextAction::Sleep(next_read)
                 }
             }
             State::Held {
@@ -207,36 +213,39 @@
                 row,
                 since,
             } => {
-                let renewal_due = *since + self.terms.renewal_interval;
+                let renewal_due = *since + self.times.renewal_interval;
                 if self.releasing || now >= renewal_due {
-                    Next::Write {
+                    NextAction::Write {
                         version: *version,
                         row: self.renewed_row(row),
                     }
                 } else {
-                    Next::Sleep(renewal_due)
+                    NextAction::Sleep(renewal_due)
                 }
             }
         };
-        if let Next::Write { version, row } = &next {
-            self.record_write(now, *version, row);
+        if let NextAction::Write { version, row } = &next {
+            self.track_write(now, *version, row);
         }
         next
     }
 
     /// Handles the result of a read that ended at `now`: version and row.
-    pub fn seen(&mut self, now: Instant, found: Option<(u64, Row)>) {
+    pub fn record_read(&mut self, now: Instant, found: Option<(u64, LeaseRow)>) {
         self.last_read = Some(now);
         let Some((version, row)) = found else {
             self.state = State::Free {
                 version: 0,
-                fence: 0,
+                fencing_token: 0,
             };
             return;
         };
         if row.holder.is_empty() {
-            let fence = row.fence;
-            self.state = State::Free { version, fence };
+            let fencing_token = row.fencing_token;
+            self.state = State::Free {
+                version,
+                fencing_token,
+            };
             return;
         }
         if let Some(pending) = self.pending.take() {
@@ -264,7 +273,7 @@
     }
 
     /// Handles that the last write took effect and created `version`.
-    pub fn written(&mut self, version: u64) {
+    pub fn record_write(&mut self, version: u64) {
         if let Some(pending) = self.pending.take() {
             self.apply_write(version, pending);
         }
@@ -275,8 +284,8 @@
     /// The holder keeps the duty until its lease expires: while the table is
     /// down, no one else can take over either. Afterwards it reads the row before
     /// it writes again.
-    pub fn lost(&mut self, now: Instant) {
-        if self.fence(now).is_none() {
+    pub fn record_failure(&mut self, now: Instant) {
+        if self.fencing_token(now).is_none() {
             self.state = State::Unknown;
         }
     }
@@ -285,11 +294,11 @@
     ///
     /// The version may come from an earlier copy of the write whose answer was
     /// lost, so the row is read again.
-    pub fn beaten(&mut self) {
+    pub fn record_conflict(&mut self) {
         self.state = State::Unknown;
     }
 
-    fn record_write(&mut self, now: Instant, version: u64, row: &Row) {
+    fn track_write(&mut self, now: Instant, version: u64, row: &LeaseRow) {
         let is_repeated = self
             .pending
             .as_ref()
@@ -307,7 +316,7 @@
         self.state = if write.row.holder.is_empty() {
             State::Free {
                 version,
-                fence: write.row.fence,
+                fencing_token: write.row.fencing_token,
             }
         } else {
             State::Held {
@@ -319,32 +328,32 @@
     }
 
     fn expires_at(&self, since: Instant) -> Instant {
-        since + self.terms.ttl.saturating_sub(self.terms.clock_margin)
+        since + self.times.ttl.saturating_sub(self.times.clock_margin)
     }
 
     /// Returns whether the row was read recently enough to act on it; not so in
     /// a candidate that was paused since.
     fn is_recently_read(&self, now: Instant) -> bool {
         let age = self.last_read.map_or(Duration::MAX, |read| now - read);
-        age < self.terms.renewal_interval
+        age < self.times.renewal_interval
     }
 
-    fn acquiring_row(&self, fence: u64) -> Row {
-        Row {
+    fn acquiring_row(&self, fencing_token: u64) -> LeaseRow {
+        LeaseRow {
             holder: self.name.clone(),
-            fence,
+            fencing_token,
             renewals: 0,
         }
     }
 
-    fn renewed_row(&self, row: &Row) -> Row {
-        Row {
+    fn renewed_row(&self, row: &LeaseRow) -> LeaseRow {
+        LeaseRow {
             holder: if self.releasing {
                 String::new()
             } else {
                 row.holder.clone()
             },
-            fence: row.fence,
+            fencing_token: row.fencing_token,
             renewals: row.renewals + 1,
         }
     }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -32,13 +32,13 @@
     pub id: String,
     /// The start of this incarnation, in milliseconds since 1970 by the endpoint's clock.
     /// State of an earlier incarnation is void.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The service to which the endpoint belongs.
     pub service: String,
     /// The address for requests.
     pub address: SocketAddr,
     /// The data centre.
-    pub place: String,
+    pub data_centre: String,
     /// Requests that the endpoint runs at once.
     pub slots: u32,
     /// Whether the endpoint has announced its shutdown.
@@ -51,29 +51,29 @@
 
 /// A change of the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum News {
+pub enum EndpointChange {
     /// An endpoint is new or has changed.
-    Seen(Endpoint),
-    /// The endpoint with this id is gone.
-    Gone(String),
+    Updated(Endpoint),
+    /// The endpoint with this id was removed.
+    Removed(String),
 }
 
-impl News {
+impl EndpointChange {
     /// Returns the endpoint that is new or has changed.
     #[must_use]
-    pub const fn seen(&self) -> Option<&Endpoint> {
+    pub const fn updated(&self) -> Option<&Endpoint> {
         match self {
-            Self::Seen(endpoint) => Some(endpoint),
-            Self::Gone(_) => None,
+            Self::Updated(endpoint) => Some(endpoint),
+            Self::Removed(_) => None,
         }
     }
 
-    /// Returns the id of the endpoint that is gone.
+    /// Returns the id of the endpoint that was removed.
     #[must_use]
-    pub fn gone(&self) -> Option<&str> {
+    pub fn removed(&self) -> Option<&str> {
         match self {
-            Self::Seen(_) => None,
-            Self::Gone(id) => Some(id),
+            Self::Updated(_) => None,
+            Self::Removed(id) => Some(id),
         }
     }
 }
@@ -101,12 +101,12 @@
     }
 
     /// Records that the store answers again after an outage.
-    pub fn store_back(&mut self, now: Instant) {
+    pub fn record_recovery(&mut self, now: Instant) {
         self.grace_end = Some(now + REREGISTRATION_GRACE);
     }
 
     /// Replaces all entries; endpoints without an entry are missing from now on.
-    pub fn replace(&mut self, now: Instant, all: Vec<Endpoint>) -> Vec<News> {
+    pub fn replace(&mut self, now: Instant, all: Vec<Endpoint>) -> Vec<EndpointChange> {
         let ids: Vec<String> = self.rows.keys().cloned().collect();
         let mut changes = Vec::new();
         for id in ids {
@@ -114,19 +114,19 @@
                 changes.extend(self.remove(now, &id));
             }
         }
-        let updates = all.into_iter().flat_map(|endpoint| self.set(endpoint));
+        let updates = all.into_iter().flat_map(|endpoint| self.update(endpoint));
         changes.extend(updates);
         changes
     }
 
     /// Adds or updates an entry.
     ///
-    /// A restarted endpoint is reported as gone and as new, since it has lost all state. A
-    /// late entry of an earlier incarnation is ignored.
-    pub fn set(&mut self, endpoint: Endpoint) -> Vec<News> {
+    /// A restarted endpoint, which has lost its state, is reported as removed and as updated.
+    /// A late entry of an earlier incarnation is ignored.
+    pub fn update(&mut self, endpoint: Endpoint) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(row) = self.rows.get_mut(&endpoint.id) {
-            let (old_start, new_start) = (row.endpoint.born, endpoint.born);
+            let (old_start, new_start) = (row.endpoint.started_ms, endpoint.started_ms);
             if old_start.zip(new_start).is_some_and(|(old, new)| new < old) {
                 return changes;
             }
@@ -135,7 +135,7 @@
                 return changes;
             }
             if old_start != new_start {
-                changes.push(News::Gone(endpoint.id.clone()));
+                changes.push(EndpointChange::Removed(endpoint.id.clone()));
             }
         }
         let row = Row {
@@ -143,35 +143,35 @@
             drop_at: None,
         };
         self.rows.insert(endpoint.id.clone(), row);
-        changes.push(News::Seen(endpoint));
+        changes.push(EndpointChange::Updated(endpoint));
         changes
     }
 
     /// Records that an entry is missing.
-    pub fn remove(&mut self, now: Instant, id: &str) -> Option<News> {
+    pub fn remove(&mut self, now: Instant, id: &str) -> Option<EndpointChange> {
         let row = self.rows.get_mut(id)?;
         if let Some(until) = self.grace_end.filter(|until| now < *until) {
             row.drop_at.get_or_insert(until);
             return None;
         }
         self.rows.remove(id);
-        Some(News::Gone(id.to_owned()))
+        Some(EndpointChange::Removed(id.to_owned()))
     }
 
     /// Drops the endpoints whose entries are still missing after the grace period.
-    pub fn tick(&mut self, now: Instant) -> Vec<News> {
+    pub fn expire(&mut self, now: Instant) -> Vec<EndpointChange> {
         let is_due = |row: &Row| row.drop_at.is_some_and(|until| until <= now);
         let rows = self.rows.iter().filter(|(_, row)| is_due(row));
         let ids: Vec<String> = rows.map(|(id, _)| id.clone()).collect();
         ids.into_iter()
             .map(|id| {
                 self.rows.remove(&id);
-                News::Gone(id)
+                EndpointChange::Removed(id)
             })
             .collect()
     }
 
-    /// Returns when [`Roster::tick`] next drops an endpoint.
+    /// Returns when [`Roster::expire`] next drops an endpoint.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.rows.values().filter_map(|row| row.drop_at).min()
--- a/src/train/deliver.rs
+++ b/src/train/deliver.rs
@@ -3,8 +3,8 @@
 use crate::{
     error::ErrorKind,
     train::{
-        GenKey, RETAINED_BATCHES,
-        event::{Answer, Step, Ticket},
+        GenerationKey, RETAINED_BATCHES,
+        event::{Action, Answer, Ticket},
         journal::Change,
         row::{Batch, Record, Slot},
         run::{Group, Pull, Run},
@@ -28,7 +28,7 @@
         if head.done_steps != cursor || batch_pending || self.must_wait() {
             return;
         }
-        let count = usize::try_from(self.spec.groups).unwrap_or(usize::MAX);
+        let count = usize::try_from(self.spec.step_groups).unwrap_or(usize::MAX);
         let min_version = self.min_version();
         let is_fresh = |group: &Group| {
             self.oldest_version(group)
@@ -63,7 +63,7 @@
         if !self.pace.may_change_version() {
             return false;
         }
-        let (bound, version) = (self.spec.bound, self.head().version);
+        let (bound, version) = (self.spec.max_staleness, self.head().version);
         let at_bound = |group: &Group| {
             self.oldest_version(group)
                 .is_some_and(|oldest| oldest + bound <= version)
@@ -87,7 +87,7 @@
                 .generations
                 .get(*key)
                 .and_then(|g| g.text.oldest_version()),
-            Phase::Writing(record) | Phase::Recorded(record) => record.oldest(),
+            Phase::Writing(record) | Phase::Recorded(record) => record.oldest_version(),
         });
         versions.min()
     }
@@ -101,7 +101,7 @@
             Phase::Scoring(key) => run.is_stale_generation(*key, min_version),
             // A sample that is being written is checked once it is recorded.
             Phase::Waiting | Phase::Writing(_) => false,
-            Phase::Recorded(record) => is_stale(Record::oldest(record)),
+            Phase::Recorded(record) => is_stale(Record::oldest_version(record)),
         };
         self.cancel_stale_hedges(min_version);
         let mut stale = Vec::new();
@@ -140,11 +140,11 @@
         }
         for (slot, hedge) in stale {
             self.remove_hedge(slot, hedge);
-            self.steps.push_back(Step::Cancel(hedge));
+            self.actions.push_back(Action::Cancel(hedge));
         }
     }
 
-    fn is_stale_generation(&self, key: GenKey, min_version: u64) -> bool {
+    fn is_stale_generation(&self, key: GenerationKey, min_version: u64) -> bool {
         let generation = self.generations.get(key);
         generation.is_some_and(|g| {
             g.text
@@ -165,7 +165,8 @@
         let requests = mem::take(&mut self.done_requests);
         for (ticket, step) in requests {
             if step == cursor {
-                self.steps.push_back(Step::Answer(ticket, Answer::Noted));
+                self.actions
+                    .push_back(Action::Answer(ticket, Answer::Recorded));
             } else {
                 self.done_requests.push((ticket, step));
             }
@@ -198,7 +199,8 @@
         }
         let head = self.head();
         if cursor < head.done_steps {
-            self.steps.push_back(Step::Answer(ticket, Answer::Noted));
+            self.actions
+                .push_back(Action::Answer(ticket, Answer::Recorded));
         } else if cursor >= head.next_cursor {
             self.refuse(ticket, ErrorKind::BadCursor);
         } else if version < head.version {
@@ -219,7 +221,7 @@
         let pulls = mem::take(&mut self.pulls);
         for pull in pulls {
             if let Some(answer) = self.pull_answer(now, pull) {
-                self.steps.push_back(Step::Answer(pull.ticket, answer));
+                self.actions.push_back(Action::Answer(pull.ticket, answer));
             } else {
                 self.pulls.push(pull);
             }
@@ -250,7 +252,7 @@
 
     fn refuse(&mut self, ticket: Ticket, kind: ErrorKind) {
         let answer = Answer::Refused(kind);
-        self.steps.push_back(Step::Answer(ticket, answer));
+        self.actions.push_back(Action::Answer(ticket, answer));
     }
 }
 
--- a/src/train/event.rs
+++ b/src/train/event.rs
@@ -1,9 +1,9 @@
-//! The events that a run handles, and the steps that it asks for.
+//! The events that a run handles, and the actions that it asks for.
 
 use crate::{
     error::ErrorKind,
     train::{
-        GenKey,
+        GenerationKey,
         row::{Batch, Head, Row, Slot, Span, Write},
     },
 };
@@ -23,7 +23,7 @@
     Committed,
     /// The write failed on its condition, or a call of the table got no answer.
     /// The run reads the table again before it continues.
-    Lost,
+    CallFailed,
     /// An engine reported the progress of a generation.
     ///
     /// Positions count from the first token of the sample; the spans begin where the
@@ -31,25 +31,25 @@
     /// that were ordered.
     Progress {
         /// The generation.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The number of tokens of the sample so far.
         tokens: u32,
         /// The versions that generated them.
         spans: Vec<Span>,
     },
     /// The generation has finished; its last report came before.
-    Finished(GenKey),
+    Finished(GenerationKey),
     /// The generation failed; the tokens reported before are kept.
-    Failed(GenKey),
+    Failed(GenerationKey),
     /// The sample was stored in the object store and scored.
     Scored {
         /// The generation of the sample.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The score. If it isn't finite, scoring is retried.
         score: f64,
     },
     /// The sample could not be stored or scored; this is retried.
-    ScoreLost(GenKey),
+    ScoreFailed(GenerationKey),
     /// The trainer requested the batch of a step.
     Pulled {
         /// The request.
@@ -71,7 +71,7 @@
         version: u64,
     },
     /// The number of generations that the run may have on the engines changed.
-    Share(usize),
+    LimitChanged(usize),
     /// Time has passed.
     Tick,
 }
@@ -83,25 +83,25 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Prefix {
     /// The generation that has the text.
-    pub generation: GenKey,
+    pub generation: GenerationKey,
     /// The number of tokens of the sample to continue from.
     pub tokens: u32,
 }
 
 /// An output of a [`Run`](crate::train::Run), for its holder to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Read the head row. Answered by [`Event::Head`] or [`Event::Lost`].
+pub enum Action {
+    /// Read the head row. Answered by [`Event::Head`] or [`Event::CallFailed`].
     ReadHead,
     /// Read all other rows, with all writes so far. Answered by [`Event::Rows`] or
-    /// [`Event::Lost`].
+    /// [`Event::CallFailed`].
     ReadRows,
-    /// Commit a transaction. Answered by [`Event::Committed`] or [`Event::Lost`].
+    /// Commit a transaction. Answered by [`Event::Committed`] or [`Event::CallFailed`].
     Write(Box<Write>),
     /// Start a generation with the rollout class.
     Start {
         /// The key of the new generation.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The slot of the sample.
         slot: Slot,
         /// Whether the generation goes before others of its class.
@@ -112,18 +112,18 @@
         min_version: u64,
     },
     /// Move a generation before others of its class.
-    Raise(GenKey),
+    Prioritize(GenerationKey),
     /// Stop a generation and discard its output.
-    Cancel(GenKey),
+    Cancel(GenerationKey),
     /// Write a finished sample to the object store, then score it.
     Score {
         /// The generation of the sample.
-        generation: GenKey,
+        generation: GenerationKey,
         /// The slot of the sample.
         slot: Slot,
     },
     /// Discard the texts of a sample; no generation will continue them.
-    Release(Slot),
+    DiscardTexts(Slot),
     /// Answer a request.
     Answer(Ticket, Answer),
 }
@@ -136,7 +136,7 @@
     /// The batch isn't complete; retry with the same cursor.
     NotYet,
     /// The step is recorded as done.
-    Noted,
+    Recorded,
     /// The request is refused.
     Refused(ErrorKind),
 }
--- a/src/train/straggle.rs
+++ b/src/train/straggle.rs
@@ -11,8 +11,8 @@
 //!   hedge that ends earlier is discarded.
 
 use crate::train::{
-    GenKey,
-    event::Step,
+    GenerationKey,
+    event::Action,
     row::Slot,
     run::{Group, Run},
     sample::{Generation, Phase},
@@ -37,26 +37,26 @@
 impl Run {
     /// Returns whether this group was meant for the next batch or an earlier one.
     pub(crate) fn is_due(&self, group: u64) -> bool {
-        group / u64::from(self.spec.groups.max(1)) <= self.head().next_cursor
+        group / u64::from(self.spec.step_groups.max(1)) <= self.head().next_cursor
     }
 
     /// Returns whether this group is overdue, or is needed for a batch that is mostly
     /// complete.
     pub(crate) fn is_urgent(&self, group: u64) -> bool {
-        let batch_size = u64::from(self.spec.groups.max(1));
+        let batch_size = u64::from(self.spec.step_groups.max(1));
         let is_overdue = group / batch_size < self.head().next_cursor;
         is_overdue || self.is_due(group) && self.is_mostly_complete()
     }
 
     fn is_mostly_complete(&self) -> bool {
         let complete = self.groups.values().filter(|g| g.is_complete()).count();
-        complete as f64 >= URGENT_THRESHOLD * f64::from(self.spec.groups)
+        complete as f64 >= URGENT_THRESHOLD * f64::from(self.spec.step_groups)
     }
 
     /// Prioritizes what the next batch needs, and hedges slow generations.
     pub(crate) fn handle_stragglers(&mut self, now: Instant) {
         let mostly_complete = self.is_mostly_complete();
-        let batch_size = u64::from(self.spec.groups.max(1));
+        let batch_size = u64::from(self.spec.step_groups.max(1));
         let next_cursor = self.head().next_cursor;
         let mut slow = Vec::new();
         for (key, generation) in &mut self.generations {
@@ -64,7 +64,7 @@
             let urgent = step < next_cursor || step == next_cursor && mostly_complete;
             if urgent && !generation.urgent {
                 generation.urgent = true;
-                self.steps.push_back(Step::Raise(key));
+                self.actions.push_back(Action::Prioritize(key));
             }
             if is_slow(generation, self.pace.token_rate(), now) {
                 slow.push((!urgent, generation.slot, key));
@@ -80,7 +80,7 @@
 
     /// Starts a hedge within the budget: a share of the running generations, and at
     /// least one, for small runs.
-    fn start_hedge(&mut self, now: Instant, key: GenKey) {
+    fn start_hedge(&mut self, now: Instant, key: GenerationKey) {
         let running = self.groups.values().map(count_hedges).sum::<usize>();
         let budget = (self.generations.len() as f64 * self.spec.hedge_share).max(1.0);
         if running as f64 + 1.0 > budget {
@@ -103,7 +103,7 @@
     }
 
     /// Replaces the original by its hedge once the hedge is longer.
-    pub(crate) fn promote_hedge(&mut self, key: GenKey) {
+    pub(crate) fn promote_hedge(&mut self, key: GenerationKey) {
         let Some(hedge) = self.generations.get(key) else {
             return;
         };
@@ -115,14 +115,19 @@
             // The prefix that the hedge continues isn't wasted.
             self.counts.wasted += u64::from(original.text.tokens - base);
         }
-        self.steps.push_back(Step::Cancel(main));
+        self.actions.push_back(Action::Cancel(main));
         let main = key;
         self.set_phase(slot, Phase::Running { main, hedge: None });
     }
 
     /// Returns the original of a hedge with this many tokens, and whether the hedge is
     /// longer.
-    fn compare_hedge(&mut self, slot: Slot, key: GenKey, tokens: u32) -> Option<(GenKey, bool)> {
+    fn compare_hedge(
+        &mut self,
+        slot: Slot,
+        key: GenerationKey,
+        tokens: u32,
+    ) -> Option<(GenerationKey, bool)> {
         let Phase::Running { main, hedge } = self.sample_mut(slot)?.phase else {
             return None;
         };
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// The table of counts.
-pub const USAGE: &str = "usage";
+pub const USAGE_TABLE: &str = "usage";
 
 /// After a store outage a process has counts of many windows to write.
 const MAX_ROWS_PER_WRITE: usize = 50;
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn row(&self, incarnation: &str) -> RowId {
         let key = format!("{}{incarnation}/{}", key_prefix(self.window), self.seq);
-        RowId::new(USAGE, "", &key)
+        RowId::new(USAGE_TABLE, "", &key)
     }
 
     /// Encodes the counts as JSON.
@@ -67,13 +67,13 @@
 
 /// Returns the range of keys of a window's counts: the first one, and the end (exclusive).
 #[must_use]
-pub fn keys(window: Window) -> (String, String) {
+pub fn key_range(window: Window) -> (String, String) {
     (key_prefix(window), key_prefix(window.next()))
 }
 
 /// Adds up the rows of a window; also returns the number of rows that can't be decoded.
 #[must_use]
-pub fn merge<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
+pub fn sum_counts<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> (Counts, usize) {
     let mut sums = Counts::new();
     let mut invalid_rows = 0;
     for value in values {
@@ -105,7 +105,7 @@
     }
 
     /// Counts one request of an account.
-    pub fn note(&mut self, window: Window, account: &str) {
+    pub fn record(&mut self, window: Window, account: &str) {
         let counts = self.unsent.entry(window).or_default();
         match counts.get_mut(account) {
             Some(count) => *count += 1,
@@ -121,7 +121,7 @@
 
     /// Returns the rows to write next, in one transaction.
     ///
-    /// Returns the same rows until [`Self::kept`] is called, since a write without an
+    /// Returns the same rows until [`Self::confirm_write`] is called, since a write without an
     /// answer may have taken effect. Later counts go into later rows.
     pub fn next_write(&mut self) -> &[PartialCounts] {
         if self.in_flight.is_empty() {
@@ -142,7 +142,7 @@
     }
 
     /// Confirms that the rows of [`Self::next_write`] are in the store.
-    pub fn kept(&mut self) {
+    pub fn confirm_write(&mut self) {
         self.in_flight.clear();
     }
 }
@@ -152,7 +152,7 @@
 /// A process that is killed loses the counts of this interval, so it is as short as the
 /// store can handle.
 #[must_use]
-pub fn pause(processes: usize) -> Duration {
+pub fn write_interval(processes: usize) -> Duration {
     let processes = u32::try_from(processes).unwrap_or(u32::MAX);
     MIN_WRITE_INTERVAL.max(Duration::from_secs(1) * processes / MAX_WRITES_PER_SECOND)
 }
--- a/tests/claim_model.rs
+++ b/tests/claim_model.rs
@@ -7,7 +7,10 @@
 
 use hibiscusroad::{
     Incarnation, RequestId,
-    claim::{Action, Batch, Claim, Fate, Holder, Job, Said, Verdict, row_key},
+    claim::{
+        Action, Batch, Claim, ClaimOutcome, ClaimWrite, KeyedRequest, ReportedState, TableAnswer,
+        row_key,
+    },
 };
 use proptest::{collection::vec, prelude::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -85,7 +88,7 @@
 }
 
 struct Request {
-    holder: Holder,
+    keyed: KeyedRequest,
     next_action: Action,
     batch: Batch,
     /// Its own attempts, as opposed to those of other requests.
@@ -99,7 +102,7 @@
 #[derive(Default)]
 struct World {
     row: Option<Vec<u8>>,
-    delayed_writes: Vec<Job>,
+    delayed_writes: Vec<ClaimWrite>,
     starts_in_transit: Vec<Claim>,
     sides: [Side; SIDES],
     /// Open requests, each with its entry.
@@ -124,8 +127,8 @@
                 self.deliver(&start);
             }
             Event::DelayedWrite(i) if !self.delayed_writes.is_empty() => {
-                let job = self.delayed_writes.remove(i % self.delayed_writes.len());
-                self.write(&job);
+                let claim_write = self.delayed_writes.remove(i % self.delayed_writes.len());
+                self.write(&claim_write);
             }
             Event::Finish(i) => {
                 for state in self.sides[i % SIDES].attempts.values_mut() {
@@ -149,8 +152,8 @@
 
     fn arrive(&mut self, entry: usize) {
         let request = Request {
-            holder: Holder::new(FINGERPRINT),
-            next_action: Action::Place,
+            keyed: KeyedRequest::new(FINGERPRINT),
+            next_action: Action::SelectEndpoint,
             batch: Batch::new(),
             attempts: BTreeSet::new(),
             sent_claim: None,
@@ -162,10 +165,10 @@
     fn step(&mut self, i: usize, outcome: WriteOutcome) {
         let (entry, mut request) = self.requests.swap_remove(i);
         match request.next_action.clone() {
-            Action::Place => self.place(entry, &mut request),
-            Action::Write(claim, expect) => self.claim(&mut request, &claim, expect, outcome),
+            Action::SelectEndpoint => self.place(entry, &mut request),
+            Action::Write(claim, expected) => self.claim(&mut request, &claim, expected, outcome),
             Action::Run(claim) => self.run(&mut request, claim),
-            Action::Ask(claim) => self.ask(&mut request, &claim),
+            Action::QuerySidecar(claim) => self.ask(&mut request, &claim),
             Action::Follow(_) => request.reported_not_run = Some(false),
             Action::Refuse(kind) => request.reported_not_run = Some(kind.answer().not_run),
         }
@@ -184,13 +187,13 @@
         };
         let side = usize::try_from(self.seq).unwrap_or_default() % SIDES;
         request.attempts.insert(attempt);
-        request.next_action = request.holder.place(Claim {
+        request.next_action = request.keyed.start_claim(Claim {
             attempt,
-            side: side.to_string(),
+            endpoint: side.to_string(),
             incarnation: self.sides[side].incarnation,
             address: "127.0.0.1:1".parse().expect("an address"),
-            body: FINGERPRINT,
-            created: NOW,
+            fingerprint: FINGERPRINT,
+            created_ms: NOW,
         });
     }
 
@@ -198,43 +201,49 @@
         &mut self,
         request: &mut Request,
         claim: &Claim,
-        expect: Option<Vec<u8>>,
+        expected: Option<Vec<u8>>,
         outcome: WriteOutcome,
     ) {
-        if request.batch.jobs().is_empty() {
+        if request.batch.writes().is_empty() {
             let key = row_key("hut-desk", "k");
             let claim = claim.clone();
-            let job = Job { key, claim, expect };
-            assert_eq!(request.batch.add(job), None);
+            let claim_write = ClaimWrite {
+                key,
+                claim,
+                expected,
+            };
+            assert_eq!(request.batch.add(claim_write), None);
         }
-        let job = request.batch.jobs()[0].clone();
-        let response = match outcome {
-            WriteOutcome::Success if self.write(&job) => Said::Committed,
+        let claim_write = request.batch.writes()[0].clone();
+        let answer = match outcome {
+            WriteOutcome::Success if self.write(&claim_write) => TableAnswer::Committed,
             WriteOutcome::Success => {
-                let row = self.row.clone().map(|row| (job.key.clone(), row));
-                Said::Conflict(row.into_iter().collect())
+                let row = self.row.clone().map(|row| (claim_write.key.clone(), row));
+                TableAnswer::Conflict(row.into_iter().collect())
             }
             WriteOutcome::AnswerLost => {
-                self.write(&job);
-                Said::Unknown
+                self.write(&claim_write);
+                TableAnswer::Unknown
             }
             WriteOutcome::Delayed => {
-                self.delayed_writes.push(job);
-                Said::Unknown
+                self.delayed_writes.push(claim_write);
+                TableAnswer::Unknown
             }
-            WriteOutcome::RequestLost => Said::Unknown,
-            WriteOutcome::Down => Said::Down,
+            WriteOutcome::RequestLost => TableAnswer::Unknown,
+            WriteOutcome::Down => TableAnswer::Down,
         };
-        for (job, verdict) in request.batch.settle(response) {
-            let action = request.holder.written(job.claim.attempt, verdict, NOW);
+        for (claim_write, claim_outcome) in request.batch.apply(answer) {
+            let action = request
+                .keyed
+                .apply_outcome(claim_write.claim.attempt, claim_outcome, NOW);
             request.next_action = action.expect("the claim was being written");
         }
     }
 
-    fn write(&mut self, job: &Job) -> bool {
-        let matches = self.row == job.expect;
+    fn write(&mut self, claim_write: &ClaimWrite) -> bool {
+        let matches = self.row == claim_write.expected;
         if matches {
-            self.row = Some(job.claim.encode());
+            self.row = Some(claim_write.claim.encode());
         }
         matches
     }
@@ -254,8 +263,8 @@
         match side.attempts.get(&sent.attempt) {
             Some(AttemptState::Sealed) => {
                 request.sent_claim = None;
-                request.holder.not_run();
-                request.next_action = Action::Place;
+                request.keyed.mark_not_run();
+                request.next_action = Action::SelectEndpoint;
             }
             Some(AttemptState::Done) => request.reported_not_run = Some(false),
             Some(AttemptState::Running) | None => {}
@@ -264,19 +273,19 @@
 
     fn ask(&mut self, request: &mut Request, claim: &Claim) {
         let side = &mut self.sides[side(claim)];
-        let fate = if side.incarnation == claim.incarnation {
+        let reported = if side.incarnation == claim.incarnation {
             let state = side
                 .attempts
                 .entry(claim.attempt)
                 .or_insert(AttemptState::Sealed);
             match state {
-                AttemptState::Sealed => Fate::Sealed,
-                AttemptState::Running | AttemptState::Done => Fate::Kept,
+                AttemptState::Sealed => ReportedState::Sealed,
+                AttemptState::Running | AttemptState::Done => ReportedState::Readable,
             }
         } else {
-            Fate::Gone
+            ReportedState::SidecarGone
         };
-        let action = request.holder.fate(fate);
+        let action = request.keyed.apply_state(reported);
         request.next_action = action.expect("the attempt was asked for");
     }
 
@@ -291,7 +300,7 @@
 }
 
 fn side(claim: &Claim) -> usize {
-    claim.side.parse().expect("a number")
+    claim.endpoint.parse().expect("a number")
 }
 
 proptest! {
@@ -346,35 +355,40 @@
 // own row, found after a lost answer, counts as won.
 #[test]
 fn batch_decides_each_claim_by_its_own_row() {
-    let job = |index: u64| Job {
+    let claim_write = |index: u64| ClaimWrite {
         key: index.to_string(),
         claim: Claim {
             attempt: RequestId {
                 origin: Incarnation(1),
                 seq: index,
             },
-            side: "0".to_owned(),
+            endpoint: "0".to_owned(),
             incarnation: 1,
             address: "127.0.0.1:1".parse().expect("an address"),
-            body: FINGERPRINT,
-            created: NOW,
+            fingerprint: FINGERPRINT,
+            created_ms: NOW,
         },
-        expect: None,
+        expected: None,
     };
     let mut batch = Batch::new();
     for index in 0..3 {
-        assert_eq!(batch.add(job(index)), None);
+        assert_eq!(batch.add(claim_write(index)), None);
     }
-    assert_eq!(batch.add(job(1)), Some(job(1)));
-    assert_eq!(batch.settle(Said::Unknown), []);
-    let other = job(9).claim.encode();
+    assert_eq!(batch.add(claim_write(1)), Some(claim_write(1)));
+    assert_eq!(batch.apply(TableAnswer::Unknown), []);
+    let other = claim_write(9).claim.encode();
     let rows = vec![
-        ("0".to_owned(), job(0).claim.encode()),
+        ("0".to_owned(), claim_write(0).claim.encode()),
         ("1".to_owned(), other),
     ];
-    let decided = batch.settle(Said::Conflict(rows));
-    assert_eq!(decided[0], (job(0), Verdict::Won));
-    assert!(matches!(&decided[1].1, Verdict::Held(stored) if stored.is_for(job(9).claim.attempt)));
-    assert_eq!(batch.jobs(), [job(2)]);
-    assert_eq!(batch.settle(Said::Committed), [(job(2), Verdict::Won)]);
+    let decided = batch.apply(TableAnswer::Conflict(rows));
+    assert_eq!(decided[0], (claim_write(0), ClaimOutcome::Won));
+    assert!(
+        matches!(&decided[1].1, ClaimOutcome::Held(stored) if stored.is_for(claim_write(9).claim.attempt))
+    );
+    assert_eq!(batch.writes(), [claim_write(2)]);
+    assert_eq!(
+        batch.apply(TableAnswer::Committed),
+        [(claim_write(2), ClaimOutcome::Won)]
+    );
 }
--- a/tests/train_cases.rs
+++ b/tests/train_cases.rs
@@ -3,7 +3,7 @@
 
 use hibiscusroad::{
     ErrorKind,
-    train::{Answer, Event, GenKey, Run, Span, Spec, Step, Ticket},
+    train::{Action, Answer, Event, GenerationKey, Run, Span, Spec, Ticket},
 };
 use std::time::{Duration, Instant};
 
@@ -14,9 +14,9 @@
     now: Instant,
     /// The version of the head row.
     row_version: u64,
-    started: Vec<GenKey>,
-    cancelled: Vec<GenKey>,
-    scored: Vec<GenKey>,
+    started: Vec<GenerationKey>,
+    cancelled: Vec<GenerationKey>,
+    scored: Vec<GenerationKey>,
     answers: Vec<Answer>,
 }
 
@@ -32,48 +32,48 @@
             scored: Vec::new(),
             answers: Vec::new(),
         };
-        harness.run_steps();
+        harness.run_actions();
         harness
     }
 
     fn handle(&mut self, event: Event) {
         self.run.handle(self.now, event);
-        self.run_steps();
+        self.run_actions();
     }
 
-    fn run_steps(&mut self) {
-        while let Some(step) = self.run.next_step() {
-            let event = match step {
-                Step::ReadHead => Event::Head(None),
-                Step::ReadRows => Event::Rows(Vec::new()),
-                Step::Write(write) => {
-                    assert_eq!(write.expect, self.row_version);
+    fn run_actions(&mut self) {
+        while let Some(action) = self.run.next_action() {
+            let event = match action {
+                Action::ReadHead => Event::Head(None),
+                Action::ReadRows => Event::Rows(Vec::new()),
+                Action::Write(write) => {
+                    assert_eq!(write.expected_version, self.row_version);
                     self.row_version += 1;
                     Event::Committed
                 }
-                Step::Start { generation, .. } => {
+                Action::Start { generation, .. } => {
                     self.started.push(generation);
                     continue;
                 }
-                Step::Cancel(generation) => {
+                Action::Cancel(generation) => {
                     self.cancelled.push(generation);
                     continue;
                 }
-                Step::Score { generation, .. } => {
+                Action::Score { generation, .. } => {
                     self.scored.push(generation);
                     continue;
                 }
-                Step::Answer(_, answer) => {
+                Action::Answer(_, answer) => {
                     self.answers.push(answer);
                     continue;
                 }
-                Step::Raise(_) | Step::Release(_) => continue,
+                Action::Prioritize(_) | Action::DiscardTexts(_) => continue,
             };
             self.run.handle(self.now, event);
         }
     }
 
-    fn report(&mut self, generation: GenKey, first: u32, tokens: u32) {
+    fn report(&mut self, generation: GenerationKey, first: u32, tokens: u32) {
         let version = 0;
         let spans = vec![Span { version, first }];
         self.handle(Event::Progress {
@@ -103,7 +103,7 @@
 
     /// Reports 100 tokens of the first generation and waits until it is hedged. Returns
     /// the generation and its hedge.
-    fn start_hedge(&mut self) -> (GenKey, GenKey) {
+    fn start_hedge(&mut self) -> (GenerationKey, GenerationKey) {
         let main = self.started[0];
         self.report(main, 0, 100);
         self.now += Duration::from_secs(11);
@@ -113,7 +113,7 @@
 }
 
 fn single_sample_spec() -> Spec {
-    Spec::new().size(1).groups(1)
+    Spec::new().group_size(1).step_groups(1)
 }
 
 // A hedge that ends earlier than its original must not replace it, or all hedged samples
@@ -180,6 +180,9 @@
     assert_eq!(*cursor_ahead, Answer::Refused(ErrorKind::BadCursor));
     assert_eq!(*done_without_batch, Answer::Refused(ErrorKind::BadCursor));
     assert_eq!(*step_open, Answer::Refused(ErrorKind::StepOpen));
-    assert_eq!([done, repeated_done], [&Answer::Noted, &Answer::Noted]);
+    assert_eq!(
+        [done, repeated_done],
+        [&Answer::Recorded, &Answer::Recorded]
+    );
     assert_eq!(first, repeated);
 }
