--- a/hibiscusroad-cli/src/args.rs
+++ b/hibiscusroad-cli/src/args.rs
@@ -123,7 +123,7 @@
     /// The id of the command that is retried.
     pub command_id: Option<String>,
     /// The operator's name, for the audit trail.
-    pub user: String,
+    pub operator: String,
 }
 
 /// An error in the command line or the operator's settings.
@@ -173,7 +173,7 @@
     token_file: Option<PathBuf>,
     format: Option<String>,
     #[serde(rename = "who")]
-    user: Option<String>,
+    operator: Option<String>,
 }
 
 /// The parsed command line, before the environment and the settings file are
@@ -183,11 +183,11 @@
     entries: Vec<String>,
     token_file: Option<PathBuf>,
     format: Option<String>,
-    user: Option<String>,
+    operator: Option<String>,
     positionals: Vec<String>,
     script: Option<PathBuf>,
     options: Options,
-    steps: bool,
+    trace_steps: bool,
 }
 
 /// Parses the command line, looking up environment variables with `env`.
@@ -208,12 +208,12 @@
             Long("entry") => flags.entries.push(parser.value()?.string()?),
             Long("token-file") => flags.token_file = Some(parser.value()?.into()),
             Long("format") => flags.format = Some(parser.value()?.string()?),
-            Long("steps") => flags.steps = true,
+            Long("steps") => flags.trace_steps = true,
             Long("dry-run") => flags.options.dry_run = true,
             Long("force") => flags.options.force = true,
             Long("base") => flags.options.base_version = Some(parser.value()?.parse()?),
             Long("id") => flags.options.command_id = Some(parser.value()?.string()?),
-            Long("as") => flags.user = Some(parser.value()?.string()?),
+            Long("as") => flags.operator = Some(parser.value()?.string()?),
             Short('f') if flags.script.is_none() => flags.script = Some(parser.value()?.into()),
             Value(value) if flags.script.is_none() => flags.positionals.push(value.string()?),
             other => return Err(other.unexpected().into()),
@@ -231,7 +231,7 @@
 
 fn parse_trace(flags: Flags) -> Result<Action, Error> {
     let mut positionals = flags.positionals.into_iter().skip(1);
-    if flags.steps {
+    if flags.trace_steps {
         let format = flags.format.unwrap_or_else(|| "table".to_owned());
         return Ok(Action::Steps {
             logs: positionals.map(PathBuf::from).collect(),
@@ -261,8 +261,11 @@
     if let Some(name) = flags.format.or(settings.format) {
         options.format = name.parse()?;
     }
-    let user = flags.user.or(settings.user).or_else(|| env(env::USER));
-    options.user = user.unwrap_or_else(|| "operator".to_owned());
+    let operator = flags
+        .operator
+        .or(settings.operator)
+        .or_else(|| env(env::USER));
+    options.operator = operator.unwrap_or_else(|| "operator".to_owned());
     options.source = match flags.script {
         Some(path) => Source::File(path),
         None if flags.positionals.is_empty() => Source::Prompt,
--- a/hibiscusroad-cli/src/language/error.rs
+++ b/hibiscusroad-cli/src/language/error.rs
@@ -5,8 +5,8 @@
 /// A syntax error.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Error {
-    line: usize,
-    text: String,
+    line_number: usize,
+    line_text: String,
     span: Range<usize>,
     found: String,
     expected: Vec<String>,
@@ -24,8 +24,8 @@
             word => format!("`{word}`"),
         };
         Self {
-            line: source[..start].matches('\n').count() + 1,
-            text: source[start..end].to_owned(),
+            line_number: source[..start].matches('\n').count() + 1,
+            line_text: source[start..end].to_owned(),
             span: span.start - start..span.end.min(end).max(span.start) - start,
             found,
             expected,
@@ -42,10 +42,10 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Counted in characters, because the span counts bytes.
-        let indent = self.text[..self.span.start].chars().count();
-        let width = self.text[self.span.clone()].chars().count().max(1);
-        writeln!(f, "line {}: found {}", self.line, self.found)?;
-        writeln!(f, "  {}", self.text)?;
+        let indent = self.line_text[..self.span.start].chars().count();
+        let width = self.line_text[self.span.clone()].chars().count().max(1);
+        writeln!(f, "line {}: found {}", self.line_number, self.found)?;
+        writeln!(f, "  {}", self.line_text)?;
         writeln!(f, "  {}{}", " ".repeat(indent), "^".repeat(width))?;
         write!(f, "expected {}", self.expected.join(", "))
     }
--- a/hibiscusroad-cli/src/rows.rs
+++ b/hibiscusroad-cli/src/rows.rs
@@ -125,16 +125,17 @@
 }
 
 fn columns(rows: &[Row]) -> Vec<String> {
-    let all: BTreeSet<&str> = rows
+    let names: BTreeSet<&str> = rows
         .iter()
         .flat_map(Map::keys)
         .map(String::as_str)
         .collect();
-    let present = |list: &'static [&'static str]| list.iter().copied().filter(|c| all.contains(c));
+    let present =
+        |list: &'static [&'static str]| list.iter().copied().filter(|c| names.contains(c));
     let is_other =
         |column: &&str| !LEADING_COLUMNS.contains(column) && !TRAILING_COLUMNS.contains(column);
     present(LEADING_COLUMNS)
-        .chain(all.iter().copied().filter(is_other))
+        .chain(names.iter().copied().filter(is_other))
         .chain(present(TRAILING_COLUMNS))
         .map(str::to_owned)
         .collect()
--- a/hibiscusroad-cli/src/session.rs
+++ b/hibiscusroad-cli/src/session.rs
@@ -126,7 +126,7 @@
             Err(exit) => return Ok(exit),
         };
         match rows::select(show, rows) {
-            Ok(table) => self.print(&table),
+            Ok(table) => self.print_table(&table),
             Err(error) => {
                 writeln!(self.err, "{error}")?;
                 Ok(Exit::Usage)
@@ -140,12 +140,12 @@
             About::Endpoint => "endpoint",
         };
         match self.query(&format!("explain/{kind}/{name}"))? {
-            Ok(rows) => self.print(&rows::to_table(rows)),
+            Ok(rows) => self.print_table(&rows::to_table(rows)),
             Err(exit) => Ok(exit),
         }
     }
 
-    fn print(&mut self, table: &Table) -> io::Result<Exit> {
+    fn print_table(&mut self, table: &Table) -> io::Result<Exit> {
         format::write(self.out, self.options.format, table)?;
         Ok(Exit::Done)
     }
@@ -211,7 +211,7 @@
         let command = Command {
             id: id.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())),
             base,
-            operator: self.options.user.clone(),
+            operator: self.options.operator.clone(),
             change: change.clone(),
             dry_run: self.options.dry_run,
             force: self.options.force,
--- a/hibiscusroad-cli/src/trace/mod.rs
+++ b/hibiscusroad-cli/src/trace/mod.rs
@@ -124,17 +124,17 @@
             lines.extend(owner_lines);
         }
         let offsets = self.clock_offsets();
-        let corrected =
+        let corrected_time =
             |line: &LogLine| line.time_ms - offsets.get(line.process.as_str()).unwrap_or(&0.0);
-        lines.sort_by(|a, b| corrected(a).total_cmp(&corrected(b)));
-        let start = lines.first().map_or(0.0, |line| corrected(line));
+        lines.sort_by(|a, b| corrected_time(a).total_cmp(&corrected_time(b)));
+        let start = lines.first().map_or(0.0, |line| corrected_time(line));
         let mut out = String::new();
         for line in lines {
             // Writing to a `String` never fails.
             let _ = write!(
                 out,
                 "{:>9.3} s  {:<16} {:<8} {}",
-                (corrected(line) - start) / 1000.0,
+                (corrected_time(line) - start) / 1000.0,
                 line.process,
                 line.str_field("part"),
                 line.str_field("text")
--- a/hibiscusroad-cli/src/trace/steps.rs
+++ b/hibiscusroad-cli/src/trace/steps.rs
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn steps(&self) -> Table {
         let offsets = self.clock_offsets();
-        let corrected =
+        let corrected_time =
             |line: &LogLine| line.time_ms - offsets.get(line.process.as_str()).unwrap_or(&0.0);
         let mut steps: BTreeMap<&str, Step<'_>> = BTreeMap::new();
         for line in &self.lines {
@@ -75,7 +75,7 @@
                 steps
                     .entry(batch)
                     .or_default()
-                    .record(corrected(line), line);
+                    .record(corrected_time(line), line);
             }
         }
         let accepted = steps.values().filter_map(|step| Some(step.accepted?.0));
@@ -121,7 +121,7 @@
         let step = line.fields.get("step").cloned().unwrap_or_default();
         row.insert("step".to_owned(), step);
         row.insert("batch".to_owned(), batch.into());
-        row.insert("asked".to_owned(), seconds(accepted - start));
+        row.insert("asked".to_owned(), to_seconds(accepted - start));
         let complete = self.runs.iter().filter(|(_, run)| is_complete(run));
         let ends: Vec<f64> = complete.map(|(time, _)| *time).collect();
         let starts = self
@@ -131,12 +131,12 @@
         row.insert("begun".to_owned(), earliest(starts, accepted));
         row.insert("first".to_owned(), earliest(ends.iter().copied(), accepted));
         let last = ends.iter().copied().fold(f64::NAN, f64::max);
-        row.insert("last".to_owned(), seconds(last - accepted));
+        row.insert("last".to_owned(), to_seconds(last - accepted));
         let Some(ended) = self.ended else {
             row.insert("state".to_owned(), "open".into());
             return Some(row);
         };
-        row.insert("took".to_owned(), seconds(ended - accepted));
+        row.insert("took".to_owned(), to_seconds(ended - accepted));
         row.insert("state".to_owned(), "ended".into());
         let Some(item) = self.last_awaited_item(ended, line) else {
             row.insert("state".to_owned(), "given up".into());
@@ -152,7 +152,7 @@
             row.insert("endpoint".to_owned(), run.str_field("endpoint").into());
         }
         for (cause, ms) in self.breakdown(item, accepted, ended) {
-            row.insert(cause.to_owned(), seconds(ms));
+            row.insert(cause.to_owned(), to_seconds(ms));
         }
         Some(row)
     }
@@ -271,11 +271,11 @@
 
 /// Returns the seconds from `start` to the earliest time.
 fn earliest(times: impl Iterator<Item = f64>, start: f64) -> Value {
-    seconds(times.fold(f64::NAN, f64::min) - start)
+    to_seconds(times.fold(f64::NAN, f64::min) - start)
 }
 
 /// Converts milliseconds to seconds with two decimals, and NaN to null.
-fn seconds(ms: f64) -> Value {
+fn to_seconds(ms: f64) -> Value {
     Value::from((ms / 10.0).round() / 100.0)
 }
 
@@ -287,7 +287,7 @@
     for name in ["took"].iter().chain(CAUSES) {
         let cells = rows.iter().filter_map(|row| row.get(*name)?.as_f64());
         let sum: f64 = cells.sum();
-        total.insert((*name).to_owned(), seconds(sum * 1000.0));
+        total.insert((*name).to_owned(), to_seconds(sum * 1000.0));
     }
     total
 }
--- a/hibiscusroad-cli/tests/language.rs
+++ b/hibiscusroad-cli/tests/language.rs
@@ -7,7 +7,7 @@
 use hibiscusroad_cli::language;
 use std::{fs, path::Path};
 
-const FENCE: &str = "```";
+const CODE_FENCE: &str = "```";
 
 fn parses(file: &Path) -> datatest_stable::Result<()> {
     let output = match language::parse(&fs::read_to_string(file)?) {
@@ -27,7 +27,7 @@
 
 fn parses_documented_examples(file: &Path) -> datatest_stable::Result<()> {
     let text = fs::read_to_string(file)?;
-    let blocks = text.split(FENCE).skip(1).step_by(2);
+    let blocks = text.split(CODE_FENCE).skip(1).step_by(2);
     let mut statement_count = 0;
     for block in blocks.filter_map(|block| block.strip_prefix("hib\n")) {
         let statements = language::parse(block).map_err(|error| format!("{block}\n{error}"))?;
--- a/hibiscusroad-cli/tests/options.rs
+++ b/hibiscusroad-cli/tests/options.rs
@@ -46,7 +46,7 @@
     );
     assert_eq!(from_flags.entries, ["127.0.0.1:9".parse().unwrap()]);
     assert_eq!(
-        (from_flags.user.as_str(), from_flags.format),
+        (from_flags.operator.as_str(), from_flags.format),
         ("jana", Format::Json)
     );
     assert_eq!(from_flags.source, Source::Text("show hosts".to_owned()));
@@ -59,7 +59,7 @@
     let from_file = options("", &[config, ("USER", "root")]);
     assert_eq!(from_file.entries, ["127.0.0.1:3".parse().unwrap()]);
     assert_eq!(
-        (from_file.user.as_str(), from_file.format),
+        (from_file.operator.as_str(), from_file.format),
         ("eva", Format::Csv)
     );
     assert_eq!(from_file.source, Source::Prompt);
--- a/hibiscusroad-cli/tests/outcomes.rs
+++ b/hibiscusroad-cli/tests/outcomes.rs
@@ -11,9 +11,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-const CONFIG: &str = r#"{"rows":[],"lacks":[],"version":4}"#;
-const DONE: &str = r#"{"outcome":"done","version":5}"#;
-const DOWN: &str = r#"{"outcome":"refused","problem":"store-down","detail":"the table is down"}"#;
+const CONFIG_RESPONSE: &str = r#"{"rows":[],"lacks":[],"version":4}"#;
+const DONE_RESPONSE: &str = r#"{"outcome":"done","version":5}"#;
+const TABLE_DOWN_RESPONSE: &str =
+    r#"{"outcome":"refused","problem":"store-down","detail":"the table is down"}"#;
 
 struct Output {
     exit: Exit,
@@ -37,7 +38,7 @@
 fn options(entries: &[SocketAddr]) -> Options {
     Options {
         entries: entries.to_vec(),
-        user: "jana".to_owned(),
+        operator: "jana".to_owned(),
         ..Options::default()
     }
 }
@@ -55,8 +56,8 @@
 // After a lost response, a retry with a new id could apply the command twice.
 #[test]
 fn lost_response_is_retried_with_same_id() {
-    let first = FakeEntry::start(vec![respond(200, CONFIG), Action::Close]);
-    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let first = FakeEntry::start(vec![respond(200, CONFIG_RESPONSE), Action::Close]);
+    let second = FakeEntry::start(vec![respond(200, DONE_RESPONSE)]);
     let output = run(options(&[first.address, second.address]), "set note = a");
     assert_eq!(output.exit, Exit::Done);
     assert_eq!(output.stdout, "done: version 5\n");
@@ -71,8 +72,8 @@
 // was lost, didn't apply the command.
 #[test]
 fn refusal_after_lost_response_stays_unknown() {
-    let first = FakeEntry::start(vec![respond(200, CONFIG), Action::Close]);
-    let second = FakeEntry::start(vec![respond(503, DOWN)]);
+    let first = FakeEntry::start(vec![respond(200, CONFIG_RESPONSE), Action::Close]);
+    let second = FakeEntry::start(vec![respond(503, TABLE_DOWN_RESPONSE)]);
     let output = run(options(&[first.address, second.address]), "set note = a");
     assert_eq!(output.exit, Exit::Unknown);
     first.requests.recv().unwrap();
@@ -88,7 +89,7 @@
 // A retry with the printed id must send the original id and base version.
 #[test]
 fn retried_command_keeps_id_and_base() {
-    let entry = FakeEntry::start(vec![respond(200, DONE)]);
+    let entry = FakeEntry::start(vec![respond(200, DONE_RESPONSE)]);
     let mut options = options(&[entry.address]);
     options.command_id = Some("0a1b".to_owned());
     options.base_version = Some(4);
@@ -102,8 +103,11 @@
 // The first entry can't reach the table, but the second one can.
 #[test]
 fn command_fails_over_from_entry_without_table() {
-    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(503, DOWN)]);
-    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let first = FakeEntry::start(vec![
+        respond(200, CONFIG_RESPONSE),
+        respond(503, TABLE_DOWN_RESPONSE),
+    ]);
+    let second = FakeEntry::start(vec![respond(200, DONE_RESPONSE)]);
     let output = run(options(&[first.address, second.address]), "set note = a");
     assert_eq!(output.exit, Exit::Done);
 }
@@ -111,7 +115,10 @@
 // No entry can have applied the command, so its outcome is not unknown.
 #[test]
 fn command_is_refused_if_no_entry_reaches_table() {
-    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(503, DOWN)]);
+    let first = FakeEntry::start(vec![
+        respond(200, CONFIG_RESPONSE),
+        respond(503, TABLE_DOWN_RESPONSE),
+    ]);
     let output = run(options(&[first.address]), "set note = a");
     assert_eq!(output.exit, Exit::Refused);
     assert!(
@@ -125,8 +132,8 @@
 #[test]
 fn conflict_is_not_retried() {
     let conflict = r#"{"outcome":"refused","version":5,"detail":"eva came first with version 5"}"#;
-    let first = FakeEntry::start(vec![respond(200, CONFIG), respond(409, conflict)]);
-    let second = FakeEntry::start(vec![respond(200, DONE)]);
+    let first = FakeEntry::start(vec![respond(200, CONFIG_RESPONSE), respond(409, conflict)]);
+    let second = FakeEntry::start(vec![respond(200, DONE_RESPONSE)]);
     let output = run(options(&[first.address, second.address]), "set note = a");
     assert_eq!(output.exit, Exit::Refused);
     assert!(
@@ -140,7 +147,10 @@
 // Entries that refuse connections are skipped; the exit code tells if all do.
 #[test]
 fn unreachable_entries_are_skipped() {
-    let entry = FakeEntry::start(vec![respond(200, CONFIG), respond(200, DONE)]);
+    let entry = FakeEntry::start(vec![
+        respond(200, CONFIG_RESPONSE),
+        respond(200, DONE_RESPONSE),
+    ]);
     let output = run(options(&[closed_address(), entry.address]), "set note = a");
     assert_eq!(output.exit, Exit::Done);
     let output = run(
@@ -155,7 +165,13 @@
 // is based on it. The second command must not conflict with the first.
 #[test]
 fn second_command_is_based_on_first() {
-    let actions = [CONFIG, DONE, CONFIG, DONE].map(|body| respond(200, body));
+    let actions = [
+        CONFIG_RESPONSE,
+        DONE_RESPONSE,
+        CONFIG_RESPONSE,
+        DONE_RESPONSE,
+    ]
+    .map(|body| respond(200, body));
     let entry = FakeEntry::start(actions.to_vec());
     let output = run(options(&[entry.address]), "set note = a\nset note = b");
     assert_eq!(output.exit, Exit::Done);
@@ -169,7 +185,7 @@
 #[test]
 fn dry_run_prints_edits() {
     let dry = r#"{"outcome":"dry","version":5,"changes":[{"key":"drains.hosts.a","old":null,"new":"yes"}]}"#;
-    let entry = FakeEntry::start(vec![respond(200, CONFIG), respond(200, dry)]);
+    let entry = FakeEntry::start(vec![respond(200, CONFIG_RESPONSE), respond(200, dry)]);
     let mut options = options(&[entry.address]);
     options.dry_run = true;
     let output = run(options, "set note = a");
@@ -217,9 +233,9 @@
     };
     let actions = vec![
         rows("open", 2),
-        respond(200, CONFIG),
-        respond(200, CONFIG),
-        respond(200, DONE),
+        respond(200, CONFIG_RESPONSE),
+        respond(200, CONFIG_RESPONSE),
+        respond(200, DONE_RESPONSE),
         rows("silent", 0),
         rows("drained", 1),
         rows("drained", 0),
@@ -271,8 +287,8 @@
     );
     let safe = FakeEntry::start(vec![
         respond(200, rows),
-        respond(200, CONFIG),
-        respond(200, DONE),
+        respond(200, CONFIG_RESPONSE),
+        respond(200, DONE_RESPONSE),
     ]);
     let output = run(options(&[safe.address]), "drain host b");
     assert_eq!(output.exit, Exit::Done, "{}", output.stderr);
