--- a/hibiscusroad-cli/src/main.rs
+++ b/hibiscusroad-cli/src/main.rs
@@ -52,7 +52,7 @@
         Ok(logs) => logs,
         Err(error) => return report_usage_error(&error),
     };
-    let Some(timeline) = logs.story(id) else {
+    let Some(timeline) = logs.timeline(id) else {
         writeln!(io::stderr(), "no log line mentions {id}")?;
         return Ok(Exit::Refused);
     };
--- a/hibiscusroad-cli/src/trace/mod.rs
+++ b/hibiscusroad-cli/src/trace/mod.rs
@@ -113,7 +113,7 @@
 
     /// Returns the timeline of an id, or `None` if no line mentions it.
     #[must_use]
-    pub fn story(&self, id: &str) -> Option<String> {
+    pub fn timeline(&self, id: &str) -> Option<String> {
         let mut lines: Vec<&LogLine> = self.lines.iter().filter(|line| line.mentions(id)).collect();
         let first = lines.first()?;
         let batch = first.str_field("batch");
--- a/hibiscusroad-cli/tests/trace.rs
+++ b/hibiscusroad-cli/tests/trace.rs
@@ -38,7 +38,7 @@
 fn item_timeline_is_ordered_despite_clock_offsets() {
     let logs = logs();
     assert_eq!(logs.unparsed(), 1);
-    let timeline = logs.story("i1").unwrap();
+    let timeline = logs.timeline("i1").unwrap();
     let lines: Vec<&str> = timeline.lines().collect();
     let expected = [
         "    0.000 s  gateway-1        batches  A batch is accepted. batch=b1 row=5",
@@ -51,9 +51,9 @@
 
 #[test]
 fn batch_timeline_has_all_items() {
-    let timeline = logs().story("b1").unwrap();
+    let timeline = logs().timeline("b1").unwrap();
     assert_eq!(timeline.lines().count(), 5);
-    assert_eq!(logs().story("nothing"), None);
+    assert_eq!(logs().timeline("nothing"), None);
 }
 
 #[test]
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -16,7 +16,7 @@
         for gateway in &world.gateways {
             logs.add(&gateway.name, &fs::read_to_string(&gateway.output).unwrap());
         }
-        logs.story(id).filter(|story| story.contains(sentence))
+        logs.timeline(id).filter(|story| story.contains(sentence))
     })
 }
 
