--- a/src/route/spec.rs
+++ b/src/route/spec.rs
@@ -1,45 +1,45 @@
-//! What goes into a router and what comes out.
+//! Input and output types of the router.
 
 use crate::{
     class::{Class, Repeat},
     error::ErrorKind,
     id::RequestId,
-    route::{EndpointKey, ServiceKey, retry::TRIES},
+    route::{EndpointKey, ServiceKey, retry::DEFAULT_MAX_ATTEMPTS},
 };
 use std::time::{Duration, Instant};
 
-/// What an operator lays down for a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Requests that may wait, for each class.
-    pub depth: usize,
-    /// Share of the service that each class is sure of, in [0, 1], by
+    /// Maximum queued requests of each class.
+    pub max_queued: usize,
+    /// Guaranteed share of the service's slots for each class, in [0, 1], by
     /// [`Class::index`]. The shares add up to at most 1.
-    pub floors: [f64; 3],
+    pub min_shares: [f64; 3],
 }
 
 impl ServiceSpec {
-    /// Creates the default: 256 waiting requests a class, and floors of 50, 20
-    /// and 5 per cent.
+    /// Creates the default settings: 256 queued requests per class, and floors of
+    /// 50, 20 and 5 per cent.
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            depth: 256,
-            floors: [0.5, 0.2, 0.05],
+            max_queued: 256,
+            min_shares: [0.5, 0.2, 0.05],
         }
     }
 
-    /// Sets how many requests of each class may wait.
+    /// Sets the maximum of queued requests of each class.
     #[must_use]
-    pub const fn depth(mut self, depth: usize) -> Self {
-        self.depth = depth;
+    pub const fn max_queued(mut self, max_queued: usize) -> Self {
+        self.max_queued = max_queued;
         self
     }
 
-    /// Sets the shares that the classes are sure of.
+    /// Sets the guaranteed shares of the classes.
     #[must_use]
-    pub const fn floors(mut self, floors: [f64; 3]) -> Self {
-        self.floors = floors;
+    pub const fn min_shares(mut self, min_shares: [f64; 3]) -> Self {
+        self.min_shares = min_shares;
         self
     }
 }
@@ -50,40 +50,40 @@
     }
 }
 
-/// What is known of an endpoint when it is added.
+/// Description of an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndpointSpec {
     /// Its name, unique in the service.
     pub name: String,
-    /// The place where it stands.
-    pub place: String,
-    /// Requests that its side takes at once.
+    /// Its data centre.
+    pub data_centre: String,
+    /// Maximum requests that its sidecar accepts at once.
     pub limit: u32,
-    /// Tokens of all requests that its cache memory holds at once; 0 for a
-    /// plain endpoint, which is limited by count alone.
-    pub tokens: u64,
+    /// Capacity of its cache memory in tokens; 0 for a plain endpoint, which is
+    /// limited only by the number of requests.
+    pub cache_tokens: u64,
 }
 
 impl EndpointSpec {
     /// Creates a description with a limit of 64 requests at once.
     #[must_use]
-    pub fn new(name: &str, place: &str) -> Self {
+    pub fn new(name: &str, data_centre: &str) -> Self {
         Self {
             name: name.to_owned(),
-            place: place.to_owned(),
+            data_centre: data_centre.to_owned(),
             limit: 64,
-            tokens: 0,
+            cache_tokens: 0,
         }
     }
 
-    /// Sets how many tokens its cache memory holds at once.
+    /// Sets the capacity of its cache memory in tokens.
     #[must_use]
-    pub const fn tokens(mut self, tokens: u64) -> Self {
-        self.tokens = tokens;
+    pub const fn cache_tokens(mut self, cache_tokens: u64) -> Self {
+        self.cache_tokens = cache_tokens;
         self
     }
 
-    /// Sets how many requests its side takes at once.
+    /// Sets the maximum of requests that its sidecar accepts at once.
     #[must_use]
     pub const fn limit(mut self, limit: u32) -> Self {
         self.limit = limit;
@@ -94,24 +94,24 @@
 /// One request as the router sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Its first attempt's id; the entry names later attempts itself.
+    /// The id of its first attempt; the entry assigns those of later attempts.
     pub id: RequestId,
-    /// The service that it is for.
+    /// The service that it calls.
     pub service: ServiceKey,
     /// The class of its caller.
     pub class: Class,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for an answer.
     pub deadline: Instant,
     /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// Tokens to be read and generated; 0 for a plain call.
+    /// Tokens of prompt and output; 0 for a plain call.
     pub tokens: u32,
-    /// Hash of the prompt's prefix, to find an engine that has it cached.
+    /// Hash of the prompt's prefix, used to find an engine that has it cached.
     pub prefix: Option<u64>,
-    /// Endpoints that it may be sent to at most, hedges included.
-    pub tries: u8,
-    /// Whether it runs at one endpoint at a time.
-    pub alone: bool,
+    /// Maximum attempts, hedges included.
+    pub max_attempts: u8,
+    /// Whether it is never hedged.
+    pub no_hedge: bool,
 }
 
 impl Call {
@@ -126,23 +126,23 @@
             repeat: Repeat::Idempotent,
             tokens: 0,
             prefix: None,
-            tries: TRIES,
-            alone: false,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
+            no_hedge: false,
         }
     }
 
-    /// Sets whether it runs at one endpoint at a time: one that may have crashed an
-    /// endpoint is not hedged.
+    /// Sets whether it is never hedged, for example because it may have crashed an
+    /// endpoint.
     #[must_use]
-    pub const fn alone(mut self, alone: bool) -> Self {
-        self.alone = alone;
+    pub const fn no_hedge(mut self, no_hedge: bool) -> Self {
+        self.no_hedge = no_hedge;
         self
     }
 
-    /// Sets how many endpoints it may be sent to at most.
+    /// Sets the maximum of attempts, hedges included.
     #[must_use]
-    pub const fn tries(mut self, tries: u8) -> Self {
-        self.tries = tries;
+    pub const fn max_attempts(mut self, max_attempts: u8) -> Self {
+        self.max_attempts = max_attempts;
         self
     }
 
@@ -153,7 +153,7 @@
         self
     }
 
-    /// Sets how many tokens it reads and generates.
+    /// Sets the number of tokens of prompt and output.
     #[must_use]
     pub const fn tokens(mut self, tokens: u32) -> Self {
         self.tokens = tokens;
@@ -168,60 +168,60 @@
     }
 }
 
-/// What an endpoint reported of itself.
+/// Load that an endpoint reported.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on, from all entries.
+    /// Running requests of all entries.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests that are queued inside it.
     pub queued: u32,
-    /// Requests that its side takes at once; 0 if unknown.
+    /// Maximum requests that its sidecar accepts at once; 0 if unknown.
     pub limit: u32,
-    /// Tokens that it still has to read and generate.
-    pub tokens: u64,
+    /// Tokens that it still has to process.
+    pub pending_tokens: u64,
     /// Free cache memory in tokens; 0 if unknown.
     pub cache_free: u64,
-    /// How old the report was when it was sent.
+    /// Age of the report.
     pub age: Duration,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer is there.
+    /// The answer is complete.
     Answered,
-    /// The side refused or could not reach the endpoint: it surely never ran.
+    /// The sidecar refused it or could not reach the endpoint: it surely never ran.
     NotRun(ErrorKind),
     /// It failed, and may have run.
     Failed(ErrorKind),
 }
 
-/// What the entry has to do next.
+/// An action that the entry has to carry out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Send the call to this endpoint.
+    /// Send the call to an endpoint.
     Start {
         /// The call.
         id: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointKey,
-        /// True if another attempt of it still runs elsewhere.
+        /// Whether another attempt of it is running elsewhere.
         hedge: bool,
     },
-    /// Tell this endpoint that the call's answer is no longer wanted.
+    /// Cancel the call's attempt at an endpoint.
     Cancel {
         /// The call.
         id: RequestId,
-        /// Where it runs.
+        /// The endpoint.
         endpoint: EndpointKey,
     },
-    /// Give the caller its final answer, at once.
+    /// Refuse the call immediately.
     Refuse {
         /// The call.
         id: RequestId,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When to come back.
-        after: Duration,
+        /// Delay after which the caller should retry.
+        retry_after: Duration,
     },
 }
