--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -1,4 +1,4 @@
-//! Who takes reports of usage: checks fencing numbers and judges what holders send.
+//! The receiver of usage reports, which checks fencing tokens and the reports' consistency.
 
 use crate::{
     http::{Exchange, FREE, Server},
@@ -15,44 +15,44 @@
     time::{Duration, Instant},
 };
 
-/// How it answers.
+/// How the receiver answers a report.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Reply {
-    /// As it should.
+    /// Reports are accepted and acknowledged.
     #[default]
     Sound,
-    /// It refuses every call.
+    /// Every call is refused with status 429.
     Busy,
-    /// It takes calls and gives no answer.
+    /// Reports are accepted, but the connection closes without an answer.
     Lost,
-    /// It takes calls so much later, and gives no answer.
+    /// Like `Lost`, but reports are accepted only after this delay.
     Late(Duration),
 }
 
-/// A report that was taken.
+/// An accepted report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// Who sent it.
+    /// The lease holder that sent it.
     pub holder: String,
-    /// Its fencing number.
+    /// The holder's fencing token.
     pub fence: u64,
-    /// The window.
+    /// The number of the reported window.
     pub window: u64,
-    /// Requests by account.
+    /// Request counts by client account.
     pub counts: BTreeMap<String, u64>,
-    /// When it was taken.
+    /// When it was accepted.
     pub at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     reply: Reply,
-    checks: bool,
-    taken: Vec<Report>,
-    fenced: u32,
+    checks_fence: bool,
+    accepted: Vec<Report>,
+    refused: u32,
 }
 
-/// The platform's side of usage reports, on a free port.
+/// A receiver of usage reports on a free port.
 #[derive(Debug)]
 pub struct Billing {
     server: Server,
@@ -66,14 +66,14 @@
 }
 
 impl Billing {
-    /// Starts one that checks fencing numbers, or doesn't.
+    /// Starts a receiver; `checks` says whether it refuses outdated fencing tokens.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(checks: bool) -> io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner {
-            checks,
+            checks_fence: checks,
             ..Inner::default()
         }));
         let serving = Arc::clone(&inner);
@@ -81,36 +81,36 @@
         Ok(Self { server, inner })
     }
 
-    /// Returns where it is.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns the relay that its callers come through.
+    /// Returns the relay in front of the server.
     #[must_use]
     pub fn relay(&self) -> &Relay {
         self.server.relay()
     }
 
-    /// Sets how it answers from now on.
+    /// Sets how later reports are answered.
     pub fn reply(&self, reply: Reply) {
         lock(&self.inner).reply = reply;
     }
 
-    /// Returns all reports that were taken, repeats as well.
+    /// Returns all accepted reports, including duplicates.
     #[must_use]
     pub fn taken(&self) -> Vec<Report> {
-        lock(&self.inner).taken.clone()
+        lock(&self.inner).accepted.clone()
     }
 
-    /// Returns how many calls were refused for their fencing number.
+    /// Returns how many reports were refused for an outdated fencing token.
     #[must_use]
     pub fn fenced(&self) -> u32 {
-        lock(&self.inner).fenced
+        lock(&self.inner).refused
     }
 
-    /// Adds up all windows by account.
+    /// Returns the sum over all windows by client account, counting each window once.
     #[must_use]
     pub fn totals(&self) -> BTreeMap<String, u64> {
         let windows: BTreeMap<u64, _> = self
@@ -125,46 +125,52 @@
         totals
     }
 
-    /// Lists which promises to the platform were broken; holders must be `apart`.
+    /// Lists violations of the reporting protocol.
+    ///
+    /// A holder that lost the lease to another must not report again within `apart`.
     #[must_use]
     pub fn broken(&self, apart: Duration) -> Vec<String> {
         let inner = lock(&self.inner);
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         let mut windows: BTreeMap<u64, &Report> = BTreeMap::new();
         let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
         let mut highest = 0;
-        for report in &inner.taken {
+        for report in &inner.accepted {
             let first = windows.entry(report.window).or_insert(report);
             if first.counts != report.counts {
-                found.push(format!("two reports of window {} differ", report.window));
+                violations.push(format!("two reports of window {} differ", report.window));
             }
             let holder = holders.entry(report.fence).or_insert(&report.holder);
             if *holder != report.holder {
-                found.push(format!("two holders with number {}", report.fence));
+                violations.push(format!("two holders with number {}", report.fence));
             }
             if report.fence < highest {
-                found.push(format!("number {} after {highest}", report.fence));
+                violations.push(format!("number {} after {highest}", report.fence));
             }
             highest = highest.max(report.fence);
         }
-        found.extend(turns(&inner.taken, apart));
-        found
+        violations.extend(premature_returns(&inner.accepted, apart));
+        violations
     }
 }
 
-/// Lists where a holder calls again within a time in which another called.
-fn turns(taken: &[Report], apart: Duration) -> Vec<String> {
-    let mut found = Vec::new();
-    for (n, last) in taken.iter().enumerate() {
-        let within = |report: &&Report| last.at.saturating_duration_since(report.at) < apart;
-        let before: Vec<&Report> = taken[..n].iter().rev().take_while(within).collect();
-        let other = before.iter().position(|r| r.holder != last.holder);
-        let again = other.is_some_and(|at| before[at..].iter().any(|r| r.holder == last.holder));
-        if again {
-            found.push(format!("{} took a turn again too soon", last.holder));
+/// Lists reports whose holder had reported within `apart`, with another holder in between.
+fn premature_returns(reports: &[Report], min_gap: Duration) -> Vec<String> {
+    let mut violations = Vec::new();
+    for (index, last) in reports.iter().enumerate() {
+        let is_recent = |report: &&Report| last.at.saturating_duration_since(report.at) < min_gap;
+        let recent: Vec<&Report> = reports[..index]
+            .iter()
+            .rev()
+            .take_while(is_recent)
+            .collect();
+        let other = recent.iter().position(|r| r.holder != last.holder);
+        let returned = other.is_some_and(|at| recent[at..].iter().any(|r| r.holder == last.holder));
+        if returned {
+            violations.push(format!("{} took a turn again too soon", last.holder));
         }
     }
-    found
+    violations
 }
 
 fn lock(inner: &Mutex<Inner>) -> MutexGuard<'_, Inner> {
@@ -195,20 +201,20 @@
     match reply {
         Reply::Busy => exchange.refuse(429, "busy"),
         Reply::Lost => {
-            take(inner, report);
+            accept(inner, report);
             exchange.cut();
         }
-        Reply::Late(after) => {
+        Reply::Late(delay) => {
             let inner = Arc::clone(inner);
             thread::spawn(move || {
-                thread::sleep(after);
+                thread::sleep(delay);
                 let at = Instant::now();
-                take(&inner, Report { at, ..report });
+                accept(&inner, Report { at, ..report });
             });
             exchange.cut();
         }
         Reply::Sound => {
-            if take(inner, report) {
+            if accept(inner, report) {
                 exchange.answer(200, &json!({}));
             } else {
                 exchange.refuse(409, "a higher number was seen");
@@ -217,14 +223,14 @@
     }
 }
 
-/// Takes a report in, unless its number is too low; says whether it did.
-fn take(inner: &Mutex<Inner>, report: Report) -> bool {
+/// Records a report and returns true, unless its fencing token is outdated.
+fn accept(inner: &Mutex<Inner>, report: Report) -> bool {
     let mut inner = lock(inner);
-    let highest = inner.taken.iter().map(|taken| taken.fence).max();
-    if inner.checks && highest.is_some_and(|highest| report.fence < highest) {
-        inner.fenced += 1;
+    let highest = inner.accepted.iter().map(|report| report.fence).max();
+    if inner.checks_fence && highest.is_some_and(|highest| report.fence < highest) {
+        inner.refused += 1;
         return false;
     }
-    inner.taken.push(report);
+    inner.accepted.push(report);
     true
 }
