--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are called directly: plain services and model engines.
+//! Endpoints that are called without a sidecar: plain services and model engines.
 
 use super::Store;
 use crate::{
@@ -16,88 +16,88 @@
     time::Duration,
 };
 
-/// For so long the beginning of a torn answer is on its way before the endpoint ends.
-const TORN: Duration = Duration::from_millis(20);
+/// Lets the first part of an answer reach the caller before the connection closes.
+const PARTIAL_ANSWER_DELAY: Duration = Duration::from_millis(20);
 
 /// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Manner {
-    /// It answers as it should.
+    /// It answers correctly.
     Sound,
-    /// Its answers bear the id of another request.
+    /// Its answers carry the id of another request.
     Foreign,
-    /// Its answers end before their declared end.
+    /// Its answers are truncated.
     Torn,
-    /// It says that it did not run the request.
+    /// It declares that it did not run the request.
     Refusing,
-    /// Its answers bear no signature.
+    /// Its answers carry no signature.
     Unsigned,
-    /// Every request fails by itself.
+    /// Every request fails with status 500.
     Failing,
-    /// It takes connections and never answers.
+    /// It runs requests and never answers.
     Silent,
 }
 
-/// How an endpoint ends under a request that it can't run.
+/// How an endpoint crashes while it runs a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashManner {
-    /// Its process ends: connections close, new ones are refused.
+    /// The process exits: connections close and new ones are refused.
     Closed,
-    /// The same, in the middle of the answer.
+    /// Like `Closed`, but in the middle of the answer.
     Torn,
-    /// Its host loses power: connections stay open and nothing comes.
+    /// The host loses power: connections stay open without traffic.
     Dark,
 }
 
-/// Which requests an endpoint ends under, and how.
+/// Which requests crash an endpoint, and how.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
-    /// What the bodies of these requests contain.
+    /// Bytes that the bodies of these requests contain.
     pub marker: Vec<u8>,
-    /// How it ends.
+    /// How the endpoint crashes.
     pub manner: CrashManner,
 }
 
 impl Crash {
-    fn is_due(&self, body: &[u8]) -> bool {
-        let length = self.marker.len().max(1);
-        body.windows(length).any(|part| part == self.marker)
+    fn matches(&self, body: &[u8]) -> bool {
+        let len = self.marker.len().max(1);
+        body.windows(len).any(|window| window == self.marker)
     }
 }
 
-/// A request that an endpoint began to work on.
+/// A request that an endpoint started to run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ran {
     /// The request's id.
     pub id: String,
     /// Its path.
     pub path: String,
-    /// The last event that the caller had.
+    /// The last event that the caller has received (`Last-Event-Id`).
     pub after: Option<u64>,
-    /// The account that it is for, as the caller named it.
+    /// The client account, from `X-Tenant`.
     pub account: Option<String>,
-    /// Whether it bore a key, which is nobody's business here.
+    /// Whether it carried an `Authorization` header, which endpoints must not receive.
     pub keyed: bool,
-    /// Whether it was worked on to its end.
+    /// Whether it ran to completion.
     pub whole: bool,
 }
 
 #[derive(Debug)]
 struct Inner {
     manner: Manner,
-    /// How long a plain request is worked on, and between two events.
-    work: Duration,
-    events: u64,
-    /// Texts of another length, by items.
-    lengths: BTreeMap<String, u64>,
+    /// The duration of a plain request, and the delay before each event.
+    work_duration: Duration,
+    /// The number of events of a generated text.
+    event_count: u64,
+    /// Overrides of `event_count` by request id.
+    item_events: BTreeMap<String, u64>,
     weights: BTreeMap<String, u64>,
     orders: u64,
     fence: u64,
     ran: Vec<Ran>,
     holders: Vec<(String, u64)>,
     crash: Option<Crash>,
-    /// It has ended.
-    down: bool,
+    crashed: bool,
 }
 
 #[derive(Debug)]
@@ -125,20 +125,22 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint of a service; an engine runs models at version 1.
+    /// Starts an endpoint of a service on a free port.
+    ///
+    /// An engine starts with version 1 of each model.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(store: &Arc<Store>, service: &str, id: &str, models: &[&str]) -> io::Result<Self> {
         Self::start_at(FREE, store, service, id, models)
     }
 
-    /// Starts an endpoint at an address.
+    /// Starts an endpoint that listens at `listen`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen there.
+    /// Returns an I/O error if it can't listen there.
     pub fn start_at(
         listen: SocketAddr,
         store: &Arc<Store>,
@@ -151,16 +153,16 @@
             service: service.to_owned(),
             inner: Mutex::new(Inner {
                 manner: Manner::Sound,
-                work: Duration::from_millis(5),
-                events: 8,
-                lengths: BTreeMap::new(),
+                work_duration: Duration::from_millis(5),
+                event_count: 8,
+                item_events: BTreeMap::new(),
                 weights: models.iter().map(|m| ((*m).to_owned(), 1)).collect(),
                 orders: 0,
                 fence: 0,
                 ran: Vec::new(),
                 holders: Vec::new(),
                 crash: None,
-                down: false,
+                crashed: false,
             }),
             store: Arc::clone(store),
         });
@@ -171,37 +173,37 @@
         Ok(endpoint)
     }
 
-    /// Writes the endpoint's entry with a state.
+    /// Writes the endpoint's row in the store with `state`.
     pub fn register(&self, state: &str) {
         self.shared.register(self.addr(), state);
     }
 
-    /// Returns where it is called.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns the relay that its callers come through.
+    /// Returns the relay in front of the server.
     #[must_use]
     pub fn relay(&self) -> &Relay {
         self.server.relay()
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets how later requests are handled.
     pub fn behave(&self, manner: Manner) {
         self.shared.lock().manner = manner;
     }
 
-    /// Has it end under some requests.
+    /// Makes it crash on some requests.
     pub fn crash_on(&self, crash: Crash) {
         self.shared.lock().crash = Some(crash);
     }
 
-    /// Says whether it has ended under a request.
+    /// Returns whether it has crashed.
     #[must_use]
     pub fn is_down(&self) -> bool {
-        self.shared.lock().down
+        self.shared.lock().crashed
     }
 
     /// Returns its id.
@@ -215,28 +217,31 @@
         self.server.stop();
     }
 
-    /// Sets how long a request is worked on, or an event is made.
+    /// Sets how long a request runs, or how long each event takes.
     pub fn work(&self, work: Duration) {
-        self.shared.lock().work = work;
+        self.shared.lock().work_duration = work;
     }
 
-    /// Sets how many events a text has.
+    /// Sets how many events a generated text has.
     pub fn events(&self, events: u64) {
-        self.shared.lock().events = events;
+        self.shared.lock().event_count = events;
     }
 
-    /// Sets how many events the text of one item has.
+    /// Sets how many events the text for the request with id `item` has.
     pub fn events_of(&self, item: &str, events: u64) {
-        self.shared.lock().lengths.insert(item.to_owned(), events);
+        self.shared
+            .lock()
+            .item_events
+            .insert(item.to_owned(), events);
     }
 
-    /// Returns what it ran.
+    /// Returns the requests that it started to run.
     #[must_use]
     pub fn ran(&self) -> Vec<Ran> {
         self.shared.lock().ran.clone()
     }
 
-    /// Returns who gave orders that were taken, with their fencing numbers.
+    /// Returns the lease holder and fencing token of each accepted order.
     #[must_use]
     pub fn holders(&self) -> Vec<(String, u64)> {
         self.shared.lock().holders.clone()
@@ -256,10 +261,10 @@
 
     fn register(&self, addr: SocketAddr, state: &str) {
         let models = self.models();
-        let entry = json!({ "service": self.service, "address": addr.to_string(),
+        let row = json!({ "service": self.service, "address": addr.to_string(),
             "zone": "senec", "version": "v1", "slots": 8, "state": state,
             "coldRemainingMs": 0, "models": models, "seq": 1 });
-        self.store.put("servers", &self.id, &entry);
+        self.store.put("servers", &self.id, &row);
     }
 
     fn models(&self) -> Vec<serde_json::Value> {
@@ -279,12 +284,12 @@
                 "seq": orders, "numWaiting": 0, "numRunning": 0 });
             exchange.answer(200, &body);
         }
-        "/order" => order(shared, exchange),
-        _ => request(shared, exchange),
+        "/order" => apply_order(shared, exchange),
+        _ => run_request(shared, exchange),
     }
 }
 
-fn order(shared: &Arc<Shared>, mut exchange: Exchange) {
+fn apply_order(shared: &Arc<Shared>, mut exchange: Exchange) {
     let Ok(order) = exchange.json::<WireOrder>() else {
         return exchange.refuse(400, "not an order");
     };
@@ -307,30 +312,30 @@
     drop(inner);
     let key = shared.id.clone();
     let rows = shared.store.rows("servers");
-    let entry = rows.into_iter().find(|(_, id, _)| *id == key);
-    if let Some((_, _, value)) = entry
-        && let Ok(mut entry) = serde_json::from_slice::<serde_json::Value>(&value)
+    let row = rows.into_iter().find(|(_, id, _)| *id == key);
+    if let Some((_, _, value)) = row
+        && let Ok(mut row) = serde_json::from_slice::<serde_json::Value>(&value)
     {
-        entry["models"] = shared.models().into();
-        shared.store.put("servers", &key, &entry);
+        row["models"] = shared.models().into();
+        shared.store.put("servers", &key, &row);
     }
     exchange.answer(202, &json!({}));
 }
 
-fn request(shared: &Arc<Shared>, mut exchange: Exchange) {
+fn run_request(shared: &Arc<Shared>, mut exchange: Exchange) {
     let id = exchange
         .header("X-Request-Id")
         .unwrap_or_default()
         .to_owned();
     if exchange
         .header("X-Expect-Instance")
-        .is_some_and(|wanted| wanted != shared.id)
+        .is_some_and(|expected| expected != shared.id)
     {
         return exchange.answer_bytes(421, &[("X-Instance-Id", &shared.id)], Vec::new());
     }
     let (manner, work) = {
         let inner = shared.lock();
-        (inner.manner, inner.work)
+        (inner.manner, inner.work_duration)
     };
     let Ok(body) = exchange.body() else {
         return exchange.cut();
@@ -356,27 +361,27 @@
         inner.ran.len() - 1
     };
     let model = exchange.header("X-Model").map(str::to_owned);
-    let open = exchange.watch();
+    let is_open = exchange.watch();
     let crash = shared.lock().crash.clone();
-    if let Some(crash) = crash.filter(|crash| crash.is_due(&body)) {
-        wait(work, &open);
-        if open() {
-            end(shared, exchange, &id, crash.manner);
+    if let Some(crash) = crash.filter(|crash| crash.matches(&body)) {
+        work_while_open(work, &is_open);
+        if is_open() {
+            crash_during(shared, exchange, &id, crash.manner);
         }
         return;
     }
     if let Some(model) = model.filter(|_| manner == Manner::Sound) {
         return generate(shared, exchange, &id, &model, after, index);
     }
-    wait(work, &open);
-    if !open() {
+    work_while_open(work, &is_open);
+    if !is_open() {
         return;
     }
     shared.lock().ran[index].whole = true;
     let stamp = format!("stamp-{id}");
     match manner {
         Manner::Silent => {
-            while open() {
+            while is_open() {
                 thread::sleep(Duration::from_millis(20));
             }
             exchange.cut();
@@ -398,7 +403,7 @@
         Manner::Torn => {
             let headers = [("X-Request-Id", id.as_str()), ("X-Server-Stamp", &stamp)];
             if let Ok(mut events) = exchange.stream_with(&headers) {
-                let _gone = events.send("a part").is_err();
+                let _disconnected = events.send("a part").is_err();
                 events.abandon();
             }
         }
@@ -415,9 +420,9 @@
     }
 }
 
-/// Ends the endpoint while it runs a request.
-fn end(shared: &Arc<Shared>, exchange: Exchange, id: &str, manner: CrashManner) {
-    shared.lock().down = true;
+/// Crashes the endpoint while it runs the request `id`.
+fn crash_during(shared: &Arc<Shared>, exchange: Exchange, id: &str, manner: CrashManner) {
+    shared.lock().crashed = true;
     let relay = exchange.relay().clone();
     match manner {
         CrashManner::Closed => {
@@ -428,8 +433,8 @@
             let stamp = format!("stamp-{id}");
             let headers = [("X-Request-Id", id), ("X-Server-Stamp", &stamp)];
             if let Ok(mut events) = exchange.stream_with(&headers) {
-                let _gone = events.send("a part").is_err();
-                thread::sleep(TORN);
+                let _disconnected = events.send("a part").is_err();
+                thread::sleep(PARTIAL_ANSWER_DELAY);
                 relay.stop();
                 events.abandon();
             }
@@ -444,7 +449,7 @@
     }
 }
 
-/// Streams a text whose events tell the item and their number.
+/// Streams a text; each event holds the request id and the event's number.
 fn generate(
     shared: &Arc<Shared>,
     exchange: Exchange,
@@ -455,20 +460,19 @@
 ) {
     let (work, events) = {
         let inner = shared.lock();
-        let events = inner.lengths.get(id).copied();
-        (inner.work, events.unwrap_or(inner.events))
+        let events = inner.item_events.get(id).copied();
+        (inner.work_duration, events.unwrap_or(inner.event_count))
     };
     let mut version = shared.lock().weights.get(model).copied().unwrap_or(0);
-    let named = version.to_string();
+    let initial_version = version.to_string();
     let stamp = format!("stamp-{id}");
     let headers = [
         ("X-Request-Id", id),
         ("X-Server-Stamp", stamp.as_str()),
-        ("X-Weight-Versions", named.as_str()),
-        // The server's pool of threads may hand a new connection to one that is just
-        // being taken by another; it then waits until any connection ends. Four items
-        // that came at once left one without an answer in one run of three, for as
-        // long as the other three connections were kept.
+        ("X-Weight-Versions", initial_version.as_str()),
+        // tiny_http may assign a new connection to a worker thread that is already taken,
+        // where it waits until another connection closes. Kept-alive connections would
+        // then block it.
         ("Connection", "close"),
     ];
     let Ok(mut stream) = exchange.stream_with(&headers) else {
@@ -476,14 +480,14 @@
     };
     for number in after.map_or(1, |after| after + 1)..=events {
         thread::sleep(work);
-        let now = shared.lock().weights.get(model).copied().unwrap_or(0);
-        let changed = if now == version {
+        let current = shared.lock().weights.get(model).copied().unwrap_or(0);
+        let version_line = if current == version {
             String::new()
         } else {
-            format!("x-weight-versions: {now}\n")
+            format!("x-weight-versions: {current}\n")
         };
-        version = now;
-        let lines = format!("{changed}id: {number}\ndata: {id}-{number}");
+        version = current;
+        let lines = format!("{version_line}id: {number}\ndata: {id}-{number}");
         if stream.send_lines(&lines).is_err() {
             return;
         }
@@ -491,12 +495,12 @@
     shared.lock().ran[index].whole = true;
 }
 
-/// Works for a while, or until the caller leaves.
-fn wait(work: Duration, open: &impl Fn() -> bool) {
+/// Sleeps for `work`, or until the caller disconnects.
+fn work_while_open(work: Duration, is_open: &impl Fn() -> bool) {
     let step = Duration::from_millis(5);
-    let mut left = work;
-    while !left.is_zero() && open() {
-        thread::sleep(step.min(left));
-        left = left.saturating_sub(step);
+    let mut remaining = work;
+    while !remaining.is_zero() && is_open() {
+        thread::sleep(step.min(remaining));
+        remaining = remaining.saturating_sub(step);
     }
 }
