--- a/hibiscusroad-standins/src/direct/mod.rs
+++ b/hibiscusroad-standins/src/direct/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for deployments in which endpoints are called directly: the
-//! metadata store that everybody agrees through, plain services that sign their
-//! answers, engines that register their weights, and who takes reports of usage.
+//! Stand-ins for deployments without sidecars: the metadata store, plain services
+//! that sign their answers, model engines that register their weights, and the
+//! receiver of usage reports.
 //!
-//! They speak the wire of the users' platform by its published form, and no
-//! more of it than the tests of the gateway need.
+//! They implement the published protocol of the users' platform as far as the
+//! gateway's tests need it.
 
 mod billing;
 mod endpoint;
