--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -1,8 +1,8 @@
-//! Endpoints of one service that end under some requests and start again.
+//! Replicas of one service that crash on some requests and restart.
 //!
-//! Each start is another life under a new id at the same address. The entry of a life
-//! that has ended stays in the store for a while, as it does where it lapses for want of
-//! renewals.
+//! Each restart is a new incarnation with a new id at the same address. The row of the
+//! crashed incarnation stays in the store for a while, like a row that expires because it
+//! is no longer renewed.
 
 use super::{Crash, Endpoint, Ran, Store};
 use std::{
@@ -16,16 +16,16 @@
     time::{Duration, Instant},
 };
 
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How endpoints come back.
+/// How replicas restart.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
-    /// For how long one that has ended is down.
+    /// How long a crashed replica stays down.
     pub down: Duration,
-    /// How long its entry stays in the store.
+    /// How long the row of a crashed replica stays in the store.
     pub lapse: Duration,
-    /// How long a request is worked on.
+    /// How long a request runs.
     pub work: Duration,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-struct Spec {
+struct ReplicaSpec {
     store: Arc<Store>,
     service: String,
     models: Vec<String>,
@@ -47,7 +47,7 @@
     restart: Restart,
 }
 
-impl Spec {
+impl ReplicaSpec {
     fn start(&self, listen: SocketAddr, id: &str) -> io::Result<Endpoint> {
         let models: Vec<&str> = self.models.iter().map(String::as_str).collect();
         let endpoint = Endpoint::start_at(listen, &self.store, &self.service, id, &models)?;
@@ -60,35 +60,37 @@
 struct Slot {
     name: String,
     endpoint: Endpoint,
-    life: usize,
-    /// When it ended, and whether its entry is still there.
-    ended: Option<(Instant, bool)>,
+    incarnation: usize,
+    /// When it crashed, and whether its row is still in the store.
+    crashed: Option<(Instant, bool)>,
 }
 
 #[derive(Default)]
-struct Lives {
+struct State {
     slots: Vec<Slot>,
-    /// What earlier lives ran.
-    past: Vec<Ran>,
-    ends: usize,
+    /// Requests of earlier incarnations.
+    past_runs: Vec<Ran>,
+    crash_count: usize,
 }
 
 /// The replicas of a service.
 pub struct Replicas {
-    lives: Arc<Mutex<Lives>>,
-    over: Arc<AtomicBool>,
+    state: Arc<Mutex<State>>,
+    stopped: Arc<AtomicBool>,
 }
 
-fn lock(lives: &Mutex<Lives>) -> MutexGuard<'_, Lives> {
-    lives.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Replicas {
-    /// Starts replicas of a service, which are known by these names and a number.
+    /// Starts one replica of a service for each name.
+    ///
+    /// A replica's id is its name and the number of its incarnation.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if one can't listen.
+    /// Returns an I/O error if a replica can't listen.
     pub fn start(
         store: &Arc<Store>,
         service: &str,
@@ -97,96 +99,96 @@
         crash: Crash,
         restart: Restart,
     ) -> io::Result<Self> {
-        let spec = Spec {
+        let spec = ReplicaSpec {
             store: Arc::clone(store),
             service: service.to_owned(),
             models: models.iter().map(|model| (*model).to_owned()).collect(),
             crash,
             restart,
         };
-        let mut lives = Lives::default();
+        let mut state = State::default();
         for name in names {
-            lives.slots.push(Slot {
+            state.slots.push(Slot {
                 name: (*name).to_owned(),
                 endpoint: spec.start(crate::http::FREE, &format!("{name}-0"))?,
-                life: 0,
-                ended: None,
+                incarnation: 0,
+                crashed: None,
             });
         }
-        let (lives, over) = (
-            Arc::new(Mutex::new(lives)),
+        let (state, stopped) = (
+            Arc::new(Mutex::new(state)),
             Arc::new(AtomicBool::new(false)),
         );
-        let (kept, ended) = (Arc::clone(&lives), Arc::clone(&over));
+        let (shared, stop) = (Arc::clone(&state), Arc::clone(&stopped));
         thread::Builder::new()
             .name("replicas".to_owned())
             .spawn(move || {
-                while !ended.load(Ordering::Acquire) {
-                    thread::sleep(LOOK);
-                    lock(&kept).look(Instant::now(), &spec);
+                while !stop.load(Ordering::Acquire) {
+                    thread::sleep(POLL_INTERVAL);
+                    lock(&shared).poll(Instant::now(), &spec);
                 }
             })?;
-        Ok(Self { lives, over })
+        Ok(Self { state, stopped })
     }
 
-    /// Returns what all lives ran.
+    /// Returns the requests that all incarnations started to run.
     #[must_use]
     pub fn ran(&self) -> Vec<Ran> {
-        let lives = lock(&self.lives);
-        let now = lives.slots.iter().flat_map(|slot| slot.endpoint.ran());
-        lives.past.iter().cloned().chain(now).collect()
+        let state = lock(&self.state);
+        let current = state.slots.iter().flat_map(|slot| slot.endpoint.ran());
+        state.past_runs.iter().cloned().chain(current).collect()
     }
 
-    /// Returns how often one has ended.
+    /// Returns how many crashes there were.
     #[must_use]
     pub fn ends(&self) -> usize {
-        lock(&self.lives).ends
+        lock(&self.state).crash_count
     }
 
-    /// Says whether all are up.
+    /// Returns whether all replicas are up.
     #[must_use]
     pub fn are_up(&self) -> bool {
-        lock(&self.lives)
+        lock(&self.state)
             .slots
             .iter()
-            .all(|slot| slot.ended.is_none())
+            .all(|slot| slot.crashed.is_none())
     }
 }
 
 impl Drop for Replicas {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
     }
 }
 
-impl Lives {
-    fn look(&mut self, now: Instant, spec: &Spec) {
+impl State {
+    fn poll(&mut self, now: Instant, spec: &ReplicaSpec) {
         for slot in &mut self.slots {
-            let (since, listed) = match slot.ended {
-                Some(ended) => ended,
+            let (since, listed) = match slot.crashed {
+                Some(crashed) => crashed,
                 None if slot.endpoint.is_down() => {
-                    self.ends += 1;
+                    self.crash_count += 1;
                     (now, true)
                 }
                 None => continue,
             };
-            slot.ended = Some((since, listed));
+            slot.crashed = Some((since, listed));
             if listed && now >= since + spec.restart.lapse {
                 spec.store.remove("servers", slot.endpoint.id());
-                slot.ended = Some((since, false));
+                slot.crashed = Some((since, false));
             }
             if now >= since + spec.restart.down {
                 slot.endpoint.stop();
-                let id = format!("{}-{}", slot.name, slot.life + 1);
-                // The address may be taken for another moment.
+                let id = format!("{}-{}", slot.name, slot.incarnation + 1);
+                // The old listener may still hold the address; the next poll tries again.
                 let Ok(next) = spec.start(slot.endpoint.addr(), &id) else {
                     continue;
                 };
-                let before = std::mem::replace(&mut slot.endpoint, next);
-                spec.store.remove("servers", before.id());
-                self.past.extend(before.ran());
-                slot.life += 1;
-                slot.ended = None;
+                let previous = std::mem::replace(&mut slot.endpoint, next);
+                spec.store.remove("servers", previous.id());
+                self.past_runs.extend(previous.ran());
+                slot.incarnation += 1;
+                slot.crashed = None;
             }
         }
     }
