--- a/hibiscusroad-standins/src/direct/store.rs
+++ b/hibiscusroad-standins/src/direct/store.rs
@@ -1,4 +1,4 @@
-//! The metadata store: rows with versions, transactions, feeds and objects.
+//! The metadata store: versioned rows, transactions, change feeds and objects.
 
 use crate::{
     http::{Exchange, FREE, Server},
@@ -16,22 +16,23 @@
     time::{Duration, Instant},
 };
 
+/// The table, part and key of a row.
 type Key = (String, String, String);
 
-/// What the store does wrong.
+/// Faults of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Every call is refused with status 503.
     pub busy: bool,
-    /// Every call is left without an answer, and nothing is done.
+    /// No call is carried out or answered.
     pub silent: bool,
-    /// So many writes are carried out and not answered.
+    /// How many of the next transactions are carried out without an answer.
     pub lose: u32,
-    /// Writes that are lost are carried out so much later.
+    /// The delay after which transactions without an answer are carried out.
     pub late: Duration,
-    /// Every answer takes so much longer.
+    /// The delay of every call.
     pub slow: Duration,
-    /// Reading an object takes so much longer.
+    /// The additional delay of reading an object.
     pub objects: Duration,
 }
 
@@ -40,8 +41,8 @@
     rows: BTreeMap<Key, (Vec<u8>, u64)>,
     /// Changes by version; the bool says that the row was removed.
     log: Vec<(u64, Key, bool)>,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Changes up to this version are no longer in the log.
+    compacted: u64,
     version: u64,
     objects: BTreeMap<String, Vec<u8>>,
     faults: Faults,
@@ -55,7 +56,7 @@
     start: Instant,
 }
 
-/// The store, on a free port.
+/// A metadata store on a free port.
 #[derive(Debug)]
 pub struct Store {
     server: Server,
@@ -95,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
             inner: Mutex::default(),
@@ -107,28 +108,28 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns where it is.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns the relay that its callers come through.
+    /// Returns the relay in front of the server.
     #[must_use]
     pub fn relay(&self) -> &Relay {
         self.server.relay()
     }
 
-    /// Writes a row as the operator or an endpoint does.
+    /// Writes a JSON value as a row.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         let key = (table.to_owned(), String::new(), key.to_owned());
-        self.shared.put(key, value.to_string().into_bytes());
+        self.shared.write(key, value.to_string().into_bytes());
     }
 
-    /// Writes any bytes as a row.
+    /// Writes bytes as a row.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         let key = (table.to_owned(), String::new(), key.to_owned());
-        self.shared.put(key, value.to_vec());
+        self.shared.write(key, value.to_vec());
     }
 
     /// Removes a row.
@@ -139,7 +140,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Returns all rows of a table: part, key and value.
+    /// Returns the part, key and value of each row of a table.
     #[must_use]
     pub fn rows(&self, table: &str) -> Vec<(String, String, Vec<u8>)> {
         let inner = self.shared.lock();
@@ -148,22 +149,22 @@
             .collect()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the active faults.
     pub fn fail(&self, faults: Faults) {
         self.shared.lock().faults = faults;
         self.shared.changed.notify_all();
     }
 
-    /// Forgets all changes so far: feeds from before can't go on.
+    /// Drops the log of changes; feeds that continue from an earlier version are refused.
     pub fn forget_history(&self) {
         let mut inner = self.shared.lock();
         inner.version += 1;
-        inner.forgotten = inner.version;
+        inner.compacted = inner.version;
         inner.log.clear();
         self.shared.changed.notify_all();
     }
 
-    /// Returns the calls so far, by method and path.
+    /// Returns the method and path of each call so far.
     #[must_use]
     pub fn calls(&self) -> Vec<String> {
         self.shared.lock().calls.clone()
@@ -175,20 +176,20 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn put(&self, key: Key, value: Vec<u8>) {
+    fn write(&self, key: Key, value: Vec<u8>) {
         let mut inner = self.lock();
         inner.version += 1;
-        inner.put(key, value);
+        inner.insert(key, value);
         self.changed.notify_all();
     }
 
-    fn now(&self) -> u64 {
+    fn now_ms(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_millis()).unwrap_or(0) + 1
     }
 }
 
 impl Inner {
-    fn put(&mut self, key: Key, value: Vec<u8>) {
+    fn insert(&mut self, key: Key, value: Vec<u8>) {
         let version = self.version;
         self.rows.insert(key.clone(), (value, version));
         self.log.push((version, key, false));
@@ -207,7 +208,9 @@
             "value": STANDARD.encode(value), "ver": version }))
     }
 
-    /// Carries a transaction out if its conditions hold.
+    /// Applies a transaction if the expected row versions match.
+    ///
+    /// Returns the new version, or else the current rows.
     fn transact(&mut self, change: &WireChange) -> Result<u64, Vec<Value>> {
         let version = |key: &Key| self.rows.get(key).map_or(0, |(_, version)| *version);
         if change
@@ -221,7 +224,7 @@
         self.version += 1;
         for row in &change.puts {
             let value = STANDARD.decode(&row.value).unwrap_or_default();
-            self.put(row.key(), value);
+            self.insert(row.key(), value);
         }
         for row in &change.remove {
             self.remove(&row.key());
@@ -249,39 +252,39 @@
     }
     thread::sleep(faults.slow);
     match exchange.path() {
-        "/rows-tx" => transact(shared, exchange),
-        "/rows-get" => read(shared, exchange),
-        "/rows-feed" => feed(shared, exchange),
-        _ => object(shared, exchange),
+        "/rows-tx" => run_transaction(shared, exchange),
+        "/rows-get" => read_rows(shared, exchange),
+        "/rows-feed" => read_feed(shared, exchange),
+        _ => handle_object(shared, exchange),
     }
 }
 
-fn transact(shared: &Arc<Shared>, mut exchange: Exchange) {
+fn run_transaction(shared: &Arc<Shared>, mut exchange: Exchange) {
     let Ok(change) = exchange.json::<WireChange>() else {
         return exchange.refuse(400, "not a transaction");
     };
-    let (lose, late) = {
+    let (lose_answer, delay) = {
         let mut inner = shared.lock();
-        let lose = inner.faults.lose > 0;
+        let lose_answer = inner.faults.lose > 0;
         inner.faults.lose = inner.faults.lose.saturating_sub(1);
-        (lose, inner.faults.late)
+        (lose_answer, inner.faults.late)
     };
-    if lose && !late.is_zero() {
-        let later = Arc::clone(shared);
+    if lose_answer && !delay.is_zero() {
+        let shared = Arc::clone(shared);
         thread::spawn(move || {
-            thread::sleep(late);
-            let _refused = later.lock().transact(&change).is_err();
-            later.changed.notify_all();
+            thread::sleep(delay);
+            let _refused = shared.lock().transact(&change).is_err();
+            shared.changed.notify_all();
         });
         return exchange.cut();
     }
-    let done = shared.lock().transact(&change);
+    let result = shared.lock().transact(&change);
     shared.changed.notify_all();
-    if lose {
+    if lose_answer {
         return exchange.cut();
     }
-    let now = shared.now();
-    match done {
+    let now = shared.now_ms();
+    match result {
         Ok(version) => exchange.answer(200, &json!({ "ver": version, "nowMs": now })),
         Err(rows) => {
             let version = shared.lock().version;
@@ -290,66 +293,69 @@
     }
 }
 
-fn read(shared: &Shared, exchange: Exchange) {
-    let text = |name: &str| exchange.query(name).map(decoded);
-    let table = text("table").unwrap_or_default();
-    let part = text("part").unwrap_or_default();
-    let (from, end) = (text("from"), text("target"));
+fn read_rows(shared: &Shared, exchange: Exchange) {
+    let param = |name: &str| exchange.query(name).map(decode_query);
+    let table = param("table").unwrap_or_default();
+    let part = param("part").unwrap_or_default();
+    let (from, end) = (param("from"), param("target"));
     let inner = shared.lock();
-    let within = |key: &&Key| {
+    let in_range = |key: &&Key| {
         key.0 == table
             && key.1 == part
             && from.as_ref().is_none_or(|from| key.2 >= *from)
             && end.as_ref().is_none_or(|end| key.2 < *end)
     };
-    let keys = inner.rows.keys().filter(within);
+    let keys = inner.rows.keys().filter(in_range);
     let rows: Vec<Value> = keys.filter_map(|key| inner.row(key)).collect();
     let body = json!({ "rows": rows, "truncated": false, "ver": inner.version,
-        "nowMs": shared.now() });
+        "nowMs": shared.now_ms() });
     drop(inner);
     exchange.answer(200, &body);
 }
 
-fn feed(shared: &Shared, exchange: Exchange) {
-    let table = exchange.query("table").map(decoded).unwrap_or_default();
+fn read_feed(shared: &Shared, exchange: Exchange) {
+    let table = exchange
+        .query("table")
+        .map(decode_query)
+        .unwrap_or_default();
     let number = |name: &str| exchange.query(name).and_then(|n| n.parse().ok());
     let after: u64 = number("after").unwrap_or(0);
     let wait = Duration::from_millis(number("waitMs").unwrap_or(0));
-    let end = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let mut inner = shared.lock();
     loop {
-        if after < inner.forgotten {
+        if after < inner.compacted {
             drop(inner);
             return exchange.refuse(410, "forgotten");
         }
-        let new = inner
+        let changes = inner
             .log
             .iter()
-            .filter(|(v, key, _)| *v > after && key.0 == table);
-        let mut newest: BTreeMap<&Key, bool> = BTreeMap::new();
-        new.for_each(|(_, key, gone)| {
-            newest.insert(key, *gone);
+            .filter(|(version, key, _)| *version > after && key.0 == table);
+        let mut latest: BTreeMap<&Key, bool> = BTreeMap::new();
+        changes.for_each(|(_, key, removed)| {
+            latest.insert(key, *removed);
         });
-        let rows: Vec<Value> = newest
+        let rows: Vec<Value> = latest
             .iter()
-            .filter_map(|(key, gone)| match gone {
+            .filter_map(|(key, removed)| match removed {
                 true => Some(json!({ "table": key.0, "part": key.1, "key": key.2,
                     "removed": true })),
                 false => inner.row(key),
             })
             .collect();
-        let left = end.saturating_duration_since(Instant::now());
-        if !rows.is_empty() || left.is_zero() || inner.faults.busy || inner.faults.silent {
-            let body = json!({ "rows": rows, "ver": inner.version, "nowMs": shared.now() });
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if !rows.is_empty() || remaining.is_zero() || inner.faults.busy || inner.faults.silent {
+            let body = json!({ "rows": rows, "ver": inner.version, "nowMs": shared.now_ms() });
             drop(inner);
             return exchange.answer(200, &body);
         }
-        let waited = shared.changed.wait_timeout(inner, left);
+        let waited = shared.changed.wait_timeout(inner, remaining);
         inner = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
 }
 
-fn object(shared: &Shared, mut exchange: Exchange) {
+fn handle_object(shared: &Shared, mut exchange: Exchange) {
     let path = exchange.path().to_owned();
     let Some((call, name)) = path.trim_start_matches('/').split_once('/') else {
         return exchange.refuse(404, "no such call");
@@ -359,8 +365,8 @@
             let Ok(body) = exchange.body() else {
                 return exchange.cut();
             };
-            let known = shared.lock().objects.contains_key(name);
-            if known && exchange.header("If-None-Match").is_some() {
+            let exists = shared.lock().objects.contains_key(name);
+            if exists && exchange.header("If-None-Match").is_some() {
                 return exchange.refuse(412, "exists");
             }
             shared.lock().objects.insert(name.to_owned(), body);
@@ -383,15 +389,15 @@
     }
 }
 
-/// Undoes the encoding of a query's value.
-fn decoded(text: &str) -> String {
+/// Decodes a form-encoded query value.
+fn decode_query(text: &str) -> String {
     let mut bytes = Vec::new();
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
+    let mut encoded = text.bytes();
+    while let Some(byte) = encoded.next() {
         let hex = |byte: Option<u8>| byte.and_then(|b| char::from(b).to_digit(16));
         bytes.push(match byte {
             b'+' => b' ',
-            b'%' => match (hex(rest.next()), hex(rest.next())) {
+            b'%' => match (hex(encoded.next()), hex(encoded.next())) {
                 (Some(high), Some(low)) => u8::try_from(high * 16 + low).unwrap_or(b'?'),
                 _ => b'?',
             },
