--- a/hibiscusroad-standins/src/platform/history.rs
+++ b/hibiscusroad-standins/src/platform/history.rs
@@ -1,4 +1,4 @@
-//! The append-only record of what the platform did.
+//! The history of the platform's writes and request counts.
 
 use super::{table::Change, wire::Bytes};
 use serde::Serialize;
@@ -7,33 +7,33 @@
 /// One row that a write changed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Written {
-    /// The key, as text where it is text.
+    /// The key, with invalid UTF-8 replaced.
     pub key: String,
-    /// The value in base64; none if the row was deleted.
+    /// The value, `None` if the row was deleted.
     pub value: Option<Bytes>,
 }
 
-/// One write of the table.
+/// One transaction that changed the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct Write {
-    /// The revision that it made.
+    /// The table's revision after the write.
     pub revision: i64,
-    /// Milliseconds since the epoch.
+    /// The time of the write in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it changed.
+    /// The changed rows.
     pub rows: Vec<Written>,
-    /// Whether the writer was told.
+    /// Whether the writer received an answer.
     pub answered: bool,
 }
 
-/// How often each kind of request was served.
+/// Request counts by kind.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Counts {
     /// Reads of the table.
     pub reads: u64,
-    /// Transactions of the table that changed something.
+    /// Transactions that changed the table.
     pub writes: u64,
-    /// Transactions of the table that changed nothing.
+    /// Transactions that changed nothing.
     pub unchanged: u64,
     /// Reads of the object store.
     pub object_reads: u64,
@@ -43,16 +43,16 @@
     pub host_reads: u64,
     /// Reads of the weight store.
     pub weight_reads: u64,
-    /// Reads that the weight store refused.
+    /// Reads that the weight store refused because of its rate limit.
     pub weight_refusals: u64,
 }
 
-/// The record.
+/// Writes and request counts since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct History {
     /// All writes of the table, oldest first.
     pub writes: Vec<Write>,
-    /// Counts since the start.
+    /// Request counts.
     pub counts: Counts,
 }
 
@@ -72,9 +72,9 @@
     }
 }
 
-/// Returns milliseconds since the epoch.
+/// Returns the milliseconds since the Unix epoch.
 #[must_use]
 pub fn epoch_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    u64::try_from(elapsed.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
