--- a/hibiscusroad-standins/src/platform/hosts.rs
+++ b/hibiscusroad-standins/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list, as it was some time ago.
+//! The host list, which readers see with a delay.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -9,14 +9,14 @@
 /// Endpoints that share their labels, in the form of HTTP service discovery.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// Addresses, each IP:PORT.
+    /// The addresses, as `IP:PORT`.
     pub targets: Vec<String>,
-    /// What is known of them.
+    /// The labels that these endpoints share.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
 }
 
-/// The lists that were put, as far back as the lag reaches.
+/// The published host lists, as far back as readers may still see them.
 #[derive(Debug)]
 pub struct Hosts {
     lists: VecDeque<(Instant, Vec<Target>)>,
@@ -24,7 +24,7 @@
 }
 
 impl Hosts {
-    /// Creates an empty list that is read `lag` late.
+    /// Creates an empty list that readers see `lag` after its publication.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         Self {
@@ -33,24 +33,24 @@
         }
     }
 
-    /// Sets how late the list is read.
+    /// Sets the delay between publication and visibility.
     pub fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Replaces the list.
-    pub fn put(&mut self, now: Instant, list: Vec<Target>) {
+    /// Publishes a list that replaces the previous one.
+    pub fn publish(&mut self, now: Instant, list: Vec<Target>) {
         self.lists.push_back((now, list));
     }
 
-    /// Returns the list that is seen at `now`.
-    pub fn get(&mut self, now: Instant) -> Vec<Target> {
-        let seen = |at: Instant, lag: Duration| now.saturating_duration_since(at) >= lag;
-        while self.lists.len() > 1 && seen(self.lists[1].0, self.lag) {
+    /// Returns the list that readers see at `now`.
+    pub fn visible(&mut self, now: Instant) -> Vec<Target> {
+        let is_visible = |at: Instant, lag: Duration| now.saturating_duration_since(at) >= lag;
+        while self.lists.len() > 1 && is_visible(self.lists[1].0, self.lag) {
             self.lists.pop_front();
         }
         match self.lists.front() {
-            Some((at, list)) if seen(*at, self.lag) => list.clone(),
+            Some((at, list)) if is_visible(*at, self.lag) => list.clone(),
             _ => Vec::new(),
         }
     }
