--- a/hibiscusroad-standins/src/platform/rate.rs
+++ b/hibiscusroad-standins/src/platform/rate.rs
@@ -2,39 +2,41 @@
 
 use std::time::{Duration, Instant};
 
-// Seconds' worth of reads that may come at once.
-const BURST_S: f64 = 1.0;
+/// The bucket's capacity, in seconds of the rate.
+const BURST_SECONDS: f64 = 1.0;
 
-/// A token bucket.
+/// A token bucket, which allows one read per token.
 #[derive(Debug)]
 pub struct Rate {
-    limit: f64,
+    reads_per_s: f64,
     tokens: f64,
-    at: Option<Instant>,
+    last_refill: Option<Instant>,
 }
 
 impl Rate {
-    /// Creates a full bucket of `rate` reads a second.
+    /// Creates a full bucket that is refilled with `rate` tokens per second.
     #[must_use]
     pub fn new(rate: f64) -> Self {
         Self {
-            limit: rate,
-            tokens: (rate * BURST_S).max(1.0),
-            at: None,
+            reads_per_s: rate,
+            tokens: (rate * BURST_SECONDS).max(1.0),
+            last_refill: None,
         }
     }
 
-    /// Takes one read, or says how long to wait.
-    pub fn take(&mut self, now: Instant) -> Option<Duration> {
-        let passed = self.at.map_or(Duration::ZERO, |at| now.duration_since(at));
-        let full = (self.limit * BURST_S).max(1.0);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.limit).min(full);
-        self.at = Some(now);
+    /// Takes a token, or returns the time until one is available.
+    pub fn acquire(&mut self, now: Instant) -> Option<Duration> {
+        let elapsed = self.last_refill.map_or(Duration::ZERO, |last_refill| {
+            now.duration_since(last_refill)
+        });
+        let capacity = (self.reads_per_s * BURST_SECONDS).max(1.0);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * self.reads_per_s).min(capacity);
+        self.last_refill = Some(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return None;
         }
-        let missing = (1.0 - self.tokens) / self.limit;
+        let missing = (1.0 - self.tokens) / self.reads_per_s;
         Some(Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX))
     }
 }
