--- a/hibiscusroad-standins/src/platform/mod.rs
+++ b/hibiscusroad-standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The platform: table service, object store, host list and weight store.
 //!
-//! One address serves all four. `/control` switches faults on and tells what
-//! was done: it works whatever fault is on.
+//! All four share one address. `/control` sets the faults and returns the history; it is
+//! not affected by faults.
 
 pub mod history;
 pub mod hosts;
@@ -27,16 +27,16 @@
 use wire::{RangeRequest, TxnRequest};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How a platform starts.
+/// Settings of a platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// How late the host list is.
+    /// The delay until a published host list is visible.
     pub lag: Duration,
-    /// Reads a second that the weight store allows.
+    /// The reads per second that the weight store allows.
     pub rate: f64,
-    /// Bytes of a weight version.
+    /// The size of a weight version in bytes.
     pub size: usize,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Which writes take effect without the writer being told.
+/// Which writes take effect without an answer.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Loss {
@@ -60,7 +60,7 @@
     None,
     /// All.
     All,
-    /// One in so many.
+    /// One write in this many.
     Every(u64),
 }
 
@@ -95,13 +95,13 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are closed before anything is done.
+    /// Connections are closed before a request takes effect.
     pub down: bool,
-    /// Milliseconds that each request waits before anything is done.
+    /// The delay of each request before it takes effect, in milliseconds.
     pub slow_ms: u64,
-    /// Writes that take effect, after which the connection is closed.
+    /// The writes after which the connection closes without an answer.
     pub lose_answers: Loss,
-    /// Milliseconds that the host list is late; unchanged if not given.
+    /// The new delay of the host list in milliseconds; `None` leaves it unchanged.
     pub lag_ms: Option<u64>,
 }
 
@@ -112,12 +112,13 @@
     rate: Rate,
     faults: Faults,
     history: History,
-    losable: u64,
+    /// Writes that were subject to `lose_answers` so far.
+    write_count: u64,
 }
 
 struct State {
     inner: Mutex<Inner>,
-    size: usize,
+    weight_size: usize,
 }
 
 impl State {
@@ -144,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(settings: &Settings) -> io::Result<Self> {
         let state = Arc::new(State {
             inner: Mutex::new(Inner {
@@ -154,44 +155,44 @@
                 rate: Rate::new(settings.rate),
                 faults: Faults::default(),
                 history: History::default(),
-                losable: 0,
+                write_count: 0,
             }),
-            size: settings.size,
+            weight_size: settings.size,
         });
         let inner = Arc::clone(&state);
         let server = Server::start(settings.listen, move |exchange| handle(&inner, exchange))?;
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns its URL, which serves all four parts.
+    /// Returns the base URL of all four services.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.addr())
     }
 
-    /// Switches faults on and off.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         set_faults(&self.state, faults);
     }
 
-    /// Replaces the host list.
+    /// Publishes a host list.
     pub fn set_hosts(&self, list: Vec<Target>) {
-        self.state.lock().hosts.put(Instant::now(), list);
+        self.state.lock().hosts.publish(Instant::now(), list);
     }
 
-    /// Returns what was done so far.
+    /// Returns the history so far.
     #[must_use]
     pub fn history(&self) -> History {
         self.state.lock().history.clone()
     }
 
-    /// Stops it at once.
+    /// Stops listening and closes all connections.
     pub fn stop(&self) {
         self.server.stop();
     }
@@ -206,16 +207,16 @@
 }
 
 fn handle(state: &State, exchange: Exchange) {
-    let first = exchange.path().split('/').nth(1).unwrap_or("").to_owned();
-    match first.as_str() {
-        "control" => control(state, exchange),
-        "hosts" => host_list(state, exchange),
-        "weights" => weights(state, exchange),
-        _ => stored(state, exchange, first == "v3"),
+    let service = exchange.path().split('/').nth(1).unwrap_or("").to_owned();
+    match service.as_str() {
+        "control" => handle_control(state, exchange),
+        "hosts" => handle_hosts(state, exchange),
+        "weights" => handle_weights(state, exchange),
+        _ => handle_storage(state, exchange, service == "v3"),
     }
 }
 
-fn control(state: &State, mut exchange: Exchange) {
+fn handle_control(state: &State, mut exchange: Exchange) {
     match (exchange.method().as_str(), exchange.path()) {
         ("GET", "/control/history") => {
             let history = state.lock().history.clone();
@@ -236,19 +237,19 @@
     }
 }
 
-fn host_list(state: &State, mut exchange: Exchange) {
+fn handle_hosts(state: &State, mut exchange: Exchange) {
     match exchange.method().as_str() {
         "GET" => {
             let list = {
                 let mut inner = state.lock();
                 inner.history.counts.host_reads += 1;
-                inner.hosts.get(Instant::now())
+                inner.hosts.visible(Instant::now())
             };
             send_list(exchange, &list);
         }
         "PUT" => match exchange.json::<Vec<Target>>() {
             Ok(list) => {
-                state.lock().hosts.put(Instant::now(), list);
+                state.lock().hosts.publish(Instant::now(), list);
                 exchange.answer(200, &serde_json::json!({}));
             }
             Err(error) => exchange.refuse(400, &error.to_string()),
@@ -257,21 +258,21 @@
     }
 }
 
-/// Sends the list, or only says that the asker has it already (RFC 9110).
+/// Sends the list, or 304 if the caller's `If-None-Match` matches it.
 fn send_list(exchange: Exchange, list: &[Target]) {
     let body = serde_json::to_vec(list).unwrap_or_default();
-    let tag = format!("\"{:016x}\"", xxh3_64(&body));
-    if exchange.header("If-None-Match") == Some(tag.as_str()) {
-        return exchange.answer_bytes(304, &[("ETag", &tag)], Vec::new());
+    let etag = format!("\"{:016x}\"", xxh3_64(&body));
+    if exchange.header("If-None-Match") == Some(etag.as_str()) {
+        return exchange.answer_bytes(304, &[("ETag", &etag)], Vec::new());
     }
-    let json = ("Content-Type", "application/json");
-    exchange.answer_bytes(200, &[json, ("ETag", &tag)], body);
+    let content_type = ("Content-Type", "application/json");
+    exchange.answer_bytes(200, &[content_type, ("ETag", &etag)], body);
 }
 
-fn weights(state: &State, exchange: Exchange) {
+fn handle_weights(state: &State, exchange: Exchange) {
     let wait = {
         let mut inner = state.lock();
-        let wait = inner.rate.take(Instant::now());
+        let wait = inner.rate.acquire(Instant::now());
         match wait {
             None => inner.history.counts.weight_reads += 1,
             Some(_) => inner.history.counts.weight_refusals += 1,
@@ -279,7 +280,7 @@
         wait
     };
     match wait {
-        None => exchange.answer_bytes(200, &[], vec![0; state.size]),
+        None => exchange.answer_bytes(200, &[], vec![0; state.weight_size]),
         Some(wait) => {
             let seconds = wait.as_secs_f64().ceil().to_string();
             exchange.answer_bytes(429, &[("Retry-After", &seconds)], Vec::new());
@@ -287,53 +288,54 @@
     }
 }
 
-fn stored(state: &State, mut exchange: Exchange, table: bool) {
+/// Handles a request to the table service or the object store.
+fn handle_storage(state: &State, mut exchange: Exchange, is_table: bool) {
     let Ok(body) = exchange.body() else {
         return exchange.cut();
     };
     let faults = state.lock().faults;
     thread::sleep(Duration::from_millis(faults.slow_ms));
-    // Asked again: what was switched off meanwhile must do nothing.
+    // The fault may have been set during the delay.
     if state.lock().faults.down {
         return exchange.cut();
     }
-    match (table, exchange.path()) {
-        (false, _) => object(state, exchange, body),
-        (true, "/v3/kv/range") => range(state, exchange, &body),
-        (true, "/v3/kv/txn") => txn(state, exchange, &body),
+    match (is_table, exchange.path()) {
+        (false, _) => handle_object(state, exchange, body),
+        (true, "/v3/kv/range") => handle_range(state, exchange, &body),
+        (true, "/v3/kv/txn") => handle_txn(state, exchange, &body),
         (true, _) => exchange.refuse(404, "no such path"),
     }
 }
 
-fn object(state: &State, exchange: Exchange, body: Vec<u8>) {
+fn handle_object(state: &State, exchange: Exchange, body: Vec<u8>) {
     let (answer, lost) = {
         let mut inner = state.lock();
-        let write = exchange.method() != "GET";
-        if write {
+        let is_write = exchange.method() != "GET";
+        if is_write {
             inner.history.counts.object_writes += 1;
         } else {
             inner.history.counts.object_reads += 1;
         }
         let answer = inner.objects.handle(&exchange, body);
-        (answer, write && inner.lose())
+        (answer, is_write && inner.count_write())
     };
     if lost {
         return exchange.cut();
     }
     exchange.answer_bytes(
         answer.status,
-        &[("Content-Type", answer.content)],
+        &[("Content-Type", answer.content_type)],
         answer.body,
     );
 }
 
-fn range(state: &State, exchange: Exchange, body: &[u8]) {
+fn handle_range(state: &State, exchange: Exchange, body: &[u8]) {
     match serde_json::from_slice::<RangeRequest>(body) {
-        Ok(ask) => {
+        Ok(request) => {
             let answer = {
                 let mut inner = state.lock();
                 inner.history.counts.reads += 1;
-                inner.table.range(&ask)
+                inner.table.range(&request)
             };
             exchange.answer(200, &answer);
         }
@@ -341,12 +343,12 @@
     }
 }
 
-fn txn(state: &State, exchange: Exchange, body: &[u8]) {
-    let ask = match serde_json::from_slice::<TxnRequest>(body) {
-        Ok(ask) => ask,
+fn handle_txn(state: &State, exchange: Exchange, body: &[u8]) {
+    let request = match serde_json::from_slice::<TxnRequest>(body) {
+        Ok(request) => request,
         Err(error) => return exchange.refuse(400, &error.to_string()),
     };
-    let (answer, lost) = state.lock().txn(&ask);
+    let (answer, lost) = state.lock().txn(&request);
     if lost {
         return exchange.cut();
     }
@@ -354,24 +356,26 @@
 }
 
 impl Inner {
-    fn txn(&mut self, ask: &TxnRequest) -> (wire::TxnResponse, bool) {
-        let (answer, changes) = self.table.txn(ask);
+    /// Runs a transaction; returns the response and whether it is lost.
+    fn txn(&mut self, request: &TxnRequest) -> (wire::TxnResponse, bool) {
+        let (answer, changes) = self.table.txn(request);
         if changes.is_empty() {
             self.history.counts.unchanged += 1;
             return (answer, false);
         }
-        let lost = self.lose();
+        let lost = self.count_write();
         self.history.counts.writes += 1;
         self.history.add(self.table.revision(), changes, !lost);
         (answer, lost)
     }
 
-    fn lose(&mut self) -> bool {
-        self.losable += 1;
+    /// Counts a write and returns whether its answer is lost.
+    fn count_write(&mut self) -> bool {
+        self.write_count += 1;
         match self.faults.lose_answers {
             Loss::None => false,
             Loss::All => true,
-            Loss::Every(count) => self.losable.is_multiple_of(count),
+            Loss::Every(count) => self.write_count.is_multiple_of(count),
         }
     }
 }
--- a/hibiscusroad-standins/src/platform/table.rs
+++ b/hibiscusroad-standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The table service: rows, revisions and conditional transactions.
+//! The table service: rows with revisions and conditional transactions.
 
 use super::wire::{
     Bytes, Compare, DeleteResponse, Header, Int, KeyValue, PutRequest, PutResponse, RangeRequest,
@@ -6,13 +6,14 @@
 };
 use std::collections::{BTreeMap, btree_map};
 
-const NO_END: &[u8] = &[0];
+/// The `range_end` of a range without an upper bound.
+const UNBOUNDED_END: &[u8] = &[0];
 
 #[derive(Clone, Debug)]
 struct Row {
     value: Vec<u8>,
-    created: i64,
-    changed: i64,
+    create_revision: i64,
+    mod_revision: i64,
     version: i64,
 }
 
@@ -21,11 +22,11 @@
 pub struct Change {
     /// The row's key.
     pub key: Vec<u8>,
-    /// Its new value; none if it was deleted.
+    /// The new value, `None` if the row was deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// The rows.
+/// The table's rows and its current revision.
 #[derive(Debug)]
 pub struct Table {
     rows: BTreeMap<Vec<u8>, Row>,
@@ -42,37 +43,42 @@
 }
 
 impl Table {
-    /// Returns the number of the last write.
+    /// Returns the revision of the last write.
     #[must_use]
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Reads rows.
+    /// Returns the rows of a range.
     #[must_use]
-    pub fn range(&self, ask: &RangeRequest) -> RangeResponse {
-        let limit = match ask.limit.0 {
+    pub fn range(&self, request: &RangeRequest) -> RangeResponse {
+        let limit = match request.limit.0 {
             0 => usize::MAX,
             limit => usize::try_from(limit).unwrap_or(usize::MAX),
         };
-        let all: Vec<_> = self.select(ask).collect();
-        let recent = all.iter().filter(|(_, row)| row.changed >= ask.since.0);
+        let rows: Vec<_> = self.select(request).collect();
+        let recent = rows
+            .iter()
+            .filter(|(_, row)| row.mod_revision >= request.min_mod_revision.0);
         let kvs = recent.take(limit).map(|(key, row)| key_value(key, row));
         RangeResponse {
             header: self.header(),
             kvs: kvs.collect(),
-            count: int(all.len()),
-            more: all.len() > limit,
+            count: int(rows.len()),
+            more: rows.len() > limit,
         }
     }
 
-    /// Runs a transaction, and returns what it changed besides the answer.
-    pub fn txn(&mut self, ask: &TxnRequest) -> (TxnResponse, Vec<Change>) {
-        let succeeded = ask.compare.iter().all(|compare| self.holds(compare));
+    /// Runs a transaction and returns the response and the changed rows.
+    pub fn txn(&mut self, request: &TxnRequest) -> (TxnResponse, Vec<Change>) {
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         let ops = if succeeded {
-            &ask.success
+            &request.success
         } else {
-            &ask.failure
+            &request.failure
         };
         let next = self.revision + 1;
         let mut changes = Vec::new();
@@ -97,29 +103,33 @@
         }
     }
 
-    fn select(&self, ask: &RangeRequest) -> btree_map::Range<'_, Vec<u8>, Row> {
+    fn select(&self, request: &RangeRequest) -> btree_map::Range<'_, Vec<u8>, Row> {
         use std::ops::Bound::{Excluded, Included, Unbounded};
-        let first = ask.key.0.clone();
-        let end = ask.range_end.0.clone();
-        let last = match end.as_slice() {
-            [] => Included(first.clone()),
-            NO_END => Unbounded,
-            // The library panics on a range that ends before it starts.
-            _ if end <= first => Excluded(first.clone()),
+        let start = request.key.0.clone();
+        let end = request.range_end.0.clone();
+        let bound = match end.as_slice() {
+            [] => Included(start.clone()),
+            UNBOUNDED_END => Unbounded,
+            // `BTreeMap::range` panics if the end is before the start.
+            _ if end <= start => Excluded(start.clone()),
             _ => Excluded(end),
         };
-        match &last {
-            Excluded(end) if *end == first => self.rows.range(first.clone()..first),
-            _ => self.rows.range((Included(first), last)),
+        match &bound {
+            Excluded(end) if *end == start => self.rows.range(start.clone()..start),
+            _ => self.rows.range((Included(start), bound)),
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let row = self.rows.get(&compare.key.0);
         let ordering = match compare.target {
             Target::Version => row.map_or(0, |r| r.version).cmp(&compare.version.0),
-            Target::Create => row.map_or(0, |r| r.created).cmp(&compare.create_revision.0),
-            Target::Mod => row.map_or(0, |r| r.changed).cmp(&compare.mod_revision.0),
+            Target::Create => row
+                .map_or(0, |r| r.create_revision)
+                .cmp(&compare.create_revision.0),
+            Target::Mod => row
+                .map_or(0, |r| r.mod_revision)
+                .cmp(&compare.mod_revision.0),
             Target::Value => match row {
                 Some(row) => row.value.cmp(&compare.value.0),
                 None => return false,
@@ -136,7 +146,7 @@
     fn apply(&mut self, op: &RequestOp, revision: i64, changes: &mut Vec<Change>) -> ResponseOp {
         match op {
             RequestOp::Put(put) => {
-                self.put(put, revision);
+                self.write_row(put, revision);
                 changes.push(Change {
                     key: put.key.0.clone(),
                     value: Some(put.value.0.clone()),
@@ -156,15 +166,15 @@
         }
     }
 
-    fn put(&mut self, put: &PutRequest, revision: i64) {
+    fn write_row(&mut self, put: &PutRequest, revision: i64) {
         let row = self.rows.entry(put.key.0.clone()).or_insert(Row {
             value: Vec::new(),
-            created: revision,
-            changed: revision,
+            create_revision: revision,
+            mod_revision: revision,
             version: 0,
         });
         row.value.clone_from(&put.value.0);
-        row.changed = revision;
+        row.mod_revision = revision;
         row.version += 1;
     }
 }
@@ -173,8 +183,8 @@
     KeyValue {
         key: Bytes(key.to_vec()),
         value: Bytes(row.value.clone()),
-        create_revision: Int(row.created),
-        mod_revision: Int(row.changed),
+        create_revision: Int(row.create_revision),
+        mod_revision: Int(row.mod_revision),
         version: Int(row.version),
     }
 }
--- a/hibiscusroad-standins/src/platform/wire.rs
+++ b/hibiscusroad-standins/src/platform/wire.rs
@@ -1,12 +1,12 @@
-//! The table service's JSON, as etcd's gateway speaks it.
+//! The table service's JSON messages, in the format of etcd's gRPC gateway.
 //!
-//! The gateway sends 64-bit numbers as strings and takes strings or numbers;
-//! keys and values are base64.
+//! 64-bit integers are sent as strings and accepted as strings or numbers.
+//! Keys and values are encoded in base64.
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A 64-bit number.
+/// A 64-bit integer, encoded as a string.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Int(pub i64);
 
@@ -20,18 +20,18 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum Encoded {
             Number(i64),
             Text(String),
         }
-        match Form::deserialize(deserializer)? {
-            Form::Number(number) => Ok(Self(number)),
-            Form::Text(text) => text.parse().map(Self).map_err(de::Error::custom),
+        match Encoded::deserialize(deserializer)? {
+            Encoded::Number(number) => Ok(Self(number)),
+            Encoded::Text(text) => text.parse().map(Self).map_err(de::Error::custom),
         }
     }
 }
 
-/// Bytes of a key or a value.
+/// A key or value, encoded in base64.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Bytes(pub Vec<u8>);
 
@@ -48,54 +48,54 @@
     }
 }
 
-/// The state of the table that an answer was made from.
+/// The header of a response.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Header {
-    /// Number of the last write.
+    /// The table's revision.
     pub revision: Int,
 }
 
-/// Asks for one key, or for all from `key` up to `range_end`.
+/// Requests one key, or the range from `key` up to `range_end`.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct RangeRequest {
     /// The first key.
     pub key: Bytes,
-    /// The key after the last; empty for one key, a zero byte for no end.
+    /// The exclusive end; empty for the single key, a zero byte for no upper bound.
     #[serde(alias = "rangeEnd", default)]
     pub range_end: Bytes,
-    /// Rows that the answer may have; 0 for all.
+    /// The maximum number of returned rows; 0 for no limit.
     #[serde(default)]
     pub limit: Int,
-    /// Rows changed by an older write than this are left out.
-    #[serde(alias = "minModRevision", default, rename = "min_mod_revision")]
-    pub since: Int,
+    /// Rows whose last change is older than this revision are omitted.
+    #[serde(alias = "minModRevision", default)]
+    pub min_mod_revision: Int,
 }
 
-/// One row.
+/// A row of a response.
 #[derive(Clone, Debug, Serialize)]
 pub struct KeyValue {
     /// Its key.
     pub key: Bytes,
     /// Its value.
     pub value: Bytes,
-    /// The write that made it.
+    /// The revision that created it.
     pub create_revision: Int,
-    /// The write that changed it last.
+    /// The revision that changed it last.
     pub mod_revision: Int,
-    /// How often it was written since it was made.
+    /// The number of writes since its creation.
     pub version: Int,
 }
 
-/// Answers a [`RangeRequest`].
+/// The response to a [`RangeRequest`].
 #[derive(Clone, Debug, Serialize)]
 pub struct RangeResponse {
-    /// The state it was made from.
+    /// The response header.
     pub header: Header,
-    /// The rows, by key.
+    /// The rows in the order of their keys.
     pub kvs: Vec<KeyValue>,
-    /// Rows in the range, whatever the limit.
+    /// The number of rows in the range, regardless of the limit.
     pub count: Int,
-    /// Whether the limit left some out.
+    /// Whether more rows exist than the limit allows.
     pub more: bool,
 }
 
@@ -109,33 +109,33 @@
     pub value: Bytes,
 }
 
-/// What a comparison looks at.
+/// The attribute of a row that a comparison checks.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// How often the row was written; 0 if there is none.
+    /// The number of writes since creation; 0 if the row doesn't exist.
     #[default]
     Version,
-    /// The write that made it; 0 if there is none.
+    /// The revision that created the row; 0 if it doesn't exist.
     Create,
-    /// The write that changed it last; 0 if there is none.
+    /// The revision that changed the row last; 0 if it doesn't exist.
     Mod,
-    /// Its value; no comparison holds if there is none.
+    /// The row's value; comparisons fail if the row doesn't exist.
     Value,
 }
 
-/// How a comparison compares.
+/// The relation that a comparison requires.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
-    /// The row's is the same.
+    /// The row's attribute is equal to the given one.
     #[default]
     Equal,
-    /// The row's is greater.
+    /// The row's attribute is greater.
     Greater,
-    /// The row's is less.
+    /// The row's attribute is less.
     Less,
-    /// The row's is another.
+    /// The row's attribute differs.
     NotEqual,
 }
 
@@ -144,22 +144,22 @@
 pub struct Compare {
     /// The row's key.
     pub key: Bytes,
-    /// What is compared.
+    /// The compared attribute.
     #[serde(default)]
     pub target: Target,
-    /// How it is compared.
+    /// The required relation.
     #[serde(default)]
     pub result: Relation,
-    /// For [`Target::Version`].
+    /// The operand for [`Target::Version`].
     #[serde(default)]
     pub version: Int,
-    /// For [`Target::Create`].
+    /// The operand for [`Target::Create`].
     #[serde(alias = "createRevision", default)]
     pub create_revision: Int,
-    /// For [`Target::Mod`].
+    /// The operand for [`Target::Mod`].
     #[serde(alias = "modRevision", default)]
     pub mod_revision: Int,
-    /// For [`Target::Value`].
+    /// The operand for [`Target::Value`].
     #[serde(default)]
     pub value: Bytes,
 }
@@ -178,52 +178,52 @@
     DeleteRange(RangeRequest),
 }
 
-/// A transaction: `success` if all comparisons hold, else `failure`.
+/// A transaction that runs `success` if all comparisons hold, else `failure`.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct TxnRequest {
     /// The comparisons.
     #[serde(default)]
     pub compare: Vec<Compare>,
-    /// Done if all hold.
+    /// The operations if all comparisons hold.
     #[serde(default)]
     pub success: Vec<RequestOp>,
-    /// Done otherwise.
+    /// The operations otherwise.
     #[serde(default)]
     pub failure: Vec<RequestOp>,
 }
 
-/// Answers a put.
+/// The response to a put.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PutResponse {}
 
-/// Answers a deletion.
+/// The response to a deletion.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DeleteResponse {
-    /// Rows that were deleted.
+    /// The number of deleted rows.
     pub deleted: Int,
 }
 
-/// Answers one operation.
+/// The response to one operation.
 #[derive(Clone, Debug, Serialize)]
 pub enum ResponseOp {
-    /// A put.
+    /// The response to [`RequestOp::Put`].
     #[serde(rename = "response_put")]
     Put(PutResponse),
-    /// A read.
+    /// The response to [`RequestOp::Range`].
     #[serde(rename = "response_range")]
     Range(RangeResponse),
-    /// A deletion.
+    /// The response to [`RequestOp::DeleteRange`].
     #[serde(rename = "response_delete_range")]
     DeleteRange(DeleteResponse),
 }
 
-/// Answers a transaction.
+/// The response to a transaction.
 #[derive(Clone, Debug, Serialize)]
 pub struct TxnResponse {
-    /// The state after it.
+    /// The response header, with the revision after the transaction.
     pub header: Header,
     /// Whether all comparisons held.
     pub succeeded: bool,
-    /// One answer for each operation done.
+    /// One response for each operation that ran.
     pub responses: Vec<ResponseOp>,
 }
