--- a/hibiscusroad-standins/src/engine/batch.rs
+++ b/hibiscusroad-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: one token for each sequence of the batch a step.
+//! Continuous batching: each step generates one token per sequence of the batch.
 
 use super::{Faults, Load, Settings, cache::Cache, text};
 use flume::{Receiver, Sender};
@@ -9,31 +9,31 @@
     time::{Duration, Instant},
 };
 
-// How often the load is noted when there is no step.
-const IDLE: Duration = Duration::from_millis(20);
-const LOADS: usize = 4096;
+/// The interval of load samples while no step runs.
+const IDLE_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_LOAD_SAMPLES: usize = 4096;
 
-/// One token, or the prompt read if `index` is none.
+/// A generated token.
 #[derive(Clone, Debug)]
 pub struct Token {
-    /// Its place in the answer.
+    /// The token's index in the answer.
     pub index: u64,
     /// The weight version that produced it.
     pub version: Arc<str>,
-    /// Tokens of the prompt that the cache spared.
+    /// The number of prompt tokens found in the cache.
     pub cached: u64,
 }
 
-/// What a caller asks for.
+/// A request for a completion.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct BatchRequest {
     /// The prompt.
     pub prompt: String,
-    /// The first token to generate.
+    /// The index of the first token to generate.
     pub from: u64,
-    /// The token after the last.
+    /// The end of the generated tokens, exclusive.
     pub to: u64,
-    /// Lower ones come first.
+    /// The priority; lower values are scheduled first.
     pub priority: i64,
 }
 
@@ -42,7 +42,8 @@
     priority: i64,
     arrival: u64,
     prompt: String,
-    unread: u64,
+    /// Tokens to process before generation starts.
+    unread_tokens: u64,
     cached: u64,
     next: u64,
     end: u64,
@@ -52,7 +53,7 @@
 #[derive(Debug)]
 struct Inner {
     queue: Vec<Sequence>,
-    batch: Vec<Sequence>,
+    running: Vec<Sequence>,
     cache: Cache,
     version: Arc<str>,
     faults: Faults,
@@ -60,7 +61,7 @@
     stopping: bool,
     arrivals: u64,
     generated: u64,
-    loads: VecDeque<(Instant, Load)>,
+    load_samples: VecDeque<(Instant, Load)>,
 }
 
 /// The sequences of an engine and the thread that runs them.
@@ -76,19 +77,19 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if no thread can be started.
+    /// Returns an I/O error if the thread can't be started.
     pub fn start(settings: Settings) -> std::io::Result<Arc<Self>> {
         let inner = Inner {
             queue: Vec::new(),
-            batch: Vec::new(),
-            cache: Cache::new(settings.cache),
+            running: Vec::new(),
+            cache: Cache::new(settings.cache_tokens),
             version: Arc::from(settings.version.as_str()),
             faults: Faults::default(),
             swapping: false,
             stopping: false,
             arrivals: 0,
             generated: 0,
-            loads: VecDeque::new(),
+            load_samples: VecDeque::new(),
         };
         let batch = Arc::new(Self {
             settings,
@@ -98,7 +99,7 @@
         let shared = Arc::clone(&batch);
         thread::Builder::new()
             .name("batch".to_owned())
-            .spawn(move || while shared.turn() {})?;
+            .spawn(move || while shared.run_step() {})?;
         Ok(batch)
     }
 
@@ -106,37 +107,38 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues a request. Its tokens come through the channel, which closes
-    /// after the last; dropping the receiver cancels it.
-    pub fn add(&self, ask: Ask) -> Receiver<Token> {
-        let (tokens, receiver) = flume::unbounded();
+    /// Queues a request and returns the channel of its tokens.
+    ///
+    /// The channel closes after the last token. Dropping the receiver cancels the request.
+    pub fn add(&self, request: BatchRequest) -> Receiver<Token> {
+        let (tokens, rx) = flume::unbounded();
         let mut inner = self.lock();
         inner.arrivals += 1;
         let arrival = inner.arrivals;
         inner.queue.push(Sequence {
-            priority: ask.priority,
+            priority: request.priority,
             arrival,
-            unread: text::count(&ask.prompt) + ask.from,
-            prompt: ask.prompt,
+            unread_tokens: text::count(&request.prompt) + request.from,
+            prompt: request.prompt,
             cached: 0,
-            next: ask.from,
-            end: ask.to,
+            next: request.from,
+            end: request.to,
             tokens,
         });
         inner.queue.sort_by_key(|s| (s.priority, s.arrival));
         drop(inner);
         self.changed.notify_all();
-        receiver
+        rx
     }
 
-    /// Returns the load as it was the settings' lag ago.
+    /// Returns the latest load sample that is at least `load_lag` old.
     #[must_use]
     pub fn load(&self) -> Load {
         let inner = self.lock();
         let now = Instant::now();
-        let old = |at: &Instant| now.saturating_duration_since(*at) >= self.settings.lag;
-        let seen = inner.loads.iter().rev().find(|(at, _)| old(at));
-        let (at, mut load) = match seen {
+        let is_due = |at: &Instant| now.saturating_duration_since(*at) >= self.settings.load_lag;
+        let sample = inner.load_samples.iter().rev().find(|(at, _)| is_due(at));
+        let (at, mut load) = match sample {
             Some((at, load)) => (*at, load.clone()),
             None => (now, inner.load(&self.settings)),
         };
@@ -145,73 +147,73 @@
         load
     }
 
-    /// Returns the version that generates now.
+    /// Returns the weight version in use.
     #[must_use]
     pub fn version(&self) -> Arc<str> {
         Arc::clone(&self.lock().version)
     }
 
-    /// Holds all sequences back while another version is loaded.
+    /// Pauses or resumes generation, for the time of a swap.
     pub fn set_swapping(&self, swapping: bool) {
         self.lock().swapping = swapping;
         self.changed.notify_all();
     }
 
-    /// Changes the version, and forgets what the old one cached.
+    /// Changes the weight version and clears the prefix cache.
     pub fn set_version(&self, version: &str) {
         let mut inner = self.lock();
         inner.version = Arc::from(version);
         inner.cache.clear();
     }
 
-    /// Returns the faults that are on.
+    /// Returns the active faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Switches faults on and off.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
         self.changed.notify_all();
     }
 
-    /// Loses all sequences, the cache and the version, as a restart does.
+    /// Drops all sequences and the cache and resets the weight version, like a restart.
     pub fn crash(&self) {
         let mut inner = self.lock();
         inner.queue.clear();
-        inner.batch.clear();
+        inner.running.clear();
         inner.cache.clear();
         inner.version = Arc::from(self.settings.version.as_str());
     }
 
-    /// Ends the thread.
+    /// Drops all sequences and stops the thread.
     pub fn stop(&self) {
         let mut inner = self.lock();
         inner.stopping = true;
         inner.queue.clear();
-        inner.batch.clear();
+        inner.running.clear();
         drop(inner);
         self.changed.notify_all();
     }
 
-    // One step; false if there is no more.
-    fn turn(&self) -> bool {
+    /// Runs a step; returns false if the batch is stopped.
+    fn run_step(&self) -> bool {
         let mut inner = self.lock();
-        inner.note(&self.settings);
+        inner.sample_load(&self.settings);
         if inner.stopping {
             return false;
         }
         inner.admit(&self.settings);
-        if inner.batch.is_empty() || inner.swapping || inner.faults.stuck {
-            // What the wait returns doesn't matter: the next turn looks again.
-            drop(self.changed.wait_timeout(inner, IDLE));
+        if inner.running.is_empty() || inner.swapping || inner.faults.stuck {
+            // The next step checks the state again, whether or not the wait timed out.
+            drop(self.changed.wait_timeout(inner, IDLE_INTERVAL));
             return true;
         }
-        let ready = inner.read(self.settings.prompt);
-        let time = inner.step_time(&self.settings);
+        let ready = inner.process_prompts(self.settings.prompt_tokens);
+        let duration = inner.step_time(&self.settings);
         drop(inner);
-        thread::sleep(time);
+        thread::sleep(duration);
         self.lock().generate(&ready);
         true
     }
@@ -220,39 +222,40 @@
 impl Inner {
     fn admit(&mut self, settings: &Settings) {
         self.queue.retain(|s| !s.tokens.is_disconnected());
-        while self.batch.len() < settings.batch && !self.queue.is_empty() {
+        while self.running.len() < settings.max_batch && !self.queue.is_empty() {
             let mut sequence = self.queue.remove(0);
-            sequence.cached = self.cache.read(&sequence.prompt);
-            sequence.unread -= sequence.cached.min(sequence.unread);
-            self.batch.push(sequence);
+            sequence.cached = self.cache.lookup(&sequence.prompt);
+            sequence.unread_tokens -= sequence.cached.min(sequence.unread_tokens);
+            self.running.push(sequence);
         }
     }
 
-    // Reads prompts within the step's budget; returns who generates in it.
-    fn read(&mut self, mut budget: u64) -> Vec<u64> {
+    /// Processes prompts within the step's token budget; returns the arrival numbers of the
+    /// sequences that are ready to generate.
+    fn process_prompts(&mut self, mut budget: u64) -> Vec<u64> {
         let mut ready = Vec::new();
-        for sequence in &mut self.batch {
-            if sequence.unread == 0 {
+        for sequence in &mut self.running {
+            if sequence.unread_tokens == 0 {
                 ready.push(sequence.arrival);
                 continue;
             }
-            let count = sequence.unread.min(budget);
-            sequence.unread -= count;
+            let count = sequence.unread_tokens.min(budget);
+            sequence.unread_tokens -= count;
             budget -= count;
         }
         ready
     }
 
     fn step_time(&self, settings: &Settings) -> Duration {
-        let batch = u32::try_from(self.batch.len()).unwrap_or(u32::MAX);
-        let time = settings.step + settings.sequence * batch;
+        let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
+        let time = settings.step_time + settings.sequence_time * running;
         time.mul_f64(self.faults.slow_factor.max(0.0))
     }
 
     fn generate(&mut self, ready: &[u64]) {
         let version = &self.version;
         let mut generated = 0;
-        self.batch.retain_mut(|sequence| {
+        self.running.retain_mut(|sequence| {
             if sequence.next >= sequence.end {
                 return false;
             }
@@ -266,31 +269,33 @@
             };
             sequence.next += 1;
             generated += 1;
-            // A receiver that is gone has cancelled its request.
+            // Sending fails if the request was cancelled.
             sequence.tokens.send(token).is_ok() && sequence.next < sequence.end
         });
         self.generated += generated;
     }
 
     fn load(&self, settings: &Settings) -> Load {
-        let all = self.queue.iter().chain(&self.batch);
+        let sequences = self.queue.iter().chain(&self.running);
         Load {
-            running: self.batch.len(),
+            running: self.running.len(),
             queued: self.queue.len(),
-            limit: settings.batch,
-            tokens: all.map(|s| s.unread + s.end.saturating_sub(s.next)).sum(),
-            cache_free: self.cache.free(),
+            limit: settings.max_batch,
+            tokens: sequences
+                .map(|s| s.unread_tokens + s.end.saturating_sub(s.next))
+                .sum(),
+            cache_free: self.cache.free_tokens(),
             version: self.version.to_string(),
             generated: self.generated,
             age_ms: 0,
         }
     }
 
-    fn note(&mut self, settings: &Settings) {
+    fn sample_load(&mut self, settings: &Settings) {
         let load = self.load(settings);
-        self.loads.push_back((Instant::now(), load));
-        if self.loads.len() > LOADS {
-            self.loads.pop_front();
+        self.load_samples.push_back((Instant::now(), load));
+        if self.load_samples.len() > MAX_LOAD_SAMPLES {
+            self.load_samples.pop_front();
         }
     }
 }
--- a/hibiscusroad-standins/src/engine/cache.rs
+++ b/hibiscusroad-standins/src/engine/cache.rs
@@ -1,66 +1,67 @@
-//! The prefix cache: blocks of prompts that need not be read again.
+//! The prefix cache, which remembers processed blocks of prompts.
 
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens of a block.
-pub const BLOCK: u64 = 16;
+/// The number of tokens in a block.
+pub const BLOCK_TOKENS: u64 = 16;
 
-/// Blocks by the hash of the whole prompt up to their end.
+/// A cache of prompt prefixes that evicts the least recently used blocks.
 #[derive(Debug)]
 pub struct Cache {
-    blocks: HashMap<u64, u64>,
-    capacity: usize,
-    uses: u64,
+    /// The last use of each block, by the hash of the prompt up to its end.
+    last_uses: HashMap<u64, u64>,
+    max_blocks: usize,
+    use_count: u64,
 }
 
 impl Cache {
-    /// Creates an empty cache of `tokens` tokens.
+    /// Creates an empty cache that holds `tokens` tokens.
     #[must_use]
     pub fn new(tokens: u64) -> Self {
         Self {
-            blocks: HashMap::new(),
-            capacity: usize::try_from(tokens / BLOCK).unwrap_or(usize::MAX),
-            uses: 0,
+            last_uses: HashMap::new(),
+            max_blocks: usize::try_from(tokens / BLOCK_TOKENS).unwrap_or(usize::MAX),
+            use_count: 0,
         }
     }
 
-    /// Returns how many tokens of the prompt's start are cached, and caches it.
-    pub fn read(&mut self, prompt: &str) -> u64 {
+    /// Returns the length of the prompt's cached prefix in tokens, and caches the prompt.
+    pub fn lookup(&mut self, prompt: &str) -> u64 {
         let words: Vec<&str> = prompt.split_whitespace().collect();
         let mut hash = 0;
         let mut hits = 0;
         let mut missed = false;
-        for block in words.chunks_exact(usize::try_from(BLOCK).unwrap_or(1)) {
+        for block in words.chunks_exact(usize::try_from(BLOCK_TOKENS).unwrap_or(1)) {
             hash = xxh3_64_with_seed(block.join(" ").as_bytes(), hash);
-            self.uses += 1;
-            let known = self.blocks.insert(hash, self.uses).is_some();
-            missed |= !known;
+            self.use_count += 1;
+            let is_cached = self.last_uses.insert(hash, self.use_count).is_some();
+            missed |= !is_cached;
             hits += u64::from(!missed);
         }
         self.evict();
-        hits * BLOCK
+        hits * BLOCK_TOKENS
     }
 
-    /// Returns how many more tokens fit in.
+    /// Returns the free capacity in tokens.
     #[must_use]
-    pub fn free(&self) -> u64 {
-        self.capacity.saturating_sub(self.blocks.len()) as u64 * BLOCK
+    pub fn free_tokens(&self) -> u64 {
+        self.max_blocks.saturating_sub(self.last_uses.len()) as u64 * BLOCK_TOKENS
     }
 
-    /// Forgets everything.
+    /// Removes all blocks.
     pub fn clear(&mut self) {
-        self.blocks.clear();
+        self.last_uses.clear();
     }
 
-    // Removes the blocks used longest ago.
+    /// Removes the least recently used blocks in excess of the capacity.
     fn evict(&mut self) {
-        let Some(excess) = self.blocks.len().checked_sub(self.capacity + 1) else {
+        let Some(excess) = self.last_uses.len().checked_sub(self.max_blocks + 1) else {
             return;
         };
-        let mut uses: Vec<u64> = self.blocks.values().copied().collect();
+        let mut uses: Vec<u64> = self.last_uses.values().copied().collect();
         let (_, last, _) = uses.select_nth_unstable(excess);
         let last = *last;
-        self.blocks.retain(|_, used| *used > last);
+        self.last_uses.retain(|_, used| *used > last);
     }
 }
--- a/hibiscusroad-standins/src/engine/mod.rs
+++ b/hibiscusroad-standins/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! A model engine: completions by continuous batching, a prefix cache,
-//! priorities, weight versions.
+//! A model engine with continuous batching, a prefix cache, priorities and weight
+//! versions.
 //!
-//! The text is worked out from the prompt alone, so that a checker can tell
-//! whether an answer is whole and whose it is. Each event of a stream names
-//! the version that produced its token in `system_fingerprint`.
+//! The generated text depends on the prompt only, so that a checker can verify that an
+//! answer is complete and belongs to its request. Each event of a stream names the weight
+//! version that generated its token in `system_fingerprint`.
 
 mod batch;
 mod cache;
@@ -11,74 +11,74 @@
 pub mod text;
 
 use crate::http::{Exchange, FREE, Server};
-use batch::{Ask, Batch, Token};
+use batch::{Batch, BatchRequest, Token};
 use flume::{Receiver, RecvTimeoutError};
 use orders::Orders;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
-const MODEL: &str = "guide";
-// Tokens of a request that doesn't say.
-const MAX_TOKENS: u64 = 16;
-// How often a request that waits for a token looks whether its caller left.
-const POLL: Duration = Duration::from_millis(20);
+const MODEL_ID: &str = "guide";
+/// The limit of requests without `max_tokens`.
+const DEFAULT_MAX_TOKENS: u64 = 16;
+/// The interval at which a waiting request checks the caller's connection.
+const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How an engine starts.
+/// Settings of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Time of a step.
-    pub step: Duration,
-    /// Time that each sequence of the batch adds to a step.
-    pub sequence: Duration,
-    /// Sequences that are generated at once.
-    pub batch: usize,
-    /// Prompt tokens that a step reads.
-    pub prompt: u64,
-    /// Tokens that the prefix cache holds.
-    pub cache: u64,
-    /// How old a load report is at the least.
-    pub lag: Duration,
-    /// The weight version at the start.
+    /// The fixed duration of a step.
+    pub step_time: Duration,
+    /// The time that each sequence of the batch adds to a step.
+    pub sequence_time: Duration,
+    /// The maximum number of sequences in the batch.
+    pub max_batch: usize,
+    /// The maximum number of prompt tokens processed in a step.
+    pub prompt_tokens: u64,
+    /// The capacity of the prefix cache in tokens.
+    pub cache_tokens: u64,
+    /// The minimum age of load reports.
+    pub load_lag: Duration,
+    /// The initial weight version.
     pub version: String,
-    /// How long it takes to load another version.
-    pub swap: Duration,
-    /// Whether an order with an old number is refused.
-    pub fences: bool,
-    /// URL of the weight store that versions are fetched from, if any.
-    pub weights: Option<String>,
+    /// The duration of loading another version.
+    pub swap_time: Duration,
+    /// Whether orders with an outdated fencing token are refused.
+    pub checks_fence: bool,
+    /// The URL of the weight store that versions are fetched from, if any.
+    pub weights_url: Option<String>,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             listen: FREE,
-            step: Duration::from_millis(5),
-            sequence: Duration::from_micros(50),
-            batch: 32,
-            prompt: 2048,
-            cache: 16_384,
-            lag: Duration::from_millis(200),
+            step_time: Duration::from_millis(5),
+            sequence_time: Duration::from_micros(50),
+            max_batch: 32,
+            prompt_tokens: 2048,
+            cache_tokens: 16_384,
+            load_lag: Duration::from_millis(200),
             version: "1".to_owned(),
-            swap: Duration::from_millis(300),
-            fences: false,
-            weights: None,
+            swap_time: Duration::from_millis(300),
+            checks_fence: false,
+            weights_url: None,
         }
     }
 }
 
-/// What becomes of an order to load a version.
+/// The outcome of orders to load a version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SwapFault {
-    /// It is done.
+    /// The version is loaded.
     #[default]
     None,
-    /// It fails, and the old version stays.
+    /// Loading fails and the old version stays.
     Fail,
-    /// It is said to be done, but this version is loaded.
+    /// This version is loaded instead, and success is reported.
     Other(String),
 }
 
@@ -86,15 +86,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// No sequence goes on; connections stay open.
+    /// No sequence makes progress; connections stay open.
     pub stuck: bool,
-    /// How many times longer a step takes.
+    /// The factor by which a step takes longer.
     pub slow_factor: f64,
-    /// Loses all work and closes all connections, once.
+    /// Drops all sequences and closes all connections, once.
     pub crash: bool,
-    /// Connections are closed before anything is done.
+    /// Connections are closed before a request takes effect.
     pub down: bool,
-    /// What becomes of orders.
+    /// The outcome of orders.
     pub swap: SwapFault,
 }
 
@@ -110,24 +110,24 @@
     }
 }
 
-/// What an engine reports of itself.
+/// The load report of an engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Sequences in the batch.
+    /// The number of sequences in the batch.
     pub running: usize,
-    /// Requests that wait for the batch.
+    /// The number of queued requests.
     pub queued: usize,
-    /// Sequences that the batch may have.
+    /// The maximum number of sequences in the batch.
     pub limit: usize,
-    /// Tokens still to be read and generated.
+    /// Tokens of all requests still to be processed or generated.
     pub tokens: u64,
-    /// Free tokens of the prefix cache.
+    /// The free capacity of the prefix cache in tokens.
     pub cache_free: u64,
     /// The weight version.
     pub version: String,
     /// Tokens generated since the start.
     pub generated: u64,
-    /// How old the report is.
+    /// The age of the report in milliseconds.
     pub age_ms: u64,
 }
 
@@ -143,13 +143,13 @@
     priority: i64,
     #[serde(default)]
     request_id: Option<String>,
-    // Tokens that the caller has already.
+    /// The number of tokens that the caller has received already.
     #[serde(default)]
     resume_from: u64,
 }
 
 fn default_tokens() -> u64 {
-    MAX_TOKENS
+    DEFAULT_MAX_TOKENS
 }
 
 #[derive(Debug)]
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen or start a thread.
+    /// Returns an I/O error if it can't listen or start a thread.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let listen = settings.listen;
         let batch = Batch::start(settings.clone())?;
@@ -183,19 +183,19 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns its load report.
+    /// Returns the load report.
     #[must_use]
     pub fn load(&self) -> Load {
         self.state.batch.load()
     }
 
-    /// Switches faults on and off.
+    /// Replaces the active faults, and crashes the engine if `crash` is set.
     pub fn set_faults(&self, faults: Faults) {
         if faults.crash {
             self.state.batch.crash();
@@ -204,7 +204,7 @@
         self.state.batch.set_faults(faults);
     }
 
-    /// Stops it at once.
+    /// Stops listening, closes all connections and drops all sequences.
     pub fn stop(&self) {
         self.server.stop();
         self.state.batch.stop();
@@ -218,29 +218,29 @@
 }
 
 fn handle(state: &State, mut exchange: Exchange) {
-    let route = (exchange.method(), exchange.path().to_owned());
-    let route = (route.0.as_str(), route.1.as_str());
+    let call = (exchange.method(), exchange.path().to_owned());
+    let route = (call.0.as_str(), call.1.as_str());
     if route.1 != "/control" && state.batch.faults().down {
         return exchange.cut();
     }
     match route {
         ("POST", "/v1/completions") => match exchange.json() {
-            Ok(ask) => complete(state, exchange, ask),
+            Ok(request) => complete(state, exchange, request),
             Err(error) => exchange.refuse(400, &error.to_string()),
         },
-        ("POST", "/v1/weights") => state.orders.load(exchange),
+        ("POST", "/v1/weights") => state.orders.execute(exchange),
         ("GET", "/v1/models") => {
-            let id = json!([{ "id": MODEL, "object": "model" }]);
-            exchange.answer(200, &json!({ "object": "list", "data": id }));
+            let models = json!([{ "id": MODEL_ID, "object": "model" }]);
+            exchange.answer(200, &json!({ "object": "list", "data": models }));
         }
         ("GET", "/load") => exchange.answer(200, &state.batch.load()),
-        ("POST", "/control") => control(state, exchange),
+        ("POST", "/control") => handle_control(state, exchange),
         ("GET", "/control") => exchange.answer(200, &state.batch.faults()),
         _ => exchange.refuse(404, "no such path"),
     }
 }
 
-fn control(state: &State, mut exchange: Exchange) {
+fn handle_control(state: &State, mut exchange: Exchange) {
     match exchange.json::<Faults>() {
         Ok(faults) => {
             if faults.crash {
@@ -254,125 +254,125 @@
     }
 }
 
-fn complete(state: &State, exchange: Exchange, ask: Completion) {
-    let tokens = state.batch.add(Ask {
-        prompt: ask.prompt.clone(),
-        from: ask.resume_from,
-        to: ask.max_tokens,
-        priority: ask.priority,
+fn complete(state: &State, exchange: Exchange, request: Completion) {
+    let tokens = state.batch.add(BatchRequest {
+        prompt: request.prompt.clone(),
+        from: request.resume_from,
+        to: request.max_tokens,
+        priority: request.priority,
     });
-    let reply = Reply::new(state, ask);
-    if reply.ask.stream {
-        stream(exchange, &tokens, reply);
+    let reply = Reply::new(state, request);
+    if reply.request.stream {
+        send_stream(exchange, &tokens, reply);
     } else {
-        whole(exchange, &tokens, reply);
+        send_whole(exchange, &tokens, reply);
     }
 }
 
-// Waits for a token; none after the last, or if the caller has left.
-fn next(tokens: &Receiver<Token>, open: &impl Fn() -> bool) -> Option<Token> {
+/// Waits for a token; returns `None` after the last or if the caller has disconnected.
+fn next_token(tokens: &Receiver<Token>, is_open: &impl Fn() -> bool) -> Option<Token> {
     loop {
-        match tokens.recv_timeout(POLL) {
+        match tokens.recv_timeout(CONNECTION_POLL_INTERVAL) {
             Ok(token) => return Some(token),
-            Err(RecvTimeoutError::Timeout) if open() => {}
+            Err(RecvTimeoutError::Timeout) if is_open() => {}
             Err(_) => return None,
         }
     }
 }
 
-fn stream(exchange: Exchange, tokens: &Receiver<Token>, mut reply: Reply) {
-    let open = exchange.watch();
+fn send_stream(exchange: Exchange, tokens: &Receiver<Token>, mut reply: Reply) {
+    let is_open = exchange.watch();
     let Ok(mut events) = exchange.stream() else {
         return;
     };
-    while let Some(token) = next(tokens, &open) {
-        let event = reply.event(&token);
+    while let Some(token) = next_token(tokens, &is_open) {
+        let event = reply.token_event(&token);
         if events.send(&event.to_string()).is_err() {
             return;
         }
     }
-    if !reply.is_whole() {
+    if !reply.is_complete() {
         return events.abandon();
     }
-    // A caller that leaves now has all tokens already.
-    let _ = events.send(&reply.last().to_string());
+    // A caller that disconnects now has received all tokens already.
+    let _ = events.send(&reply.final_event().to_string());
     let _ = events.send("[DONE]");
 }
 
-fn whole(exchange: Exchange, tokens: &Receiver<Token>, mut reply: Reply) {
-    let open = exchange.watch();
+fn send_whole(exchange: Exchange, tokens: &Receiver<Token>, mut reply: Reply) {
+    let is_open = exchange.watch();
     let mut text = String::new();
-    while let Some(token) = next(tokens, &open) {
-        text.push_str(&text::token(&reply.ask.prompt, token.index));
-        reply.note(&token);
+    while let Some(token) = next_token(tokens, &is_open) {
+        text.push_str(&text::token(&reply.request.prompt, token.index));
+        reply.record(&token);
     }
-    if !reply.is_whole() {
+    if !reply.is_complete() {
         return exchange.cut();
     }
-    let mut answer = reply.last();
+    let mut answer = reply.final_event();
     answer["choices"][0]["text"] = Value::String(text);
     exchange.answer(200, &answer);
 }
 
 #[derive(Debug)]
 struct Reply {
-    ask: Completion,
+    request: Completion,
     id: String,
     version: Arc<str>,
-    next: u64,
-    cached: u64,
+    next_index: u64,
+    cached_tokens: u64,
 }
 
 impl Reply {
-    fn new(state: &State, ask: Completion) -> Self {
-        let id = ask.request_id.clone();
+    fn new(state: &State, request: Completion) -> Self {
+        let id = request.request_id.clone();
         Self {
-            id: id.unwrap_or_else(|| format!("cmpl-{}", state.orders.number())),
+            id: id.unwrap_or_else(|| format!("cmpl-{}", state.orders.next_number())),
             version: state.batch.version(),
-            next: ask.resume_from,
-            cached: 0,
-            ask,
+            next_index: request.resume_from,
+            cached_tokens: 0,
+            request,
         }
     }
 
-    fn note(&mut self, token: &Token) {
+    fn record(&mut self, token: &Token) {
         self.version = Arc::clone(&token.version);
-        self.next = token.index + 1;
-        self.cached = token.cached;
+        self.next_index = token.index + 1;
+        self.cached_tokens = token.cached;
     }
 
-    fn is_whole(&self) -> bool {
-        self.next >= self.ask.max_tokens
+    fn is_complete(&self) -> bool {
+        self.next_index >= self.request.max_tokens
     }
 
-    fn event(&mut self, token: &Token) -> Value {
-        self.note(token);
-        let text = text::token(&self.ask.prompt, token.index);
-        let mut event = self.frame(&text, &Value::Null);
+    fn token_event(&mut self, token: &Token) -> Value {
+        self.record(token);
+        let text = text::token(&self.request.prompt, token.index);
+        let mut event = self.event(&text, &Value::Null);
         event["offset"] = json!(token.index);
         event
     }
 
-    fn last(&self) -> Value {
-        let prompt = text::count(&self.ask.prompt);
-        let generated = self.next.saturating_sub(self.ask.resume_from);
-        let mut event = self.frame("", &json!("length"));
+    fn final_event(&self) -> Value {
+        let prompt = text::count(&self.request.prompt);
+        let generated = self.next_index.saturating_sub(self.request.resume_from);
+        let mut event = self.event("", &json!("length"));
         event["usage"] = json!({
             "prompt_tokens": prompt,
             "completion_tokens": generated,
             "total_tokens": prompt + generated,
-            "prompt_tokens_details": { "cached_tokens": self.cached },
+            "prompt_tokens_details": { "cached_tokens": self.cached_tokens },
         });
         event
     }
 
-    fn frame(&self, text: &str, finish: &Value) -> Value {
+    fn event(&self, text: &str, finish_reason: &Value) -> Value {
         json!({
             "id": self.id,
             "object": "text_completion",
-            "model": MODEL,
+            "model": MODEL_ID,
             "system_fingerprint": &*self.version,
-            "choices": [{ "index": 0, "text": text, "finish_reason": finish }],
+            "choices": [{ "index": 0, "text": text, "finish_reason": finish_reason }],
         })
     }
 }
--- a/hibiscusroad-standins/src/engine/orders.rs
+++ b/hibiscusroad-standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load a weight version.
+//! Orders to load weight versions.
 
 use super::{Settings, SwapFault, batch::Batch};
 use crate::http::Exchange;
@@ -19,82 +19,84 @@
     fence: u64,
 }
 
-/// Answers an order that was done.
+/// The answer to an order that was carried out.
 #[derive(Debug, Serialize)]
-struct Done<'a> {
+struct OrderAnswer<'a> {
     version: &'a str,
     fence: u64,
 }
 
-/// What carries orders out, one at a time.
+/// Executes orders one at a time, and numbers requests.
 #[derive(Debug)]
 pub struct Orders {
     settings: Settings,
     batch: Arc<Batch>,
-    fence: Mutex<u64>,
-    busy: Mutex<()>,
-    count: AtomicU64,
+    /// The highest fencing token so far.
+    highest_fence: Mutex<u64>,
+    /// Held while an order is carried out.
+    execution: Mutex<()>,
+    next_number: AtomicU64,
 }
 
 impl Orders {
-    /// Creates it for the engine of `batch`.
+    /// Creates an executor of orders for the engine of `batch`.
     #[must_use]
     pub fn new(settings: Settings, batch: Arc<Batch>) -> Self {
         Self {
             settings,
             batch,
-            fence: Mutex::new(0),
-            busy: Mutex::new(()),
-            count: AtomicU64::new(0),
+            highest_fence: Mutex::new(0),
+            execution: Mutex::new(()),
+            next_number: AtomicU64::new(0),
         }
     }
 
-    /// Returns the next number of a row that goes on through all requests.
-    pub fn number(&self) -> u64 {
-        self.count.fetch_add(1, Ordering::Relaxed)
+    /// Returns the next request number.
+    pub fn next_number(&self) -> u64 {
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Carries out an order and answers it.
-    pub fn load(&self, mut exchange: Exchange) {
+    /// Executes an order and answers it.
+    pub fn execute(&self, mut exchange: Exchange) {
         let order = match exchange.json::<Order>() {
             Ok(order) => order,
             Err(error) => return exchange.refuse(400, &error.to_string()),
         };
-        let _busy = lock(&self.busy);
-        if !self.pass(order.fence) {
+        let _guard = lock(&self.execution);
+        if !self.accept_fence(order.fence) {
             return exchange.refuse(409, "a newer holder gave orders");
         }
         let version = match &order.version {
             Value::String(text) => text.clone(),
             other => other.to_string(),
         };
-        if let Err((status, message)) = self.swap(&version) {
+        if let Err((status, message)) = self.swap_weights(&version) {
             return exchange.refuse(status, &message);
         }
         let fence = order.fence;
         exchange.answer(
             200,
-            &Done {
+            &OrderAnswer {
                 version: &version,
                 fence,
             },
         );
     }
 
-    // Only an engine that checks numbers refuses old ones.
-    fn pass(&self, fence: u64) -> bool {
-        let mut highest = lock(&self.fence);
-        if self.settings.fences && fence < *highest {
+    /// Records the fencing token; returns false if it is outdated and the engine checks tokens.
+    fn accept_fence(&self, fence: u64) -> bool {
+        let mut highest = lock(&self.highest_fence);
+        if self.settings.checks_fence && fence < *highest {
             return false;
         }
         *highest = fence.max(*highest);
         true
     }
 
-    fn swap(&self, version: &str) -> Result<(), (u16, String)> {
-        self.fetch(version)?;
+    fn swap_weights(&self, version: &str) -> Result<(), (u16, String)> {
+        self.fetch_weights(version)?;
         self.batch.set_swapping(true);
-        thread::sleep(self.settings.swap);
+        thread::sleep(self.settings.swap_time);
         let outcome = match self.batch.faults().swap {
             SwapFault::None => {
                 self.batch.set_version(version);
@@ -110,11 +112,11 @@
         outcome
     }
 
-    fn fetch(&self, version: &str) -> Result<(), (u16, String)> {
-        let Some(store) = &self.settings.weights else {
+    fn fetch_weights(&self, version: &str) -> Result<(), (u16, String)> {
+        let Some(url) = &self.settings.weights_url else {
             return Ok(());
         };
-        match ureq::get(format!("{store}/weights/{version}")).call() {
+        match ureq::get(format!("{url}/weights/{version}")).call() {
             Ok(_) => Ok(()),
             Err(ureq::Error::StatusCode(429)) => Err((429, "weight store over its rate".into())),
             Err(error) => Err((502, error.to_string())),
--- a/hibiscusroad-standins/src/engine/text.rs
+++ b/hibiscusroad-standins/src/engine/text.rs
@@ -1,4 +1,4 @@
-//! The text that the engine generates, which anyone can work out again.
+//! The generated text, which depends on the prompt only, so that tests can recompute it.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -16,7 +16,7 @@
     (from..to).map(|index| token(prompt, index)).collect()
 }
 
-/// Returns how many tokens a prompt has: its words, and at least one.
+/// Returns the number of tokens of a prompt: one per word, at least one.
 #[must_use]
 pub fn count(prompt: &str) -> u64 {
     prompt.split_whitespace().count().max(1) as u64
--- a/hibiscusroad-standins/src/main.rs
+++ b/hibiscusroad-standins/src/main.rs
@@ -1,7 +1,6 @@
-//! `standin`: one stand-in as a process.
+//! `standin`, a program that runs one stand-in.
 //!
-//! Prints `listening ADDR` once it takes connections, and ends on SIGTERM or
-//! SIGINT.
+//! It prints `listening ADDR` once it accepts connections, and exits on SIGTERM or SIGINT.
 
 use hibiscusroad_standins::{
     engine::{self, Engine},
@@ -42,7 +41,7 @@
     engine: engine::Settings,
     plain: plain::Settings,
     url: String,
-    step: Duration,
+    step_time: Duration,
 }
 
 enum Command {
@@ -51,21 +50,21 @@
 }
 
 fn main() -> ExitCode {
-    let command = match parse(Parser::from_env()) {
+    let command = match parse_args(Parser::from_env()) {
         Ok(command) => command,
         Err(error) => {
             eprintln!("standin: {error}; see standin --help");
             return ExitCode::from(2);
         }
     };
-    let outcome = match command {
+    let result = match command {
         Command::Help => {
             print!("{USAGE}");
             Ok(())
         }
         Command::Run(kind, options) => run(&kind, *options),
     };
-    match outcome {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("standin: {error}");
@@ -74,17 +73,17 @@
     }
 }
 
-fn parse(mut parser: Parser) -> Result<Command, lexopt::Error> {
+fn parse_args(mut parser: Parser) -> Result<Command, lexopt::Error> {
     let mut kind = None;
     let mut options = Box::<Options>::default();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Short('h') | Arg::Long("help") => return Ok(Command::Help),
             Arg::Value(value) if kind.is_none() => kind = Some(value.string()?),
-            Arg::Long("fences") => options.engine.fences = true,
+            Arg::Long("fences") => options.engine.checks_fence = true,
             Arg::Long(name) => {
                 let name = name.to_owned();
-                option(&mut options, &name, &parser.value()?.string()?)?;
+                set_option(&mut options, &name, &parser.value()?.string()?)?;
             }
             arg => return Err(arg.unexpected()),
         }
@@ -95,38 +94,38 @@
     }
 }
 
-fn option(options: &mut Options, name: &str, value: &str) -> Result<(), lexopt::Error> {
+fn set_option(options: &mut Options, name: &str, value: &str) -> Result<(), lexopt::Error> {
     let Options {
         platform,
         engine,
         plain,
         url,
-        step,
+        step_time,
     } = options;
     match name {
         "listen" => {
-            let listen: SocketAddr = number(name, value)?;
+            let listen: SocketAddr = parse_value(name, value)?;
             (platform.listen, engine.listen, plain.listen) = (listen, listen, listen);
         }
         "lag-ms" => {
-            platform.lag = millis(name, value)?;
-            engine.lag = platform.lag;
+            platform.lag = parse_millis(name, value)?;
+            engine.load_lag = platform.lag;
         }
         "step-ms" => {
-            engine.step = millis(name, value)?;
-            *step = engine.step;
+            engine.step_time = parse_millis(name, value)?;
+            *step_time = engine.step_time;
         }
-        "weights-rate" => platform.rate = number(name, value)?,
-        "weights-bytes" => platform.size = number(name, value)?,
-        "sequence-us" => engine.sequence = Duration::from_micros(number(name, value)?),
-        "batch" => engine.batch = number(name, value)?,
-        "prompt" => engine.prompt = number(name, value)?,
-        "cache" => engine.cache = number(name, value)?,
+        "weights-rate" => platform.rate = parse_value(name, value)?,
+        "weights-bytes" => platform.size = parse_value(name, value)?,
+        "sequence-us" => engine.sequence_time = Duration::from_micros(parse_value(name, value)?),
+        "batch" => engine.max_batch = parse_value(name, value)?,
+        "prompt" => engine.prompt_tokens = parse_value(name, value)?,
+        "cache" => engine.cache_tokens = parse_value(name, value)?,
         "version" => value.clone_into(&mut engine.version),
-        "swap-ms" => engine.swap = millis(name, value)?,
-        "weights" => engine.weights = Some(value.to_owned()),
-        "work-ms" => plain.work = millis(name, value)?,
-        "limit" => plain.limit = number(name, value)?,
+        "swap-ms" => engine.swap_time = parse_millis(name, value)?,
+        "weights" => engine.weights_url = Some(value.to_owned()),
+        "work-ms" => plain.work = parse_millis(name, value)?,
+        "limit" => plain.limit = parse_value(name, value)?,
         "log" => plain.log = Some(value.into()),
         "url" => value.clone_into(url),
         _ => return Err(format!("unknown option --{name}").into()),
@@ -134,19 +133,19 @@
     Ok(())
 }
 
-fn number<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, lexopt::Error> {
-    let wrong = |_| lexopt::Error::from(format!("--{name} can't be {value:?}"));
-    value.parse().map_err(wrong)
+fn parse_value<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, lexopt::Error> {
+    let invalid = |_| lexopt::Error::from(format!("--{name} can't be {value:?}"));
+    value.parse().map_err(invalid)
 }
 
-fn millis(name: &str, value: &str) -> Result<Duration, lexopt::Error> {
-    let ms: f64 = number(name, value)?;
-    let wrong = |_| lexopt::Error::from(format!("--{name} can't be {value:?}"));
-    Duration::try_from_secs_f64(ms / 1e3).map_err(wrong)
+fn parse_millis(name: &str, value: &str) -> Result<Duration, lexopt::Error> {
+    let ms: f64 = parse_value(name, value)?;
+    let invalid = |_| lexopt::Error::from(format!("--{name} can't be {value:?}"));
+    Duration::try_from_secs_f64(ms / 1e3).map_err(invalid)
 }
 
 fn run(kind: &str, options: Options) -> Result<(), Error> {
-    // Watched before the address is printed: whoever reads it may send one.
+    // Registered before the address is printed, since a reader may send a signal at once.
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
     let (addr, standin) = start(kind, options)?;
     println!("listening {addr}");
@@ -172,7 +171,7 @@
             (plain.addr(), Box::new(plain))
         }
         "trainer" => {
-            let trainer = Trainer::start(listen, &options.url, options.step)?;
+            let trainer = Trainer::start(listen, &options.url, options.step_time)?;
             (trainer.addr(), Box::new(trainer))
         }
         "scorer" => {
--- a/hibiscusroad-standins/tests/engine.rs
+++ b/hibiscusroad-standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's protocol, as sides and checkers lean on it.
+//! Tests of the engine's protocol.
 
 use hibiscusroad_standins::engine::{Engine, Faults, Settings, SwapFault, text};
 use serde_json::{Value, json};
@@ -7,34 +7,39 @@
     time::{Duration, Instant},
 };
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn slow() -> Settings {
+fn slow_settings() -> Settings {
     Settings {
-        step: Duration::from_millis(40),
-        sequence: Duration::ZERO,
+        step_time: Duration::from_millis(40),
+        sequence_time: Duration::ZERO,
         ..Settings::default()
     }
 }
 
-fn complete(engine: &Engine, ask: &Value) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
+fn complete(
+    engine: &Engine,
+    request: &Value,
+) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
     let url = format!("http://{}/v1/completions", engine.addr());
-    let call = ureq::post(url).config().timeout_global(Some(PATIENCE));
-    call.build().send(ask.to_string())
+    let call = ureq::post(url)
+        .config()
+        .timeout_global(Some(REQUEST_TIMEOUT));
+    call.build().send(request.to_string())
 }
 
-fn order(engine: &Engine, version: &str, fence: u64) -> Result<Value, ureq::Error> {
+fn send_order(engine: &Engine, version: &str, fence: u64) -> Result<Value, ureq::Error> {
     let url = format!("http://{}/v1/weights", engine.addr());
-    let ask = json!({ "version": version, "fence": fence });
+    let request = json!({ "version": version, "fence": fence });
     let text = ureq::post(url)
-        .send(ask.to_string())?
+        .send(request.to_string())?
         .body_mut()
         .read_to_string()?;
     Ok(serde_json::from_str(&text).unwrap())
 }
 
 /// Reads the events of a stream, each with the time of its arrival.
-fn events(answer: ureq::http::Response<ureq::Body>) -> Vec<(Instant, String)> {
+fn read_events(answer: ureq::http::Response<ureq::Body>) -> Vec<(Instant, String)> {
     let lines = BufReader::new(answer.into_body().into_reader()).lines();
     let lines = lines.map(Result::unwrap);
     lines
@@ -42,7 +47,7 @@
         .collect()
 }
 
-fn texts(events: &[(Instant, String)]) -> String {
+fn concat_texts(events: &[(Instant, String)]) -> String {
     let events = events
         .iter()
         .filter_map(|(_, e)| serde_json::from_str::<Value>(e).ok());
@@ -53,38 +58,38 @@
 
 #[test]
 fn events_arrive_one_by_one() {
-    let engine = Engine::start(slow()).unwrap();
-    let ask = json!({ "prompt": "a hut", "max_tokens": 5, "stream": true });
-    let events = events(complete(&engine, &ask).unwrap());
+    let engine = Engine::start(slow_settings()).unwrap();
+    let request = json!({ "prompt": "a hut", "max_tokens": 5, "stream": true });
+    let events = read_events(complete(&engine, &request).unwrap());
     assert_eq!(events.len(), 7);
     assert_eq!(events[6].1, "[DONE]");
-    assert_eq!(texts(&events), text::answer("a hut", 0, 5));
-    // Held back to the end, all would come within a step.
+    assert_eq!(concat_texts(&events), text::answer("a hut", 0, 5));
+    // Buffered events would all arrive within one step.
     let spread = events[4].0 - events[0].0;
     assert!(spread >= Duration::from_millis(100), "{spread:?}");
 }
 
 #[test]
-fn resumed_stream_goes_on_where_the_other_stopped() {
+fn resumed_stream_continues_at_the_given_token() {
     let engine = Engine::start(Settings::default()).unwrap();
-    let mut ask = json!({ "prompt": "p", "max_tokens": 9, "request_id": "r", "stream": true });
-    ask["resume_from"] = json!(4);
-    let events = events(complete(&engine, &ask).unwrap());
+    let mut request = json!({ "prompt": "p", "max_tokens": 9, "request_id": "r", "stream": true });
+    request["resume_from"] = json!(4);
+    let events = read_events(complete(&engine, &request).unwrap());
     let first: Value = serde_json::from_str(&events[0].1).unwrap();
     assert_eq!(first["offset"], 4);
     assert_eq!(first["id"], "r");
-    assert_eq!(texts(&events), text::answer("p", 4, 9));
+    assert_eq!(concat_texts(&events), text::answer("p", 4, 9));
 }
 
 #[test]
-fn whole_answer_reports_use_and_cache() {
+fn complete_answer_reports_usage_and_cached_tokens() {
     let engine = Engine::start(Settings::default()).unwrap();
     let prompt = "word ".repeat(40);
-    let ask = json!({ "prompt": prompt, "max_tokens": 3 });
+    let request = json!({ "prompt": prompt, "max_tokens": 3 });
     let cached: Vec<Value> = [(), ()]
         .iter()
         .map(|()| {
-            let text = complete(&engine, &ask)
+            let text = complete(&engine, &request)
                 .unwrap()
                 .body_mut()
                 .read_to_string()
@@ -98,35 +103,34 @@
     assert_eq!(cached, [0, 32]);
 }
 
-/// A caller leaves a long request that gives it nothing to fail on, and the
-/// engine stops working on it, as its load report shows a little later.
+/// Guards against work on requests without a stream whose caller has disconnected.
 #[test]
-fn request_of_a_caller_that_left_is_cancelled() {
-    let engine = Engine::start(slow()).unwrap();
+fn request_of_a_disconnected_caller_is_cancelled() {
+    let engine = Engine::start(slow_settings()).unwrap();
     let url = format!("http://{}/v1/completions", engine.addr());
-    let ask = json!({ "prompt": "p", "max_tokens": 100_000 }).to_string();
-    let brief = Some(Duration::from_millis(300));
+    let request = json!({ "prompt": "p", "max_tokens": 100_000 }).to_string();
+    let timeout = Some(Duration::from_millis(300));
     ureq::post(url)
         .config()
-        .timeout_global(brief)
+        .timeout_global(timeout)
         .build()
-        .send(ask)
+        .send(request)
         .unwrap_err();
-    let left = Instant::now();
+    let disconnected = Instant::now();
     while engine.load().running > 0 {
-        assert!(left.elapsed() < PATIENCE);
+        assert!(disconnected.elapsed() < REQUEST_TIMEOUT);
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn tokens_name_the_version_that_made_them() {
-    let engine = Engine::start(slow()).unwrap();
-    let ask = json!({ "prompt": "p", "max_tokens": 20, "stream": true });
-    let answer = complete(&engine, &ask).unwrap();
+fn tokens_name_the_weight_version_that_generated_them() {
+    let engine = Engine::start(slow_settings()).unwrap();
+    let request = json!({ "prompt": "p", "max_tokens": 20, "stream": true });
+    let answer = complete(&engine, &request).unwrap();
     let mut lines = BufReader::new(answer.into_body().into_reader()).lines();
     let mut events = vec![lines.next().unwrap().unwrap()];
-    assert_eq!(order(&engine, "2", 1).unwrap()["version"], "2");
+    assert_eq!(send_order(&engine, "2", 1).unwrap()["version"], "2");
     events.extend(lines.map(Result::unwrap));
     let versions: Vec<String> = events
         .iter()
@@ -139,14 +143,13 @@
     assert!(versions.is_sorted());
 }
 
-/// An order is said to be done, yet another version runs. Only the reports
-/// and the tokens tell.
+/// An engine may report success but load another version.
 #[test]
-fn failed_swap_shows_in_reports_only() {
-    let swap = Duration::from_millis(10);
+fn load_report_shows_the_version_that_was_really_loaded() {
+    let swap_time = Duration::from_millis(10);
     let engine = Engine::start(Settings {
-        swap,
-        lag: swap,
+        swap_time,
+        load_lag: swap_time,
         ..Settings::default()
     })
     .unwrap();
@@ -154,38 +157,37 @@
         swap: SwapFault::Other("0".to_owned()),
         ..Faults::default()
     });
-    assert_eq!(order(&engine, "2", 1).unwrap()["version"], "2");
+    assert_eq!(send_order(&engine, "2", 1).unwrap()["version"], "2");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(engine.load().version, "0");
     engine.set_faults(Faults {
         swap: SwapFault::Fail,
         ..Faults::default()
     });
-    order(&engine, "3", 1).unwrap_err();
+    send_order(&engine, "3", 1).unwrap_err();
 }
 
 #[test]
-fn old_orders_are_refused_only_by_engines_that_check() {
-    let swap = Duration::ZERO;
-    for fences in [false, true] {
+fn outdated_orders_are_refused_only_by_engines_that_check_fencing_tokens() {
+    let swap_time = Duration::ZERO;
+    for checks_fence in [false, true] {
         let engine = Engine::start(Settings {
-            swap,
-            fences,
+            swap_time,
+            checks_fence,
             ..Settings::default()
         })
         .unwrap();
-        order(&engine, "2", 7).unwrap();
-        assert_eq!(order(&engine, "1", 6).is_err(), fences);
+        send_order(&engine, "2", 7).unwrap();
+        assert_eq!(send_order(&engine, "1", 6).is_err(), checks_fence);
     }
 }
 
-/// The engine crashes in the middle of a stream: the caller sees an answer
-/// that ends without its declared end, never a short one that looks whole.
+/// Guards against truncated answers that look complete after a crash.
 #[test]
-fn crash_breaks_the_stream() {
-    let engine = Engine::start(slow()).unwrap();
-    let ask = json!({ "prompt": "p", "max_tokens": 1000, "stream": true });
-    let answer = complete(&engine, &ask).unwrap();
+fn crash_truncates_the_stream() {
+    let engine = Engine::start(slow_settings()).unwrap();
+    let request = json!({ "prompt": "p", "max_tokens": 1000, "stream": true });
+    let answer = complete(&engine, &request).unwrap();
     engine.set_faults(Faults {
         crash: true,
         ..Faults::default()
@@ -193,5 +195,5 @@
     let mut body = answer.into_body();
     let start = Instant::now();
     body.read_to_vec().unwrap_err();
-    assert!(start.elapsed() < PATIENCE / 2);
+    assert!(start.elapsed() < REQUEST_TIMEOUT / 2);
 }
