--- a/hibiscusroad-standins/src/http.rs
+++ b/hibiscusroad-standins/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that the stand-ins share.
+//! The HTTP server of the stand-ins.
 
 use crate::relay::{self, Relay};
 use chunked_transfer::Encoder;
@@ -15,15 +15,15 @@
 };
 use tiny_http::{Header, Request, Response};
 
-/// Any free port on the loopback interface.
+/// The loopback address with port 0, for which the system chooses a free port.
 pub const FREE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-const BODY_LIMIT: u64 = 64 << 20;
-// Threads kept when they have nothing to do. More are started while requests
-// block, so that a control request gets through however many are stuck.
-const SPARE: usize = 16;
+const MAX_BODY_BYTES: u64 = 64 << 20;
+/// The maximum number of idle threads. More threads start while requests block, so that
+/// control requests are always served.
+const MAX_IDLE_THREADS: usize = 16;
 
-/// A server with one handler for all requests.
+/// A server that passes all requests to one handler.
 pub struct Server {
     shared: Arc<Shared>,
 }
@@ -32,16 +32,16 @@
     inner: tiny_http::Server,
     relay: Relay,
     handler: Box<dyn Fn(Exchange) + Send + Sync>,
-    idle: AtomicUsize,
+    idle_threads: AtomicUsize,
     stopping: AtomicBool,
 }
 
 impl Server {
-    /// Starts a server; `handler` runs on a thread of its own for each request.
+    /// Starts a server that runs `handler` on a separate thread for each request.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(
         listen: SocketAddr,
         handler: impl Fn(Exchange) + Send + Sync + 'static,
@@ -53,20 +53,20 @@
             inner,
             relay: Relay::start(listen, target)?,
             handler: Box::new(handler),
-            idle: AtomicUsize::new(0),
+            idle_threads: AtomicUsize::new(0),
             stopping: AtomicBool::new(false),
         });
-        spawn(&shared)?;
+        spawn_worker(&shared)?;
         Ok(Self { shared })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address that callers connect to.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.shared.relay.addr()
     }
 
-    /// Returns the relay that callers come through.
+    /// Returns the relay in front of the server.
     #[must_use]
     pub fn relay(&self) -> &Relay {
         &self.shared.relay
@@ -94,38 +94,39 @@
     }
 }
 
-fn spawn(shared: &Arc<Shared>) -> io::Result<()> {
+fn spawn_worker(shared: &Arc<Shared>) -> io::Result<()> {
     let inner = Arc::clone(shared);
-    shared.idle.fetch_add(1, Ordering::AcqRel);
+    shared.idle_threads.fetch_add(1, Ordering::AcqRel);
     thread::Builder::new()
         .name("standin".to_owned())
-        .spawn(move || work(&inner))?;
+        .spawn(move || serve_requests(&inner))?;
     Ok(())
 }
 
-fn work(shared: &Arc<Shared>) {
+fn serve_requests(shared: &Arc<Shared>) {
     loop {
         let request = shared.inner.recv();
         if shared.stopping.load(Ordering::Acquire) {
-            // One call wakes one thread, so each wakes the next.
+            // `unblock` wakes one thread only, so each thread wakes the next.
             shared.inner.unblock();
             return;
         }
         let Ok(request) = request else { continue };
-        if shared.idle.fetch_sub(1, Ordering::AcqRel) == 1 && spawn(shared).is_err() {
-            shared.idle.fetch_sub(1, Ordering::AcqRel);
+        if shared.idle_threads.fetch_sub(1, Ordering::AcqRel) == 1 && spawn_worker(shared).is_err()
+        {
+            shared.idle_threads.fetch_sub(1, Ordering::AcqRel);
         }
         if let Some(exchange) = Exchange::new(request, shared.relay.clone()) {
             (shared.handler)(exchange);
         }
-        if shared.idle.fetch_add(1, Ordering::AcqRel) >= SPARE {
-            shared.idle.fetch_sub(1, Ordering::AcqRel);
+        if shared.idle_threads.fetch_add(1, Ordering::AcqRel) >= MAX_IDLE_THREADS {
+            shared.idle_threads.fetch_sub(1, Ordering::AcqRel);
             return;
         }
     }
 }
 
-/// One request and the means to answer it.
+/// A request that waits for an answer.
 #[derive(Debug)]
 pub struct Exchange {
     request: Request,
@@ -156,7 +157,7 @@
         url.split_once('?').map_or(url, |(path, _)| path)
     }
 
-    /// Returns a parameter of the query, as it was sent.
+    /// Returns a query parameter without decoding it.
     #[must_use]
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.request.url().split_once('?')?;
@@ -168,19 +169,19 @@
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let headers = self.request.headers().iter();
-        let mut found = headers.filter(|h| h.field.as_str().as_str().eq_ignore_ascii_case(name));
-        found.next().map(|h| h.value.as_str())
+        let mut matches = headers.filter(|h| h.field.as_str().as_str().eq_ignore_ascii_case(name));
+        matches.next().map(|h| h.value.as_str())
     }
 
     /// Reads the body.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller left before its end.
+    /// Returns an I/O error if the caller disconnects before its end.
     pub fn body(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         let reader = self.request.as_reader();
-        io::Read::read_to_end(&mut io::Read::take(reader, BODY_LIMIT), &mut body)?;
+        io::Read::read_to_end(&mut io::Read::take(reader, MAX_BODY_BYTES), &mut body)?;
         Ok(body)
     }
 
@@ -188,30 +189,30 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body isn't what `T` needs.
+    /// Returns an error if reading fails or the body isn't valid JSON for `T`.
     pub fn json<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         Ok(serde_json::from_slice(&self.body()?)?)
     }
 
-    /// Says whether the caller's connection is still open.
+    /// Returns whether the caller's connection is open.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.relay.is_open(self.peer)
     }
 
-    /// Returns a check of whether the caller's connection is still open.
+    /// Returns a function that checks whether the caller's connection is open.
     pub fn watch(&self) -> impl Fn() -> bool + Send + use<> {
         let (relay, peer) = (self.relay.clone(), self.peer);
         move || relay.is_open(peer)
     }
 
-    /// Returns the relay that the server's callers come through.
+    /// Returns the relay in front of the server.
     #[must_use]
     pub const fn relay(&self) -> &Relay {
         &self.relay
     }
 
-    /// Closes every other connection of the server.
+    /// Closes all other connections of the server.
     pub fn cut_others(&self) {
         self.relay.cut_others(self.peer);
     }
@@ -219,7 +220,7 @@
     /// Closes the connection without an answer.
     pub fn cut(self) {
         self.relay.cut(self.peer);
-        // A request that is merely dropped would be answered by the library.
+        // tiny_http answers a request that is dropped without taking its writer.
         drop(self.request.into_writer());
     }
 
@@ -229,12 +230,12 @@
         self.answer_bytes(status, &[("Content-Type", "application/json")], body);
     }
 
-    /// Answers with a JSON body that describes a problem.
+    /// Answers with an error message as JSON.
     pub fn refuse(self, status: u16, message: &str) {
         self.answer(status, &serde_json::json!({ "error": message }));
     }
 
-    /// Answers with any body.
+    /// Answers with the given headers and body.
     pub fn answer_bytes(self, status: u16, headers: &[(&str, &str)], body: Vec<u8>) {
         let headers = headers
             .iter()
@@ -243,24 +244,24 @@
         let response = response
             .with_status_code(status)
             .with_chunked_threshold(usize::MAX);
-        // A caller that has left is no concern of the server.
+        // Fails if the caller has disconnected, which needs no handling.
         let _ = self.request.respond(response);
     }
 
-    /// Begins an answer of server-sent events.
+    /// Starts an answer of server-sent events.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has left.
+    /// Returns an I/O error if the caller has disconnected.
     pub fn stream(self) -> io::Result<Events> {
         self.stream_with(&[])
     }
 
-    /// Begins an answer of server-sent events with more headers.
+    /// Starts an answer of server-sent events with additional headers.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has left.
+    /// Returns an I/O error if the caller has disconnected.
     pub fn stream_with(self, headers: &[(&str, &str)]) -> io::Result<Events> {
         let (relay, peer) = (self.relay, self.peer);
         let mut writer = self.request.into_writer();
@@ -271,7 +272,7 @@
         writer.write_all(b"\r\n")?;
         writer.flush()?;
         Ok(Events {
-            encoder: Encoder::new(Flushing(writer)),
+            encoder: Encoder::new(FlushOnDrop(writer)),
             relay,
             peer,
         })
@@ -283,12 +284,13 @@
     Cache-Control: no-store\r\n\
     Transfer-Encoding: chunked\r\n";
 
-// The encoder writes the last chunk when it is dropped, into a buffer that the
-// library shares between answers and doesn't flush: without this the caller
-// would wait for the end of an answer that it has whole.
-struct Flushing(Box<dyn Write + Send>);
+/// A writer that flushes when it is dropped.
+///
+/// The encoder writes the last chunk on drop, and tiny_http doesn't flush its buffer, so
+/// the caller would never see the end of the answer.
+struct FlushOnDrop(Box<dyn Write + Send>);
 
-impl Write for Flushing {
+impl Write for FlushOnDrop {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.write(buf)
     }
@@ -298,45 +300,43 @@
     }
 }
 
-impl Drop for Flushing {
+impl Drop for FlushOnDrop {
     fn drop(&mut self) {
-        // A caller that has left needs no end.
+        // Fails if the caller has disconnected, which needs no handling.
         let _ = self.0.flush();
     }
 }
 
-/// An answer of server-sent events; it ends when it is dropped.
+/// An answer of server-sent events, which is completed on drop.
 pub struct Events {
-    encoder: Encoder<Flushing>,
+    encoder: Encoder<FlushOnDrop>,
     relay: Relay,
     peer: SocketAddr,
 }
 
 impl Events {
-    /// Sends one event at once.
+    /// Sends an event with `data` and flushes it.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has left.
+    /// Returns an I/O error if the caller has disconnected.
     pub fn send(&mut self, data: &str) -> io::Result<()> {
         self.send_lines(&format!("data: {data}"))
     }
 
-    /// Sends one event, given as its lines, at once.
+    /// Sends an event, given as its lines, and flushes it.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has left.
+    /// Returns an I/O error if the caller has disconnected.
     pub fn send_lines(&mut self, lines: &str) -> io::Result<()> {
         write!(self.encoder, "{lines}\n\n")?;
-        // The encoder gathers a chunk, and the library below it a buffer: both
-        // would hold the event back until the answer's end.
+        // Both the encoder and tiny_http buffer the event.
         self.encoder.flush()?;
         self.encoder.get_mut().flush()
     }
 
-    /// Closes the connection without the answer's end, so that the caller
-    /// sees that it is incomplete.
+    /// Closes the connection without completing the answer.
     pub fn abandon(self) {
         self.relay.cut(self.peer);
     }
