--- a/hibiscusroad-standins/src/relay.rs
+++ b/hibiscusroad-standins/src/relay.rs
@@ -1,9 +1,8 @@
-//! A TCP relay whose connections can be cut, delayed or made silent.
+//! A TCP relay that can close, delay or silence its connections.
 //!
-//! The HTTP library doesn't hand out its sockets, so a server can't close a
-//! connection without an answer, nor see that a caller has left. Every
-//! stand-in therefore listens through a relay. Tests also put one between two
-//! of the project's own processes.
+//! tiny_http doesn't expose its sockets, so a server can't close a connection without an
+//! answer or notice that a caller has disconnected. Every stand-in therefore listens
+//! through a relay. Tests also use relays between processes under test.
 
 use socket2::{Domain, Protocol, Socket, Type};
 use std::{
@@ -19,27 +18,28 @@
 };
 
 const BACKLOG: i32 = 1024;
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A way through the relay.
+/// A direction through the relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Direction {
-    /// From the one that connected to the target.
+    /// From the caller to the target.
     Forth,
-    /// From the target back.
+    /// From the target to the caller.
     Back,
 }
 
 #[derive(Debug)]
-struct Line {
+struct Connection {
     caller: TcpStream,
     target: TcpStream,
-    silent: [AtomicBool; 2],
+    /// Whether bytes are dropped, by [`Direction`].
+    silenced: [AtomicBool; 2],
 }
 
-impl Line {
-    fn cut(&self) {
-        // Both are closed even if one is gone already.
+impl Connection {
+    fn close(&self) {
+        // Both are shut down even if one fails because it is closed already.
         let _ = self.caller.shutdown(Shutdown::Both);
         let _ = self.target.shutdown(Shutdown::Both);
     }
@@ -49,19 +49,22 @@
 struct Shared {
     addr: SocketAddr,
     target: SocketAddr,
-    lines: Mutex<HashMap<SocketAddr, Arc<Line>>>,
-    delay: AtomicU64,
+    /// Connections by the caller's address as the target sees it.
+    connections: Mutex<HashMap<SocketAddr, Arc<Connection>>>,
+    delay_us: AtomicU64,
     dark: AtomicBool,
     stopping: AtomicBool,
 }
 
 impl Shared {
-    fn lines(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Arc<Line>>> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Arc<Connection>>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A relay from its own address to a target. Clones share it.
+/// A relay to a target address. Clones share the relay.
 #[derive(Clone, Debug)]
 pub struct Relay {
     shared: Arc<Shared>,
@@ -72,14 +75,14 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = bind(listen)?;
         let shared = Arc::new(Shared {
             addr: listener.local_addr()?,
             target,
-            lines: Mutex::new(HashMap::new()),
-            delay: AtomicU64::new(0),
+            connections: Mutex::new(HashMap::new()),
+            delay_us: AtomicU64::new(0),
             dark: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
         });
@@ -90,71 +93,71 @@
         Ok(Self { shared })
     }
 
-    /// Returns where the relay listens.
+    /// Returns the address that the relay listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Closes all connections at once.
+    /// Closes all connections.
     pub fn cut_all(&self) {
-        for line in self.shared.lines().values() {
-            line.cut();
+        for connection in self.shared.connections().values() {
+            connection.close();
         }
     }
 
-    /// Closes all connections but one.
+    /// Closes all connections except the one that the target sees as coming from `kept`.
     pub fn cut_others(&self, kept: SocketAddr) {
-        for (peer, line) in self.shared.lines().iter() {
+        for (peer, connection) in self.shared.connections().iter() {
             if *peer != kept {
-                line.cut();
+                connection.close();
             }
         }
     }
 
     /// Closes the connection that the target sees as coming from `peer`.
     pub fn cut(&self, peer: SocketAddr) {
-        if let Some(line) = self.shared.lines().get(&peer) {
-            line.cut();
+        if let Some(connection) = self.shared.connections().get(&peer) {
+            connection.close();
         }
     }
 
-    /// Says whether the connection that the target sees as coming from `peer`
-    /// is still open.
+    /// Returns whether the connection that the target sees as coming from `peer` is open.
     #[must_use]
     pub fn is_open(&self, peer: SocketAddr) -> bool {
-        self.shared.lines().contains_key(&peer)
+        self.shared.connections().contains_key(&peer)
     }
 
-    /// Makes all present connections silent in one direction, for good. They
-    /// stay open, and new ones work.
+    /// Drops all further bytes of the current connections in one direction.
+    ///
+    /// The connections stay open. New connections are not affected.
     pub fn silence(&self, direction: Direction) {
-        for line in self.shared.lines().values() {
-            line.silent[direction as usize].store(true, Ordering::Relaxed);
+        for connection in self.shared.connections().values() {
+            connection.silenced[direction as usize].store(true, Ordering::Relaxed);
         }
     }
 
-    /// Lets nothing through any more, on present and new connections.
+    /// Drops all bytes of current and new connections, which stay open.
     pub fn go_dark(&self) {
         self.shared.dark.store(true, Ordering::Relaxed);
     }
 
-    /// Lets bytes through again; connections that lost some are closed.
+    /// Ends the effect of [`go_dark`](Self::go_dark) and closes all connections.
     pub fn lighten(&self) {
         self.shared.dark.store(false, Ordering::Relaxed);
         self.cut_all();
     }
 
-    /// Says whether it has stopped.
+    /// Returns whether the relay has stopped.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         self.shared.stopping.load(Ordering::Acquire)
     }
 
-    /// Delays all bytes by `delay`, in both directions.
+    /// Delays each read by `delay`, in both directions.
     pub fn set_delay(&self, delay: Duration) {
         let micros = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
-        self.shared.delay.store(micros, Ordering::Relaxed);
+        self.shared.delay_us.store(micros, Ordering::Relaxed);
     }
 
     /// Stops listening and closes all connections.
@@ -162,20 +165,19 @@
         if self.shared.stopping.swap(true, Ordering::AcqRel) {
             return;
         }
-        // Wakes the thread that waits in accept; if it is gone, all is well.
+        // Wakes the accept thread; fails if the thread has ended.
         drop(TcpStream::connect(self.shared.addr));
         self.cut_all();
     }
 }
 
-/// Binds a listener whose connections send small writes at once.
+/// Binds a listener with `TCP_NODELAY`, which accepted sockets inherit.
 ///
-/// Accepted sockets inherit the option. Without it a small write that follows
-/// another waits for the peer's delayed acknowledgement, 40 ms.
+/// Without it, a small write after another waits for the peer's delayed acknowledgement.
 ///
 /// # Errors
 ///
-/// Returns the system's error.
+/// Returns an I/O error if the address can't be bound.
 pub fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(listen),
@@ -194,7 +196,7 @@
         if shared.stopping.load(Ordering::Acquire) {
             return;
         }
-        // One connection that fails must not end the others.
+        // A connection that fails must not stop the relay.
         let _ = caller.and_then(|caller| open(caller, shared));
     }
 }
@@ -204,43 +206,43 @@
     caller.set_nodelay(true)?;
     target.set_nodelay(true)?;
     let peer = target.local_addr()?;
-    let line = Arc::new(Line {
+    let connection = Arc::new(Connection {
         caller,
         target,
-        silent: [AtomicBool::new(false), AtomicBool::new(false)],
+        silenced: [AtomicBool::new(false), AtomicBool::new(false)],
     });
-    shared.lines().insert(peer, Arc::clone(&line));
+    shared.connections().insert(peer, Arc::clone(&connection));
     for direction in [Direction::Forth, Direction::Back] {
-        let (line, shared) = (Arc::clone(&line), Arc::clone(shared));
+        let (connection, shared) = (Arc::clone(&connection), Arc::clone(shared));
         thread::Builder::new()
             .name("relay".to_owned())
             .spawn(move || {
-                // An end of either direction, clean or not, ends the connection.
-                let _ = copy(&line, direction, &shared);
-                line.cut();
-                shared.lines().remove(&peer);
+                // When either direction ends, the connection is closed.
+                let _ = copy(&connection, direction, &shared);
+                connection.close();
+                shared.connections().remove(&peer);
             })?;
     }
     Ok(())
 }
 
-fn copy(line: &Line, direction: Direction, shared: &Shared) -> io::Result<()> {
+fn copy(connection: &Connection, direction: Direction, shared: &Shared) -> io::Result<()> {
     let (mut from, mut to) = match direction {
-        Direction::Forth => (&line.caller, &line.target),
-        Direction::Back => (&line.target, &line.caller),
+        Direction::Forth => (&connection.caller, &connection.target),
+        Direction::Back => (&connection.target, &connection.caller),
     };
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut buffer)?;
         if count == 0 {
             return Ok(());
         }
-        match shared.delay.load(Ordering::Relaxed) {
+        match shared.delay_us.load(Ordering::Relaxed) {
             0 => {}
             micros => thread::sleep(Duration::from_micros(micros)),
         }
-        let silent = line.silent[direction as usize].load(Ordering::Relaxed);
-        if !silent && !shared.dark.load(Ordering::Relaxed) {
+        let silenced = connection.silenced[direction as usize].load(Ordering::Relaxed);
+        if !silenced && !shared.dark.load(Ordering::Relaxed) {
             to.write_all(&buffer[..count])?;
         }
     }
