--- a/hibiscusroad-standins/src/ports.rs
+++ b/hibiscusroad-standins/src/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports for processes that a test or a measurement starts.
+//! Free ports for processes that tests and measurements start.
 
 use std::{
     io,
@@ -10,44 +10,43 @@
     },
 };
 
-// Below the range from which the system takes ports for outgoing connections:
-// a port from it could be taken between its choice and its use.
-const FIRST: u16 = 10_000;
-const LAST: u16 = 32_000;
-// 2^32 divided by the golden ratio, which spreads neighbours over the range.
-const SPREAD: u32 = 2_654_435_761;
+// Below the ephemeral port range, so that outgoing connections can't take a port between
+// its choice and its use.
+const MIN_PORT: u16 = 10_000;
+const MAX_PORT: u16 = 32_000;
+// 2^32 divided by the golden ratio (Fibonacci hashing).
+const HASH_MULTIPLIER: u32 = 2_654_435_761;
 
-// One for the whole process: two deployments that are started at once, by two
-// tests, must not both find a port free before either uses it.
-static NEXT: AtomicU32 = AtomicU32::new(0);
+// Shared by the whole process, so that concurrent callers don't choose the same port.
+static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
-// Held while a port is tried and while a process is started. A process that is
-// being started holds copies of all descriptors until it runs its program: one of
-// a port that another thread tries just then would keep the port taken for some
-// milliseconds, and whoever was given it could not listen.
-static APART: Mutex<()> = Mutex::new(());
+// Held while a port is probed and while a process is spawned. Between fork and exec, the
+// child holds copies of all descriptors, including the listener of a concurrent probe,
+// which would keep the port in use.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Starts a process while no port is tried.
+/// Runs `start`, which spawns a process, while no port is probed.
 pub fn apart<T>(start: impl FnOnce() -> T) -> T {
-    let _apart = APART.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     start()
 }
 
-/// Chooses a free port on the loopback interface that this process has not
-/// chosen lately.
+/// Returns a free port on the loopback interface.
+///
+/// A port is returned again only after all others of the range were tried.
 ///
 /// # Errors
 ///
-/// Returns an error if there is none.
+/// Returns an error if no port is free.
 pub fn choose() -> io::Result<SocketAddr> {
-    let _apart = APART.lock().unwrap_or_else(PoisonError::into_inner);
-    let span = u32::from(LAST - FIRST);
-    // Neighbouring process ids begin far from each other.
-    let first = (process::id().wrapping_mul(SPREAD) >> 8) % span;
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let span = u32::from(MAX_PORT - MIN_PORT);
+    // Processes with consecutive ids start at distant ports.
+    let start = (process::id().wrapping_mul(HASH_MULTIPLIER) >> 8) % span;
     for _ in 0..span {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed) % span;
-        let offset = u16::try_from((first + number) % span).unwrap_or(0);
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST + offset));
+        let count = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed) % span;
+        let offset = u16::try_from((start + count) % span).unwrap_or(0);
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, MIN_PORT + offset));
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
         }
