--- a/hibiscusroad-standins/src/scorer.rs
+++ b/hibiscusroad-standins/src/scorer.rs
@@ -1,4 +1,4 @@
-//! A service that scores samples.
+//! A scorer of text samples.
 
 use crate::http::{Exchange, Server};
 use serde::Deserialize;
@@ -18,24 +18,24 @@
 }
 
 impl Scorer {
-    /// Starts a scorer: `POST /score` with `text` gives a `score` in [0, 1).
+    /// Starts a scorer, which answers `POST /score` with a `score` in [0, 1) for `text`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(listen: SocketAddr) -> io::Result<Self> {
         let server = Server::start(listen, handle)?;
         Ok(Self { server })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 }
 
-/// Returns the score of a text, which is the same each time.
+/// Returns the deterministic score of a text.
 #[must_use]
 pub fn score(text: &str) -> f64 {
     let hash = u32::try_from(xxh3_64(text.as_bytes()) >> 32).unwrap_or(0);
