--- a/hibiscusroad-standins/src/trainer.rs
+++ b/hibiscusroad-standins/src/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that pulls steps and reports how it fared.
+//! A trainer that fetches training steps and counts successes and failures.
 
 use crate::http::Server;
 use serde::Serialize;
@@ -13,21 +13,21 @@
     time::{Duration, Instant},
 };
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(100);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a trainer did so far.
+/// The counters of a trainer.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Report {
-    /// Steps that it pulled.
+    /// The number of fetched steps.
     pub steps: u64,
-    /// Pulls that failed.
+    /// The number of failed requests.
     pub failures: u64,
-    /// Milliseconds that it waited for steps.
+    /// The time spent waiting for answers, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// A running trainer. `GET /` gives its [`Report`].
+/// A running trainer, which answers every request with its [`Report`].
 #[derive(Debug)]
 pub struct Trainer {
     server: Server,
@@ -35,20 +35,20 @@
 }
 
 impl Trainer {
-    /// Starts a trainer that gets steps from `url` and works `step` on each.
+    /// Starts a trainer that fetches steps from `url` and works on each for `step`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen or start a thread.
+    /// Returns an I/O error if it can't listen or start a thread.
     pub fn start(listen: SocketAddr, url: &str, step: Duration) -> io::Result<Self> {
         let report = Arc::new(Mutex::new(Report::default()));
         let stopping = Arc::new(AtomicBool::new(false));
-        let (shared, ended, url) = (Arc::clone(&report), Arc::clone(&stopping), url.to_owned());
+        let (shared, stop, url) = (Arc::clone(&report), Arc::clone(&stopping), url.to_owned());
         thread::Builder::new()
             .name("trainer".to_owned())
             .spawn(move || {
-                while !ended.load(Ordering::Relaxed) {
-                    pull(&url, step, &shared);
+                while !stop.load(Ordering::Relaxed) {
+                    fetch_step(&url, step, &shared);
                 }
             })?;
         let server = Server::start(listen, move |exchange| {
@@ -58,7 +58,7 @@
         Ok(Self { server, stopping })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
@@ -71,23 +71,23 @@
     }
 }
 
-fn pull(url: &str, step: Duration, report: &Mutex<Report>) {
+fn fetch_step(url: &str, work: Duration, report: &Mutex<Report>) {
     let start = Instant::now();
     let call = ureq::get(url)
         .config()
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build();
-    let pulled = call
+    let result = call
         .call()
         .and_then(|mut answer| answer.body_mut().read_to_vec());
-    let idle = u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let idle_ms = u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
     {
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
-        report.idle_ms += idle;
-        match pulled {
+        report.idle_ms += idle_ms;
+        match result {
             Ok(_) => report.steps += 1,
             Err(_) => report.failures += 1,
         }
     }
-    thread::sleep(if pulled.is_ok() { step } else { PAUSE });
+    thread::sleep(if result.is_ok() { work } else { RETRY_DELAY });
 }
