--- a/hibiscusroad-standins/src/lib.rs
+++ b/hibiscusroad-standins/src/lib.rs
@@ -1,18 +1,16 @@
-//! Small stand-ins for the systems around hibiscusroad, for its tests and demo.
+//! Stand-ins for the systems around hibiscusroad, for its tests and demo.
 //!
-//! Each stand-in is one module: a plain settings struct, and a server that
-//! starts on a free port and stops when it is dropped. The program `standin`
-//! runs the same as a process. Faults are switched on over HTTP, by
-//! `POST /control`, so that a test drives both forms alike.
+//! Most stand-ins start a server that stops on drop. The program `standin` runs one as a
+//! process. `POST /control` sets faults, so that tests handle both forms alike.
 //!
 //! * [`platform`]: table service, object store, host list and weight store.
 //! * [`engine`]: a model engine with continuous batching.
-//! * [`direct`]: the store of a deployment without sides, and its endpoints.
-//! * [`plain`]: a plain service that logs what it ran.
-//! * [`trainer`] and [`scorer`]: the two ends of training.
+//! * [`direct`]: the store of a deployment without sidecars, and its endpoints.
+//! * [`plain`]: a plain service that logs the requests it runs.
+//! * [`trainer`] and [`scorer`]: a client and a service of training runs.
 //! * [`ports`]: free ports for processes.
-//! * [`relay`]: a TCP relay that cuts connections or makes them silent.
-//! * [`http`]: the server that all of them share.
+//! * [`relay`]: a TCP relay that closes, delays or silences connections.
+//! * [`http`]: the HTTP server of all stand-ins.
 
 pub mod direct;
 pub mod engine;
