--- a/hibiscusroad-standins/tests/platform.rs
+++ b/hibiscusroad-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocols, as the daemons lean on them.
+//! Tests of the platform's protocols.
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use hibiscusroad_standins::platform::{Faults, Loss, Platform, Settings};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn second_insert_reads_the_first() {
+fn failed_insert_returns_the_existing_row() {
     let platform = Platform::start(&Settings::default()).unwrap();
     let first = post(&platform, "/v3/kv/txn", &put_if_absent("a", "1")).unwrap();
     assert_eq!(first["succeeded"], true);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn conditional_write_needs_the_revision_it_read() {
+fn conditional_write_requires_the_current_revision() {
     let platform = Platform::start(&Settings::default()).unwrap();
     post(&platform, "/v3/kv/txn", &put_if_absent("a", "1")).unwrap();
     let key = STANDARD.encode("a");
@@ -47,8 +47,8 @@
             "success": [{ "requestPut": { "key": key, "value": key } }],
         })
     };
-    let right = post(&platform, "/v3/kv/txn", &write("2")).unwrap();
-    assert_eq!(right["succeeded"], true);
+    let current = post(&platform, "/v3/kv/txn", &write("2")).unwrap();
+    assert_eq!(current["succeeded"], true);
     let stale = post(&platform, "/v3/kv/txn", &write("2")).unwrap();
     assert_eq!(stale["succeeded"], false);
     assert_eq!(platform.history().counts.writes, 2);
@@ -61,8 +61,8 @@
         post(&platform, "/v3/kv/txn", &put_if_absent(key, "")).unwrap();
     }
     let (key, end) = (STANDARD.encode("p/"), STANDARD.encode("p0"));
-    let ask = json!({ "key": key, "range_end": end, "limit": 2 });
-    let answer = post(&platform, "/v3/kv/range", &ask).unwrap();
+    let request = json!({ "key": key, "range_end": end, "limit": 2 });
+    let answer = post(&platform, "/v3/kv/range", &request).unwrap();
     assert_eq!(answer["kvs"].as_array().unwrap().len(), 2);
     assert_eq!(answer["count"], "3");
     assert_eq!(answer["more"], true);
@@ -74,10 +74,10 @@
     assert_eq!(none["count"], "0");
 }
 
-/// The writer sees its connection close; the row is there; the history says
-/// that nobody was told. This is what a claim whose outcome is unknown meets.
+/// Guards the fault that makes the outcome of a write unknown to the writer: the
+/// connection closes, but the row is written.
 #[test]
-fn lost_answer_leaves_the_write() {
+fn write_takes_effect_although_its_answer_is_lost() {
     let platform = Platform::start(&Settings::default()).unwrap();
     platform.set_faults(Faults {
         lose_answers: Loss::Every(2),
@@ -85,22 +85,21 @@
     });
     post(&platform, "/v3/kv/txn", &put_if_absent("a", "1")).unwrap();
     post(&platform, "/v3/kv/txn", &put_if_absent("b", "1")).unwrap_err();
-    let ask = json!({ "key": STANDARD.encode("b") });
-    let row = post(&platform, "/v3/kv/range", &ask).unwrap();
+    let request = json!({ "key": STANDARD.encode("b") });
+    let row = post(&platform, "/v3/kv/range", &request).unwrap();
     assert_eq!(row["count"], "1");
-    let told: Vec<_> = platform
+    let answered: Vec<_> = platform
         .history()
         .writes
         .iter()
         .map(|w| w.answered)
         .collect();
-    assert_eq!(told, [true, false]);
+    assert_eq!(answered, [true, false]);
 }
 
-/// The caller's connection closes and nothing is written, until the fault is
-/// switched off over HTTP, which works all the while.
+/// A platform that is down writes nothing, but still serves `/control`.
 #[test]
-fn down_does_nothing() {
+fn down_platform_writes_nothing() {
     let platform = Platform::start(&Settings::default()).unwrap();
     post(&platform, "/control", &json!({ "down": true })).unwrap();
     post(&platform, "/v3/kv/txn", &put_if_absent("a", "1")).unwrap_err();
@@ -110,7 +109,7 @@
 }
 
 #[test]
-fn host_list_is_late() {
+fn host_list_is_visible_after_the_lag() {
     let lag = Duration::from_millis(300);
     let settings = Settings {
         lag,
@@ -127,13 +126,13 @@
             .read_to_string()
             .unwrap()
     };
-    let put = Instant::now();
+    let published = Instant::now();
     ureq::put(&url).send(&list).unwrap();
     assert_eq!(read(), "[]");
     while read() == "[]" {
-        assert!(put.elapsed() < lag * 10);
+        assert!(published.elapsed() < lag * 10);
     }
-    assert!(put.elapsed() >= lag);
+    assert!(published.elapsed() >= lag);
     let seen: Value = serde_json::from_str(&read()).unwrap();
     assert_eq!(seen[0]["targets"][0], "127.0.0.1:1");
 }
@@ -157,13 +156,13 @@
 }
 
 #[test]
-fn objects_are_kept_and_listed() {
+fn objects_are_stored_and_listed() {
     let platform = Platform::start(&Settings::default()).unwrap();
     let url = |path: &str| format!("{}/{path}", platform.url());
     ureq::put(url("runs/a/1")).send("one").unwrap();
     ureq::put(url("runs/b/1")).send("two").unwrap();
-    let fresh = ureq::put(url("runs/a/1")).header("If-None-Match", "*");
-    fresh.send("three").unwrap_err();
+    let create = ureq::put(url("runs/a/1")).header("If-None-Match", "*");
+    create.send("three").unwrap_err();
     let mut read = ureq::get(url("runs/a/1")).call().unwrap();
     assert_eq!(read.body_mut().read_to_string().unwrap(), "one");
     let mut list = ureq::get(url("runs?prefix=a/")).call().unwrap();
