--- a/hibiscusroad-standins/tests/process.rs
+++ b/hibiscusroad-standins/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program `standin`, as deployments of processes start it.
+//! Tests of the program `standin`.
 
 use std::{
     io::{BufRead, BufReader},
@@ -6,12 +6,12 @@
     process::{Command, Stdio},
 };
 
-const STANDIN: &str = env!("CARGO_BIN_EXE_standin");
+const STANDIN_PATH: &str = env!("CARGO_BIN_EXE_standin");
 
 #[test]
-fn each_kind_prints_its_address_and_ends_on_a_signal() {
+fn each_kind_prints_its_address_and_exits_on_a_signal() {
     for kind in ["platform", "engine", "plain", "trainer", "scorer"] {
-        let mut child = Command::new(STANDIN)
+        let mut child = Command::new(STANDIN_PATH)
             .args([kind, "--url", "http://127.0.0.1:1"])
             .stdout(Stdio::piped())
             .spawn()
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn wrong_usage_is_told() {
+fn invalid_usage_is_reported() {
     for args in [&["no-such-kind"][..], &["plain", "--limit", "many"], &[]] {
-        let output = Command::new(STANDIN).args(args).output().unwrap();
+        let output = Command::new(STANDIN_PATH).args(args).output().unwrap();
         assert!(!output.status.success());
         assert!(!output.stderr.is_empty());
     }
