--- a/hibiscusroad-standins/src/main.rs
+++ b/hibiscusroad-standins/src/main.rs
@@ -124,9 +124,9 @@
         "version" => value.clone_into(&mut engine.version),
         "swap-ms" => engine.swap_time = parse_millis(name, value)?,
         "weights" => engine.weights_url = Some(value.to_owned()),
-        "work-ms" => plain.work = parse_millis(name, value)?,
-        "limit" => plain.limit = parse_value(name, value)?,
-        "log" => plain.log = Some(value.into()),
+        "work-ms" => plain.default_work = parse_millis(name, value)?,
+        "limit" => plain.max_running = parse_value(name, value)?,
+        "log" => plain.log_path = Some(value.into()),
         "url" => value.clone_into(url),
         _ => return Err(format!("unknown option --{name}").into()),
     }
--- a/hibiscusroad-standins/src/plain.rs
+++ b/hibiscusroad-standins/src/plain.rs
@@ -1,8 +1,8 @@
-//! A plain service that logs what it ran.
+//! A plain service that logs the requests that it runs.
 //!
-//! It answers any path. Headers shape a request: `X-Request` is echoed,
-//! `X-Work-Ms` sets the time it takes, `X-Size` the size of its answer. The
-//! log names what was started, so that a checker sees what ran twice.
+//! It answers any path. `X-Request` is echoed, `X-Work-Ms` sets the duration of a request,
+//! and `X-Size` the size of the answer's padding. The log has an entry for each request
+//! that started, so that a checker can detect duplicate runs.
 
 use crate::{
     http::{Exchange, FREE, Server},
@@ -20,29 +20,29 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a plain service starts.
+/// Settings of a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// How long it takes for a request that doesn't say.
-    pub work: Duration,
-    /// Requests that it works on at once; others wait.
-    pub limit: usize,
-    /// A file that also gets a line a request, before the request is run, so
-    /// that it names everything that ran even if the process is killed.
-    pub log: Option<PathBuf>,
+    /// The duration of requests without `X-Work-Ms`.
+    pub default_work: Duration,
+    /// The maximum number of requests that run concurrently; others are queued.
+    pub max_running: usize,
+    /// A file that a line is appended to before each request runs, so that it is complete
+    /// even if the process is killed.
+    pub log_path: Option<PathBuf>,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             listen: FREE,
-            work: Duration::from_millis(5),
-            limit: 64,
-            log: None,
+            default_work: Duration::from_millis(5),
+            max_running: 64,
+            log_path: None,
         }
     }
 }
@@ -51,11 +51,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How many times longer its work takes.
+    /// The factor by which requests take longer.
     pub slow_factor: f64,
-    /// Work is done, but its answers are held back until this ends.
+    /// Requests run, but answers are withheld until this is reset.
     pub stuck: bool,
-    /// Connections are closed before anything is done.
+    /// Connections are closed before a request runs.
     pub down: bool,
 }
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// One request that was started.
+/// The log entry of a request that started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ran {
-    /// Its number, from 1.
+    /// The sequence number, from 1.
     pub seq: u64,
     /// The method.
     pub method: String,
@@ -82,16 +82,16 @@
     pub request: Option<String>,
     /// The header `Idempotency-Key`.
     pub key: Option<String>,
-    /// XXH3 of the body.
+    /// The XXH3 hash of the body.
     pub body_hash: u64,
-    /// Milliseconds since the epoch.
+    /// The start in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// What a request is answered.
+/// The answer to a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
-    /// The request's number in the log.
+    /// The request's sequence number in the log.
     pub seq: u64,
     /// The method.
     pub method: String,
@@ -99,20 +99,20 @@
     pub path: String,
     /// The header `X-Request`.
     pub request: Option<String>,
-    /// The body, as text where it is text.
+    /// The request's body, with invalid UTF-8 replaced.
     pub body: String,
-    /// Fills the answer up to the size that was asked for.
+    /// Padding of the size in the header `X-Size`.
     pub pad: String,
 }
 
-/// What it reports of itself.
+/// The load report of a plain service.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests that it works on.
+    /// The number of running requests.
     pub running: usize,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: usize,
-    /// Requests that it works on at once.
+    /// The maximum number of running requests.
     pub limit: usize,
 }
 
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 struct State {
     inner: Mutex<Inner>,
-    freed: Condvar,
+    slot_freed: Condvar,
     settings: Settings,
 }
 
@@ -150,17 +150,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it can't listen.
+    /// Returns an I/O error if it can't listen.
     pub fn start(settings: Settings) -> io::Result<Self> {
         let listen = settings.listen;
-        let file = settings.log.as_ref().map(append).transpose()?;
+        let file = settings.log_path.as_ref().map(open_log).transpose()?;
         let inner = Inner {
             file,
             ..Inner::default()
         };
         let state = Arc::new(State {
             inner: Mutex::new(inner),
-            freed: Condvar::new(),
+            slot_freed: Condvar::new(),
             settings,
         });
         let inner = Arc::clone(&state);
@@ -168,59 +168,59 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns what it ran so far.
+    /// Returns the log of requests.
     #[must_use]
     pub fn log(&self) -> Vec<Ran> {
         self.state.lock().log.clone()
     }
 
-    /// Switches faults on and off.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.lock().faults = faults;
     }
 
-    /// Closes all connections at once.
+    /// Closes all connections.
     pub fn cut_all(&self) {
         self.server.relay().cut_all();
     }
 
-    /// Stops it at once.
+    /// Stops listening and closes all connections.
     pub fn stop(&self) {
         self.server.stop();
     }
 }
 
-fn append(path: &PathBuf) -> io::Result<File> {
+fn open_log(path: &PathBuf) -> io::Result<File> {
     OpenOptions::new().append(true).create(true).open(path)
 }
 
 fn handle(state: &State, exchange: Exchange) {
     match exchange.path() {
-        "/control" | "/control/log" => control(state, exchange),
+        "/control" | "/control/log" => handle_control(state, exchange),
         "/load" => {
-            let load = load(state);
+            let load = load_report(state);
             exchange.answer(200, &load);
         }
-        _ => run(state, exchange),
+        _ => run_request(state, exchange),
     }
 }
 
-fn load(state: &State) -> Load {
+fn load_report(state: &State) -> Load {
     let inner = state.lock();
     Load {
         running: inner.running,
         queued: inner.queued,
-        limit: state.settings.limit,
+        limit: state.settings.max_running,
     }
 }
 
-fn control(state: &State, mut exchange: Exchange) {
+fn handle_control(state: &State, mut exchange: Exchange) {
     match (exchange.method().as_str(), exchange.path()) {
         ("GET", "/control/log") => {
             let from = exchange.query("from").and_then(|from| from.parse().ok());
@@ -243,44 +243,44 @@
     }
 }
 
-fn run(state: &State, mut exchange: Exchange) {
+fn run_request(state: &State, mut exchange: Exchange) {
     let Ok(body) = exchange.body() else {
         return exchange.cut();
     };
     if state.lock().faults.down {
         return exchange.cut();
     }
-    if !enter(state, &exchange) {
+    if !acquire_slot(state, &exchange) {
         return exchange.cut();
     }
-    let seq = record(state, &exchange, &body);
-    work(state, &exchange);
+    let seq = log_request(state, &exchange, &body);
+    simulate_work(state, &exchange);
     state.lock().running -= 1;
-    state.freed.notify_one();
+    state.slot_freed.notify_one();
     if state.lock().faults.down {
         return exchange.cut();
     }
-    let answer = answer(&exchange, seq, &body);
+    let answer = build_answer(&exchange, seq, &body);
     exchange.answer(200, &answer);
 }
 
-// Waits for its turn; false if the caller leaves first.
-fn enter(state: &State, exchange: &Exchange) -> bool {
+/// Waits until the request may run; returns false if the caller disconnects first.
+fn acquire_slot(state: &State, exchange: &Exchange) -> bool {
     let mut inner = state.lock();
     inner.queued += 1;
-    while inner.running >= state.settings.limit && exchange.is_open() {
-        let waited = state.freed.wait_timeout(inner, POLL);
+    while inner.running >= state.settings.max_running && exchange.is_open() {
+        let waited = state.slot_freed.wait_timeout(inner, POLL_INTERVAL);
         inner = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
     inner.queued -= 1;
-    let open = exchange.is_open();
-    if open {
+    let is_open = exchange.is_open();
+    if is_open {
         inner.running += 1;
     }
-    open
+    is_open
 }
 
-fn record(state: &State, exchange: &Exchange, body: &[u8]) -> u64 {
+fn log_request(state: &State, exchange: &Exchange, body: &[u8]) -> u64 {
     let mut inner = state.lock();
     let seq = inner.log.len() as u64 + 1;
     let ran = Ran {
@@ -293,25 +293,25 @@
         at_ms: epoch_ms(),
     };
     if let Some(file) = &mut inner.file {
-        let line = serde_json::to_string(&ran).expect("a line has a JSON form");
-        // A line that can't be written would hide a run: better to fail loudly.
-        writeln!(file, "{line}").expect("the log can be written");
+        let line = serde_json::to_string(&ran).expect("a log entry serializes to JSON");
+        // Panics because a missing line would hide that the request ran.
+        writeln!(file, "{line}").expect("the log file is writable");
     }
     inner.log.push(ran);
     seq
 }
 
-fn work(state: &State, exchange: &Exchange) {
-    let asked = exchange.header("X-Work-Ms").and_then(|ms| ms.parse().ok());
-    let work = asked.map_or(state.settings.work, Duration::from_millis);
+fn simulate_work(state: &State, exchange: &Exchange) {
+    let requested = exchange.header("X-Work-Ms").and_then(|ms| ms.parse().ok());
+    let work = requested.map_or(state.settings.default_work, Duration::from_millis);
     let factor = state.lock().faults.slow_factor;
     thread::sleep(work.mul_f64(factor.max(0.0)));
     while state.lock().faults.stuck && exchange.is_open() {
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn answer(exchange: &Exchange, seq: u64, body: &[u8]) -> Answer {
+fn build_answer(exchange: &Exchange, seq: u64, body: &[u8]) -> Answer {
     let size = exchange.header("X-Size").and_then(|size| size.parse().ok());
     Answer {
         seq,
--- a/hibiscusroad-standins/tests/plain.rs
+++ b/hibiscusroad-standins/tests/plain.rs
@@ -10,13 +10,13 @@
     time::{Duration, Instant},
 };
 
-const PATIENCE: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn call(addr: SocketAddr, request: &str) -> Result<Answer, ureq::Error> {
     let url = format!("http://{addr}/huts/7");
     let call = ureq::post(url)
         .config()
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .header("X-Request", request)
         .header("X-Size", "3000")
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn answer_echoes_and_the_log_names_what_ran() {
+fn answer_echoes_the_request_and_the_log_lists_it() {
     let plain = Plain::start(Settings::default()).unwrap();
     let answer = call(plain.addr(), "r1").unwrap();
     assert_eq!(answer.request.as_deref(), Some("r1"));
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn no_more_than_the_limit_run_at_once() {
-    let work = Duration::from_millis(60);
+fn concurrent_requests_are_limited() {
+    let default_work = Duration::from_millis(60);
     let plain = Plain::start(Settings {
-        work,
-        limit: 1,
+        default_work,
+        max_running: 1,
         ..Settings::default()
     })
     .unwrap();
@@ -55,13 +55,12 @@
             scope.spawn(|| call(plain.addr(), "r").unwrap());
         }
     });
-    assert!(start.elapsed() >= work * 3);
+    assert!(start.elapsed() >= default_work * 3);
 }
 
-/// The caller gives up on a stuck service. The request has run all the same,
-/// which is why nobody may call it "not run".
+/// A request without an answer may have run, so it must not be reported as not run.
 #[test]
-fn stuck_service_has_run_what_it_does_not_answer() {
+fn stuck_service_runs_requests_without_answering() {
     let plain = Plain::start(Settings::default()).unwrap();
     plain.set_faults(Faults {
         stuck: true,
@@ -71,18 +70,19 @@
     assert_eq!(plain.log().len(), 1);
 }
 
-/// A connection goes silent without closing: what is sent on it meets nothing
-/// but the caller's deadline, while a new connection works.
+/// On a connection that goes silent without closing, only the caller's timeout ends a
+/// request.
 #[test]
 fn silent_connection_stays_silent_and_new_ones_work() {
     let plain = Plain::start(Settings::default()).unwrap();
     let relay = Relay::start(FREE, plain.addr()).unwrap();
-    let kept = ureq::agent();
+    let agent = ureq::agent();
     let url = format!("http://{}/", relay.addr());
     let get = || {
-        kept.get(&url)
+        agent
+            .get(&url)
             .config()
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .build()
             .call()
     };
