--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -131,7 +131,7 @@
     /// Notes that the answer was read to its end.
     pub(super) fn complete(&mut self) {
         self.ticket.finish(self.endpoint, Outcome::Answered);
-        self.flight.answered();
+        self.flight.mark_answered();
         if let Some(channel) = self.channel.take() {
             self.line.channels.give_back(channel, self.keep);
         }
@@ -139,7 +139,7 @@
 
     /// Notes why the connection broke.
     pub(super) fn failed(&mut self, error: &hyper::Error) {
-        self.flight.broke(error);
+        self.flight.record_break(error);
     }
 
     /// Notes that the answer broke off.
@@ -220,11 +220,11 @@
         flow,
     } = sending;
     let mut begun = line.usage.watch(head.account.as_ref());
-    let mut flight = line.crashes.watch(&subject, target.life());
+    let mut flight = line.crashes.track(&subject, target.life());
     let sent = request(&head, &target, body);
     let sending = || {
         begun.sent();
-        flight.sent();
+        flight.mark_sent();
     };
     let answer = line
         .channels
@@ -236,7 +236,7 @@
             if fault.unsent() {
                 begun.not_run();
             }
-            flight.faulted(&fault);
+            flight.record_fault(&fault);
             return faulted(&head, &subject, &target, &fault);
         }
     };
@@ -294,13 +294,13 @@
     let echo = text(&parts.headers, header::REQUEST);
     let foreign = echo.is_some_and(|echo| echo != head.id);
     if foreign {
-        flight.dismissed();
+        flight.mark_survived();
         // Late for an earlier request: the connection is out of step.
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
     let status = parts.status;
     if parts.headers.contains_key(header::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
-        flight.dismissed();
+        flight.mark_survived();
         // Its body says no more, but has to be read to keep the connection.
         drain(line, body, channel, &parts.headers).await;
         return Done::NotRun(match status {
@@ -311,7 +311,7 @@
     let signed = parts.headers.contains_key(header::SIGNATURE);
     let whole = echo.is_some() && signed && !parts.headers.contains_key(CONTENT_ENCODING);
     if status.is_success() && !whole {
-        flight.dismissed();
+        flight.mark_survived();
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
     let keep = kept(&parts.headers);
@@ -319,9 +319,9 @@
         Ok((first, None)) => {
             line.channels.give_back(channel, keep);
             if status.is_server_error() {
-                flight.dismissed();
+                flight.mark_survived();
             } else {
-                flight.answered();
+                flight.mark_answered();
             }
             Received::Whole(join(first))
         }
@@ -332,7 +332,7 @@
             flight,
         })),
         Err(error) => {
-            flight.broke(&error);
+            flight.record_break(&error);
             log::info!(target: CALLS, id = head.id.as_str(), error = error.to_string().as_str();
                 "An answer is not whole.");
             return Done::Failed(ErrorKind::AnswerShort, None);
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -282,13 +282,13 @@
         let head = &request.head;
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
-        let mut flight = crashes.watch(&request.subject, target.life());
+        let mut flight = crashes.track(&request.subject, target.life());
         let sent = attempt::request(head, &target, whole(request.body.clone()));
         let channels = &self.batches.line.channels;
-        let sending = channels.send_noting(target.address, sent, || flight.sent());
+        let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
         let sent = self.queue(sending, head.id.as_str()).await?;
         let (response, channel) = sent.map_err(|fault| {
-            flight.faulted(&fault);
+            flight.record_fault(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
                 endpoint = endpoint.id.as_str(),
                 fingerprint:% = request.subject.fingerprint(), error = fault.to_string().as_str();
@@ -296,12 +296,12 @@
             Break::Lost
         })?;
         if let Err(cause) = self.accept(head, &response) {
-            flight.dismissed();
+            flight.mark_survived();
             return Err(cause);
         }
         let keep = attempt::kept(response.headers());
         self.read(response.into_body(), &mut flight).await?;
-        flight.answered();
+        flight.mark_answered();
         channels.give_back(channel, keep);
         Ok(())
     }
@@ -407,7 +407,7 @@
                     return Ok(Some(frame));
                 }
                 Ok(Some(Err(error))) => {
-                    flight.broke(&error);
+                    flight.record_break(&error);
                     return Err(Break::Lost);
                 }
                 Err(_elapsed) => {}
--- a/hibiscusroad-daemon/src/gateway/crashes/flight.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/flight.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way, watched for the end of their endpoint.
+//! Tracking of requests in flight, which detects that their endpoint ended.
 
 use super::{Crashes, Subject};
 use crate::gateway::http::Fault;
@@ -7,80 +7,86 @@
 
 /// A request in flight at an endpoint.
 ///
-/// Dropped without an outcome, it stays open: its endpoint may turn out to have ended.
+/// If it is dropped after it was sent and without an outcome, it is kept as unresolved: its
+/// endpoint may turn out to have ended.
 pub(in crate::gateway) struct InFlight {
     crashes: Rc<Crashes>,
     subject: Rc<Subject>,
-    life: EndpointIncarnation,
-    sent: bool,
+    incarnation: EndpointIncarnation,
+    /// It was sent, and its outcome is not known.
+    unresolved: bool,
 }
 
 impl Crashes {
-    /// Begins to watch a request on its way to an endpoint.
-    pub(in crate::gateway) fn watch(
+    /// Starts to track a request to an endpoint.
+    pub(in crate::gateway) fn track(
         self: &Rc<Self>,
         subject: &Rc<Subject>,
-        life: EndpointIncarnation,
+        incarnation: EndpointIncarnation,
     ) -> InFlight {
         InFlight {
             crashes: Rc::clone(self),
             subject: Rc::clone(subject),
-            life,
-            sent: false,
+            incarnation,
+            unresolved: false,
         }
     }
 
-    fn leave_open(&self, subject: &Subject, life: &EndpointIncarnation) {
+    /// Keeps a request whose outcome is unknown until its endpoint is seen to have ended.
+    fn add_unresolved(&self, subject: &Subject, incarnation: &EndpointIncarnation) {
         if subject.is_answered() {
             return;
         }
         let request = subject.fingerprint();
         let path = subject.path().to_owned();
-        let ended = self
-            .open
-            .borrow_mut()
-            .add(Instant::now(), request, life.clone(), path);
+        let ended =
+            self.unresolved
+                .borrow_mut()
+                .add(Instant::now(), request, incarnation.clone(), path);
         if ended {
-            self.record(request, life, subject.path());
+            self.record_crash(request, incarnation, subject.path());
         }
     }
 }
 
 impl InFlight {
-    /// Notes that the request goes out on an open connection.
-    pub(in crate::gateway) fn sent(&mut self) {
-        self.sent = true;
+    /// Records that the request is being written to an open connection.
+    pub(in crate::gateway) fn mark_sent(&mut self) {
+        self.unresolved = true;
     }
 
-    /// Notes that the request was answered: it doesn't crash endpoints.
-    pub(in crate::gateway) fn answered(&mut self) {
-        self.sent = false;
+    /// Records that the request was answered, and removes the evidence against it.
+    pub(in crate::gateway) fn mark_answered(&mut self) {
+        self.unresolved = false;
         self.subject.set_answered();
-        self.crashes.clear(&self.subject);
+        self.crashes.remove_evidence(&self.subject);
     }
 
-    /// Notes that the endpoint lives and did not answer the request.
-    pub(in crate::gateway) fn dismissed(&mut self) {
-        self.sent = false;
+    /// Records that the endpoint survived the request, although it did not answer it.
+    pub(in crate::gateway) fn mark_survived(&mut self) {
+        self.unresolved = false;
     }
 
-    /// Notes why the connection broke before the whole answer was there.
-    pub(in crate::gateway) fn broke(&mut self, error: &(dyn Error + 'static)) {
-        if self.sent && is_closed(error) {
-            self.sent = false;
-            self.crashes
-                .record(self.subject.fingerprint(), &self.life, self.subject.path());
+    /// Records the error that broke the connection before the answer was complete.
+    pub(in crate::gateway) fn record_break(&mut self, error: &(dyn Error + 'static)) {
+        if self.unresolved && is_closed(error) {
+            self.unresolved = false;
+            self.crashes.record_crash(
+                self.subject.fingerprint(),
+                &self.incarnation,
+                self.subject.path(),
+            );
         }
     }
 
-    /// Notes why no answer came.
-    pub(in crate::gateway) fn faulted(&mut self, fault: &Fault) {
+    /// Records the fault because of which no answer was received.
+    pub(in crate::gateway) fn record_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Broken(error) => self.broke(error),
-            Fault::Unreached(why) => {
-                self.sent = false;
-                if why.is_refusal() {
-                    self.crashes.ended(&self.life);
+            Fault::Broken(error) => self.record_break(error),
+            Fault::Unreached(cause) => {
+                self.unresolved = false;
+                if cause.is_refusal() {
+                    self.crashes.record_end(&self.incarnation);
                 }
             }
         }
@@ -89,18 +95,18 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        if self.sent {
-            self.crashes.leave_open(&self.subject, &self.life);
+        if self.unresolved {
+            self.crashes
+                .add_unresolved(&self.subject, &self.incarnation);
         }
     }
 }
 
-/// Says whether the other side closed or reset the connection, as it does when its
-/// process ends. A silent connection tells nothing of the endpoint: it may be the
-/// network.
+/// Returns whether the other side closed or reset the connection, as happens when its
+/// process ends. A timeout doesn't count: the network may be the cause.
 fn is_closed(error: &(dyn Error + 'static)) -> bool {
-    let mut next = Some(error);
-    while let Some(error) = next {
+    let mut cause = Some(error);
+    while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<hyper::Error>()
             && error.is_incomplete_message()
         {
@@ -115,7 +121,7 @@
                     | io::ErrorKind::UnexpectedEof
             );
         }
-        next = error.source();
+        cause = error.source();
     }
     false
 }
--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -1,13 +1,14 @@
-//! Requests that crash endpoints: what this gateway sees of them, and what it is told.
+//! Detection of requests that crash endpoints, and their quarantine.
 //!
-//! [`hibiscusroad::quarantine`] decides. Here attempts are watched ([`InFlight`]), what
-//! they show is written to the store ([`keep`]), and what other gateways saw is taken
-//! in ([`sink`]). Evidence counts here at once, whether or not the store has it: a
-//! gateway that is cut off must not run a request again that it saw crash endpoints.
+//! [`hibiscusroad::quarantine`] has the rules. This module collects the evidence: it tracks
+//! requests in flight ([`InFlight`]), writes the crashes that it detects to the store
+//! ([`writer`]) and reads those that other gateways detected ([`sink`]). Evidence takes
+//! effect in this process before it is written, so that a gateway that can't reach the
+//! store stops running a request that crashes endpoints, too.
 
 mod flight;
-mod keep;
 mod sink;
+mod writer;
 
 use super::{meters::Meters, store::Store, subject::Subject};
 use crate::logs::CALLS;
@@ -29,56 +30,62 @@
 
 pub(super) use self::{flight::InFlight, sink::sink};
 
-/// Characters of a path that are kept for operators: many rows go into one write.
-const PATH: usize = 200;
+/// Maximum characters of a path in a row, which bounds the size of a write.
+const MAX_PATH_CHARS: usize = 200;
 
-/// An endpoint as its entry told last.
+/// The state of an endpoint in the roster.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
-    born: Option<u64>,
+struct EndpointState {
+    started_ms: Option<u64>,
     leaving: bool,
 }
 
-/// What is known of crashes.
+/// The crash evidence that this gateway has, its own and that of other gateways.
 pub(super) struct Crashes {
     store: Rc<Store>,
     meters: Rc<Meters>,
     ledger: RefCell<Ledger>,
-    open: RefCell<UnresolvedAttempts>,
-    entries: RefCell<HashMap<String, Entry>>,
-    /// When the entries were told of.
-    contact: Cell<UpdateContinuity>,
+    unresolved: RefCell<UnresolvedAttempts>,
+    endpoints: RefCell<HashMap<String, EndpointState>>,
+    /// Whether the roster has been kept up to date without a gap.
+    roster_continuity: Cell<UpdateContinuity>,
     /// Rows that are not written yet; `None` for those to be removed.
-    unkept: RefCell<BTreeMap<RowId, Option<Vec<u8>>>>,
+    pending: RefCell<BTreeMap<RowId, Option<Vec<u8>>>>,
     /// Rows that this process wrote.
-    own: RefCell<HashSet<RowId>>,
-    /// Requests whose quarantine is known here.
+    own_rows: RefCell<HashSet<RowId>>,
+    /// Requests whose quarantine was logged.
     quarantined: RefCell<HashSet<Fingerprint>>,
-    changed: Notify,
+    /// Notified when a row is queued.
+    write_queued: Notify,
 }
 
 impl Crashes {
-    pub(super) fn new(limit: usize, keep: Duration, store: Rc<Store>, meters: Rc<Meters>) -> Self {
+    pub(super) fn new(
+        crash_limit: usize,
+        crash_ttl: Duration,
+        store: Rc<Store>,
+        meters: Rc<Meters>,
+    ) -> Self {
         Self {
             store,
             meters,
-            ledger: RefCell::new(Ledger::new(limit, keep)),
-            open: RefCell::new(UnresolvedAttempts::new()),
-            entries: RefCell::default(),
-            contact: Cell::new(UpdateContinuity::new()),
-            unkept: RefCell::default(),
-            own: RefCell::default(),
+            ledger: RefCell::new(Ledger::new(crash_limit, crash_ttl)),
+            unresolved: RefCell::new(UnresolvedAttempts::new()),
+            endpoints: RefCell::default(),
+            roster_continuity: Cell::new(UpdateContinuity::new()),
+            pending: RefCell::default(),
+            own_rows: RefCell::default(),
             quarantined: RefCell::default(),
-            changed: Notify::new(),
+            write_queued: Notify::new(),
         }
     }
 
-    /// Says whether any request was seen in flight at a crash.
+    /// Returns whether there is evidence against any request.
     pub(super) fn has_evidence(&self) -> bool {
         !self.ledger.borrow().is_empty()
     }
 
-    /// Says what is known of a request.
+    /// Returns whether a request may run, by the evidence against it.
     pub(super) fn verdict(&self, subject: &Subject) -> Verdict {
         if !self.has_evidence() {
             return Verdict::Clear;
@@ -87,88 +94,93 @@
         ledger.verdict(self.now(), subject.fingerprint())
     }
 
-    /// Takes in changes of the roster.
-    pub(super) fn roster(&self, news: &[EndpointChange]) {
-        for news in news {
-            match news {
+    /// Applies changes of the roster.
+    pub(super) fn apply_roster(&self, changes: &[EndpointChange]) {
+        for change in changes {
+            match change {
                 EndpointChange::Updated(endpoint) => {
-                    let entry = Entry {
-                        born: endpoint.started_ms,
+                    let state = EndpointState {
+                        started_ms: endpoint.started_ms,
                         leaving: endpoint.leaving,
                     };
-                    self.entries.borrow_mut().insert(endpoint.id.clone(), entry);
+                    self.endpoints
+                        .borrow_mut()
+                        .insert(endpoint.id.clone(), state);
                 }
-                EndpointChange::Removed(id) => self.gone(id),
+                EndpointChange::Removed(id) => self.remove_endpoint(id),
             }
         }
     }
 
-    /// Notes that the store told of the endpoints' entries.
-    pub(super) fn confirm(&self) {
-        let mut contact = self.contact.get();
-        contact.record_update(Instant::now());
-        self.contact.set(contact);
+    /// Records that the roster is up to date with the store.
+    pub(super) fn confirm_roster(&self) {
+        let mut continuity = self.roster_continuity.get();
+        continuity.record_update(Instant::now());
+        self.roster_continuity.set(continuity);
     }
 
-    fn gone(&self, id: &str) {
-        let known = self.entries.borrow().get(id).copied();
-        if let Some(entry) = known {
-            self.ended(&EndpointIncarnation {
+    fn remove_endpoint(&self, id: &str) {
+        let state = self.endpoints.borrow().get(id).copied();
+        if let Some(state) = state {
+            self.record_end(&EndpointIncarnation {
                 endpoint: id.to_owned(),
-                started_ms: entry.born,
+                started_ms: state.started_ms,
             });
         }
-        self.entries.borrow_mut().remove(id);
+        self.endpoints.borrow_mut().remove(id);
     }
 
-    /// Says whether an endpoint told that it leaves: its end is planned then.
-    fn is_leaving(&self, life: &EndpointIncarnation) -> bool {
-        let entries = self.entries.borrow();
-        let entry = entries.get(&life.endpoint);
-        entry.is_some_and(|entry| entry.leaving && entry.born == life.started_ms)
+    /// Returns whether an endpoint announced its end, which is no crash then.
+    fn is_leaving(&self, incarnation: &EndpointIncarnation) -> bool {
+        let endpoints = self.endpoints.borrow();
+        let state = endpoints.get(&incarnation.endpoint);
+        state.is_some_and(|state| state.leaving && state.started_ms == incarnation.started_ms)
     }
 
-    /// Notes that an endpoint has ended: what was in flight there may be the cause.
-    fn ended(&self, life: &EndpointIncarnation) {
-        if self.is_leaving(life) {
+    /// Records that an endpoint ended, as evidence against its unresolved requests.
+    fn record_end(&self, incarnation: &EndpointIncarnation) {
+        if self.is_leaving(incarnation) {
             return;
         }
-        let open = self.open.borrow_mut().record_end(Instant::now(), life);
-        for (request, path) in open {
-            self.record(request, life, &path);
+        let requests = self
+            .unresolved
+            .borrow_mut()
+            .record_end(Instant::now(), incarnation);
+        for (request, path) in requests {
+            self.record_crash(request, incarnation, &path);
         }
     }
 
-    /// Notes that a request was in flight at an endpoint that ended.
-    fn record(&self, request: Fingerprint, life: &EndpointIncarnation, path: &str) {
-        if self.is_leaving(life) {
+    /// Records that a request was in flight at an endpoint that ended.
+    fn record_crash(&self, request: Fingerprint, incarnation: &EndpointIncarnation, path: &str) {
+        if self.is_leaving(incarnation) {
             return;
         }
         let crash = Crash {
             request,
-            incarnation: life.clone(),
+            incarnation: incarnation.clone(),
             at: self.now(),
-            path: path.chars().take(PATH).collect(),
+            path: path.chars().take(MAX_PATH_CHARS).collect(),
         };
         let (row, value) = (crash.row(), crash.encode());
         if !self.ledger.borrow_mut().add(crash) {
             return;
         }
         log::info!(target: CALLS, fingerprint:% = request, path = path,
-            endpoint = life.endpoint.as_str();
+            endpoint = incarnation.endpoint.as_str();
             "A request was in flight at an endpoint that ended.");
         self.meters.crashes.with_label_values(&["noted"]).inc();
-        self.write(row, Some(value));
-        self.judge();
+        self.queue_write(row, Some(value));
+        self.update_quarantines();
     }
 
-    /// Notes that a request was answered.
-    fn clear(&self, subject: &Subject) {
-        if self.ledger.borrow().is_empty() && self.open.borrow().is_empty() {
+    /// Removes the evidence against a request that was answered.
+    fn remove_evidence(&self, subject: &Subject) {
+        if self.ledger.borrow().is_empty() && self.unresolved.borrow().is_empty() {
             return;
         }
         let request = subject.fingerprint();
-        self.open.borrow_mut().remove_request(request);
+        self.unresolved.borrow_mut().remove_request(request);
         let rows = self.ledger.borrow_mut().remove_request(request);
         if rows.is_empty() {
             return;
@@ -177,36 +189,36 @@
             "A request that was in flight at crashes is answered.");
         self.meters.crashes.with_label_values(&["cleared"]).inc();
         for row in rows {
-            self.write(row, None);
+            self.queue_write(row, None);
         }
-        self.judge();
+        self.update_quarantines();
     }
 
-    /// Tells of quarantines that began or ended.
-    fn judge(&self) {
+    /// Logs and counts the quarantines that began or ended.
+    fn update_quarantines(&self) {
         let (ledger, now) = (self.ledger.borrow(), self.now());
-        let held = |request: &Fingerprint| {
+        let is_quarantined = |request: &Fingerprint| {
             matches!(ledger.verdict(now, *request), Verdict::Quarantined(_))
         };
-        let held: HashSet<Fingerprint> = ledger.requests().filter(held).collect();
-        let mut known = self.quarantined.borrow_mut();
-        for request in held.difference(&known) {
+        let current: HashSet<Fingerprint> = ledger.requests().filter(is_quarantined).collect();
+        let mut previous = self.quarantined.borrow_mut();
+        for request in current.difference(&previous) {
             let crashes: Vec<&Crash> = ledger.crashes_of(*request).collect();
             let path = crashes.first().map_or("", |crash| crash.path.as_str());
             log::warn!(target: CALLS, fingerprint:% = *request, path = path,
                 crashes = crashes.len();
                 "A request is in quarantine: endpoints end while they run it.");
         }
-        for request in known.difference(&held) {
-            log::info!(target: CALLS, fingerprint:% = *request; "A quarantine is over.");
+        for request in previous.difference(&current) {
+            log::info!(target: CALLS, fingerprint:% = *request; "A quarantine ended.");
         }
-        *known = held;
+        *previous = current;
         self.meters
             .quarantined
-            .set(i64::try_from(known.len()).unwrap_or(i64::MAX));
+            .set(i64::try_from(previous.len()).unwrap_or(i64::MAX));
     }
 
-    /// Returns the store's steady clock; there are no requests before it is known.
+    /// Returns the store's monotonic clock, which is known before any request is served.
     fn now(&self) -> Duration {
         self.store.now().unwrap_or_default()
     }
--- a/hibiscusroad-daemon/src/gateway/crashes/sink.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/sink.rs
@@ -1,4 +1,4 @@
-//! Takes in what all gateways saw of crashes.
+//! Applies the crash evidence of all gateways, as read from the store.
 
 use super::Crashes;
 use crate::{gateway::sync::Sink, logs::CALLS};
@@ -8,37 +8,40 @@
 };
 use std::rc::Rc;
 
-/// Builds the sink of the table of crashes.
+/// Builds the sink of the table of crashes, which applies its rows to `crashes`.
 pub(in crate::gateway) fn sink(crashes: Rc<Crashes>) -> Sink {
-    let all = Rc::clone(&crashes);
+    let replacing = Rc::clone(&crashes);
     Sink {
         table: CRASHES,
         parts: vec![String::new()],
-        replace: Box::new(move |rows| all.replace(&rows)),
-        change: Box::new(move |changes| crashes.change(&changes.rows, &changes.removed)),
+        replace: Box::new(move |rows| replacing.replace_rows(&rows)),
+        change: Box::new(move |changes| crashes.apply_changes(&changes.rows, &changes.removed)),
         confirm: Box::new(|| {}),
     }
 }
 
 impl Crashes {
-    /// Takes in all rows there are, and removes those that count no more: whoever wrote
-    /// them may be gone.
-    fn replace(&self, rows: &[Row]) {
+    /// Replaces the evidence with all rows of the table.
+    ///
+    /// Rows that are expired or can't be decoded are removed from the store, since the
+    /// process that wrote them may no longer run.
+    fn replace_rows(&self, rows: &[Row]) {
         self.ledger.borrow_mut().clear();
-        self.change(rows, &[]);
+        self.apply_changes(rows, &[]);
         let now = self.now();
-        let over = |row: &&Row| {
+        let is_obsolete = |row: &&Row| {
             let crash = Crash::decode(row);
             crash.map_or(true, |crash| self.ledger.borrow().is_expired(now, &crash))
         };
-        for row in rows.iter().filter(over) {
-            self.write(row.id.clone(), None);
+        for row in rows.iter().filter(is_obsolete) {
+            self.queue_write(row.id.clone(), None);
         }
     }
 
-    fn change(&self, rows: &[Row], gone: &[RowId]) {
+    /// Applies rows that changed and rows that were removed.
+    fn apply_changes(&self, rows: &[Row], removed: &[RowId]) {
         let mut ledger = self.ledger.borrow_mut();
-        for row in gone {
+        for row in removed {
             ledger.remove(row);
         }
         for row in rows {
@@ -48,11 +51,11 @@
                 }
                 Err(error) => log::error!(target: CALLS, row = row.id.key.as_str(),
                     error = error.to_string().as_str();
-                    "A row of crashes is broken; it is ignored."),
+                    "A row of crashes can't be decoded and is ignored."),
             }
         }
-        // What the store has not taken yet holds here all the same.
-        for (id, value) in &*self.unkept.borrow() {
+        // Changes that are not written yet override the store's rows.
+        for (id, value) in &*self.pending.borrow() {
             ledger.remove(id);
             let row = value.clone().map(|value| Row {
                 id: id.clone(),
@@ -64,6 +67,6 @@
             }
         }
         drop(ledger);
-        self.judge();
+        self.update_quarantines();
     }
 }
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -225,7 +225,7 @@
         let members = Rc::new(Members::new(Rc::clone(&counts), move |news| {
             if let Some(gateway) = hearer.upgrade() {
                 gateway.line.calls.roster(news);
-                gateway.line.crashes.roster(news);
+                gateway.line.crashes.apply_roster(news);
                 gateway.batches.roster(news);
                 gateway.weights.roster(news);
             }
@@ -316,7 +316,7 @@
         sync::operator(Rc::clone(known), Rc::clone(&line.calls), wake),
         sync::endpoints(Rc::clone(members), {
             let crashes = Rc::clone(&line.crashes);
-            move || crashes.confirm()
+            move || crashes.confirm_roster()
         }),
         batches::sink(Rc::clone(batches)),
         crashes::sink(Rc::clone(&line.crashes)),
@@ -336,8 +336,8 @@
     spawn_local(Rc::clone(batches).share_paces());
     spawn_local(Rc::clone(weights).run());
     spawn_local(Rc::clone(usage).keep());
-    spawn_local(Rc::clone(&line.crashes).keep());
-    spawn_local(Rc::clone(&line.crashes).sweep());
+    spawn_local(Rc::clone(&line.crashes).run_writer());
+    spawn_local(Rc::clone(&line.crashes).run_expiry());
     if let Some(reporter) = reporter {
         let back = Rc::clone(reporter);
         store.on_return(move || back.store_back());
