--- a/hibiscusroad-daemon/src/gateway/batches/give.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/give.rs
@@ -45,7 +45,7 @@
             head: head.encode(),
             submission: submission.to_vec(),
         };
-        if let Err(error) = self.store.peers().give(to, given).await {
+        if let Err(error) = self.store.peers().push_batch(to, given).await {
             log::info!(target: BATCHES, batch = id.as_str(), to = head.owner.as_str(),
                 error = error.to_string().as_str();
                 "A batch was not given to its owner, which hears of it from the store.");
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -4,7 +4,7 @@
 //! rows while there are batches of others; [`hibiscusroad::rollout::presence`] decides who is gone.
 
 use super::{Batches, HeadRow, Owned};
-use crate::{gateway::peers::presence, logs::BATCHES, platform::Backoff};
+use crate::{gateway::peers::decode_presence, logs::BATCHES, platform::Backoff};
 use futures_util::future::join3;
 use hibiscusroad::{
     clock::millis,
@@ -192,7 +192,7 @@
         let page = self.store.read_whole(&Range::part(row::ENTRIES, "")).await;
         let page = page.map_err(|failure| failure.to_string())?;
         let now = Instant::now();
-        self.directory.hear(&self.store, &page.rows);
+        self.directory.update(&self.store, &page.rows);
         let signs = page.rows.iter().filter_map(sign).collect();
         let latency = now.saturating_duration_since(start);
         self.seen.borrow_mut().seen(now, latency, signs);
@@ -416,7 +416,7 @@
 }
 
 fn sign(row: &Row) -> Option<Sign> {
-    let Presence { life, memory, .. } = presence(row)?;
+    let Presence { life, memory, .. } = decode_presence(row)?;
     Some(Sign {
         name: row.id.key.clone(),
         life,
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -11,7 +11,7 @@
 use crate::{
     gateway::{
         answer::{Out, problem, whole},
-        peers::presence,
+        peers::decode_presence,
     },
     logs::BATCHES,
     platform::Backoff,
@@ -138,7 +138,7 @@
             .rows
             .iter()
             .filter_map(|row| {
-                let presence = presence(row)?;
+                let presence = decode_presence(row)?;
                 let held = owners.get(&presence.life)?;
                 Some(Candidate {
                     presence,
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -162,7 +162,10 @@
         let take = move |batch| batches.take(batch);
         spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take));
         let store = Rc::clone(&gateway.store);
-        spawn_local(peers::meet(store, gateway.batches.directory().clone()));
+        spawn_local(peers::poll_peers(
+            store,
+            gateway.batches.directory().clone(),
+        ));
     }
     if let Some(metrics) = metrics {
         let gateway = Rc::clone(&gateway);
--- a/hibiscusroad-daemon/src/gateway/peers/client.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/client.rs
@@ -1,6 +1,6 @@
-//! Asks a peer to carry a call to the store, or to run a batch.
+//! Client for peers: relays calls to the store, and pushes batches to their owner.
 
-use super::LARGEST;
+use super::MAX_MESSAGE_BYTES;
 use crate::gateway::failure::Failure;
 use hibiscusroad_platform::request::Request;
 use hibiscusroad_wire::peer::{
@@ -14,32 +14,32 @@
     transport::{Channel, Endpoint},
 };
 
-/// A peer that can't be connected to by then is of no use: hosts are some
-/// milliseconds apart, and other peers may help.
-const CONNECT: Duration = Duration::from_millis(250);
-/// What the way to a peer and back may take beyond the store's own time.
-const SLACK: Duration = Duration::from_millis(150);
-/// A peer that hasn't taken a batch by then reads it from the store sooner.
-const GIVE: Duration = Duration::from_millis(400);
+/// Time limit for connecting to a peer. Hosts are a few milliseconds apart, and another peer
+/// may be reachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time that a relayed call may take beyond the time limit of the store's answer.
+const RELAY_OVERHEAD: Duration = Duration::from_millis(150);
+/// Time limit for pushing a batch, after which its owner reads it from the store sooner.
+const PUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a peer didn't bring an answer.
+/// Why a peer returned no answer.
 #[derive(Debug, thiserror::Error)]
-pub(in crate::gateway) enum Uncarried {
-    /// The peer can't reach the store either; the call was not carried out.
-    #[error("the peer is turned away: {0}")]
-    Away(String),
-    /// The peer can't be reached; the call was not carried out.
+pub(in crate::gateway) enum RelayError {
+    /// The peer refused the call, or can't reach the store either. The call was not executed.
+    #[error("the peer refused the call: {0}")]
+    Refused(String),
+    /// The peer can't be reached. The call was not executed.
     #[error("the peer can't be reached: {0}")]
-    Unreached(String),
-    /// Whether the call was carried out is unknown.
-    #[error("no answer: {0}")]
-    Lost(String),
+    PeerUnreachable(String),
+    /// No answer was received, and the call may have been executed.
+    #[error("no answer from the peer: {0}")]
+    Unknown(String),
 }
 
-/// Connections to peers, one each, kept while they work.
+/// Connections to peers. Each peer has one, which is reused until a call on it fails.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct Peers {
-    open: RefCell<HashMap<SocketAddr, PeerClient<Channel>>>,
+    clients: RefCell<HashMap<SocketAddr, PeerClient<Channel>>>,
 }
 
 impl Peers {
@@ -47,80 +47,81 @@
         Self::default()
     }
 
-    /// Has a peer carry a call that the store may take `limit` for.
+    /// Relays a call through a peer, where the store may take `limit` to answer.
     ///
     /// # Errors
     ///
-    /// Returns why no answer came, and whether the call may have been carried
-    /// out all the same.
-    pub(in crate::gateway) async fn carry(
+    /// Returns an error if no answer was received. The error says whether the call may have
+    /// been executed nevertheless.
+    pub(in crate::gateway) async fn relay(
         &self,
         peer: SocketAddr,
         request: &Request,
         limit: Duration,
-    ) -> Result<(u16, Bytes), Uncarried> {
+    ) -> Result<(u16, Bytes), RelayError> {
         let mut client = self.client(peer).await?;
-        let answer = timeout(limit + SLACK, client.carry(encode(request, limit))).await;
+        let answer = timeout(limit + RELAY_OVERHEAD, client.carry(encode(request, limit))).await;
         let answer = match answer {
             Ok(Ok(answer)) => answer.into_inner(),
             Ok(Err(status)) => {
-                self.forget(peer);
+                self.disconnect(peer);
                 return Err(match status.code() {
-                    // Said by the peer itself, before it did anything.
+                    // The peer itself returns these, before it executes anything.
                     Code::ResourceExhausted | Code::InvalidArgument => {
-                        Uncarried::Away(status.message().to_owned())
+                        RelayError::Refused(status.message().to_owned())
                     }
-                    _ => Uncarried::Lost(status.to_string()),
+                    _ => RelayError::Unknown(status.to_string()),
                 });
             }
             Err(_elapsed) => {
-                self.forget(peer);
-                return Err(Uncarried::Lost("time is over".to_owned()));
+                self.disconnect(peer);
+                return Err(RelayError::Unknown("timed out".to_owned()));
             }
         };
         decode(answer)
     }
 
-    /// Tells a peer of a batch that the store says is its own.
+    /// Pushes a batch to the peer that owns it according to the store.
     ///
     /// # Errors
     ///
-    /// Returns why the peer has perhaps not heard of it. It hears of it from the
-    /// store all the same, only later.
-    pub(in crate::gateway) async fn give(
+    /// Returns an error if the peer may not have received the batch. It reads the batch from
+    /// the store then, only later.
+    pub(in crate::gateway) async fn push_batch(
         &self,
         peer: SocketAddr,
         batch: Batch,
-    ) -> Result<(), Uncarried> {
+    ) -> Result<(), RelayError> {
         let mut client = self.client(peer).await?;
-        let given = timeout(GIVE, client.give(batch)).await;
-        let error = match given {
+        let pushed = timeout(PUSH_TIMEOUT, client.give(batch)).await;
+        let error = match pushed {
             Ok(Ok(_)) => return Ok(()),
             Ok(Err(status)) => status.to_string(),
-            Err(_elapsed) => "time is over".to_owned(),
+            Err(_elapsed) => "timed out".to_owned(),
         };
-        self.forget(peer);
-        Err(Uncarried::Lost(error))
+        self.disconnect(peer);
+        Err(RelayError::Unknown(error))
     }
 
-    async fn client(&self, peer: SocketAddr) -> Result<PeerClient<Channel>, Uncarried> {
-        if let Some(client) = self.open.borrow().get(&peer) {
+    async fn client(&self, peer: SocketAddr) -> Result<PeerClient<Channel>, RelayError> {
+        if let Some(client) = self.clients.borrow().get(&peer) {
             return Ok(client.clone());
         }
-        let unreached = |error: tonic::transport::Error| Uncarried::Unreached(error.to_string());
-        let endpoint = Endpoint::from_shared(format!("http://{peer}")).map_err(unreached)?;
-        let endpoint = endpoint.connect_timeout(CONNECT);
-        let channel = timeout(CONNECT, endpoint.connect())
+        let unreachable =
+            |error: tonic::transport::Error| RelayError::PeerUnreachable(error.to_string());
+        let endpoint = Endpoint::from_shared(format!("http://{peer}")).map_err(unreachable)?;
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT);
+        let channel = timeout(CONNECT_TIMEOUT, endpoint.connect())
             .await
-            .map_err(|_elapsed| Uncarried::Unreached("time is over".to_owned()))?
-            .map_err(unreached)?;
-        let client = PeerClient::new(channel).max_decoding_message_size(LARGEST);
-        self.open.borrow_mut().insert(peer, client.clone());
+            .map_err(|_elapsed| RelayError::PeerUnreachable("timed out".to_owned()))?
+            .map_err(unreachable)?;
+        let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
+        self.clients.borrow_mut().insert(peer, client.clone());
         Ok(client)
     }
 
-    fn forget(&self, peer: SocketAddr) {
-        self.open.borrow_mut().remove(&peer);
+    fn disconnect(&self, peer: SocketAddr) {
+        self.clients.borrow_mut().remove(&peer);
     }
 }
 
@@ -138,24 +139,27 @@
     }
 }
 
-fn decode(answer: StoreAnswer) -> Result<(u16, Bytes), Uncarried> {
+fn decode(answer: StoreAnswer) -> Result<(u16, Bytes), RelayError> {
     match answer.outcome {
         Some(Outcome::Answered(answer)) => {
-            let status = u16::try_from(answer.status)
-                .map_err(|_large| Uncarried::Lost("a status out of range".to_owned()))?;
+            let status = u16::try_from(answer.status).map_err(|_out_of_range| {
+                RelayError::Unknown("the status is out of range".to_owned())
+            })?;
             Ok((status, answer.body.into()))
         }
-        Some(Outcome::Refused(why)) => Err(Uncarried::Away(why)),
-        Some(Outcome::Lost(why)) => Err(Uncarried::Lost(why)),
-        None => Err(Uncarried::Lost("an answer without an outcome".to_owned())),
+        Some(Outcome::Refused(reason)) => Err(RelayError::Refused(reason)),
+        Some(Outcome::Lost(reason)) => Err(RelayError::Unknown(reason)),
+        None => Err(RelayError::Unknown("the answer has no outcome".to_owned())),
     }
 }
 
-impl From<Uncarried> for Failure {
-    fn from(error: Uncarried) -> Self {
+impl From<RelayError> for Failure {
+    fn from(error: RelayError) -> Self {
         match error {
-            Uncarried::Away(_) | Uncarried::Unreached(_) => Self::Refused(error.to_string()),
-            Uncarried::Lost(why) => Self::Lost(why),
+            RelayError::Refused(_) | RelayError::PeerUnreachable(_) => {
+                Self::Refused(error.to_string())
+            }
+            RelayError::Unknown(reason) => Self::Lost(reason),
         }
     }
 }
--- a/hibiscusroad-daemon/src/gateway/peers/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/mod.rs
@@ -1,28 +1,27 @@
-//! What gateways do for each other: they carry calls to the store, and tell of batches.
+//! Calls between gateways: they relay calls to the store for each other, and push batches to
+//! their owners.
 //!
-//! A gateway that the store turns away, while it serves others, would have to
-//! give up what it owns. Its peers carry its calls instead;
-//! [`hibiscusroad::store_path`] decides which way a call goes.
+//! A gateway that can't reach the store, while others can, would have to give up its batches.
+//! Its peers relay its calls instead; [`hibiscusroad::store_path`] chooses the path of a call.
 //!
-//! * [`client`]: asks a peer to carry a call, or gives it a batch.
-//! * [`server`]: carries calls of peers, and takes batches.
-//! * [`directory`]: who the peers are, from their rows in the store.
+//! * [`client`]: relays calls through a peer, and pushes batches to one.
+//! * [`server`]: executes the calls of peers, and accepts batches.
+//! * [`directory`]: discovers peers by their rows in the store.
 //!
-//! A call is carried out once or not at all, and its outcome is told as the
-//! store's client tells it: answered, surely not carried out, or unknown. A
-//! peer never tries twice and never passes a call on, so two gateways that are
-//! both turned away can't send one in circles.
+//! A relayed call has the same outcomes as a direct one: answered, not executed, or unknown. A
+//! peer neither retries a call nor relays it further, so that a call can't circulate between
+//! gateways that can't reach the store.
 
 mod client;
 mod directory;
 mod server;
 
 pub(super) use self::{
-    client::{Peers, Uncarried},
-    directory::{Directory, meet, presence},
+    client::{Peers, RelayError},
+    directory::{Directory, decode_presence, poll_peers},
     server::serve,
 };
 
-/// The largest call or answer: a submission as an object of the store, with
-/// room for its frame.
-const LARGEST: usize = 64 << 20;
+/// Maximum size of a call or an answer. The largest is the submission of a batch, which is an
+/// object of the store.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
--- a/hibiscusroad-daemon/src/gateway/peers/server.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/server.rs
@@ -1,10 +1,9 @@
-//! Carries calls of peers to the store, and takes the batches that they give.
+//! Server for peers: executes their calls to the store, and accepts batches that they push.
 //!
-//! tonic's handlers may run on any thread, and what reaches the store belongs to
-//! one: each call is handed over through a bounded queue, and a full one is a
-//! refusal, not a wait.
+//! Handlers of tonic may run on any thread, but the client of the store belongs to one. Each
+//! call is therefore queued to that thread; if the queue is full the call is refused at once.
 
-use super::LARGEST;
+use super::MAX_MESSAGE_BYTES;
 use crate::{
     gateway::{failure::Failure, store::Store},
     logs::STORE,
@@ -24,38 +23,37 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status, transport::Server};
 
-/// Calls of peers that may wait to be sent. One peer has some ten calls under
-/// way at a time, three of which are long waits; this is enough for the share of
-/// a third of 360 gateways that are turned away and spread over the others.
-const QUEUE: usize = 64;
-/// Longest that a call of a peer may take: the longest wait for changes and the
-/// longest time limit of an object.
-const LONGEST: Duration = Duration::from_secs(5);
+/// Maximum queued calls of peers. A peer that can't reach the store has about ten calls in
+/// flight, and the calls of such gateways are spread over all others.
+const MAX_QUEUED_JOBS: usize = 64;
+/// Maximum time limit of a peer's call. It covers the long poll for changes and the transfer
+/// of an object.
+const MAX_CALL_TIME: Duration = Duration::from_secs(5);
 
-/// What a peer asks for.
+/// Work that a peer requested.
 enum Job {
-    /// To carry out a call within a time.
-    Carry(Call, Duration, oneshot::Sender<Outcome>),
-    /// To run a batch.
-    Take(Batch),
+    /// Executes a call to the store within a time limit.
+    Relay(Call, Duration, oneshot::Sender<Outcome>),
+    /// Accepts a batch that this process owns.
+    AcceptBatch(Batch),
 }
 
 #[derive(Debug)]
-struct Carrier {
+struct PeerService {
     jobs: mpsc::Sender<Job>,
 }
 
 #[tonic::async_trait]
-impl Peer for Carrier {
+impl Peer for PeerService {
     async fn carry(&self, request: Request<StoreCall>) -> Result<Response<StoreAnswer>, Status> {
         let (call, limit) = decode(request.into_inner())?;
         let (reply, outcome) = oneshot::channel();
         self.jobs
-            .try_send(Job::Carry(call, limit, reply))
-            .map_err(|_full| Status::resource_exhausted("too many calls are carried"))?;
+            .try_send(Job::Relay(call, limit, reply))
+            .map_err(|_full| Status::resource_exhausted("too many calls are queued"))?;
         let outcome = outcome
             .await
-            .map_err(|_ended| Status::unknown("the call was dropped under way"))?;
+            .map_err(|_ended| Status::unknown("the call was dropped before it was answered"))?;
         Ok(Response::new(StoreAnswer {
             outcome: Some(outcome),
         }))
@@ -63,52 +61,53 @@
 
     async fn give(&self, request: Request<Batch>) -> Result<Response<Given>, Status> {
         self.jobs
-            .try_send(Job::Take(request.into_inner()))
-            .map_err(|_full| Status::resource_exhausted("too many calls are carried"))?;
+            .try_send(Job::AcceptBatch(request.into_inner()))
+            .map_err(|_full| Status::resource_exhausted("too many calls are queued"))?;
         Ok(Response::new(Given {}))
     }
 }
 
-/// Carries calls until the process ends, and hands batches that are given to `take`.
+/// Serves peers until the process ends, and passes batches that they push to `accept_batch`.
 pub(in crate::gateway) async fn serve(
     listener: TcpListener,
     store: Rc<Store>,
-    take: impl Fn(Batch) + 'static,
+    accept_batch: impl Fn(Batch) + 'static,
 ) {
-    let (jobs, queue) = mpsc::channel(QUEUE);
-    let service = PeerServer::new(Carrier { jobs }).max_decoding_message_size(LARGEST);
-    spawn_local(work(queue, store, take));
+    let (jobs, queue) = mpsc::channel(MAX_QUEUED_JOBS);
+    let service =
+        PeerServer::new(PeerService { jobs }).max_decoding_message_size(MAX_MESSAGE_BYTES);
+    spawn_local(run_jobs(queue, store, accept_batch));
     let served = Server::builder()
         .add_service(service)
         .serve_with_incoming(TcpListenerStream::new(listener))
         .await;
     if let Err(error) = served {
         log::error!(target: STORE, error = error.to_string().as_str();
-            "Calls of peers are no longer carried.");
+            "The server for peers ended.");
     }
 }
 
-async fn work(mut queue: mpsc::Receiver<Job>, store: Rc<Store>, take: impl Fn(Batch)) {
+async fn run_jobs(mut queue: mpsc::Receiver<Job>, store: Rc<Store>, accept_batch: impl Fn(Batch)) {
     while let Some(job) = queue.recv().await {
         match job {
-            Job::Carry(call, limit, reply) => {
-                spawn_local(carry(Rc::clone(&store), call, limit, reply));
+            Job::Relay(call, limit, reply) => {
+                spawn_local(relay(Rc::clone(&store), call, limit, reply));
             }
-            Job::Take(batch) => take(batch),
+            Job::AcceptBatch(batch) => accept_batch(batch),
         }
     }
 }
 
-async fn carry(store: Rc<Store>, call: Call, limit: Duration, reply: oneshot::Sender<Outcome>) {
+async fn relay(store: Rc<Store>, call: Call, limit: Duration, reply: oneshot::Sender<Outcome>) {
     let outcome = match store.carry_for_peer(&call, limit).await {
         Ok((status, body)) => Outcome::Answered(Answered {
             status: u32::from(status),
             body: body.to_vec(),
         }),
-        Err(Failure::Refused(why)) => Outcome::Refused(why),
+        Err(Failure::Refused(reason)) => Outcome::Refused(reason),
         Err(failure) => Outcome::Lost(failure.to_string()),
     };
-    // A peer that no longer waits has found the outcome unknown.
+    // If the peer no longer waits it has recorded the outcome as unknown.
     drop(reply.send(outcome));
 }
 
@@ -117,16 +116,18 @@
         .into_iter()
         .find(|method| *method == call.method);
     let Some(method) = method else {
-        return Err(Status::invalid_argument("another method than the store's"));
+        return Err(Status::invalid_argument(
+            "the store doesn't have this method",
+        ));
     };
     if !call.target.starts_with('/') {
-        return Err(Status::invalid_argument("a target that isn't a path"));
+        return Err(Status::invalid_argument("the target isn't a path"));
     }
     let mut decoded = Call::new(method, call.target);
     for header in call.headers {
         decoded = decoded.header(header.name, header.value);
     }
     decoded.body = call.body;
-    let limit = Duration::from_millis(u64::from(call.limit_ms)).min(LONGEST);
+    let limit = Duration::from_millis(u64::from(call.limit_ms)).min(MAX_CALL_TIME);
     Ok((decoded, limit))
 }
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -10,7 +10,7 @@
     failure::Failure,
     http::{Channels, Fault, encode},
     meters::Meters,
-    peers::{Peers, Uncarried},
+    peers::{Peers, RelayError},
 };
 use crate::logs::STORE;
 use hibiscusroad::{
@@ -337,7 +337,7 @@
         request: &Request,
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
-        let answer = self.peers.carry(peer, request, limit).await;
+        let answer = self.peers.relay(peer, request, limit).await;
         if let Err(error) = &answer {
             log::info!(target: STORE, peer = peer.to_string().as_str(),
                 error = error.to_string().as_str(); "A peer did not carry a call.");
@@ -345,9 +345,9 @@
         let (outcome, carried) = match &answer {
             Ok(answer) if is_refusal(answer) => ("refused", RelayOutcome::Unreachable),
             Ok(_) => ("answered", RelayOutcome::Answered),
-            Err(Uncarried::Away(_)) => ("refused", RelayOutcome::Unreachable),
-            Err(Uncarried::Unreached(_)) => ("refused", RelayOutcome::NoAnswer),
-            Err(Uncarried::Lost(_)) => ("lost", RelayOutcome::NoAnswer),
+            Err(RelayError::Refused(_)) => ("refused", RelayOutcome::Unreachable),
+            Err(RelayError::PeerUnreachable(_)) => ("refused", RelayOutcome::NoAnswer),
+            Err(RelayError::Unknown(_)) => ("lost", RelayOutcome::NoAnswer),
         };
         let now = Instant::now();
         self.reach.borrow_mut().record_relayed(now, peer, carried);
