--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -219,11 +219,11 @@
         body,
         flow,
     } = sending;
-    let mut begun = line.usage.watch(head.account.as_ref());
+    let mut metered = line.usage.track(head.account.as_ref());
     let mut flight = line.crashes.track(&subject, target.life());
     let sent = request(&head, &target, body);
     let sending = || {
-        begun.sent();
+        metered.mark_sent();
         flight.mark_sent();
     };
     let answer = line
@@ -234,7 +234,7 @@
         Ok(answer) => answer,
         Err(fault) => {
             if fault.unsent() {
-                begun.not_run();
+                metered.mark_not_run();
             }
             flight.record_fault(&fault);
             return faulted(&head, &subject, &target, &fault);
@@ -253,7 +253,7 @@
     let outcome = match &done {
         Done::Answer(_) => "answered",
         Done::NotRun(_) => {
-            begun.not_run();
+            metered.mark_not_run();
             "not-run"
         }
         Done::Failed(..) => "failed",
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -187,7 +187,7 @@
     let grace = Duration::from_secs(settings.stop.deadline_s);
     gateway.stop.carry_out(grace).await;
     accepting.abort();
-    gateway.usage.leave().await;
+    gateway.usage.flush().await;
     logs::flush_now();
     Ok(())
 }
@@ -338,12 +338,12 @@
     spawn_local(Rc::clone(batches).sweep());
     spawn_local(Rc::clone(batches).share_paces());
     spawn_local(Rc::clone(weights).run());
-    spawn_local(Rc::clone(usage).keep());
+    spawn_local(Rc::clone(usage).run_writer());
     spawn_local(Rc::clone(&line.crashes).run_writer());
     spawn_local(Rc::clone(&line.crashes).run_expiry());
     if let Some(reporter) = reporter {
         let back = Rc::clone(reporter);
-        store.on_return(move || back.store_back());
+        store.on_return(move || back.record_store_return());
         spawn_local(Rc::clone(reporter).run());
     }
     let (weights, reporter) = (Rc::clone(weights), reporter.clone());
--- a/hibiscusroad-daemon/src/gateway/usage/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/mod.rs
@@ -1,12 +1,12 @@
-//! What client accounts use: counted here, kept in the store, reported by the holder of
-//! the duties.
+//! Metering of client accounts.
 //!
-//! [`hibiscusroad::usage`] has the design. This module watches requests on their way to
-//! endpoints and keeps the counts; [`report`] makes and sends the reports.
+//! Each process counts the requests of client accounts and writes the counts to the store; the
+//! holder of the lease reports them. [`hibiscusroad::usage`] has the design. This module counts
+//! and writes, and [`report`] makes and sends the reports.
 //!
-//! A request counts once an endpoint has begun it, at the time at which it was sent. If
-//! no answer comes, because its caller left or its endpoint fell silent, nobody knows
-//! whether it was begun; one that was sent on an open connection mostly was.
+//! A request counts if an endpoint has started it, at the time at which it was sent. Without
+//! an answer it is unknown whether the endpoint did. A request that was sent on an open
+//! connection is counted then, since it was most likely started.
 
 mod report;
 
@@ -29,62 +29,63 @@
 
 pub(super) use self::report::Reporter;
 
-/// Pauses between tries to keep counts.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
-/// What the last write of a process that stops may take: it has little time left.
-const LAST: Duration = Duration::from_millis(700);
+/// Initial and maximum delay after a failed write.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
+/// Time limit for writing the remaining counts when the process stops.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Counts of this process.
+/// The counts of this process.
 pub(super) struct Usage {
-    life: String,
-    /// `None` where nobody asks for reports.
+    incarnation: String,
+    /// `None` if no reports are configured.
     windows: Option<Windows>,
     store: Rc<Store>,
     times: Times,
     tally: RefCell<Tally>,
-    changed: Notify,
+    /// Notified when a request is counted.
+    counted: Notify,
 }
 
 impl Usage {
     pub(super) fn new(
-        life: &str,
+        incarnation: &str,
         windows: Option<Windows>,
         store: Rc<Store>,
         times: Times,
     ) -> Self {
         Self {
-            life: life.to_owned(),
+            incarnation: incarnation.to_owned(),
             windows,
             store,
             times,
             tally: RefCell::new(Tally::new()),
-            changed: Notify::new(),
+            counted: Notify::new(),
         }
     }
 
-    /// Begins to watch a request of an account on its way to an endpoint.
-    pub(super) fn watch(self: &Rc<Self>, account: Option<&Rc<str>>) -> Begun {
+    /// Starts to track a request of a client account to an endpoint.
+    pub(super) fn track(self: &Rc<Self>, account: Option<&Rc<str>>) -> MeteredRequest {
         let account = account.filter(|_| self.windows.is_some());
-        Begun {
+        MeteredRequest {
             usage: Rc::clone(self),
             account: account.cloned(),
-            sent: None,
+            sent_at: None,
         }
     }
 
-    fn note(&self, account: &str, at: Duration) {
+    fn count(&self, account: &str, at: Duration) {
         if let Some(windows) = self.windows {
             self.tally.borrow_mut().note(windows.at(at), account);
-            self.changed.notify_one();
+            self.counted.notify_one();
         }
     }
 
-    /// Keeps counts for as long as the process runs.
-    pub(super) async fn keep(self: Rc<Self>) {
-        let mut backoff = Backoff::new(AGAIN.0, AGAIN.1);
+    /// Writes counts to the store until the process ends.
+    pub(super) async fn run_writer(self: Rc<Self>) {
+        let mut backoff = Backoff::new(RETRY_DELAY.0, RETRY_DELAY.1);
         loop {
             if self.tally.borrow().is_empty() {
-                self.changed.notified().await;
+                self.counted.notified().await;
             }
             sleep(pause(self.store.peer_count() + 1)).await;
             if self.write().await {
@@ -95,57 +96,57 @@
         }
     }
 
-    /// Keeps what is left when the process ends.
-    pub(super) async fn leave(&self) {
+    /// Writes the remaining counts before the process ends.
+    pub(super) async fn flush(&self) {
         let start = Instant::now();
-        let last = async { while !self.tally.borrow().is_empty() && self.write().await {} };
-        if timeout(LAST, last).await.is_err() || !self.tally.borrow().is_empty() {
+        let flush = async { while !self.tally.borrow().is_empty() && self.write().await {} };
+        if timeout(FLUSH_TIMEOUT, flush).await.is_err() || !self.tally.borrow().is_empty() {
             log::warn!(target: USAGE, took_ms = millis(start.elapsed());
-                "Counts are lost: the store does not take them before the process ends.");
+                "Counts are lost: the store did not accept them before the process ended.");
         }
     }
 
-    /// Writes what is not kept yet; `false` if the store has not surely taken it.
+    /// Writes counts that are not in the store yet; `false` if the write may have failed.
     async fn write(&self) -> bool {
         let mut change = Change::new();
         for share in self.tally.borrow_mut().next_write() {
-            change = change.put(share.row(&self.life), share.encode());
+            change = change.put(share.row(&self.incarnation), share.encode());
         }
         if change.puts.is_empty() {
             return true;
         }
-        let done = matches!(self.store.transact(&change).await, Commit::Done { .. });
-        if done {
+        let written = matches!(self.store.transact(&change).await, Commit::Done { .. });
+        if written {
             self.tally.borrow_mut().kept();
         }
-        done
+        written
     }
 }
 
-/// A request on its way to an endpoint. Dropped, it counts, if it was sent and isn't
-/// known not to have run.
-pub(super) struct Begun {
+/// A request to an endpoint. It is counted when it is dropped, if it was sent and isn't known
+/// not to have been started.
+pub(super) struct MeteredRequest {
     usage: Rc<Usage>,
     account: Option<Rc<str>>,
-    sent: Option<Duration>,
+    sent_at: Option<Duration>,
 }
 
-impl Begun {
-    /// Notes that the request goes out on an open connection.
-    pub(super) fn sent(&mut self) {
-        self.sent = Some(self.usage.times.now());
+impl MeteredRequest {
+    /// Records that the request is being written to an open connection.
+    pub(super) fn mark_sent(&mut self) {
+        self.sent_at = Some(self.usage.times.now());
     }
 
-    /// Notes that the endpoint did not run it.
-    pub(super) fn not_run(&mut self) {
+    /// Records that the endpoint did not start the request.
+    pub(super) fn mark_not_run(&mut self) {
         self.account = None;
     }
 }
 
-impl Drop for Begun {
+impl Drop for MeteredRequest {
     fn drop(&mut self) {
-        if let Some((account, sent)) = self.account.take().zip(self.sent) {
-            self.usage.note(&account, sent);
+        if let Some((account, sent_at)) = self.account.take().zip(self.sent_at) {
+            self.usage.count(&account, sent_at);
         }
     }
 }
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -1,8 +1,9 @@
-//! The duty of reporting what accounts used.
+//! Reports of the usage of client accounts to the platform.
 //!
-//! [`hibiscusroad::usage::Reports`] decides; this module adds up, keeps and sends. A
-//! report is kept under the lease before it is sent, and every try is written down anew,
-//! so that whoever takes the duty over sees when this process may have called last.
+//! [`hibiscusroad::usage::Reports`] decides what is done next; this module adds up the counts
+//! of a window, stores the report and sends it. A report is stored under the lease before it is
+//! sent, and each attempt is recorded before it is made, so that the next holder of the lease
+//! knows when this process may have called last.
 
 use crate::{
     gateway::{
@@ -36,19 +37,18 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// A slow platform answers in a quarter of a second. One that takes longer is asked
-/// again with the same report, which does no harm.
-const CALL: Duration = Duration::from_millis(1_500);
-/// Pause before something that failed is tried again.
-const AGAIN: Duration = Duration::from_millis(400);
-/// Longest sleep: the duty may be lost, or the clock be set, meanwhile.
-const LOOK: Duration = Duration::from_secs(1);
-/// Rows of old windows are removed once in so many windows.
-const SWEEP: u64 = 6;
+/// Time limit of a call to the platform. Sending the same report again is harmless.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before a failed step is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Maximum sleep. The lease may be lost or the clock be set during it.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+/// Windows between two removals of old rows.
+const CLEANUP_WINDOWS: u64 = 6;
 
-/// Reports usage while this process holds the duties.
+/// Reports usage while this process holds the lease.
 pub(in crate::gateway) struct Reporter {
-    /// The name of this process, for the platform.
+    /// The name of this process, which the platform is told.
     name: String,
     address: SocketAddr,
     terms: Terms,
@@ -58,9 +58,9 @@
     known: Rc<Known>,
     meters: Rc<Meters>,
     channels: Channels,
-    /// The time of day at which the store came back last.
-    back: Cell<Option<Duration>>,
-    /// The reports, as they were read under this fencing number.
+    /// The time of day at which the store last answered again after an outage.
+    store_returned: Cell<Option<Duration>>,
+    /// The reports, and the fencing token under which they were read.
     reports: RefCell<Option<(u64, Reports)>>,
 }
 
@@ -89,96 +89,99 @@
             known,
             meters,
             channels: Channels::new(),
-            back: Cell::new(None),
+            store_returned: Cell::new(None),
             reports: RefCell::default(),
         }
     }
 
-    /// Notes that the store answers again after it was away.
-    pub(in crate::gateway) fn store_back(&self) {
-        self.back.set(Some(self.times.now()));
+    /// Records that the store answers again after an outage.
+    pub(in crate::gateway) fn record_store_return(&self) {
+        self.store_returned.set(Some(self.times.now()));
     }
 
-    /// Says whether there are accounts whose usage has to be reported.
+    /// Returns whether there are client accounts, whose usage has to be reported.
     pub(in crate::gateway) fn is_needed(&self) -> bool {
         let catalog = self.known.catalog();
         catalog.is_some_and(|catalog| catalog.has_accounts())
     }
 
-    /// Reports for as long as the process runs.
+    /// Reports usage until the process ends.
     pub(in crate::gateway) async fn run(self: Rc<Self>) {
         loop {
             let Some(fence) = self.duty.fence().filter(|_| self.is_needed()) else {
                 self.duty.next_renewal().await;
                 continue;
             };
-            if !self.has_read(fence) && !self.read(fence).await {
-                sleep(AGAIN).await;
+            if !self.is_loaded(fence) && !self.load(fence).await {
+                sleep(RETRY_DELAY).await;
                 continue;
             }
             let now = self.times.now();
-            let step = self.with(|reports| reports.next(now, self.back.get()));
+            let step = self.with_reports(|reports| reports.next(now, self.store_returned.get()));
             let done = match step {
-                Some(Step::Make(window)) => self.make(window).await,
-                Some(Step::Send(window)) => self.send(window, fence).await,
-                Some(Step::GiveUp(window)) => self.close(window, "given-up").await,
+                Some(Step::Make(window)) => self.make_report(window).await,
+                Some(Step::Send(window)) => self.send_report(window, fence).await,
+                Some(Step::GiveUp(window)) => self.close_report(window, "given-up").await,
                 Some(Step::Wait(until)) => {
-                    sleep(until.saturating_sub(now).min(LOOK)).await;
+                    sleep(until.saturating_sub(now).min(MAX_SLEEP)).await;
                     true
                 }
                 None => false,
             };
             if !done {
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    fn with<T>(&self, look: impl FnOnce(&mut Reports) -> T) -> Option<T> {
+    /// Calls `f` with the reports, if they were read.
+    fn with_reports<T>(&self, f: impl FnOnce(&mut Reports) -> T) -> Option<T> {
         let mut reports = self.reports.borrow_mut();
-        reports.as_mut().map(|(_, reports)| look(reports))
+        reports.as_mut().map(|(_, reports)| f(reports))
     }
 
-    fn has_read(&self, fence: u64) -> bool {
+    fn is_loaded(&self, fence: u64) -> bool {
         let reports = self.reports.borrow();
-        reports.as_ref().is_some_and(|(known, _)| *known == fence)
+        reports
+            .as_ref()
+            .is_some_and(|(loaded_fence, _)| *loaded_fence == fence)
     }
 
-    /// Reads the reports that holders before have kept, and where counts begin.
-    async fn read(&self, fence: u64) -> bool {
+    /// Reads the reports that earlier holders of the lease stored, and the oldest counts.
+    async fn load(&self, fence: u64) -> bool {
         let reports = Range::part(usage::REPORTS, "");
-        let count = Range {
+        let oldest = Range {
             limit: Some(1),
             ..Range::part(usage::USAGE, "")
         };
-        let read = join(self.store.read_whole(&reports), self.store.read(&count)).await;
-        let (page, count) = match read {
-            (Ok(page), Ok(count)) => (page, count),
+        let read = join(self.store.read_whole(&reports), self.store.read(&oldest)).await;
+        let (page, oldest) = match read {
+            (Ok(page), Ok(oldest)) => (page, oldest),
             (Err(failure), _) | (_, Err(failure)) => {
                 log::info!(target: USAGE, error = failure.to_string().as_str();
-                    "Reports of usage could not be read yet.");
+                    "Reports of usage can't be read yet.");
                 return false;
             }
         };
         let mut reports = Reports::new(self.terms, self.times.now());
-        if let Some(row) = count.rows.first() {
+        if let Some(row) = oldest.rows.first() {
             reports.begin_with(&row.id.key);
         }
         for row in &page.rows {
             match serde_json::from_slice(&row.value) {
                 Ok(kept) => reports.read(&row.id.key, kept),
                 Err(error) => log::error!(target: USAGE, report = row.id.key.as_str(),
-                    error = error.to_string().as_str(); "A kept report is broken; it is ignored."),
+                    error = error.to_string().as_str(); "A stored report can't be decoded and is ignored."),
             }
         }
         log::info!(target: USAGE, fence = fence, reports = page.rows.len();
-            "Usage is reported here.");
+            "This process reports usage.");
         self.reports.replace(Some((fence, reports)));
         true
     }
 
-    /// Adds up a window and keeps its report.
-    async fn make(&self, window: Window) -> bool {
+    /// Adds up the counts of a window and stores its report.
+    async fn make_report(&self, window: Window) -> bool {
         let keys = usage::keys(window);
         let range = Range {
             start: Some(&keys.0),
@@ -189,129 +192,135 @@
             Ok(page) => page,
             Err(failure) => {
                 log::info!(target: USAGE, window = window.0, error = failure.to_string().as_str();
-                    "The counts of a window could not be read yet.");
+                    "The counts of a window can't be read yet.");
                 return false;
             }
         };
         let values = page.rows.iter().map(|row| row.value.as_slice());
         let (counts, broken) = usage::merge(values);
         let requests: u64 = counts.values().sum();
-        let Some(store) = self.store.now() else {
+        let Some(now) = self.store.now() else {
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), store);
+        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), now);
         let row = usage::report(window);
         let change = Change::new()
             .expect(row.clone(), 0)
-            .put(row, encoded(&kept));
+            .put(row, encode_report(&kept));
         match self.duty.transact(change).await {
             Some(Commit::Done { .. }) => {
                 log::info!(target: USAGE, window = window.0, rows = page.rows.len(),
                     broken = broken, accounts = counts.len(), requests = requests;
                     "The report of a window is kept.");
-                self.with(|reports| reports.note(window, kept));
+                self.with_reports(|reports| reports.note(window, kept));
                 true
             }
             Some(Commit::Conflict(_)) => {
-                // It is there already: a write of this process whose answer was lost.
+                // Stored already, by a write of this process whose answer was lost.
                 self.reports.replace(None);
                 false
             }
-            done @ (Some(Commit::Refused | Commit::Unknown) | None) => {
-                log::info!(target: USAGE, window = window.0, done:? = done;
-                    "The report of a window could not be kept yet.");
+            commit @ (Some(Commit::Refused | Commit::Unknown) | None) => {
+                log::info!(target: USAGE, window = window.0, done:? = commit;
+                    "The report of a window can't be stored yet.");
                 false
             }
         }
     }
 
-    /// Sends a report, as soon as no call of another holder can cross with it.
-    async fn send(&self, window: Window, fence: u64) -> bool {
-        let kept = self.with(|reports| reports.get(window).cloned()).flatten();
+    /// Sends a report, once no call of an earlier holder of the lease can still arrive.
+    async fn send_report(&self, window: Window, fence: u64) -> bool {
+        let kept = self
+            .with_reports(|reports| reports.get(window).cloned())
+            .flatten();
         let Some((kept, now)) = kept.zip(self.store.now()) else {
             return false;
         };
-        let barred = self.with(|reports| reports.barred(self.duty.life()));
-        let pause = barred.flatten().map(|until| until.saturating_sub(now));
-        if let Some(pause) = pause.filter(|pause| !pause.is_zero()) {
-            log::info!(target: USAGE, window = window.0, pause_ms = millis(pause);
-                "A report waits until calls of the holder before can't come any more.");
-            sleep(pause.min(LOOK)).await;
+        let blocked_until = self.with_reports(|reports| reports.barred(self.duty.life()));
+        let delay = blocked_until
+            .flatten()
+            .map(|until| until.saturating_sub(now));
+        if let Some(delay) = delay.filter(|delay| !delay.is_zero()) {
+            log::info!(target: USAGE, window = window.0, pause_ms = millis(delay);
+                "A report waits until no call of the previous holder can still arrive.");
+            sleep(delay.min(MAX_SLEEP)).await;
             return true;
         }
-        let until = self.duty.now() + VALID;
-        if !self.write_down(window, kept.clone()).await {
+        let valid_until = self.duty.now() + VALID;
+        if !self.record_attempt(window, kept.clone()).await {
             return false;
         }
-        // Looked at last: nothing is waited for between this and the call.
-        let in_time = self.duty.now() < until;
+        // Checked last: there is no await between this and the call.
+        let in_time = self.duty.now() < valid_until;
         if !in_time || self.duty.fence() != Some(fence) {
             return false;
         }
         let start = Instant::now();
-        let answer = self.call(fence, &kept.body).await;
+        let answer = self.call_platform(fence, &kept.body).await;
         log::info!(target: USAGE, window = window.0, fence = fence, answer:? = answer,
             took_ms = millis(start.elapsed()),
             late_ms = millis(self.times.now().saturating_sub(self.terms.windows.end(window)));
             "A report of usage is sent.");
         match answer {
-            Answer::Done => self.close(window, "accepted").await,
+            Answer::Done => self.close_report(window, "accepted").await,
             Answer::Fenced => {
-                self.count("fenced");
+                self.count_outcome("fenced");
                 self.duty.beaten();
                 false
             }
             Answer::Refused | Answer::Unknown => {
-                self.count("failed");
+                self.count_outcome("failed");
                 false
             }
         }
     }
 
-    /// Writes down that this process is about to send a report.
-    async fn write_down(&self, window: Window, kept: Kept) -> bool {
+    /// Records in the store that this process is about to send a report.
+    async fn record_attempt(&self, window: Window, kept: Kept) -> bool {
         let Some(now) = self.store.now() else {
             return false;
         };
-        let fresh = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
-        if fresh && kept.holder == self.duty.life() {
+        let is_recent = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
+        if is_recent && kept.holder == self.duty.life() {
             return true;
         }
         let kept = Kept::new(kept.body, self.duty.life(), now);
-        self.put(window, kept).await
+        self.store_report(window, kept).await
     }
 
-    /// Notes that a report needs no further try.
-    async fn close(&self, window: Window, outcome: &str) -> bool {
-        self.count(outcome);
-        let Some(kept) = self.with(|reports| reports.get(window).cloned()).flatten() else {
+    /// Records that a report needs no further attempt.
+    async fn close_report(&self, window: Window, outcome: &str) -> bool {
+        self.count_outcome(outcome);
+        let Some(kept) = self
+            .with_reports(|reports| reports.get(window).cloned())
+            .flatten()
+        else {
             return false;
         };
         let kept = Kept { sent: true, ..kept };
-        self.with(|reports| reports.note(window, kept.clone()));
-        // If that isn't written the next holder sends the report again, to the letter.
-        self.put(window, kept).await;
-        if window.0.is_multiple_of(SWEEP) {
-            self.sweep(window).await;
+        self.with_reports(|reports| reports.note(window, kept.clone()));
+        // If this write fails the next holder sends the same report again, which is harmless.
+        self.store_report(window, kept).await;
+        if window.0.is_multiple_of(CLEANUP_WINDOWS) {
+            self.remove_old_rows(window).await;
         }
         true
     }
 
-    async fn put(&self, window: Window, kept: Kept) -> bool {
-        let change = Change::new().put(usage::report(window), encoded(&kept));
-        let done = self.duty.transact(change).await;
-        let done = matches!(done, Some(Commit::Done { .. }));
-        if done {
-            self.with(|reports| reports.note(window, kept));
+    async fn store_report(&self, window: Window, kept: Kept) -> bool {
+        let change = Change::new().put(usage::report(window), encode_report(&kept));
+        let commit = self.duty.transact(change).await;
+        let stored = matches!(commit, Some(Commit::Done { .. }));
+        if stored {
+            self.with_reports(|reports| reports.note(window, kept));
         }
-        done
+        stored
     }
 
-    /// Removes rows of windows that nobody looks into any more; what is left for want
-    /// of room goes the next time.
-    async fn sweep(&self, window: Window) {
-        let Some(oldest) = self.with(|reports| reports.outlived(window)) else {
+    /// Removes rows of windows that are no longer needed, as many as one write may have.
+    async fn remove_old_rows(&self, window: Window) {
+        let Some(oldest) = self.with_reports(|reports| reports.outlived(window)) else {
             return;
         };
         let (end, _) = usage::keys(oldest);
@@ -329,18 +338,18 @@
             }
             let removed = page.rows.into_iter().map(|row| row.id);
             let change = removed.fold(Change::new(), Change::remove);
-            let done = self.store.transact(&change).await;
-            log::debug!(target: USAGE, table = table, done = matches!(done, Commit::Done { .. });
-                "Old rows of usage are removed.");
+            let commit = self.store.transact(&change).await;
+            log::debug!(target: USAGE, table = table, done = matches!(commit, Commit::Done { .. });
+                "Old rows of usage were removed, unless the write failed.");
         }
     }
 
-    fn count(&self, outcome: &str) {
+    fn count_outcome(&self, outcome: &str) {
         self.meters.reports.with_label_values(&[outcome]).inc();
     }
 
-    async fn call(&self, fence: u64, report: &str) -> Answer {
-        match timeout(CALL, self.exchange(fence, report)).await {
+    async fn call_platform(&self, fence: u64, report: &str) -> Answer {
+        match timeout(CALL_TIMEOUT, self.exchange(fence, report)).await {
             Ok(Ok(status)) => duty::answer(status),
             Ok(Err(error)) => {
                 log::info!(target: USAGE, error = error.as_str(); "The platform did not answer.");
@@ -351,8 +360,8 @@
     }
 
     async fn exchange(&self, fence: u64, report: &str) -> Result<u16, String> {
-        let call = duty::hand_in(&self.name, fence, report);
-        let request = encode(&call, self.address).map_err(|error| error.to_string())?;
+        let wire = duty::hand_in(&self.name, fence, report);
+        let request = encode(&wire, self.address).map_err(|error| error.to_string())?;
         let sent = self.channels.send(self.address, request).await;
         let (response, channel) = sent.map_err(|fault| fault.to_string())?;
         let status = response.status().as_u16();
@@ -363,6 +372,6 @@
     }
 }
 
-fn encoded(kept: &Kept) -> Vec<u8> {
+fn encode_report(kept: &Kept) -> Vec<u8> {
     serde_json::to_vec(kept).unwrap_or_default()
 }
