--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -76,7 +76,7 @@
     sync::Members,
     times::Times,
     usage::{Reporter, Usage},
-    weights::{Parts, Weights},
+    weights::{Dependencies, Weights},
 };
 use crate::{
     logs::{self, PROCESS},
@@ -230,7 +230,7 @@
                 gateway.line.calls.roster(news);
                 gateway.line.crashes.apply_roster(news);
                 gateway.batches.roster(news);
-                gateway.weights.roster(news);
+                gateway.weights.apply_roster(news);
             }
         }));
         let directory = Directory {
@@ -265,7 +265,7 @@
                 Rc::clone(&counts),
             ))
         });
-        let parts = Parts {
+        let dependencies = Dependencies {
             duty: Rc::clone(&duty),
             store: Rc::clone(&store),
             known: Rc::clone(&known),
@@ -274,7 +274,7 @@
             channels,
             meters: Rc::clone(&counts),
         };
-        let weights = Rc::new(Weights::new(own.fences, parts));
+        let weights = Rc::new(Weights::new(own.fences, dependencies));
         let looks = Looks::new(Rc::clone(&store), Rc::clone(&known), calls);
         Gateway {
             known,
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -1,8 +1,8 @@
-//! One load, from the order to the engine's word that it is done.
+//! One load of weights, from the order until the engine confirms that it runs the version.
 
 use super::{
-    LOOK, Weights,
-    order::{AGAIN, LONGEST},
+    REPORT_INTERVAL, Weights,
+    order::{LOAD_TIMEOUT, RETRY_DELAY},
 };
 use crate::{gateway::http::encode, logs::WEIGHTS};
 use hibiscusroad::{
@@ -22,57 +22,56 @@
 };
 use tokio::time::{sleep, timeout, timeout_at};
 
-/// An engine answers a report or an order in milliseconds, a slow one in some
-/// hundred; the lease leaves room for several such waits.
-const CALL: Duration = Duration::from_millis(700);
-/// An engine that hasn't registered its new weights by then is asked: half as
-/// much again as a load that others slow down.
-const SILENT: Duration = Duration::from_millis(2_200);
+/// Time limit of a call to an engine. The lease outlasts several of them.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time for a load after which the engine is asked for a report, if it has not registered the
+/// new weights.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2_200);
 
 impl Weights {
-    /// Has one engine load one version, and waits until it is seen to run it. The
-    /// order is sent before `until`, or not at all.
-    pub(super) async fn load(self: Rc<Self>, load: Load, at_once: usize, until: Instant) {
+    /// Orders an engine to load a version, and waits until the engine runs it. The order is
+    /// sent before `valid_until`, or not at all.
+    pub(super) async fn load(self: Rc<Self>, load: Load, concurrency: usize, valid_until: Instant) {
         let start = Instant::now();
-        let done = self.try_load(&load, until).await;
-        let took = start.elapsed();
+        let done = self.try_load(&load, valid_until).await;
+        let duration = start.elapsed();
         log::info!(target: WEIGHTS, endpoint = load.endpoint.as_str(), model = load.model.as_str(),
-            version = load.version, at_once = at_once, took_ms = millis(took), done = done;
+            version = load.version, at_once = concurrency, took_ms = millis(duration), done = done;
             "A load of weights ended.");
         let outcome = if done { "done" } else { "failed" };
         self.meters.loads.with_label_values(&[outcome]).inc();
         if done {
-            self.meters.load_seconds.observe(took.as_secs_f64());
-            self.pace.borrow_mut().loaded(at_once, took);
-            self.keep_pace().await;
-            self.loading.borrow_mut().remove(&load.endpoint);
+            self.meters.load_seconds.observe(duration.as_secs_f64());
+            self.pace.borrow_mut().loaded(concurrency, duration);
+            self.write_pace().await;
+            self.reserved.borrow_mut().remove(&load.endpoint);
         } else {
-            let until = self.duty.now() + AGAIN;
-            self.loading.borrow_mut().insert(load.endpoint, until);
-            sleep(AGAIN).await;
+            let until = self.duty.now() + RETRY_DELAY;
+            self.reserved.borrow_mut().insert(load.endpoint, until);
+            sleep(RETRY_DELAY).await;
         }
-        self.changed.notify_one();
+        self.plan_needed.notify_one();
     }
 
-    async fn try_load(&self, load: &Load, until: Instant) -> bool {
+    async fn try_load(&self, load: &Load, valid_until: Instant) -> bool {
         let Some(endpoint) = self.members.get(&load.endpoint) else {
             return false;
         };
-        let known = self.orders.borrow_mut().remove(&load.endpoint);
-        let orders = match known {
-            Some(orders) => orders,
-            None => match self.report(&endpoint).await {
-                Some(report) if self.runs(load, &report) => return true,
+        let known_count = self.order_counts.borrow_mut().remove(&load.endpoint);
+        let order_count = match known_count {
+            Some(order_count) => order_count,
+            None => match self.fetch_report(&endpoint).await {
+                Some(report) if self.record_report(load, &report) => return true,
                 Some(report) if !report.busy => report.orders,
                 _ => return false,
             },
         };
-        // Looked at last: nothing is waited for between this and the order.
-        let in_time = self.duty.now() < until;
+        // Checked last: there is no await between this and the order.
+        let in_time = self.duty.now() < valid_until;
         let Some(fence) = self.duty.fence().filter(|_| in_time) else {
-            self.orders
+            self.order_counts
                 .borrow_mut()
-                .insert(load.endpoint.clone(), orders);
+                .insert(load.endpoint.clone(), order_count);
             return false;
         };
         let order = Order {
@@ -81,29 +80,29 @@
             version: load.version,
             holder: self.duty.life().to_owned(),
             fence,
-            expected: orders,
+            expected: order_count,
         };
         let mut weights = endpoint.weights.iter();
-        let from = weights.find(|weights| weights.model == load.model);
-        let from = from.map_or(0, |weights| weights.version);
-        let answer = self.ask(&endpoint, engine::order(&order)).await;
+        let previous = weights.find(|weights| weights.model == load.model);
+        let previous = previous.map_or(0, |weights| weights.version);
+        let answer = self.call(&endpoint, engine::order(&order)).await;
         let answer = answer.map_or(OrderAnswer::Unknown, |(status, _)| {
             engine::order_answer(status)
         });
         log::info!(target: WEIGHTS, endpoint = load.endpoint.as_str(), model = load.model.as_str(),
-            version = load.version, from = from, holder = self.duty.life(), fence = fence,
-            orders = orders, answer:? = answer; "An order was given.");
+            version = load.version, from = previous, holder = self.duty.life(), fence = fence,
+            orders = order_count, answer:? = answer; "An order was given.");
         match answer {
             OrderAnswer::Accepted => {
-                let done = self.watch(&endpoint, load).await;
+                let done = self.wait_until_loaded(&endpoint, load).await;
                 if done {
                     let id = load.endpoint.clone();
-                    self.orders.borrow_mut().insert(id, orders + 1);
+                    self.order_counts.borrow_mut().insert(id, order_count + 1);
                 }
                 done
             }
             OrderAnswer::Holds => {
-                self.saw(&load.endpoint, &load.model, load.version);
+                self.record_version(&load.endpoint, &load.model, load.version);
                 true
             }
             OrderAnswer::Fenced => {
@@ -116,82 +115,88 @@
         }
     }
 
-    /// Waits until an engine has loaded: it registers that at once. Its report
-    /// lags behind, and is asked for only if it says nothing for long.
-    async fn watch(&self, endpoint: &Endpoint, load: &Load) -> bool {
-        let end = Instant::now() + LONGEST;
-        let mut look = Instant::now() + SILENT;
-        while Instant::now() < end {
-            let news = self.news.notified();
-            let Some(now) = self.members.get(&load.endpoint) else {
+    /// Waits until an engine runs the version; `false` if it ended or took too long.
+    ///
+    /// An engine registers new weights at once. Its report lags behind, and is fetched only if
+    /// the engine doesn't register them for a while.
+    async fn wait_until_loaded(&self, endpoint: &Endpoint, load: &Load) -> bool {
+        let deadline = Instant::now() + LOAD_TIMEOUT;
+        let mut next_report = Instant::now() + REGISTRATION_TIMEOUT;
+        while Instant::now() < deadline {
+            let roster_changed = self.roster_changed.notified();
+            let Some(current) = self.members.get(&load.endpoint) else {
                 return false;
             };
-            if now.started_ms != endpoint.started_ms {
+            if current.started_ms != endpoint.started_ms {
                 return false;
             }
-            let runs = now
+            let runs_version = current
                 .weights
                 .iter()
                 .any(|weights| weights.model == load.model && weights.version >= load.version);
-            if runs {
+            if runs_version {
                 return true;
             }
-            if timeout_at(look.into(), news).await.is_ok() {
+            if timeout_at(next_report.into(), roster_changed).await.is_ok() {
                 continue;
             }
-            look = Instant::now() + LOOK;
-            let report = self.report(endpoint).await;
-            if report.is_some_and(|report| self.runs(load, &report)) {
+            next_report = Instant::now() + REPORT_INTERVAL;
+            let report = self.fetch_report(endpoint).await;
+            if report.is_some_and(|report| self.record_report(load, &report)) {
                 return true;
             }
         }
         false
     }
 
-    /// Notes what an engine reports; `true` if it runs the version.
-    fn runs(&self, load: &Load, report: &Report) -> bool {
+    /// Records the versions that an engine reports.
+    ///
+    /// Returns `true` if it runs the version of the load and has no load under way.
+    fn record_report(&self, load: &Load, report: &Report) -> bool {
         for weights in &report.weights {
-            self.saw(&load.endpoint, &weights.model, weights.version);
+            self.record_version(&load.endpoint, &weights.model, weights.version);
         }
-        let runs = report
+        let runs_version = report
             .weights
             .iter()
             .any(|weights| weights.model == load.model && weights.version >= load.version);
-        runs && !report.busy
+        runs_version && !report.busy
     }
 
-    fn saw(&self, endpoint: &str, model: &str, version: u64) {
+    fn record_version(&self, endpoint: &str, model: &str, version: u64) {
         let key = (endpoint.to_owned(), model.to_owned());
-        let mut seen = self.seen.borrow_mut();
-        let known = seen.entry(key).or_default();
-        *known = (*known).max(version);
-        drop(seen);
+        let mut reported = self.reported.borrow_mut();
+        let newest = reported.entry(key).or_default();
+        *newest = (*newest).max(version);
+        drop(reported);
         self.batches.saw(endpoint, model, version);
     }
 
-    async fn report(&self, endpoint: &Endpoint) -> Option<Report> {
-        let (status, body) = self.ask(endpoint, engine::ask_report(&endpoint.id)).await?;
+    async fn fetch_report(&self, endpoint: &Endpoint) -> Option<Report> {
+        let (status, body) = self
+            .call(endpoint, engine::ask_report(&endpoint.id))
+            .await?;
         match engine::report(status, &body) {
             Ok(report) if report.born.is_some() && report.born != endpoint.started_ms => {
                 log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(), born:? = report.born,
-                    known:? = endpoint.started_ms; "A report is of another life of the engine.");
+                    known:? = endpoint.started_ms; "A report is of another incarnation of the engine.");
                 None
             }
             Ok(report) => Some(report),
             Err(error) => {
                 log::warn!(target: WEIGHTS, endpoint = endpoint.id.as_str(),
-                    error = error.to_string().as_str(); "A report is not understood.");
+                    error = error.to_string().as_str(); "A report can't be decoded.");
                 None
             }
         }
     }
 
-    async fn ask(&self, endpoint: &Endpoint, wire: Wire) -> Option<(u16, Bytes)> {
-        let answer = timeout(CALL, self.exchange(endpoint, wire)).await;
+    async fn call(&self, endpoint: &Endpoint, wire: Wire) -> Option<(u16, Bytes)> {
+        let answer = timeout(CALL_TIMEOUT, self.exchange(endpoint, wire)).await;
         let error = match answer {
             Ok(Ok(answer)) => return Some(answer),
             Ok(Err(error)) => error,
-            Err(_elapsed) => "time is over".to_owned(),
+            Err(_elapsed) => "timed out".to_owned(),
         };
         log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(), error = error.as_str();
             "An engine did not answer.");
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -1,16 +1,15 @@
-//! The loading of weights: the holder of the duties gives all orders.
+//! Loading of weights: the holder of the lease orders engines to load new versions.
 //!
-//! It writes down which engines it is about to order before it sends anything, and an
-//! engine's own count of accepted orders goes along as a condition: an order whose
-//! answer was lost, and that is carried out late, is refused then because others came
-//! after it. [`hibiscusroad::rollout::turns`] says which engines a new holder leaves
-//! alone.
+//! It records in the store which engines it is about to order before it sends an order, and
+//! [`hibiscusroad::rollout::turns`] says which of them a new holder may not order yet. An order
+//! carries the number of orders that the engine has accepted as a precondition, so that an
+//! engine refuses a delayed order if it has accepted another since.
 //!
-//! * [`order`]: what is to be loaded next, and that it is written down first.
-//! * [`load`]: one load, from the order to the engine's word.
-//! * [`learned`]: what holders hand on about loads.
+//! * [`order`]: plans loads, and records their orders.
+//! * [`load`]: one load, from the order until the engine runs the version.
+//! * [`handover`]: state that one holder passes to the next.
 
-mod learned;
+mod handover;
 mod load;
 mod order;
 
@@ -39,48 +38,51 @@
 };
 use tokio::{sync::Notify, time::sleep};
 
-/// Pause between looks at an engine that loads and says nothing.
-const LOOK: Duration = Duration::from_millis(250);
-/// What is to be loaded is planned again after so long, if nothing tells of a change.
-const PLAN: Duration = Duration::from_secs(1);
-/// The key of the orders that were written down.
-const TURNS: &str = "orders";
+/// Interval at which the report of an engine is fetched if its load is overdue.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time between two plans of loads.
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// The key of the row of recorded orders.
+const ORDERS_KEY: &str = "orders";
 
-/// The loading of weights, as this process sees it.
+/// The state of loads of weights in this process.
 pub(super) struct Weights {
     duty: Rc<Duty>,
-    fences: bool,
+    /// Engines check the fencing token of orders.
+    engines_fence: bool,
     store: Rc<Store>,
     known: Rc<Known>,
     members: Rc<Members>,
     batches: Rc<Batches>,
     channels: Rc<Channels>,
     meters: Rc<Meters>,
-    /// Engines with an order under way, or that are left alone for a while.
-    loading: RefCell<HashMap<String, Instant>>,
-    /// Versions that engines reported, beyond their entries.
-    seen: RefCell<HashMap<(String, String), u64>>,
-    /// Orders that engines accepted, as far as known.
-    orders: RefCell<HashMap<String, u64>>,
+    /// Engines that get no other order until this time, since they load or a load failed.
+    reserved: RefCell<HashMap<String, Instant>>,
+    /// The newest versions in reports of engines, by engine and model. Entries of the roster
+    /// may be older.
+    reported: RefCell<HashMap<(String, String), u64>>,
+    /// How many orders engines have accepted, if known.
+    order_counts: RefCell<HashMap<String, u64>>,
     pace: RefCell<Pace>,
-    /// Until when all engines are left alone, because nobody knows which of them
-    /// the holder before has ordered.
-    quiet: Cell<Option<Instant>>,
-    /// Which engines were ordered lately, and by whom.
+    /// Until when no engine is ordered, because it is unknown which of them the previous
+    /// holder has ordered.
+    quiet_until: Cell<Option<Instant>>,
+    /// Which engines were ordered recently, and by which holder.
     turns: RefCell<Turns>,
-    /// The fencing number under which this process has last prepared to order.
-    prepared: Cell<Option<u64>>,
-    /// When what was learned of loads was kept last.
-    kept: Cell<Option<Instant>>,
-    /// When paces of engines were heard last.
-    heard: Cell<Option<Instant>>,
-    changed: Notify,
-    /// Engines registered something new.
-    news: Notify,
+    /// The fencing token for which this process last read the state of the previous holder.
+    prepared_token: Cell<Option<u64>>,
+    /// When the pace of loads was last written.
+    pace_written: Cell<Option<Instant>>,
+    /// When the paces of engines were last read.
+    paces_read: Cell<Option<Instant>>,
+    /// Notified when loads have to be planned again.
+    plan_needed: Notify,
+    /// Notified when the roster or the configuration changed.
+    roster_changed: Notify,
 }
 
-/// What it works with.
-pub(super) struct Parts {
+/// The parts of the gateway that the loading of weights needs.
+pub(super) struct Dependencies {
     pub(super) duty: Rc<Duty>,
     pub(super) store: Rc<Store>,
     pub(super) known: Rc<Known>,
@@ -91,85 +93,89 @@
 }
 
 impl Weights {
-    pub(super) fn new(fences: bool, parts: Parts) -> Self {
+    pub(super) fn new(engines_fence: bool, dependencies: Dependencies) -> Self {
         Self {
-            duty: parts.duty,
-            fences,
-            store: parts.store,
-            known: parts.known,
-            members: parts.members,
-            batches: parts.batches,
-            channels: parts.channels,
-            meters: parts.meters,
-            loading: RefCell::default(),
-            seen: RefCell::default(),
-            orders: RefCell::default(),
+            duty: dependencies.duty,
+            engines_fence,
+            store: dependencies.store,
+            known: dependencies.known,
+            members: dependencies.members,
+            batches: dependencies.batches,
+            channels: dependencies.channels,
+            meters: dependencies.meters,
+            reserved: RefCell::default(),
+            reported: RefCell::default(),
+            order_counts: RefCell::default(),
             pace: RefCell::new(Pace::new()),
-            quiet: Cell::new(None),
+            quiet_until: Cell::new(None),
             turns: RefCell::new(Turns::new()),
-            prepared: Cell::new(None),
-            kept: Cell::new(None),
-            heard: Cell::new(None),
-            changed: Notify::new(),
-            news: Notify::new(),
+            prepared_token: Cell::new(None),
+            pace_written: Cell::new(None),
+            paces_read: Cell::new(None),
+            plan_needed: Notify::new(),
+            roster_changed: Notify::new(),
         }
     }
 
-    /// Notes that engines or versions changed.
+    /// Requests a new plan, since engines or versions changed.
     pub(super) fn wake(&self) {
         self.duty.wake();
-        self.changed.notify_one();
-        self.news.notify_waiters();
+        self.plan_needed.notify_one();
+        self.roster_changed.notify_waiters();
     }
 
-    /// Takes in changes of the roster: an engine that started again under its id
-    /// has accepted no order, and runs what it says.
-    pub(super) fn roster(&self, news: &[EndpointChange]) {
-        for id in news.iter().filter_map(EndpointChange::removed) {
-            self.seen.borrow_mut().retain(|(engine, _), _| engine != id);
-            self.orders.borrow_mut().remove(id);
-            self.loading.borrow_mut().remove(id);
+    /// Applies changes of the roster.
+    ///
+    /// An engine that was removed, or restarted under the same ID, has accepted no order, and
+    /// its earlier reports no longer hold.
+    pub(super) fn apply_roster(&self, changes: &[EndpointChange]) {
+        for id in changes.iter().filter_map(EndpointChange::removed) {
+            self.reported
+                .borrow_mut()
+                .retain(|(engine, _), _| engine != id);
+            self.order_counts.borrow_mut().remove(id);
+            self.reserved.borrow_mut().remove(id);
         }
         self.wake();
     }
 
-    /// Says whether there are versions that engines may have to load.
+    /// Returns whether there are versions that engines may have to load.
     pub(super) fn is_needed(&self) -> bool {
         !self.known.named().is_empty()
     }
 
-    /// Orders what is to be loaded, while this process holds the duties.
+    /// Starts loads while this process holds the lease, until the process ends.
     pub(super) async fn run(self: Rc<Self>) {
         loop {
             if let Some(fence) = self.duty.fence() {
-                if self.prepared.replace(Some(fence)) != Some(fence) {
+                if self.prepared_token.replace(Some(fence)) != Some(fence) {
                     self.prepare(fence).await;
                 }
-                self.order().await;
+                self.start_loads().await;
             }
             tokio::select! {
-                () = self.changed.notified() => {}
+                () = self.plan_needed.notified() => {}
                 () = self.duty.next_renewal() => {}
-                () = sleep(PLAN) => {}
+                () = sleep(PLAN_INTERVAL) => {}
             }
         }
     }
 
-    /// Finds out what the holder before has ordered and learned.
+    /// Reads the state of the previous holder of the lease.
     async fn prepare(&self, fence: u64) {
-        self.seen.borrow_mut().clear();
-        self.loading.borrow_mut().clear();
-        self.orders.borrow_mut().clear();
-        let known = self.read_turns().await;
-        let quiet = self.duty.now() + self.duty.apart() + VALID;
-        // Engines that check numbers refuse the old holder's orders themselves.
-        let wait = !known && !self.fences && fence > 1;
-        self.quiet.set(wait.then_some(quiet));
+        self.reported.borrow_mut().clear();
+        self.reserved.borrow_mut().clear();
+        self.order_counts.borrow_mut().clear();
+        let orders_known = self.read_orders().await;
+        let quiet_until = self.duty.now() + self.duty.apart() + VALID;
+        // Engines that check fencing tokens refuse orders of the previous holder themselves.
+        let must_wait = !orders_known && !self.engines_fence && fence > 1;
+        self.quiet_until.set(must_wait.then_some(quiet_until));
         self.read_pace().await;
     }
 }
 
-/// Names the row of the orders that were written down.
-fn turns_row() -> RowId {
-    RowId::new(DUTIES, "", TURNS)
+/// Returns the ID of the row of recorded orders.
+fn orders_row() -> RowId {
+    RowId::new(DUTIES, "", ORDERS_KEY)
 }
