--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -13,7 +13,7 @@
         side::{Listing, SideKey},
         tables::Tables,
     },
-    platform::{Host, State},
+    platform::{Host, HostState},
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
@@ -240,12 +240,12 @@
     fn add_guest(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
-            place: String::new(),
+            data_centre: String::new(),
             role: "side".to_owned(),
             service: service.to_owned(),
             endpoint: claim.endpoint.clone(),
             address: claim.address,
-            state: State::Leaving,
+            state: HostState::Leaving,
         };
         self.add_side(now, &host);
         let key = self.side(service, &claim.endpoint)?;
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -112,7 +112,7 @@
     });
     let all = Rc::clone(&take);
     Sink {
-        table: table::OPERATOR,
+        table: table::OPERATOR_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| all(rows)),
         change: Box::new(move |changes| take(changes.rows)),
@@ -124,7 +124,7 @@
 pub(super) fn operator_row(known: &Known, calls: &Calls, row: &Row) {
     let key = row.id.key.as_str();
     if key == table::CONFIG_KEY {
-        match catalog::catalog(&row.value) {
+        match catalog::decode_catalog(&row.value) {
             Ok(catalog) => {
                 calls.configure(&catalog);
                 let (version, shared) = (catalog.version, catalog.shared_key_count());
@@ -143,7 +143,7 @@
                 "A configuration is broken; the one before stays in force."),
         }
     } else if key.starts_with(table::VERSION_PREFIX) {
-        match catalog::named_version(&row.value) {
+        match catalog::decode_version(&row.value) {
             Ok(named) => {
                 if known.name(&named.model, named.version) {
                     log::info!(target: CONFIG, model = named.model.as_str(),
@@ -229,7 +229,7 @@
 pub(super) fn endpoints(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
     let all = Rc::clone(&members);
     Sink {
-        table: table::ENDPOINTS,
+        table: table::ENDPOINTS_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| {
             let found = rows.iter().filter_map(|row| all.understood(row)).collect();
@@ -263,7 +263,7 @@
     /// time that it changes, and counted.
     fn understood(&self, row: &Row) -> Option<Endpoint> {
         let key = row.id.key.as_str();
-        let error = match roster::endpoint(key, &row.value) {
+        let error = match roster::decode_endpoint(key, &row.value) {
             Ok(endpoint) => {
                 self.broken.borrow_mut().remove(key);
                 return Some(endpoint);
--- a/hibiscusroad-daemon/src/gateway/usage/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/mod.rs
@@ -15,7 +15,7 @@
 use hibiscusroad::{
     clock::millis,
     table::{Change, Commit},
-    usage::{Tally, Windows, pause},
+    usage::{Tally, Windows, write_interval},
 };
 use std::{
     cell::RefCell,
@@ -75,7 +75,7 @@
 
     fn count(&self, account: &str, at: Duration) {
         if let Some(windows) = self.windows {
-            self.tally.borrow_mut().note(windows.at(at), account);
+            self.tally.borrow_mut().record(windows.at(at), account);
             self.counted.notify_one();
         }
     }
@@ -87,7 +87,7 @@
             if self.tally.borrow().is_empty() {
                 self.counted.notified().await;
             }
-            sleep(pause(self.store.peer_count() + 1)).await;
+            sleep(write_interval(self.store.peer_count() + 1)).await;
             if self.write().await {
                 backoff.reset();
             } else {
@@ -117,7 +117,7 @@
         }
         let written = matches!(self.store.transact(&change).await, Commit::Done { .. });
         if written {
-            self.tally.borrow_mut().kept();
+            self.tally.borrow_mut().confirm_write();
         }
         written
     }
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -22,11 +22,11 @@
     clock::millis,
     rollout::turns::VALID,
     table::{Change, Commit, Range},
-    usage::{self, Kept, Reports, Step, Terms, Window, Windows},
+    usage::{self, ReportTiming, Reports, Step, StoredReport, Window, Windows},
 };
 use hibiscusroad_platform::{
-    duty::{self, Answer},
-    table::MOST_ENTRIES,
+    duty::{self, ReportOutcome},
+    table::MAX_ENTRIES,
 };
 use http_body_util::BodyExt;
 use std::{
@@ -51,7 +51,7 @@
     /// The name of this process, which the platform is told.
     name: String,
     address: SocketAddr,
-    terms: Terms,
+    terms: ReportTiming,
     duty: Rc<Duty>,
     store: Rc<Store>,
     times: Times,
@@ -74,10 +74,10 @@
         known: Rc<Known>,
         meters: Rc<Meters>,
     ) -> Self {
-        let terms = Terms {
+        let terms = ReportTiming {
             windows: Windows::new(Duration::from_secs(settings.window_s)),
-            late: Duration::from_secs(settings.late_s),
-            apart: duty.apart(),
+            deadline: Duration::from_secs(settings.late_s),
+            call_gap: duty.apart(),
         };
         Self {
             name: name.to_owned(),
@@ -117,7 +117,8 @@
                 continue;
             }
             let now = self.times.now();
-            let step = self.with_reports(|reports| reports.next(now, self.store_returned.get()));
+            let step =
+                self.with_reports(|reports| reports.next_step(now, self.store_returned.get()));
             let done = match step {
                 Some(Step::Make(window)) => self.make_report(window).await,
                 Some(Step::Send(window)) => self.send_report(window, fence).await,
@@ -149,10 +150,10 @@
 
     /// Reads the reports that earlier holders of the lease stored, and the oldest counts.
     async fn load(&self, fence: u64) -> bool {
-        let reports = Range::part(usage::REPORTS, "");
+        let reports = Range::part(usage::REPORTS_TABLE, "");
         let oldest = Range {
             limit: Some(1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let read = join(self.store.read_whole(&reports), self.store.read(&oldest)).await;
         let (page, oldest) = match read {
@@ -165,11 +166,11 @@
         };
         let mut reports = Reports::new(self.terms, self.times.now());
         if let Some(row) = oldest.rows.first() {
-            reports.begin_with(&row.id.key);
+            reports.start_from(&row.id.key);
         }
         for row in &page.rows {
             match serde_json::from_slice(&row.value) {
-                Ok(kept) => reports.read(&row.id.key, kept),
+                Ok(report) => reports.load(&row.id.key, report),
                 Err(error) => log::error!(target: USAGE, report = row.id.key.as_str(),
                     error = error.to_string().as_str(); "A stored report can't be decoded and is ignored."),
             }
@@ -182,11 +183,11 @@
 
     /// Adds up the counts of a window and stores its report.
     async fn make_report(&self, window: Window) -> bool {
-        let keys = usage::keys(window);
+        let keys = usage::key_range(window);
         let range = Range {
             start: Some(&keys.0),
             end: Some(&keys.1),
-            ..Range::part(usage::USAGE, "")
+            ..Range::part(usage::USAGE_TABLE, "")
         };
         let page = match self.store.read_whole(&range).await {
             Ok(page) => page,
@@ -197,23 +198,24 @@
             }
         };
         let values = page.rows.iter().map(|row| row.value.as_slice());
-        let (counts, broken) = usage::merge(values);
+        let (counts, broken) = usage::sum_counts(values);
         let requests: u64 = counts.values().sum();
         let Some(now) = self.store.now() else {
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let kept = Kept::new(duty::usage(window.0, &counts), self.duty.life(), now);
-        let row = usage::report(window);
+        let report =
+            StoredReport::new(duty::encode_usage(window.0, &counts), self.duty.life(), now);
+        let row = usage::report_row(window);
         let change = Change::new()
             .expect(row.clone(), 0)
-            .put(row, encode_report(&kept));
+            .put(row, encode_report(&report));
         match self.duty.transact(change).await {
             Some(Commit::Done { .. }) => {
                 log::info!(target: USAGE, window = window.0, rows = page.rows.len(),
                     broken = broken, accounts = counts.len(), requests = requests;
                     "The report of a window is kept.");
-                self.with_reports(|reports| reports.note(window, kept));
+                self.with_reports(|reports| reports.record(window, report));
                 true
             }
             Some(Commit::Conflict(_)) => {
@@ -231,13 +233,13 @@
 
     /// Sends a report, once no call of an earlier holder of the lease can still arrive.
     async fn send_report(&self, window: Window, fence: u64) -> bool {
-        let kept = self
+        let report = self
             .with_reports(|reports| reports.get(window).cloned())
             .flatten();
-        let Some((kept, now)) = kept.zip(self.store.now()) else {
+        let Some((report, now)) = report.zip(self.store.now()) else {
             return false;
         };
-        let blocked_until = self.with_reports(|reports| reports.barred(self.duty.life()));
+        let blocked_until = self.with_reports(|reports| reports.blocked_until(self.duty.life()));
         let delay = blocked_until
             .flatten()
             .map(|until| until.saturating_sub(now));
@@ -248,7 +250,7 @@
             return true;
         }
         let valid_until = self.duty.now() + VALID;
-        if !self.record_attempt(window, kept.clone()).await {
+        if !self.record_attempt(window, report.clone()).await {
             return false;
         }
         // Checked last: there is no await between this and the call.
@@ -257,19 +259,19 @@
             return false;
         }
         let start = Instant::now();
-        let answer = self.call_platform(fence, &kept.body).await;
+        let answer = self.call_platform(fence, &report.body).await;
         log::info!(target: USAGE, window = window.0, fence = fence, answer:? = answer,
             took_ms = millis(start.elapsed()),
             late_ms = millis(self.times.now().saturating_sub(self.terms.windows.end(window)));
             "A report of usage is sent.");
         match answer {
-            Answer::Done => self.close_report(window, "accepted").await,
-            Answer::Fenced => {
+            ReportOutcome::Done => self.close_report(window, "accepted").await,
+            ReportOutcome::Fenced => {
                 self.count_outcome("fenced");
                 self.duty.beaten();
                 false
             }
-            Answer::Refused | Answer::Unknown => {
+            ReportOutcome::Refused | ReportOutcome::Unknown => {
                 self.count_outcome("failed");
                 false
             }
@@ -277,57 +279,60 @@
     }
 
     /// Records in the store that this process is about to send a report.
-    async fn record_attempt(&self, window: Window, kept: Kept) -> bool {
+    async fn record_attempt(&self, window: Window, report: StoredReport) -> bool {
         let Some(now) = self.store.now() else {
             return false;
         };
-        let is_recent = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
-        if is_recent && kept.holder == self.duty.life() {
+        let is_recent = now.saturating_sub(Duration::from_millis(report.written_at)) < VALID;
+        if is_recent && report.holder == self.duty.life() {
             return true;
         }
-        let kept = Kept::new(kept.body, self.duty.life(), now);
-        self.store_report(window, kept).await
+        let report = StoredReport::new(report.body, self.duty.life(), now);
+        self.store_report(window, report).await
     }
 
     /// Records that a report needs no further attempt.
     async fn close_report(&self, window: Window, outcome: &str) -> bool {
         self.count_outcome(outcome);
-        let Some(kept) = self
+        let Some(report) = self
             .with_reports(|reports| reports.get(window).cloned())
             .flatten()
         else {
             return false;
         };
-        let kept = Kept { sent: true, ..kept };
-        self.with_reports(|reports| reports.note(window, kept.clone()));
+        let report = StoredReport {
+            closed: true,
+            ..report
+        };
+        self.with_reports(|reports| reports.record(window, report.clone()));
         // If this write fails the next holder sends the same report again, which is harmless.
-        self.store_report(window, kept).await;
+        self.store_report(window, report).await;
         if window.0.is_multiple_of(CLEANUP_WINDOWS) {
             self.remove_old_rows(window).await;
         }
         true
     }
 
-    async fn store_report(&self, window: Window, kept: Kept) -> bool {
-        let change = Change::new().put(usage::report(window), encode_report(&kept));
+    async fn store_report(&self, window: Window, report: StoredReport) -> bool {
+        let change = Change::new().put(usage::report_row(window), encode_report(&report));
         let commit = self.duty.transact(change).await;
         let stored = matches!(commit, Some(Commit::Done { .. }));
         if stored {
-            self.with_reports(|reports| reports.note(window, kept));
+            self.with_reports(|reports| reports.record(window, report));
         }
         stored
     }
 
     /// Removes rows of windows that are no longer needed, as many as one write may have.
     async fn remove_old_rows(&self, window: Window) {
-        let Some(oldest) = self.with_reports(|reports| reports.outlived(window)) else {
+        let Some(oldest) = self.with_reports(|reports| reports.first_retained(window)) else {
             return;
         };
-        let (end, _) = usage::keys(oldest);
-        for table in [usage::USAGE, usage::REPORTS] {
+        let (end, _) = usage::key_range(oldest);
+        for table in [usage::USAGE_TABLE, usage::REPORTS_TABLE] {
             let range = Range {
                 end: Some(&end),
-                limit: Some(MOST_ENTRIES - 1),
+                limit: Some(MAX_ENTRIES - 1),
                 ..Range::part(table, "")
             };
             let Ok(page) = self.store.read(&range).await else {
@@ -348,19 +353,19 @@
         self.meters.reports.with_label_values(&[outcome]).inc();
     }
 
-    async fn call_platform(&self, fence: u64, report: &str) -> Answer {
+    async fn call_platform(&self, fence: u64, report: &str) -> ReportOutcome {
         match timeout(CALL_TIMEOUT, self.exchange(fence, report)).await {
-            Ok(Ok(status)) => duty::answer(status),
+            Ok(Ok(status)) => duty::report_outcome(status),
             Ok(Err(error)) => {
                 log::info!(target: USAGE, error = error.as_str(); "The platform did not answer.");
-                Answer::Unknown
+                ReportOutcome::Unknown
             }
-            Err(_elapsed) => Answer::Unknown,
+            Err(_elapsed) => ReportOutcome::Unknown,
         }
     }
 
     async fn exchange(&self, fence: u64, report: &str) -> Result<u16, String> {
-        let wire = duty::hand_in(&self.name, fence, report);
+        let wire = duty::report_request(&self.name, fence, report);
         let request = encode(&wire, self.address).map_err(|error| error.to_string())?;
         let sent = self.channels.send(self.address, request).await;
         let (response, channel) = sent.map_err(|fault| fault.to_string())?;
@@ -372,6 +377,6 @@
     }
 }
 
-fn encode_report(kept: &Kept) -> Vec<u8> {
-    serde_json::to_vec(kept).unwrap_or_default()
+fn encode_report(report: &StoredReport) -> Vec<u8> {
+    serde_json::to_vec(report).unwrap_or_default()
 }
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -85,9 +85,9 @@
         let mut weights = endpoint.weights.iter();
         let previous = weights.find(|weights| weights.model == load.model);
         let previous = previous.map_or(0, |weights| weights.version);
-        let answer = self.call(&endpoint, engine::order(&order)).await;
+        let answer = self.call(&endpoint, engine::order_request(&order)).await;
         let answer = answer.map_or(OrderAnswer::Unknown, |(status, _)| {
-            engine::order_answer(status)
+            engine::order_outcome(status)
         });
         log::info!(target: WEIGHTS, endpoint = load.endpoint.as_str(), model = load.model.as_str(),
             version = load.version, from = previous, holder = self.duty.life(), fence = fence,
@@ -174,12 +174,15 @@
 
     async fn fetch_report(&self, endpoint: &Endpoint) -> Option<Report> {
         let (status, body) = self
-            .call(endpoint, engine::ask_report(&endpoint.id))
+            .call(endpoint, engine::report_request(&endpoint.id))
             .await?;
-        match engine::report(status, &body) {
-            Ok(report) if report.born.is_some() && report.born != endpoint.started_ms => {
-                log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(), born:? = report.born,
-                    known:? = endpoint.started_ms; "A report is of another incarnation of the engine.");
+        match engine::decode_report(status, &body) {
+            Ok(report)
+                if report.started_ms.is_some() && report.started_ms != endpoint.started_ms =>
+            {
+                log::info!(target: WEIGHTS, endpoint = endpoint.id.as_str(),
+                    born:? = report.started_ms, known:? = endpoint.started_ms;
+                    "A report is of another incarnation of the engine.");
                 None
             }
             Ok(report) => Some(report),
--- a/hibiscusroad-measure/src/train/trainer.rs
+++ b/hibiscusroad-measure/src/train/trainer.rs
@@ -14,12 +14,12 @@
                 for record in &batch.records {
                     let slot = (record.slot.group, record.slot.index);
                     let begun = self.trainers[n].ages.remove(&slot).unwrap_or(self.now);
-                    self.deliver(n, record.oldest(), f64::from(record.tokens), begun);
+                    self.deliver(n, record.oldest_version(), f64::from(record.tokens), begun);
                 }
                 self.work(n);
             }
             Answer::NotYet => self.pull(n),
-            Answer::Noted => {
+            Answer::Recorded => {
                 self.trainers[n].version = run.head().version;
                 self.trainers[n].cursor += 1;
                 self.pull(n);
@@ -31,7 +31,7 @@
     fn deliver(&mut self, n: usize, oldest: Option<u64>, tokens: f64, begun: f64) {
         let version = self.trainers[n].version;
         let behind = version - oldest.unwrap_or(version);
-        if behind > self.load.spec.bound {
+        if behind > self.load.spec.max_staleness {
             self.broken += 1;
         }
         self.stale.push(behind as f64);
--- a/src/train/row.rs
+++ b/src/train/row.rs
@@ -39,7 +39,7 @@
     pub tokens: u32,
     /// The score from the scorer.
     pub score: f64,
-    /// The fencing number of the holder that finished the sample. With `serial` it
+    /// The fencing token of the holder that finished the sample. With `serial` it
     /// names the object that holds the text.
     pub fence: u64,
     /// The serial number of the generation at that holder.
@@ -49,7 +49,7 @@
 impl Record {
     /// Returns the oldest version that generated a token, or `None` without tokens.
     #[must_use]
-    pub fn oldest(&self) -> Option<u64> {
+    pub fn oldest_version(&self) -> Option<u64> {
         oldest_version(&self.spans)
     }
 }
@@ -74,7 +74,7 @@
 /// The progress of a run.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// The fencing number of the holder that wrote last.
+    /// The fencing token of the holder that wrote last.
     pub fence: u64,
     /// The cursor of the next batch, which is the number of batches so far.
     #[serde(rename = "next")]
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// The version that the head row must have; 0 if it must not exist.
-    pub expect: u64,
+    pub expected_version: u64,
     /// The new head.
     pub head: Head,
     /// Rows to write.
--- a/src/train/run.rs
+++ b/src/train/run.rs
@@ -1,8 +1,8 @@
 //! The state of a run at the process that holds it.
 
 use crate::train::{
-    GenKey,
-    event::{Answer, Event, Step, Ticket},
+    GenerationKey,
+    event::{Action, Answer, Event, Ticket},
     journal::{Change, Journal, TableCall},
     pace::Pace,
     row::{Batch, Head, Record, Row, RowName},
@@ -50,9 +50,9 @@
     pub started: u64,
 }
 
-/// A run, held by one process under one fencing number.
+/// A run, held by one process under one fencing token.
 ///
-/// [`Run::handle`] takes events and [`Run::next_step`] returns what to do.
+/// [`Run::handle`] takes events and [`Run::next_action`] returns what to do.
 #[derive(Debug)]
 pub struct Run {
     pub(crate) spec: Spec,
@@ -60,13 +60,13 @@
     pub(crate) journal: Journal,
     /// The open groups, in the order of prompts.
     pub(crate) groups: BTreeMap<u64, Group>,
-    pub(crate) generations: SlotMap<GenKey, Generation>,
+    pub(crate) generations: SlotMap<GenerationKey, Generation>,
     pub(crate) batches: BTreeMap<u64, Batch>,
     pub(crate) pulls: Vec<Pull>,
     /// Requests that wait until the end of their step is in the table, with the
     /// step's cursor.
     pub(crate) done_requests: Vec<(Ticket, u64)>,
-    pub(crate) steps: VecDeque<Step>,
+    pub(crate) actions: VecDeque<Action>,
     pub(crate) pace: Pace,
     /// The number of generations that may run at once.
     pub(crate) max_running: usize,
@@ -93,7 +93,7 @@
             batches: BTreeMap::new(),
             pulls: Vec::new(),
             done_requests: Vec::new(),
-            steps: VecDeque::new(),
+            actions: VecDeque::new(),
             pace: Pace::default(),
             max_running: usize::MAX,
             next_group: 0,
@@ -104,9 +104,9 @@
         run
     }
 
-    /// Returns the next step to carry out.
-    pub fn next_step(&mut self) -> Option<Step> {
-        self.steps.pop_front()
+    /// Returns the next action to carry out.
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
     /// Returns the progress of the run, as last known to be in the table.
@@ -121,10 +121,10 @@
         self.counts
     }
 
-    /// Returns the serial number of a generation, which with the fencing number names
+    /// Returns the serial number of a generation, which with the fencing token names
     /// its text in the object store.
     #[must_use]
-    pub fn serial_of(&self, generation: GenKey) -> Option<u64> {
+    pub fn serial_of(&self, generation: GenerationKey) -> Option<u64> {
         self.generations
             .get(generation)
             .map(|generation| generation.serial)
@@ -138,7 +138,7 @@
 
     /// Returns the number of generations that are running or could be started now.
     #[must_use]
-    pub fn wanted(&self) -> usize {
+    pub fn demand(&self) -> usize {
         let samples = self.groups.values().flat_map(|group| &group.samples);
         let waiting = samples.filter(|sample| sample.phase == Phase::Waiting);
         self.generations.len() + waiting.count()
@@ -156,7 +156,7 @@
                 let changes = self.journal.committed();
                 self.apply(now, changes);
             }
-            Event::Lost => self.journal.call_failed(),
+            Event::CallFailed => self.journal.call_failed(),
             Event::Progress {
                 generation,
                 tokens,
@@ -168,7 +168,7 @@
             Event::Finished(generation) => self.handle_finished(now, generation),
             Event::Failed(generation) => self.handle_failed(generation),
             Event::Scored { generation, score } => self.handle_score(generation, score),
-            Event::ScoreLost(generation) => self.retry_score(generation),
+            Event::ScoreFailed(generation) => self.retry_score(generation),
             Event::Pulled {
                 ticket,
                 owner,
@@ -180,7 +180,7 @@
                 cursor,
                 version,
             } => self.handle_done(ticket, owner, cursor, version),
-            Event::Share(limit) => self.max_running = limit,
+            Event::LimitChanged(limit) => self.max_running = limit,
             Event::Tick => {}
         }
         self.advance(now);
@@ -205,10 +205,10 @@
 
     fn call_table(&mut self) {
         if let Some(call) = self.journal.next_call() {
-            self.steps.push_back(match call {
-                TableCall::ReadHead => Step::ReadHead,
-                TableCall::ReadRows => Step::ReadRows,
-                TableCall::Write(write) => Step::Write(write),
+            self.actions.push_back(match call {
+                TableCall::ReadHead => Action::ReadHead,
+                TableCall::ReadRows => Action::ReadRows,
+                TableCall::Write(write) => Action::Write(write),
             });
         }
     }
@@ -239,7 +239,7 @@
 
     fn restore_sample(&mut self, record: Record) {
         let slot = record.slot;
-        let size = self.spec.size;
+        let size = self.spec.group_size;
         let group = self
             .groups
             .entry(slot.group)
@@ -268,7 +268,7 @@
     }
 
     fn sample_recorded(&mut self, record: Record) {
-        self.steps.push_back(Step::Release(record.slot));
+        self.actions.push_back(Action::DiscardTexts(record.slot));
         if let Some(sample) = self.sample_mut(record.slot)
             && matches!(&sample.phase, Phase::Writing(written) if written.serial == record.serial)
         {
@@ -290,7 +290,7 @@
     fn open_groups(&mut self) {
         let head = self.journal.head();
         let max_open = self.pace.max_open_groups(&self.spec);
-        let size = self.spec.size;
+        let size = self.spec.group_size;
         let mut count = self.groups.len() as u64;
         while count < max_open {
             let group = self.next_group;
@@ -307,14 +307,14 @@
     /// samples that aren't recorded.
     fn stop(&mut self) {
         for (generation, _) in self.generations.drain() {
-            self.steps.push_back(Step::Cancel(generation));
+            self.actions.push_back(Action::Cancel(generation));
         }
         self.groups.clear();
         let pulls = self.pulls.drain(..).map(|pull| pull.ticket);
         let done_requests = self.done_requests.drain(..).map(|(ticket, _)| ticket);
         for ticket in pulls.chain(done_requests) {
             let refusal = Answer::Refused(crate::ErrorKind::Fenced);
-            self.steps.push_back(Step::Answer(ticket, refusal));
+            self.actions.push_back(Action::Answer(ticket, refusal));
         }
     }
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -3,7 +3,8 @@
 use hibiscusroad::{
     table::RowId,
     usage::{
-        Kept, Offset, Reports, Step, Tally, Terms, Window, Windows, agreed, keys, merge, pause,
+        Offset, ReportTiming, Reports, Step, StoredReport, Tally, Window, Windows, agreed_time,
+        key_range, sum_counts, write_interval,
     },
 };
 use proptest::prelude::*;
@@ -13,11 +14,11 @@
 const REPORT_DEADLINE: Duration = Duration::from_secs(10);
 const MIN_CALL_GAP: Duration = Duration::from_secs(3);
 
-fn terms() -> Terms {
-    Terms {
+fn timing() -> ReportTiming {
+    ReportTiming {
         windows: Windows::new(WINDOW_LENGTH),
-        late: REPORT_DEADLINE,
-        apart: MIN_CALL_GAP,
+        deadline: REPORT_DEADLINE,
+        call_gap: MIN_CALL_GAP,
     }
 }
 
@@ -33,11 +34,11 @@
 }
 
 fn window_counts(store: &BTreeMap<RowId, Vec<u8>>, window: u64) -> BTreeMap<String, u64> {
-    let (from, end) = keys(Window(window));
+    let (from, end) = key_range(Window(window));
     let rows = store
         .iter()
         .filter(|(id, _)| id.key >= from && id.key < end);
-    let (counts, broken) = merge(rows.map(|(_, value)| value.as_slice()));
+    let (counts, broken) = sum_counts(rows.map(|(_, value)| value.as_slice()));
     assert_eq!(broken, 0);
     counts
 }
@@ -58,10 +59,10 @@
 
 #[test]
 fn key_range_covers_one_window() {
-    let (from, end) = keys(Window(9));
+    let (from, end) = key_range(Window(9));
     let mut tally = Tally::new();
     for window in [8, 9, 10, 90] {
-        tally.note(Window(window), "a");
+        tally.record(Window(window), "a");
     }
     let rows: Vec<RowId> = tally
         .next_write()
@@ -78,15 +79,15 @@
 fn repeated_and_late_writes_count_once() {
     let mut store = BTreeMap::new();
     let mut tally = Tally::new();
-    tally.note(Window(1), "a");
+    tally.record(Window(1), "a");
     let delayed: Vec<_> = tally.next_write().to_vec();
     write_counts(&mut tally, "g/1", &mut store);
     // Counted before the write is confirmed.
-    tally.note(Window(1), "a");
+    tally.record(Window(1), "a");
     write_counts(&mut tally, "g/1", &mut store);
-    tally.kept();
+    tally.confirm_write();
     write_counts(&mut tally, "g/1", &mut store);
-    tally.kept();
+    tally.confirm_write();
     for counts in delayed {
         store.insert(counts.row("g/1"), counts.encode());
     }
@@ -99,7 +100,7 @@
     let mut store = BTreeMap::new();
     for incarnation in ["g-1/1", "g-1/2", "g-2/1"] {
         let mut tally = Tally::new();
-        tally.note(Window(1), "a");
+        tally.record(Window(1), "a");
         write_counts(&mut tally, incarnation, &mut store);
     }
     assert_eq!(window_counts(&store, 1)["a"], 3);
@@ -108,49 +109,52 @@
 // The total rate of usage writes must stay a small part of the store's capacity.
 #[test]
 fn more_processes_write_less_often() {
-    assert!(pause(8) <= Duration::from_millis(200));
+    assert!(write_interval(8) <= Duration::from_millis(200));
     for processes in [8_usize, 39, 88, 360] {
-        let writes = processes as f64 / pause(processes).as_secs_f64();
+        let writes = processes as f64 / write_interval(processes).as_secs_f64();
         assert!(writes <= 200.0, "{processes}: {writes} writes a second");
     }
-    assert!(pause(360) <= Duration::from_secs(3));
+    assert!(write_interval(360) <= Duration::from_secs(3));
 }
 
 #[test]
 fn window_is_reported_after_its_counts_are_written() {
-    let mut reports = Reports::new(terms(), secs(1_003.0));
-    let Step::Wait(until) = reports.next(secs(1_003.0), None) else {
+    let mut reports = Reports::new(timing(), secs(1_003.0));
+    let Step::Wait(until) = reports.next_step(secs(1_003.0), None) else {
         panic!("reported too early");
     };
     assert!(until > secs(1_005.0) && until < secs(1_010.0));
-    assert_eq!(reports.next(until, None), Step::Make(Window(200)));
-    reports.note(Window(200), Kept::new("{}".into(), "g/1", secs(1.0)));
-    assert_eq!(reports.next(until, None), Step::Send(Window(200)));
-    let sent = Kept {
-        sent: true,
+    assert_eq!(reports.next_step(until, None), Step::Make(Window(200)));
+    reports.record(
+        Window(200),
+        StoredReport::new("{}".into(), "g/1", secs(1.0)),
+    );
+    assert_eq!(reports.next_step(until, None), Step::Send(Window(200)));
+    let sent = StoredReport {
+        closed: true,
         ..reports.get(Window(200)).unwrap().clone()
     };
-    reports.note(Window(200), sent);
-    assert!(matches!(reports.next(until, None), Step::Wait(_)));
+    reports.record(Window(200), sent);
+    assert!(matches!(reports.next_step(until, None), Step::Wait(_)));
 }
 
 // After a store outage the report waits for the pending counts of all processes, but not
 // beyond its deadline.
 #[test]
 fn report_waits_for_pending_counts_after_a_store_outage() {
-    let reports = Reports::new(terms(), secs(1_003.0));
+    let reports = Reports::new(timing(), secs(1_003.0));
     let recovered_at = secs(1_009.0);
     assert!(matches!(
-        reports.next(secs(1_009.1), Some(recovered_at)),
+        reports.next_step(secs(1_009.1), Some(recovered_at)),
         Step::Wait(_)
     ));
     assert_eq!(
-        reports.next(secs(1_010.5), Some(recovered_at)),
+        reports.next_step(secs(1_010.5), Some(recovered_at)),
         Step::Make(Window(200))
     );
     let recovered_at = secs(1_013.5);
     assert_eq!(
-        reports.next(secs(1_013.6), Some(recovered_at)),
+        reports.next_step(secs(1_013.6), Some(recovered_at)),
         Step::Make(Window(200))
     );
 }
@@ -158,42 +162,60 @@
 // Requests are counted before a process first holds the duty.
 #[test]
 fn counts_from_before_the_first_holder_are_reported() {
-    let mut reports = Reports::new(terms(), secs(1_022.0));
-    reports.begin_with(&keys(Window(202)).0);
-    assert_eq!(reports.next(secs(1_022.0), None), Step::Make(Window(202)));
+    let mut reports = Reports::new(timing(), secs(1_022.0));
+    reports.start_from(&key_range(Window(202)).0);
+    assert_eq!(
+        reports.next_step(secs(1_022.0), None),
+        Step::Make(Window(202))
+    );
 }
 
 // The count of a request at the end of a window is written after the first holder has read
 // the store, in the next window.
 #[test]
 fn counts_written_after_the_first_holder_has_read_are_reported() {
-    let reports = Reports::new(terms(), secs(1_005.05));
-    assert_eq!(reports.next(secs(1_008.0), None), Step::Make(Window(200)));
+    let reports = Reports::new(timing(), secs(1_005.05));
+    assert_eq!(
+        reports.next_step(secs(1_008.0), None),
+        Step::Make(Window(200))
+    );
 }
 
 // A holder is lost after it stored a report and before it sent it: the next holder must
 // send the same bytes.
 #[test]
 fn next_holder_sends_the_stored_report() {
-    let mut reports = Reports::new(terms(), secs(1_020.0));
-    let kept = Kept::new("the report".into(), "g-1/1", secs(50.0));
-    reports.read("00000000000000000200/", kept);
-    assert_eq!(reports.next(secs(1_008.0), None), Step::Send(Window(200)));
+    let mut reports = Reports::new(timing(), secs(1_020.0));
+    let kept = StoredReport::new("the report".into(), "g-1/1", secs(50.0));
+    reports.load("00000000000000000200/", kept);
+    assert_eq!(
+        reports.next_step(secs(1_008.0), None),
+        Step::Send(Window(200))
+    );
     assert_eq!(reports.get(Window(200)).unwrap().body, "the report");
     // The former holder's calls may still arrive until then.
-    let until = reports.barred("g-2/1").unwrap();
+    let until = reports.blocked_until("g-2/1").unwrap();
     assert!(until >= secs(50.0) + MIN_CALL_GAP);
-    assert_eq!(reports.barred("g-1/1"), None);
+    assert_eq!(reports.blocked_until("g-1/1"), None);
 }
 
 #[test]
 fn windows_past_the_maximum_delay_are_skipped() {
-    let mut reports = Reports::new(terms(), secs(1_003.0));
-    let kept = Kept::new("{}".into(), "g-1/1", secs(1.0));
-    reports.read("00000000000000000200/", kept.clone());
-    assert_eq!(reports.next(secs(1_100.0), None), Step::GiveUp(Window(200)));
-    reports.note(Window(200), Kept { sent: true, ..kept });
-    let Step::Make(next) = reports.next(secs(1_100.0), None) else {
+    let mut reports = Reports::new(timing(), secs(1_003.0));
+    let kept = StoredReport::new("{}".into(), "g-1/1", secs(1.0));
+    reports.load("00000000000000000200/", kept.clone());
+    assert_eq!(
+        reports.next_step(secs(1_100.0), None),
+        Step::GiveUp(Window(200))
+    );
+    reports.record(
+        Window(200),
+        StoredReport {
+            closed: true,
+            ..kept
+        },
+    );
+    let Step::Make(next) = reports.next_step(secs(1_100.0), None) else {
         panic!("no report is due");
     };
     // At most one minute late.
@@ -207,14 +229,14 @@
     let (store, time) = (secs(70.0), secs(1_767_225_600.0));
     let offset = |ahead: f64| Offset::between(time + secs(ahead), store);
     let others = [0.0, 0.0, 0.001, 0.001, 0.002, 5.0, 5.0].map(offset);
-    assert_eq!(agreed(time, store, &others), time);
+    assert_eq!(agreed_time(time, store, &others), time);
     let near = time + secs(0.04);
-    assert_eq!(agreed(near, store, &others), near);
+    assert_eq!(agreed_time(near, store, &others), near);
     for wrong in [time + secs(5.0), time.saturating_sub(secs(5.0))] {
-        let corrected = agreed(wrong, store, &others);
+        let corrected = agreed_time(wrong, store, &others);
         assert!(corrected.abs_diff(time) <= secs(0.002), "{corrected:?}");
     }
-    assert_eq!(agreed(time, store, &[]), time);
+    assert_eq!(agreed_time(time, store, &[]), time);
 }
 
 /// One action of one of two holders that both may believe to hold the duty.
@@ -245,7 +267,7 @@
     // with two contents, and calls of the two holders are at least `MIN_CALL_GAP` apart.
     #[test]
     fn changing_holders_send_one_report_per_window(actions in actions()) {
-        let mut store: BTreeMap<Window, Kept> = BTreeMap::new();
+        let mut store: BTreeMap<Window, StoredReport> = BTreeMap::new();
         let mut views = [None::<Reports>, None];
         let mut lease_holder = None;
         let mut sent: Vec<(usize, Window, String, Duration)> = Vec::new();
@@ -255,30 +277,30 @@
             let holder = format!("g-{}/1", action.holder);
             if action.takes_over || lease_holder != Some(action.holder) {
                 lease_holder = Some(action.holder);
-                let mut view = Reports::new(terms(), now);
+                let mut view = Reports::new(timing(), now);
                 for (window, kept) in &store {
-                    view.read(&keys(*window).0, kept.clone());
+                    view.load(&key_range(*window).0, kept.clone());
                 }
                 views[action.holder] = Some(view);
             }
             let view = views[action.holder].as_mut().unwrap();
-            match view.next(now, None) {
+            match view.next_step(now, None) {
                 Step::Make(window) if action.write_succeeds => {
                     // The condition of the write: no report of the window is stored.
                     prop_assert!(!store.contains_key(&window));
-                    let kept = Kept::new(format!("report {n}"), &holder, now);
+                    let kept = StoredReport::new(format!("report {n}"), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, kept);
+                    view.record(window, kept);
                 }
                 Step::Send(window) if action.write_succeeds => {
-                    if view.barred(&holder).is_some_and(|until| now < until) {
+                    if view.blocked_until(&holder).is_some_and(|until| now < until) {
                         continue;
                     }
                     let body = view.get(window).unwrap().body.clone();
-                    let kept = Kept::new(body.clone(), &holder, now);
+                    let kept = StoredReport::new(body.clone(), &holder, now);
                     store.insert(window, kept.clone());
-                    view.note(window, Kept { sent: true, ..kept.clone() });
-                    store.insert(window, Kept { sent: true, ..kept });
+                    view.record(window, StoredReport { closed: true, ..kept.clone() });
+                    store.insert(window, StoredReport { closed: true, ..kept });
                     sent.push((action.holder, window, body, now));
                 }
                 _ => {}
