--- a/hibiscusroad-daemon/src/gateway/peers/server.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/server.rs
@@ -23,8 +23,8 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status, transport::Server};
 
-/// Maximum queued calls of peers. A peer that can't reach the store has about ten calls in
-/// flight, and the calls of such gateways are spread over all others.
+/// Maximum queued calls of peers, enough for those of several gateways that can't reach the
+/// store.
 const MAX_QUEUED_JOBS: usize = 64;
 /// Maximum time limit of a peer's call. It covers the long poll for changes and the transfer
 /// of an object.
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -172,7 +172,8 @@
             match serde_json::from_slice(&row.value) {
                 Ok(report) => reports.load(&row.id.key, report),
                 Err(error) => log::error!(target: USAGE, report = row.id.key.as_str(),
-                    error = error.to_string().as_str(); "A stored report can't be decoded and is ignored."),
+                    error = error.to_string().as_str();
+                    "A stored report can't be decoded and is ignored."),
             }
         }
         log::info!(target: USAGE, fence = fence, reports = page.rows.len();
@@ -345,7 +346,7 @@
             let change = removed.fold(Change::new(), Change::remove);
             let commit = self.store.transact(&change).await;
             log::debug!(target: USAGE, table = table, done = matches!(commit, Commit::Done { .. });
-                "Old rows of usage were removed, unless the write failed.");
+                "The removal of old usage rows ended.");
         }
     }
 
--- a/hibiscusroad-daemon/src/gateway/weights/handover.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/handover.rs
@@ -30,7 +30,8 @@
         let change = Change::new().put(RowId::new(DUTIES, PACE_PART, PACE_KEY), value);
         let commit = self.store.transact(&change).await;
         if !matches!(commit, Commit::Done { .. }) {
-            log::debug!(target: WEIGHTS, done:? = commit; "The pace of loads could not be written.");
+            log::debug!(target: WEIGHTS, done:? = commit;
+                "The pace of loads could not be written.");
         }
     }
 
