--- a/hibiscusroad-daemon/src/gateway/crashes/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/mod.rs
@@ -218,7 +218,7 @@
             .set(i64::try_from(previous.len()).unwrap_or(i64::MAX));
     }
 
-    /// Returns the store's monotonic clock, which is known before any request is served.
+    /// Returns the store's steady clock, which is known before any request is served.
     fn now(&self) -> Duration {
         self.store.now().unwrap_or_default()
     }
--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -39,7 +39,7 @@
 fn start_world(test: &str, gateways: usize) -> (World, Endpoint, Endpoint) {
     let mut world = World::start(test);
     world.store.put("op", "config", &account_config(1, &[1, 2]));
-    let desk = world.endpoint("hut-desk", "i-desk", &[]);
+    let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     for _ in 0..gateways {
         world.gateway();
@@ -51,7 +51,7 @@
             (answer.status == 200).then_some(())
         });
     }
-    (world, desk, engine)
+    (world, endpoint, engine)
 }
 
 /// Sends a request with keys, and with a forged account header.
@@ -82,7 +82,7 @@
 
 #[test]
 fn endpoints_receive_the_account_but_not_the_key() {
-    let (world, desk, _engine) = start_world("named", 1);
+    let (world, endpoint, _engine) = start_world("named", 1);
     let gateway = &world.gateways[0];
     for (id, path, keys, account) in [
         ("a1", "/desk/a", &[CHARITY_KEY_1][..], Some("charity")),
@@ -93,7 +93,7 @@
         ("a6", "/open/a", &["Bearer wrong"], None),
     ] {
         assert_eq!(call(gateway, path, id, keys).status, 200, "{id}");
-        let ran = find_run(&desk, id).unwrap();
+        let ran = find_run(&endpoint, id).unwrap();
         assert_eq!(ran.account.as_deref(), account, "{id}");
         assert!(!ran.keyed, "the endpoint received the key of {id}");
     }
@@ -101,7 +101,7 @@
 
 #[test]
 fn refusal_of_a_caller_without_a_valid_key_names_the_cause() {
-    let (world, desk, _engine) = start_world("denied", 1);
+    let (world, endpoint, _engine) = start_world("denied", 1);
     let gateway = &world.gateways[0];
     let long = format!("Bearer {}", "k".repeat(8 << 10));
     let cases = [
@@ -119,7 +119,7 @@
         assert_eq!(answer.status, 401, "{id}: {}", answer.text());
         assert_eq!(answer.json()["type"], kind, "{id}");
         assert_eq!(answer.header("www-authenticate"), Some("Bearer"));
-        assert!(find_run(&desk, &id).is_none());
+        assert!(find_run(&endpoint, &id).is_none());
     }
     // Exceeds the limit on the size of all headers.
     let huge = format!("Bearer {}", "k".repeat(64 << 10));
@@ -146,7 +146,7 @@
 // that revokes it.
 #[test]
 fn revoked_key_is_refused() {
-    let (world, desk, _engine) = start_world("revoked", 2);
+    let (world, endpoint, _engine) = start_world("revoked", 2);
     world.store.put("op", "config", &account_config(2, &[2, 3]));
     for gateway in &world.gateways {
         until("the new key is known", || {
@@ -160,7 +160,7 @@
             200
         );
     }
-    assert!(find_run(&desk, "old").is_none());
+    assert!(find_run(&endpoint, "old").is_none());
 }
 
 // Guards against access to a batch by other accounts, for which it must seem not to exist, and
@@ -168,7 +168,7 @@
 // revoked.
 #[test]
 fn batches_are_accessible_to_all_keys_of_their_account_only() {
-    let (world, _desk, engine) = start_world("owned", 2);
+    let (world, _endpoint, engine) = start_world("owned", 2);
     engine.work(Duration::from_millis(60));
     let body = submission(1, 1, 1, 2).to_string();
     let submit = |n: usize, key: &str| {
@@ -235,7 +235,7 @@
 // scorers don't.
 #[test]
 fn batch_keeps_its_account_after_a_takeover() {
-    let (mut world, desk, engine) = start_world("moved", 2);
+    let (mut world, endpoint, engine) = start_world("moved", 2);
     engine.work(Duration::from_millis(120));
     let body = submission(1, 1, 1, 2).to_string();
     let answer = call_with_keys(
@@ -263,7 +263,7 @@
     let ran = engine.ran();
     assert!(ran.len() > 2, "nothing was taken over");
     assert!(ran.iter().all(|r| r.account.as_deref() == Some("charity")));
-    let scored = desk
+    let scored = endpoint
         .ran()
         .into_iter()
         .filter(|r| r.id.starts_with("score-"));
@@ -273,13 +273,13 @@
 // Guards against changed headers in a deployment without client accounts.
 #[test]
 fn callers_of_a_deployment_without_accounts_need_no_key() {
-    let (world, desk, _engine) = World::ready("no-accounts", 1);
+    let (world, endpoint, _engine) = World::ready("no-accounts", 1);
     let gateway = &world.gateways[0];
     assert_eq!(
         call(gateway, "/desk/a", "n1", &["Basic own-matter"]).status,
         200
     );
-    let ran = find_run(&desk, "n1").unwrap();
+    let ran = find_run(&endpoint, "n1").unwrap();
     assert!(ran.keyed);
     assert_eq!(ran.account.as_deref(), Some("somebody"));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 1)).status, 202);
@@ -290,7 +290,7 @@
 // gateway must read the configuration before it refuses a key.
 #[test]
 fn new_key_is_accepted_by_a_gateway_with_an_old_configuration() {
-    let (world, relay, _desk) = start_relayed_world("late", "");
+    let (world, relay, _endpoint) = start_relayed_world("late", "");
     relay.set_delay(Duration::from_millis(70));
     // Longer than a long poll, since one that began earlier is not delayed.
     thread::sleep(Duration::from_millis(2_500));
@@ -308,7 +308,7 @@
 // shared by concurrent requests.
 #[test]
 fn guessed_keys_don_t_overload_the_store() {
-    let (world, _desk, _engine) = start_world("guessed", 1);
+    let (world, _endpoint, _engine) = start_world("guessed", 1);
     let reads = || {
         let calls = world.store.calls();
         calls.iter().filter(|call| *call == "GET /rows-get").count()
@@ -339,7 +339,7 @@
 // reach its peer but not the store.
 #[test]
 fn revocation_arrives_through_a_peer() {
-    let (world, relay, desk) = start_relayed_world("cut-store", "");
+    let (world, relay, endpoint) = start_relayed_world("cut-store", "");
     relay.stop();
     world.store.put("op", "config", &account_config(2, &[2]));
     let start = Instant::now();
@@ -352,9 +352,9 @@
         "{:?}",
         start.elapsed()
     );
-    let before = desk.ran().len();
+    let before = endpoint.ran().len();
     assert_eq!(call(first, "/desk/a", "late", &[CHARITY_KEY_1]).status, 401);
-    assert_eq!(desk.ran().len(), before);
+    assert_eq!(endpoint.ran().len(), before);
 }
 
 // Guards against final refusals by a gateway that can reach neither the store nor a peer: a key
@@ -362,7 +362,7 @@
 // configuration is older than the operator's limit.
 #[test]
 fn isolated_gateway_answers_that_it_can_t_check_keys() {
-    let (mut world, relay, desk) = start_relayed_world("cut-all", "trust_ms = 4500\n");
+    let (mut world, relay, endpoint) = start_relayed_world("cut-all", "trust_ms = 4500\n");
     world.gateways[1].kill();
     relay.stop();
     world.store.put("op", "config", &account_config(2, &[2, 3]));
@@ -377,12 +377,12 @@
     until("no key is accepted any more", || {
         (call(first, "/desk/a", "expired", &[CHARITY_KEY_2]).status == 503).then_some(())
     });
-    let before = desk.ran().len();
+    let before = endpoint.ran().len();
     assert_eq!(
         call(first, "/desk/a", "after", &[CHARITY_KEY_1]).status,
         503
     );
-    assert_eq!(desk.ran().len(), before);
+    assert_eq!(endpoint.ran().len(), before);
     assert_eq!(call(first, "/open/a", "public", &[]).status, 200);
 }
 
@@ -390,7 +390,7 @@
 // limit on the age of the configuration.
 #[test]
 fn known_keys_are_accepted_during_an_outage_of_the_store() {
-    let (world, _desk, _engine) = start_world("away", 1);
+    let (world, _endpoint, _engine) = start_world("away", 1);
     world.store.fail(Faults {
         silent: true,
         ..Faults::default()
@@ -409,7 +409,7 @@
 fn start_relayed_world(test: &str, settings: &str) -> (World, Relay, Endpoint) {
     let mut world = World::start(test);
     world.store.put("op", "config", &account_config(1, &[1, 2]));
-    let desk = world.endpoint("hut-desk", "i-desk", &[]);
+    let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let any_port = "127.0.0.1:0".parse().unwrap();
     let relay = Relay::start(any_port, world.store.addr()).unwrap();
     let first = Gateway::start(&world.dir, "gateway-1", relay.addr(), settings);
@@ -423,5 +423,5 @@
             (answer.status == 200).then_some(())
         });
     }
-    (world, relay, desk)
+    (world, relay, endpoint)
 }
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -210,27 +210,27 @@
 // Guards against counting the announced end of an endpoint as a crash.
 #[test]
 fn end_of_a_draining_endpoint_is_no_crash() {
-    let (world, desk, _engine) = World::ready("leaves", 1);
-    desk.work(Duration::from_secs(2));
+    let (world, endpoint, _engine) = World::ready("leaves", 1);
+    endpoint.work(Duration::from_secs(2));
     let gateway = &world.gateways[0];
     thread::scope(|scope| {
         let response = scope.spawn(|| gateway.call("POST", "/once/x", "cut", b""));
         until("the request runs", || {
-            (count_sends_to(&desk, "cut") > 0).then_some(())
+            (count_sends_to(&endpoint, "cut") > 0).then_some(())
         });
-        desk.register("draining");
+        endpoint.register("draining");
         until("the endpoint is known to leave", || {
             let lines = gateway.lines();
             let mut updates = lines.iter().filter(|line| line["endpoint"] == "i-desk");
             updates.any(|line| line["leaving"] == true).then_some(())
         });
-        desk.relay().cut_all();
+        endpoint.relay().cut_all();
         assert_eq!(response.join().unwrap().status, 502);
     });
     // Longer than evidence takes to be written.
     thread::sleep(PROPAGATION_TIME / 6);
     assert!(world.store.rows("crashes").is_empty());
-    desk.register("ready");
+    endpoint.register("ready");
     let answer = send(gateway, "/desk/x", "later", b"");
     assert!(answer.is_none_or(|answer| !answer.text().contains("quarantined")));
 }
@@ -368,7 +368,7 @@
         "type": "streaming", "timeoutMs": 9000, "service": "guide-lm", "maxAttempts": 3,
         "resumable": true });
     world.configure(1, &[route]);
-    let desk = world.endpoint("hut-desk", "i-desk", &[]);
+    let scorer = world.endpoint("hut-desk", "i-desk", &[]);
     let replicas = start_replicas(&world, "guide-lm", &["guide"], CrashManner::Closed);
     for _ in 0..gateways {
         world.gateway();
@@ -377,20 +377,20 @@
         world.wait_ready(n);
         wait_for_endpoints(&world.gateways[n]);
     }
-    (world, desk, replicas)
+    (world, scorer, replicas)
 }
 
 // Guards against a stream that is resumed at one endpoint after the other.
 #[test]
 fn resumable_stream_that_crashes_endpoints_is_quarantined() {
-    let (world, _desk, replicas) = start_engines("streams", 3);
+    let (world, _scorer, replicas) = start_engines("streams", 3);
     check_quarantined(&world, &replicas, "/again/x", "poison");
 }
 
 // Guards against a batch item that its owner, a draft or the next owner runs repeatedly.
 #[test]
 fn batch_item_that_crashes_engines_is_quarantined() {
-    let (mut world, _desk, replicas) = start_engines("items", 2);
+    let (mut world, _scorer, replicas) = start_engines("items", 2);
     let mut step = submission(1, 1, 2, 3);
     step["requests"][4]["body"] = "Y3Jhc2g=".into();
     step["targetGroups"] = 1.into();
--- a/hibiscusroad-daemon/tests/gateway_peers.rs
+++ b/hibiscusroad-daemon/tests/gateway_peers.rs
@@ -13,7 +13,7 @@
 fn start_world(test: &str) -> (World, Relay, [hibiscusroad_standins::direct::Endpoint; 2]) {
     let mut world = World::start(test);
     world.configure(1, &[]);
-    let desk = world.endpoint("hut-desk", "i-desk", &[]);
+    let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     let any_port = "127.0.0.1:0".parse().unwrap();
     let relay = Relay::start(any_port, world.store.addr()).unwrap();
@@ -24,14 +24,14 @@
         world.wait_ready(n);
         world.gateways[n].line("Peers are known");
     }
-    (world, relay, [desk, engine])
+    (world, relay, [endpoint, engine])
 }
 
 // Guards against a batch whose items wait for the store when a process other than their
 // owner accepts it. The store takes 1.3 s to read a submission here and sends no changes.
 #[test]
 fn batch_is_pushed_to_its_owner() {
-    let (world, relay, [_desk, engine]) = start_world("given");
+    let (world, relay, [_endpoint, engine]) = start_world("given");
     engine.work(Duration::from_millis(20));
     let submit = |n: usize, id: &str, step: u64| {
         let body = submission(step, 1, 1, 3).to_string();
@@ -70,7 +70,7 @@
 // writes, and both gateways return all results.
 #[test]
 fn owner_that_is_cut_off_from_the_store_keeps_its_batch() {
-    let (world, relay, [_desk, engine]) = start_world("turned-away");
+    let (world, relay, [_endpoint, engine]) = start_world("turned-away");
     engine.work(Duration::from_millis(150));
     let step = submission(1, 1, 2, 3).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", step.as_bytes());
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -16,7 +16,7 @@
 
 struct Deployment {
     world: World,
-    desk: Endpoint,
+    endpoint: Endpoint,
     billing: Billing,
 }
 
@@ -31,7 +31,7 @@
     ]);
     world.store.put("op", "config", &config);
     let billing = Billing::start(checks_fence).unwrap();
-    let desk = world.endpoint("hut-desk", "i-desk", &[]);
+    let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let settings = format!(
         "\n[gateway.usage]\naddress = \"{}\"\nwindow_s = 1\nlate_s = 6\n",
         billing.addr()
@@ -44,7 +44,7 @@
     }
     let deployment = Deployment {
         world,
-        desk,
+        endpoint,
         billing,
     };
     for n in 0..gateways {
@@ -67,7 +67,7 @@
     /// Returns how many requests the endpoint started, by account.
     fn started_requests(&self) -> BTreeMap<String, u64> {
         let mut started = BTreeMap::new();
-        for ran in self.desk.ran() {
+        for ran in self.endpoint.ran() {
             *started.entry(ran.account.unwrap()).or_default() += 1;
         }
         started
@@ -123,13 +123,13 @@
 #[test]
 fn only_requests_that_endpoints_started_count() {
     let deployment = start_deployment("began", 1, true);
-    deployment.desk.behave(Manner::Refusing);
+    deployment.endpoint.behave(Manner::Refusing);
     for n in 0..5 {
         assert_eq!(deployment.call(0, "school", &format!("no{n}")).status, 503);
     }
     assert_eq!(deployment.call(0, "nobody", "denied").status, 401);
-    deployment.desk.behave(Manner::Sound);
-    deployment.desk.work(Duration::from_millis(700));
+    deployment.endpoint.behave(Manner::Sound);
+    deployment.endpoint.work(Duration::from_millis(700));
     let key = [
         ("X-Request-Id", "left"),
         ("Authorization", "Bearer school-key"),
@@ -144,7 +144,7 @@
         Duration::from_millis(250),
     );
     assert!(answer.is_none());
-    deployment.desk.work(Duration::from_millis(5));
+    deployment.endpoint.work(Duration::from_millis(5));
     assert_eq!(deployment.started_requests()["school"], 1);
     deployment.check_totals();
 }
