--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -76,7 +76,7 @@
     sync::Members,
     times::Times,
     usage::{Reporter, Usage},
-    weights::{Parts, Weights},
+    weights::{Dependencies, Weights},
 };
 use crate::{
     logs::{self, PROCESS},
@@ -162,7 +162,10 @@
         let take = move |batch| batches.take(batch);
         spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take));
         let store = Rc::clone(&gateway.store);
-        spawn_local(peers::meet(store, gateway.batches.directory().clone()));
+        spawn_local(peers::poll_peers(
+            store,
+            gateway.batches.directory().clone(),
+        ));
     }
     if let Some(metrics) = metrics {
         let gateway = Rc::clone(&gateway);
@@ -184,7 +187,7 @@
     let grace = Duration::from_secs(settings.stop.deadline_s);
     gateway.stop.carry_out(grace).await;
     accepting.abort();
-    gateway.usage.leave().await;
+    gateway.usage.flush().await;
     logs::flush_now();
     Ok(())
 }
@@ -225,9 +228,9 @@
         let members = Rc::new(Members::new(Rc::clone(&counts), move |news| {
             if let Some(gateway) = hearer.upgrade() {
                 gateway.line.calls.roster(news);
-                gateway.line.crashes.roster(news);
+                gateway.line.crashes.apply_roster(news);
                 gateway.batches.roster(news);
-                gateway.weights.roster(news);
+                gateway.weights.apply_roster(news);
             }
         }));
         let directory = Directory {
@@ -262,7 +265,7 @@
                 Rc::clone(&counts),
             ))
         });
-        let parts = Parts {
+        let dependencies = Dependencies {
             duty: Rc::clone(&duty),
             store: Rc::clone(&store),
             known: Rc::clone(&known),
@@ -271,7 +274,7 @@
             channels,
             meters: Rc::clone(&counts),
         };
-        let weights = Rc::new(Weights::new(own.fences, parts));
+        let weights = Rc::new(Weights::new(own.fences, dependencies));
         let looks = Looks::new(Rc::clone(&store), Rc::clone(&known), calls);
         Gateway {
             known,
@@ -316,7 +319,7 @@
         sync::operator(Rc::clone(known), Rc::clone(&line.calls), wake),
         sync::endpoints(Rc::clone(members), {
             let crashes = Rc::clone(&line.crashes);
-            move || crashes.confirm()
+            move || crashes.confirm_roster()
         }),
         batches::sink(Rc::clone(batches)),
         crashes::sink(Rc::clone(&line.crashes)),
@@ -335,12 +338,12 @@
     spawn_local(Rc::clone(batches).sweep());
     spawn_local(Rc::clone(batches).share_paces());
     spawn_local(Rc::clone(weights).run());
-    spawn_local(Rc::clone(usage).keep());
-    spawn_local(Rc::clone(&line.crashes).keep());
-    spawn_local(Rc::clone(&line.crashes).sweep());
+    spawn_local(Rc::clone(usage).run_writer());
+    spawn_local(Rc::clone(&line.crashes).run_writer());
+    spawn_local(Rc::clone(&line.crashes).run_expiry());
     if let Some(reporter) = reporter {
         let back = Rc::clone(reporter);
-        store.on_return(move || back.store_back());
+        store.on_return(move || back.record_store_return());
         spawn_local(Rc::clone(reporter).run());
     }
     let (weights, reporter) = (Rc::clone(weights), reporter.clone());
