--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -40,8 +40,7 @@
     Never,
 }
 
-/// Items count as stragglers when at most one in this many is left. A trainer usually
-/// goes on without one group in ten, of which only one or two items are long.
+/// Items count as stragglers when at most one in this many is left.
 const STRAGGLER_DIVISOR: usize = 4;
 
 #[derive(Debug)]
--- a/src/rollout/choice.rs
+++ b/src/rollout/choice.rs
@@ -22,9 +22,8 @@
 /// A process whose memory is smaller than the accepting one's by more than this factor
 /// is not chosen: hosts with little memory also have slow links and slow processors.
 const MAX_MEMORY_RATIO: u32 = 2;
-/// Maximum number of items in open batches for each megabyte of a process. The text of
-/// a long item takes 64 KB, and its result as much again, so items fill at most half of
-/// the memory.
+/// Maximum number of items in open batches for each megabyte of a process, so that their
+/// texts and results fill at most half of it.
 const MAX_ITEMS_PER_MB: usize = 4;
 
 /// A process that has been given batches recently in its present incarnation.
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -31,17 +31,16 @@
 
 /// Lifetime of an engine's report of its load: generations take about a second.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(800);
-/// Pause after a refusal: about one slot in ten becomes free meanwhile.
+/// Pause after a refusal, in which slots become free.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after the first failed connection; it doubles with each further one.
 const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause after failed connections.
 const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
-/// Pause after an engine made no events: a third of the time that loading weights takes.
-/// An item that is sent too early moves on at once.
+/// Pause after an engine made no events. It is shorter than a load of weights, because an
+/// item that is sent too early moves on at once.
 const STALL_PAUSE: Duration = Duration::from_millis(300);
-/// A run is long if it has this many times the events of an average one; half of the runs
-/// that get there have as many again to come.
+/// A run is long if it has this many times the events of an average one.
 const LONG_RUN_FACTOR: f64 = 1.5;
 /// Weight of a new sample in the average number of events of a text.
 const EVENTS_WEIGHT: f64 = 0.05;
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -23,11 +23,10 @@
 /// two (a write takes longer than a read) and the poll by one or two.
 const TIMEOUT_LATENCIES: u32 = 4;
 /// Number of processes, drawn by hash, that poll for an owner at every [`RENEWAL`].
-/// Others poll less often. When a third of all hosts fail at once, one owner in 700
-/// loses all of its watchers and is noticed by the others.
+/// The others poll less often and notice an owner whose watchers fail with it.
 const WATCHERS: u32 = 6;
 /// Range over which the takeover delays of processes are spread, in milliseconds. The
-/// first takeover takes some 10 ms to be written and to reach the others.
+/// other processes need time to learn of the first takeover.
 const TAKEOVER_SPREAD_MS: u64 = 150;
 /// Additional takeover delay of processes with less than half the memory of the largest.
 const SMALL_HOST_DELAY: Duration = Duration::from_millis(TAKEOVER_SPREAD_MS);
--- a/src/rollout/row.rs
+++ b/src/rollout/row.rs
@@ -37,8 +37,8 @@
 /// The table of the paces of engines, by service.
 pub const PACES: &str = "paces";
 
-/// Number of buckets over which batches are spread. Sixteen parts of 300 transactions per
-/// second each exceed what the whole store takes.
+/// Number of buckets over which batches are spread. So many parts take more transactions
+/// than the whole store does.
 const BUCKET_COUNT: u64 = 16;
 
 /// Separates the item from the tenure in the keys of drafts.
--- a/src/rollout/tier.rs
+++ b/src/rollout/tier.rs
@@ -3,12 +3,10 @@
 //! Engines of one service are compared with each other, because the speed that counts as
 //! slow differs between deployments and is not configured.
 
-/// An engine is slow if its pace exceeds the median by this factor. Healthy
-/// engines of one service differ by up to a third, a disturbed one by a factor of three
-/// or more.
+/// An engine is slow if its pace exceeds the median by this factor, more than the healthy
+/// engines of a service differ.
 const SLOW_FACTOR: f64 = 1.7;
-/// An engine slower than the fastest peers by this factor is worth leaving for a run
-/// that has many events: moving shortens the rest of the run by as much.
+/// A long run leaves an engine that is slower than the fastest peers by this factor.
 const MILD_FACTOR: f64 = 1.12;
 /// The pace of the fastest engines is taken at position `count / FASTEST_DIVISOR`.
 const FASTEST_DIVISOR: usize = 4;
--- a/src/rollout/urgency.rs
+++ b/src/rollout/urgency.rs
@@ -12,8 +12,8 @@
 const RANKS_PER_ROUTE: u8 = 3;
 /// The lowest rank of an item; rank 9 is for drafts, which nobody waits for.
 const LOWEST_RANK: u8 = 8;
-/// An item is urgent if its slack is below this share of the step's time. Length hints
-/// are off by a factor of up to 1.6.
+/// An item is urgent if its slack is below this share of the step's time. The margin
+/// covers inexact hints.
 const URGENT_SLACK: f64 = 0.25;
 /// An item with at least this share of the step's time as slack can wait.
 const AMPLE_SLACK: f64 = 0.6;
