--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -13,7 +13,7 @@
     catalog::{Kind, Route},
     quarantine::Verdict,
     rollout::{
-        batch::Break,
+        batch::Interruption,
         engines::{EngineKey, Want},
         urgency,
         waits::Lack,
@@ -238,25 +238,25 @@
         n: usize,
         key: EngineKey,
         before: Option<u64>,
-        cause: Break,
+        cause: Interruption,
     ) {
         let now = Instant::now();
         let mut engines = self.engines.borrow_mut();
         let outcome = match cause {
-            Break::NotRun => "not-run",
-            Break::Lost => "lost",
-            Break::Moved => "moved",
-            Break::Failed => "failed",
-            Break::Never => "never",
+            Interruption::NotRun => "not-run",
+            Interruption::Lost => "lost",
+            Interruption::Moved => "moved",
+            Interruption::Failed => "failed",
+            Interruption::Never => "never",
         };
         self.line.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
-            Break::NotRun => engines.refused(now, key),
-            Break::Lost => engines.failed(now, key),
-            Break::Moved | Break::Failed | Break::Never => {}
+            Interruption::NotRun => engines.refused(now, key),
+            Interruption::Lost => engines.failed(now, key),
+            Interruption::Moved | Interruption::Failed | Interruption::Never => {}
         }
         owned.batch.borrow_mut().broke(now, n, before, cause);
-        if cause == Break::Moved {
+        if cause == Interruption::Moved {
             owned.avoid.borrow_mut().insert(n, key);
         }
         owned.ready.notify_one();
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -22,7 +22,7 @@
 };
 use hibiscusroad::{
     clock::millis,
-    rollout::{Item, batch::Break, engines::EngineKey},
+    rollout::{Item, batch::Interruption, engines::EngineKey},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -119,7 +119,7 @@
             Err(error) => {
                 log::error!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
                     error = error.to_string().as_str(); "An item can't be sent.");
-                Err(Break::Never)
+                Err(Interruption::Never)
             }
         };
         let pace = run.pace.filter(|_| run.events > PACE_EVENTS);
@@ -169,7 +169,7 @@
         let deadline = owned.expires.unwrap_or(start + LONGEST);
         let ended = match request(item, owned, LOWEST, deadline, None, None) {
             Ok(request) => run.generate(&request, &endpoint).await,
-            Err(_unsendable) => Err(Break::Never),
+            Err(_unsendable) => Err(Interruption::Never),
         };
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
             endpoint = endpoint.id.as_str(), events = run.events, ended:? = ended,
@@ -278,7 +278,11 @@
         batch.extend(self.n, event.number, &event.data, self.version)
     }
 
-    async fn generate(&mut self, request: &Request, endpoint: &Endpoint) -> Result<(), Break> {
+    async fn generate(
+        &mut self,
+        request: &Request,
+        endpoint: &Endpoint,
+    ) -> Result<(), Interruption> {
         let head = &request.head;
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
@@ -293,7 +297,7 @@
                 endpoint = endpoint.id.as_str(),
                 fingerprint:% = request.subject.fingerprint(), error = fault.to_string().as_str();
                 "An engine did not answer.");
-            Break::Lost
+            Interruption::Lost
         })?;
         if let Err(cause) = self.accept(head, &response) {
             flight.dismissed();
@@ -313,7 +317,7 @@
     /// one in ten waited for more than 0.6 s and some for 3 s, while others had room.
     /// A run that waits for longer than a first event takes has met a full engine;
     /// it leaves as soon as another one has room.
-    async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Break> {
+    async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Interruption> {
         let mut sent = pin!(sent);
         let start = Instant::now();
         let usual = self.batches.engines.borrow().usual(self.service);
@@ -324,20 +328,20 @@
             }
             let now = Instant::now();
             if now.saturating_duration_since(start) > HEAD {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
             self.batches.engines.borrow_mut().full(now, self.key);
             if self.elsewhere(now).is_some() {
                 log::debug!(target: BATCHES, item = id,
                     waited_ms = millis(start.elapsed()); "An item leaves an engine's queue.");
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = STALL_LOOK;
         }
     }
 
     /// Understands the head of an engine's answer.
-    fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
+    fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Interruption> {
         let headers = response.headers();
         let told = text(headers, header::LOAD).and_then(header::load);
         let mut engines = self.batches.engines.borrow_mut();
@@ -346,16 +350,16 @@
         }
         let echo = text(headers, header::REQUEST);
         if echo.is_some_and(|echo| echo != head.id) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         let status = response.status().as_u16();
         match status {
             200..=299 if echo.is_some() && headers.contains_key(header::SIGNATURE) => {}
-            _ if headers.contains_key(header::NOT_RUN) => return Err(Break::NotRun),
-            421 => return Err(Break::NotRun),
-            422 => return Err(Break::Never),
-            500 => return Err(Break::Failed),
-            _ => return Err(Break::Lost),
+            _ if headers.contains_key(header::NOT_RUN) => return Err(Interruption::NotRun),
+            421 => return Err(Interruption::NotRun),
+            422 => return Err(Interruption::Never),
+            500 => return Err(Interruption::Failed),
+            _ => return Err(Interruption::Lost),
         }
         self.version = text(headers, header::WEIGHTS).and_then(|v| v.trim().parse().ok());
         if let Some((model, version)) = self.owned.submission.model.as_deref().zip(self.version) {
@@ -364,7 +368,11 @@
         Ok(())
     }
 
-    async fn read(&mut self, mut body: Incoming, flight: &mut InFlight) -> Result<(), Break> {
+    async fn read(
+        &mut self,
+        mut body: Incoming,
+        flight: &mut InFlight,
+    ) -> Result<(), Interruption> {
         let mut events = Events::new();
         self.heard = Instant::now();
         loop {
@@ -379,14 +387,14 @@
                 match events.next_event() {
                     Ok(Some(event)) => self.take(&event)?,
                     Ok(None) => break,
-                    Err(_garbled) => return Err(Break::Lost),
+                    Err(_garbled) => return Err(Interruption::Lost),
                 }
             }
         }
         if events.is_between() && self.grown().is_some() {
             Ok(())
         } else {
-            Err(Break::Lost)
+            Err(Interruption::Lost)
         }
     }
 
@@ -395,7 +403,7 @@
         &mut self,
         body: &mut Incoming,
         flight: &mut InFlight,
-    ) -> Result<Option<Frame<Bytes>>, Break> {
+    ) -> Result<Option<Frame<Bytes>>, Interruption> {
         let usual = self.batches.engines.borrow().usual(self.service);
         let stall = Duration::from_secs_f64(usual.unwrap_or(PACE) * STALL).max(LEAST_STALL);
         let mut wait = stall;
@@ -408,17 +416,17 @@
                 }
                 Ok(Some(Err(error))) => {
                     flight.broke(&error);
-                    return Err(Break::Lost);
+                    return Err(Interruption::Lost);
                 }
                 Err(_elapsed) => {}
             }
             let now = Instant::now();
             if now.saturating_duration_since(self.heard) > GAP {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
             self.batches.engines.borrow_mut().stalled(now, self.key);
             if self.elsewhere(now).is_some() {
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = STALL_LOOK;
         }
@@ -435,7 +443,7 @@
     }
 
     /// Adds an event to the text; one that doesn't follow the last ends the run.
-    fn take(&mut self, event: &Event) -> Result<(), Break> {
+    fn take(&mut self, event: &Event) -> Result<(), Interruption> {
         if let Some(version) = event.version {
             self.version = Some(version);
             if let Some(model) = self.owned.submission.model.as_deref() {
@@ -444,13 +452,13 @@
             }
         }
         if !self.grow(event) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         self.count()
     }
 
     /// Measures the pace, and cuts a run that is slow if another engine isn't.
-    fn count(&mut self) -> Result<(), Break> {
+    fn count(&mut self) -> Result<(), Interruption> {
         let now = Instant::now();
         let gap = now.saturating_duration_since(self.last).as_secs_f64();
         self.last = now;
@@ -472,7 +480,7 @@
         let events = self.grown().unwrap_or(0);
         let engines = self.batches.engines.borrow();
         if engines.is_better(self.service, pace, events, other) {
-            return Err(Break::Moved);
+            return Err(Interruption::Moved);
         }
         Ok(())
     }
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -27,7 +27,7 @@
 
 /// How a run of an item was interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Break {
+pub enum Interruption {
     /// The engine reported that the item did not run.
     NotRun,
     /// The connection or the stream failed.
@@ -354,7 +354,7 @@
     }
 
     /// Records that a run was interrupted; `before` is the last event before the run.
-    pub fn broke(&mut self, now: Instant, idx: usize, before: Option<u64>, cause: Break) {
+    pub fn broke(&mut self, now: Instant, idx: usize, before: Option<u64>, cause: Interruption) {
         if !self.has_usable_text(idx) {
             self.restart(idx);
         }
@@ -364,16 +364,16 @@
         let has_grown = item.text.last() > before;
         item.interruptions = if has_grown { 1 } else { item.interruptions + 1 };
         match cause {
-            Break::Never => {
+            Interruption::Never => {
                 item.phase = Phase::Ready(Outcome::Errored);
                 return;
             }
-            Break::Failed => item.failures += 1,
-            Break::Moved => {
+            Interruption::Failed => item.failures += 1,
+            Interruption::Moved => {
                 item.phase = Phase::Waiting { after: now };
                 return;
             }
-            Break::NotRun | Break::Lost => {}
+            Interruption::NotRun | Interruption::Lost => {}
         }
         if item.failures >= self.max_attempts {
             item.phase = Phase::Ready(Outcome::Errored);
@@ -388,7 +388,7 @@
     /// again because the weight versions of its text are not allowed.
     pub fn generated(&mut self, now: Instant, idx: usize) -> bool {
         if !self.has_usable_text(idx) {
-            self.broke(now, idx, None, Break::Lost);
+            self.broke(now, idx, None, Interruption::Lost);
             return false;
         }
         self.items[idx].phase = Phase::Scoring;
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::rollout::{
     Item, Outcome, Submission,
-    batch::{Batch, Break},
+    batch::{Batch, Interruption},
     text::{Piece, Text, assemble},
 };
 use proptest::prelude::*;
@@ -79,7 +79,7 @@
     assert!(batch.extend(0, 1, "b", Some(3)));
     assert!(!batch.extend(0, 3, "d", Some(3)), "event 2 is missing");
     assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 is a repeat");
-    batch.broke(now, 0, None, Break::Lost);
+    batch.broke(now, 0, None, Interruption::Lost);
     assert_eq!(batch.start(0), Some(1));
     assert!(batch.extend(0, 2, "c", Some(4)));
     assert!(batch.generated(now, 0));
@@ -108,7 +108,7 @@
     single.extend(0, 0, "a", Some(3));
     assert_eq!(single.pinned(0), Some(3));
     single.extend(0, 1, "b", Some(4));
-    single.broke(now, 0, None, Break::Moved);
+    single.broke(now, 0, None, Interruption::Moved);
     assert_eq!(single.last(0), None);
 }
 
@@ -119,17 +119,17 @@
     let mut batch = Batch::new(now, &step, 3, false, 0);
     for _ in 0..20 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::NotRun);
-        batch.broke(now, 0, None, Break::Lost);
+        batch.broke(now, 0, None, Interruption::NotRun);
+        batch.broke(now, 0, None, Interruption::Lost);
     }
     assert!(batch.ready(&step, 9).is_empty());
     for _ in 0..3 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::Failed);
+        batch.broke(now, 0, None, Interruption::Failed);
     }
     assert_eq!(batch.ready(&step, 9)[0].1.outcome, Outcome::Errored);
     batch.start(1);
-    batch.broke(now, 1, None, Break::Never);
+    batch.broke(now, 1, None, Interruption::Never);
     assert_eq!(batch.ready(&step, 9).len(), 2);
 }
 
@@ -141,13 +141,13 @@
     batch.start(1);
     for _ in 0..4 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::NotRun);
+        batch.broke(now, 0, None, Interruption::NotRun);
         let delay = batch.next_due(now).unwrap() - now;
         assert!(delay > last_delay);
         last_delay = delay;
     }
     batch.start(0);
-    batch.broke(now, 0, None, Break::Moved);
+    batch.broke(now, 0, None, Interruption::Moved);
     assert_eq!(
         batch.next_start(now),
         Some(0),
@@ -177,7 +177,7 @@
                     next += 1;
                 },
                 _ => {
-                    batch.broke(now, 0, None, Break::Moved);
+                    batch.broke(now, 0, None, Interruption::Moved);
                     batch.start(0);
                 }
             }
@@ -295,7 +295,7 @@
     }
     assert_eq!(batch.stragglers(4), [7, 6], "longest first");
     assert!(batch.stragglers(3).is_empty(), "their texts are usable");
-    batch.broke(now, 7, None, Break::Lost);
+    batch.broke(now, 7, None, Interruption::Lost);
     assert!(
         batch.stragglers(4).is_empty(),
         "one of them waits for an engine"
@@ -367,8 +367,8 @@
     for number in 1..=40 {
         assert!(batch.extend(second, number, "c", Some(3)));
     }
-    batch.broke(now, first, None, Break::Moved);
-    batch.broke(now, second, None, Break::Moved);
+    batch.broke(now, first, None, Interruption::Moved);
+    batch.broke(now, second, None, Interruption::Moved);
     assert_eq!(batch.next_start(now), Some(second));
     batch.start(second);
     assert_eq!(batch.next_start(now), Some(first));
