--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -93,10 +93,10 @@
             self.drop_lost(owned, &route, n);
             let Some(key) = self.choose(now, owned, &route, n, None) else {
                 let lack = self.lack(owned, &route, n);
-                owned.batch.borrow_mut().lacks(now, lack);
+                owned.batch.borrow_mut().record_wait(now, lack);
                 return;
             };
-            owned.batch.borrow_mut().lacks(now, None);
+            owned.batch.borrow_mut().record_wait(now, None);
             self.start(now, owned, &route, n, key);
         }
     }
@@ -194,7 +194,7 @@
         let seat = Seat::take(self, key);
         owned.avoid.borrow_mut().remove(&n);
         let exact = owned.batch.borrow().pinned(n);
-        let waited = owned.batch.borrow().waited(now, n);
+        let waited = owned.batch.borrow().wait_times(now, n);
         let before = owned.batch.borrow_mut().start(n);
         let priority = self.rank(now, owned, route, &endpoint.service, n);
         let start = Start {
@@ -255,7 +255,10 @@
             Interruption::Lost => engines.failed(now, key),
             Interruption::Moved | Interruption::Failed | Interruption::Never => {}
         }
-        owned.batch.borrow_mut().broke(now, n, before, cause);
+        owned
+            .batch
+            .borrow_mut()
+            .record_interruption(now, n, before, cause);
         if cause == Interruption::Moved {
             owned.avoid.borrow_mut().insert(n, key);
         }
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -150,7 +150,7 @@
         drop(seat);
         let events = owned.batch.borrow().last(n).unwrap_or(0);
         self.engines.borrow_mut().whole(events, item.hint);
-        let whole = owned.batch.borrow_mut().generated(Instant::now(), n);
+        let whole = owned.batch.borrow_mut().complete_text(Instant::now(), n);
         if whole {
             self.score(owned, n).await;
         } else {
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -107,7 +107,10 @@
             results = kept.len(), took_ms = millis(start.elapsed()),
             items = items.join(" ").as_str(); "Results are listed.");
         self.line.meters.results.inc_by(kept.len() as u64);
-        owned.batch.borrow_mut().list(kept.iter().map(|(n, _)| *n));
+        owned
+            .batch
+            .borrow_mut()
+            .mark_listed(kept.iter().map(|(n, _)| *n));
         owned
             .listed
             .borrow_mut()
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -301,19 +301,19 @@
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
             match batch::result_item(result) {
-                Ok(item) => batch.restore(&item),
+                Ok(item) => batch.restore_result(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str(); "A kept result is broken."),
             }
         }
         let mut kept = Vec::new();
         for (row, item, piece) in pieces {
-            batch.resume(&item, piece);
+            batch.restore_piece(&item, piece);
             kept.push(row);
         }
         for (item, text) in carried {
             let (last, versions) = (text.last(), text.versions().to_vec());
-            if batch.carry(&item, text) {
+            if batch.carry_over(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
                     versions:? = versions; "A text is carried over.");
             }
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -38,7 +38,7 @@
     pub(super) async fn score(&self, owned: &Rc<Owned>, n: usize) {
         let item = &owned.submission.items[n];
         let Some(scorer) = &item.scorer else {
-            owned.batch.borrow_mut().scored(n, None);
+            owned.batch.borrow_mut().complete_scoring(n, None);
             owned.ready.notify_one();
             return;
         };
@@ -55,11 +55,15 @@
                         log::info!(target: BATCHES, batch = owned.id.as_str(),
                             item = item.id.as_str(), scorer = scorer.id.as_str(),
                             took_ms = millis(start.elapsed()); "The text of an item is scored.");
-                        owned.batch.borrow_mut().scored(n, Some(score));
+                        owned.batch.borrow_mut().complete_scoring(n, Some(score));
                         break;
                     }
                     Called::Rejected => {
-                        if owned.batch.borrow_mut().rejected(n, route.attempts) {
+                        if owned
+                            .batch
+                            .borrow_mut()
+                            .record_scorer_failure(n, route.attempts)
+                        {
                             log::info!(target: BATCHES, batch = owned.id.as_str(),
                                 item = item.id.as_str(), scorer = scorer.id.as_str();
                                 "A scorer fails each time; the item is errored.");
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -136,7 +136,7 @@
     }
 
     /// Records a result that an earlier owner has listed.
-    pub fn restore(&mut self, id: &str) {
+    pub fn restore_result(&mut self, id: &str) {
         self.listed += 1;
         if let Some(idx) = self.index.get(id) {
             self.items[*idx].phase = Phase::Listed;
@@ -216,7 +216,7 @@
 
     /// Appends a piece of a text that an earlier owner saved; pieces come in the order in
     /// which they were saved.
-    pub fn resume(&mut self, id: &str, piece: Piece) {
+    pub fn restore_piece(&mut self, id: &str, piece: Piece) {
         let Some(idx) = self.index.get(id).copied() else {
             return;
         };
@@ -235,7 +235,7 @@
 
     /// Starts an item with its text from an earlier batch, if the weight versions are
     /// allowed and the text is longer than the present one; returns whether it was used.
-    pub fn carry(&mut self, id: &str, mut text: Text) -> bool {
+    pub fn carry_over(&mut self, id: &str, mut text: Text) -> bool {
         let Some(idx) = self.index.get(id).copied() else {
             return false;
         };
@@ -277,14 +277,14 @@
     }
 
     /// Records what the next item waits for from now on, if it waits.
-    pub fn lacks(&mut self, now: Instant, lack: Option<Lack>) {
+    pub fn record_wait(&mut self, now: Instant, lack: Option<Lack>) {
         self.waits.record(now, lack);
     }
 
     /// Returns how long an item has waited since this owner got the batch or the item was
     /// interrupted, and the known reasons with their shares of that time.
     #[must_use]
-    pub fn waited(&self, now: Instant, idx: usize) -> (Duration, Waited) {
+    pub fn wait_times(&self, now: Instant, idx: usize) -> (Duration, Waited) {
         let (since, before) = self.items[idx].wait_start;
         let elapsed = now.saturating_duration_since(since);
         (elapsed, self.waits.total(now).since(before))
@@ -354,7 +354,13 @@
     }
 
     /// Records that a run was interrupted; `before` is the last event before the run.
-    pub fn broke(&mut self, now: Instant, idx: usize, before: Option<u64>, cause: Interruption) {
+    pub fn record_interruption(
+        &mut self,
+        now: Instant,
+        idx: usize,
+        before: Option<u64>,
+        cause: Interruption,
+    ) {
         if !self.has_usable_text(idx) {
             self.restart(idx);
         }
@@ -386,9 +392,9 @@
 
     /// Records that an item's text is complete; returns `false` if the item has to run
     /// again because the weight versions of its text are not allowed.
-    pub fn generated(&mut self, now: Instant, idx: usize) -> bool {
+    pub fn complete_text(&mut self, now: Instant, idx: usize) -> bool {
         if !self.has_usable_text(idx) {
-            self.broke(now, idx, None, Interruption::Lost);
+            self.record_interruption(now, idx, None, Interruption::Lost);
             return false;
         }
         self.items[idx].phase = Phase::Scoring;
@@ -396,7 +402,7 @@
     }
 
     /// Records the scorer's signature, or that the item needs none.
-    pub fn scored(&mut self, idx: usize, score: Option<String>) {
+    pub fn complete_scoring(&mut self, idx: usize, score: Option<String>) {
         let item = &mut self.items[idx];
         let (text, versions) = std::mem::take(&mut item.text).into_parts();
         item.phase = Phase::Ready(Outcome::Completed {
@@ -407,7 +413,7 @@
     }
 
     /// Records that a scorer call failed; returns `true` if it was the last attempt.
-    pub fn rejected(&mut self, idx: usize, max_attempts: u32) -> bool {
+    pub fn record_scorer_failure(&mut self, idx: usize, max_attempts: u32) -> bool {
         let item = &mut self.items[idx];
         item.scorer_failures += 1;
         let is_final = item.scorer_failures >= max_attempts.max(self.max_attempts);
@@ -441,7 +447,7 @@
     }
 
     /// Records that the results of these items are listed.
-    pub fn list(&mut self, items: impl IntoIterator<Item = usize>) {
+    pub fn mark_listed(&mut self, items: impl IntoIterator<Item = usize>) {
         for idx in items {
             self.items[idx].phase = Phase::Listed;
             self.listed += 1;
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -79,11 +79,11 @@
     assert!(batch.extend(0, 1, "b", Some(3)));
     assert!(!batch.extend(0, 3, "d", Some(3)), "event 2 is missing");
     assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 is a repeat");
-    batch.broke(now, 0, None, Interruption::Lost);
+    batch.record_interruption(now, 0, None, Interruption::Lost);
     assert_eq!(batch.start(0), Some(1));
     assert!(batch.extend(0, 2, "c", Some(4)));
-    assert!(batch.generated(now, 0));
-    batch.scored(0, Some("s".to_owned()));
+    assert!(batch.complete_text(now, 0));
+    batch.complete_scoring(0, Some("s".to_owned()));
     let ready = batch.ready(&submission(&[1]), 10);
     let expected = Outcome::Completed {
         text: "a\nb\nc".to_owned(),
@@ -101,14 +101,17 @@
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     batch.start(0);
     batch.extend(0, 0, "a", Some(2));
-    assert!(!batch.generated(now, 0), "version 2 is below the minimum");
+    assert!(
+        !batch.complete_text(now, 0),
+        "version 2 is below the minimum"
+    );
     assert_eq!(batch.last(0), None);
     let mut single = Batch::new(now, &submission(&[1]), 3, true, 0);
     single.start(0);
     single.extend(0, 0, "a", Some(3));
     assert_eq!(single.pinned(0), Some(3));
     single.extend(0, 1, "b", Some(4));
-    single.broke(now, 0, None, Interruption::Moved);
+    single.record_interruption(now, 0, None, Interruption::Moved);
     assert_eq!(single.last(0), None);
 }
 
@@ -119,17 +122,17 @@
     let mut batch = Batch::new(now, &step, 3, false, 0);
     for _ in 0..20 {
         batch.start(0);
-        batch.broke(now, 0, None, Interruption::NotRun);
-        batch.broke(now, 0, None, Interruption::Lost);
+        batch.record_interruption(now, 0, None, Interruption::NotRun);
+        batch.record_interruption(now, 0, None, Interruption::Lost);
     }
     assert!(batch.ready(&step, 9).is_empty());
     for _ in 0..3 {
         batch.start(0);
-        batch.broke(now, 0, None, Interruption::Failed);
+        batch.record_interruption(now, 0, None, Interruption::Failed);
     }
     assert_eq!(batch.ready(&step, 9)[0].1.outcome, Outcome::Errored);
     batch.start(1);
-    batch.broke(now, 1, None, Interruption::Never);
+    batch.record_interruption(now, 1, None, Interruption::Never);
     assert_eq!(batch.ready(&step, 9).len(), 2);
 }
 
@@ -141,13 +144,13 @@
     batch.start(1);
     for _ in 0..4 {
         batch.start(0);
-        batch.broke(now, 0, None, Interruption::NotRun);
+        batch.record_interruption(now, 0, None, Interruption::NotRun);
         let delay = batch.next_due(now).unwrap() - now;
         assert!(delay > last_delay);
         last_delay = delay;
     }
     batch.start(0);
-    batch.broke(now, 0, None, Interruption::Moved);
+    batch.record_interruption(now, 0, None, Interruption::Moved);
     assert_eq!(
         batch.next_start(now),
         Some(0),
@@ -177,7 +180,7 @@
                     next += 1;
                 },
                 _ => {
-                    batch.broke(now, 0, None, Interruption::Moved);
+                    batch.record_interruption(now, 0, None, Interruption::Moved);
                     batch.start(0);
                 }
             }
@@ -192,7 +195,7 @@
         let mut successor = Batch::new(now, &step, 3, false, 0);
         let saved = store.last().map(|piece| piece.last);
         for piece in store {
-            successor.resume("0-0", piece);
+            successor.restore_piece("0-0", piece);
         }
         prop_assert_eq!(successor.last(0), saved);
         successor.start(0);
@@ -200,8 +203,8 @@
             let data = format!("e{number}");
             prop_assert!(successor.extend(0, number, &data, Some(3)));
         }
-        prop_assert!(successor.generated(now, 0));
-        successor.scored(0, None);
+        prop_assert!(successor.complete_text(now, 0));
+        successor.complete_scoring(0, None);
         let expected: Vec<String> = (0..next.max(1)).map(|n| format!("e{n}")).collect();
         match &successor.ready(&step, 9)[0].1.outcome {
             Outcome::Completed { text, .. } => prop_assert_eq!(text, &expected.join("\n")),
@@ -216,18 +219,18 @@
     let now = Instant::now();
     let step = submission(&[1, 2, 3]);
     let mut batch = Batch::new(now, &step, 3, false, 0);
-    batch.restore("1-0");
+    batch.restore_result("1-0");
     assert_eq!(batch.listed(), 1);
     let mut listed = HashSet::new();
     for n in start_all(&mut batch, now) {
         assert_ne!(n, 2, "already listed");
-        batch.generated(now, n);
-        batch.scored(n, None);
+        batch.complete_text(now, n);
+        batch.complete_scoring(n, None);
         let ready = batch.ready(&step, 1);
         for (n, _) in &ready {
             assert!(listed.insert(*n));
         }
-        batch.list(ready.iter().map(|(n, _)| *n));
+        batch.mark_listed(ready.iter().map(|(n, _)| *n));
     }
     assert!(batch.complete());
     batch.give_up();
@@ -249,17 +252,17 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 1);
     assert!(
-        !batch.carry("0-0", text(9, 2)),
+        !batch.carry_over("0-0", text(9, 2)),
         "older than the minimum version"
     );
-    assert!(!batch.carry("1-0", text(9, 3)), "unknown item");
-    assert!(batch.carry("0-0", text(5, 3)));
+    assert!(!batch.carry_over("1-0", text(9, 3)), "unknown item");
+    assert!(batch.carry_over("0-0", text(5, 3)));
     assert!(
-        !batch.carry("0-0", text(4, 4)),
+        !batch.carry_over("0-0", text(4, 4)),
         "shorter than the present text"
     );
     assert_eq!(batch.start(0), Some(5));
-    assert!(!batch.carry("0-0", text(8, 4)), "the item is running");
+    assert!(!batch.carry_over("0-0", text(8, 4)), "the item is running");
     let pieces = batch.unkept(9);
     assert_eq!((pieces[0].1.after, pieces[0].1.last), (None, 5));
 }
@@ -270,8 +273,8 @@
     let mut batch = Batch::new(now, &submission(&[1]), 3, true, 1);
     let mut mixed = text(3, 3);
     assert!(mixed.extend(4, "e", Some(4)));
-    assert!(!batch.carry("0-0", mixed));
-    assert!(batch.carry("0-0", text(2, 4)));
+    assert!(!batch.carry_over("0-0", mixed));
+    assert!(batch.carry_over("0-0", text(2, 4)));
     assert_eq!(batch.pinned(0), Some(4));
 }
 
@@ -291,11 +294,11 @@
     }
     assert!(batch.stragglers(4).is_empty(), "all are running");
     for n in 0..6 {
-        batch.generated(now, n);
+        batch.complete_text(now, n);
     }
     assert_eq!(batch.stragglers(4), [7, 6], "longest first");
     assert!(batch.stragglers(3).is_empty(), "their texts are usable");
-    batch.broke(now, 7, None, Interruption::Lost);
+    batch.record_interruption(now, 7, None, Interruption::Lost);
     assert!(
         batch.stragglers(4).is_empty(),
         "one of them waits for an engine"
@@ -315,7 +318,7 @@
             assert!(batch.extend(n, 1, "e", Some(3)));
         }
         for n in 0..6 {
-            batch.generated(now, n);
+            batch.complete_text(now, n);
         }
         assert!(batch.stragglers(4).is_empty());
     }
@@ -367,8 +370,8 @@
     for number in 1..=40 {
         assert!(batch.extend(second, number, "c", Some(3)));
     }
-    batch.broke(now, first, None, Interruption::Moved);
-    batch.broke(now, second, None, Interruption::Moved);
+    batch.record_interruption(now, first, None, Interruption::Moved);
+    batch.record_interruption(now, second, None, Interruption::Moved);
     assert_eq!(batch.next_start(now), Some(second));
     batch.start(second);
     assert_eq!(batch.next_start(now), Some(first));
