--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -120,14 +120,14 @@
     /// Only between runs: events of a run that goes on would be added to nothing,
     /// and the trainer would get a text without its beginning.
     fn drop_lost(&self, owned: &Owned, route: &Route, n: usize) {
-        let pinned = owned.batch.borrow().pinned(n);
+        let pinned = owned.batch.borrow().required_version(n);
         let Some((version, model)) = pinned.zip(owned.submission.model.as_deref()) else {
             return;
         };
         let engines = self.engines.borrow();
         let mut services = route.shares.iter().map(|share| share.service.as_str());
         if !services.any(|service| engines.has_version(service, model, version)) {
-            owned.batch.borrow_mut().restart(n);
+            owned.batch.borrow_mut().discard_text(n);
         }
     }
 
@@ -193,7 +193,7 @@
         };
         let seat = Seat::take(self, key);
         owned.avoid.borrow_mut().remove(&n);
-        let exact = owned.batch.borrow().pinned(n);
+        let exact = owned.batch.borrow().required_version(n);
         let waited = owned.batch.borrow().wait_times(now, n);
         let before = owned.batch.borrow_mut().start(n);
         let priority = self.rank(now, owned, route, &endpoint.service, n);
@@ -220,7 +220,7 @@
     fn rank(&self, now: Instant, owned: &Owned, route: &Route, service: &str, n: usize) -> u8 {
         let item = &owned.submission.items[n];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
-        let last = owned.batch.borrow().last(n).unwrap_or(0);
+        let last = owned.batch.borrow().last_event(n).unwrap_or(0);
         let expected = self.engines.borrow().expected(service, hint, last);
         let left = owned.due.saturating_duration_since(now);
         urgency::rank(
@@ -274,7 +274,7 @@
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
         floor: submission.floor,
-        exact: owned.batch.borrow().pinned(n),
+        exact: owned.batch.borrow().required_version(n),
         group,
         not: None,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -148,7 +148,7 @@
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(seat);
-        let events = owned.batch.borrow().last(n).unwrap_or(0);
+        let events = owned.batch.borrow().last_event(n).unwrap_or(0);
         self.engines.borrow_mut().whole(events, item.hint);
         let whole = owned.batch.borrow_mut().complete_text(Instant::now(), n);
         if whole {
@@ -263,7 +263,7 @@
             let drafts = self.owned.drafts.borrow();
             return drafts.get(&self.n).and_then(|draft| draft.text.last());
         }
-        self.owned.batch.borrow().last(self.n)
+        self.owned.batch.borrow().last_event(self.n)
     }
 
     /// Adds an event to the text that grows; `false` if it doesn't follow.
@@ -275,7 +275,7 @@
                 .is_some_and(|draft| draft.text.extend(event.number, &event.data, self.version));
         }
         let mut batch = self.owned.batch.borrow_mut();
-        batch.extend(self.n, event.number, &event.data, self.version)
+        batch.append_event(self.n, event.number, &event.data, self.version)
     }
 
     async fn generate(
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -38,7 +38,7 @@
 
     /// Keeps what has come since the last time.
     pub(super) async fn keep_once(&self, owned: &Owned) {
-        let mut pieces = owned.batch.borrow().unkept(MOST_ENTRIES / 2);
+        let mut pieces = owned.batch.borrow().unsaved_pieces(MOST_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
@@ -59,7 +59,7 @@
             Commit::Done { .. } => {
                 let mut batch = owned.batch.borrow_mut();
                 for (n, piece) in &pieces {
-                    batch.keep(*n, piece);
+                    batch.mark_saved(*n, piece);
                 }
                 owned.pieces.borrow_mut().extend(rows);
             }
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -229,7 +229,7 @@
             return;
         }
         if !self.has_usable_text(idx) {
-            self.restart(idx);
+            self.discard_text(idx);
         }
     }
 
@@ -299,20 +299,26 @@
 
     /// Appends an event that `version` generated to an item's text; returns `false` if it
     /// doesn't follow the last one.
-    pub fn extend(&mut self, idx: usize, number: u64, data: &str, version: Option<u64>) -> bool {
+    pub fn append_event(
+        &mut self,
+        idx: usize,
+        number: u64,
+        data: &str,
+        version: Option<u64>,
+    ) -> bool {
         self.items[idx].text.extend(number, data, version)
     }
 
     /// Returns the last event of an item's text.
     #[must_use]
-    pub fn last(&self, idx: usize) -> Option<u64> {
+    pub fn last_event(&self, idx: usize) -> Option<u64> {
         self.items[idx].text.last()
     }
 
     /// Returns at most `limit` pieces of unfinished texts that are not saved yet, those of
     /// the longest texts first.
     #[must_use]
-    pub fn unkept(&self, limit: usize) -> Vec<(usize, Piece)> {
+    pub fn unsaved_pieces(&self, limit: usize) -> Vec<(usize, Piece)> {
         let is_unfinished = |item: &ItemState| {
             let phase = &item.phase;
             !matches!(phase, Phase::Ready(_) | Phase::Listed)
@@ -331,7 +337,7 @@
     }
 
     /// Records that a piece of a text is saved.
-    pub fn keep(&mut self, idx: usize, piece: &Piece) {
+    pub fn mark_saved(&mut self, idx: usize, piece: &Piece) {
         let item = &mut self.items[idx];
         if item.round == piece.round {
             item.text.keep(piece);
@@ -339,7 +345,7 @@
     }
 
     /// Discards an item's text, because no engine can continue it.
-    pub fn restart(&mut self, idx: usize) {
+    pub fn discard_text(&mut self, idx: usize) {
         let item = &mut self.items[idx];
         item.text = Text::default();
         item.round += 1;
@@ -348,7 +354,7 @@
     /// Returns the only weight version that may continue an item's text, if one
     /// version must generate all of it.
     #[must_use]
-    pub fn pinned(&self, idx: usize) -> Option<u64> {
+    pub fn required_version(&self, idx: usize) -> Option<u64> {
         let last = self.items[idx].text.versions().last().copied();
         last.filter(|_| self.single_version)
     }
@@ -362,7 +368,7 @@
         cause: Interruption,
     ) {
         if !self.has_usable_text(idx) {
-            self.restart(idx);
+            self.discard_text(idx);
         }
         let wait_start = (now, self.waits.total(now));
         let item = &mut self.items[idx];
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -75,13 +75,19 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     assert_eq!(batch.start(0), None);
-    assert!(batch.extend(0, 0, "a", Some(3)));
-    assert!(batch.extend(0, 1, "b", Some(3)));
-    assert!(!batch.extend(0, 3, "d", Some(3)), "event 2 is missing");
-    assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 is a repeat");
+    assert!(batch.append_event(0, 0, "a", Some(3)));
+    assert!(batch.append_event(0, 1, "b", Some(3)));
+    assert!(
+        !batch.append_event(0, 3, "d", Some(3)),
+        "event 2 is missing"
+    );
+    assert!(
+        !batch.append_event(0, 1, "b", Some(3)),
+        "event 1 is a repeat"
+    );
     batch.record_interruption(now, 0, None, Interruption::Lost);
     assert_eq!(batch.start(0), Some(1));
-    assert!(batch.extend(0, 2, "c", Some(4)));
+    assert!(batch.append_event(0, 2, "c", Some(4)));
     assert!(batch.complete_text(now, 0));
     batch.complete_scoring(0, Some("s".to_owned()));
     let ready = batch.ready(&submission(&[1]), 10);
@@ -100,19 +106,19 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     batch.start(0);
-    batch.extend(0, 0, "a", Some(2));
+    batch.append_event(0, 0, "a", Some(2));
     assert!(
         !batch.complete_text(now, 0),
         "version 2 is below the minimum"
     );
-    assert_eq!(batch.last(0), None);
+    assert_eq!(batch.last_event(0), None);
     let mut single = Batch::new(now, &submission(&[1]), 3, true, 0);
     single.start(0);
-    single.extend(0, 0, "a", Some(3));
-    assert_eq!(single.pinned(0), Some(3));
-    single.extend(0, 1, "b", Some(4));
+    single.append_event(0, 0, "a", Some(3));
+    assert_eq!(single.required_version(0), Some(3));
+    single.append_event(0, 1, "b", Some(4));
     single.record_interruption(now, 0, None, Interruption::Moved);
-    assert_eq!(single.last(0), None);
+    assert_eq!(single.last_event(0), None);
 }
 
 #[test]
@@ -176,7 +182,7 @@
             match action {
                 0 | 1 => for _ in 0..events {
                     let data = format!("e{next}");
-                    prop_assert!(batch.extend(0, next, &data, Some(3)));
+                    prop_assert!(batch.append_event(0, next, &data, Some(3)));
                     next += 1;
                 },
                 _ => {
@@ -184,10 +190,10 @@
                     batch.start(0);
                 }
             }
-            for (idx, piece) in batch.unkept(9) {
+            for (idx, piece) in batch.unsaved_pieces(9) {
                 // The next save repeats a lost one, with more events.
                 if !lost_saves[step_idx] {
-                    batch.keep(idx, &piece);
+                    batch.mark_saved(idx, &piece);
                     store.push(piece);
                 }
             }
@@ -197,11 +203,11 @@
         for piece in store {
             successor.restore_piece("0-0", piece);
         }
-        prop_assert_eq!(successor.last(0), saved);
+        prop_assert_eq!(successor.last_event(0), saved);
         successor.start(0);
         for number in saved.map_or(0, |last| last + 1)..next.max(1) {
             let data = format!("e{number}");
-            prop_assert!(successor.extend(0, number, &data, Some(3)));
+            prop_assert!(successor.append_event(0, number, &data, Some(3)));
         }
         prop_assert!(successor.complete_text(now, 0));
         successor.complete_scoring(0, None);
@@ -263,7 +269,7 @@
     );
     assert_eq!(batch.start(0), Some(5));
     assert!(!batch.carry_over("0-0", text(8, 4)), "the item is running");
-    let pieces = batch.unkept(9);
+    let pieces = batch.unsaved_pieces(9);
     assert_eq!((pieces[0].1.after, pieces[0].1.last), (None, 5));
 }
 
@@ -275,7 +281,7 @@
     assert!(mixed.extend(4, "e", Some(4)));
     assert!(!batch.carry_over("0-0", mixed));
     assert!(batch.carry_over("0-0", text(2, 4)));
-    assert_eq!(batch.pinned(0), Some(4));
+    assert_eq!(batch.required_version(0), Some(4));
 }
 
 // Drafts are only for the last items of a step, and only if a later step could not use
@@ -289,7 +295,7 @@
     let order = start_all(&mut batch, now);
     for n in &order {
         for number in 1..=(*n as u64 + 1) {
-            assert!(batch.extend(*n, number, "e", Some(3)));
+            assert!(batch.append_event(*n, number, "e", Some(3)));
         }
     }
     assert!(batch.stragglers(4).is_empty(), "all are running");
@@ -315,7 +321,7 @@
         step.target = Some(target);
         let mut batch = Batch::new(now, &step, 3, false, carried);
         for n in start_all(&mut batch, now) {
-            assert!(batch.extend(n, 1, "e", Some(3)));
+            assert!(batch.append_event(n, 1, "e", Some(3)));
         }
         for n in 0..6 {
             batch.complete_text(now, n);
@@ -366,9 +372,11 @@
     batch.start(first);
     let second = batch.next_start(now).unwrap();
     batch.start(second);
-    assert!(batch.extend(first, 1, "a", Some(3)) && batch.extend(first, 2, "b", Some(3)));
+    assert!(
+        batch.append_event(first, 1, "a", Some(3)) && batch.append_event(first, 2, "b", Some(3))
+    );
     for number in 1..=40 {
-        assert!(batch.extend(second, number, "c", Some(3)));
+        assert!(batch.append_event(second, number, "c", Some(3)));
     }
     batch.record_interruption(now, first, None, Interruption::Moved);
     batch.record_interruption(now, second, None, Interruption::Moved);
@@ -379,6 +387,6 @@
     assert!(
         batch
             .next_start(now)
-            .is_some_and(|n| batch.last(n).is_none())
+            .is_some_and(|n| batch.last_event(n).is_none())
     );
 }
