--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -51,8 +51,12 @@
             for owned in &mine {
                 drafted &= self.draft_stragglers(now, owned);
             }
-            let waits = mine.iter().any(|owned| owned.batch.borrow().waiting() > 0);
-            let held = mine.iter().any(|owned| owned.batch.borrow().holds_any());
+            let waits = mine
+                .iter()
+                .any(|owned| owned.batch.borrow().waiting_count() > 0);
+            let held = mine
+                .iter()
+                .any(|owned| owned.batch.borrow().has_held_items());
             let next = if waits { LOOK } else { DRAFT_LOOK };
             tokio::select! {
                 () = self.work.notified() => {}
@@ -87,7 +91,7 @@
             let next = owned.batch.borrow().next_start(now);
             let Some(n) = next else { return };
             if self.is_quarantined(owned, n) {
-                owned.batch.borrow_mut().hold(n, now + HOLD);
+                owned.batch.borrow_mut().hold_until(n, now + HOLD);
                 continue;
             }
             self.drop_lost(owned, &route, n);
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -34,7 +34,7 @@
         loop {
             let ready = Self::next_write(&owned);
             if ready.is_empty() {
-                if owned.batch.borrow().complete() {
+                if owned.batch.borrow().is_complete() {
                     return;
                 }
                 owned.ready.notified().await;
@@ -55,7 +55,7 @@
         let ready = owned
             .batch
             .borrow()
-            .ready(&owned.submission, MOST_ENTRIES / 2 - 1);
+            .ready_results(&owned.submission, MOST_ENTRIES / 2 - 1);
         let mut bytes = 0;
         let mut kept = Vec::new();
         for (n, result) in ready {
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -29,7 +29,7 @@
 impl Batches {
     /// Keeps texts for as long as the batch runs here.
     pub(super) async fn keep_pieces(self: Rc<Self>, owned: Rc<Owned>) {
-        while !owned.batch.borrow().complete() {
+        while !owned.batch.borrow().is_complete() {
             sleep(KEEP).await;
             self.keep_once(&owned).await;
             self.keep_drafts(&owned).await;
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -151,13 +151,13 @@
 
     /// Returns how many results are listed.
     #[must_use]
-    pub const fn listed(&self) -> usize {
+    pub const fn listed_count(&self) -> usize {
         self.listed
     }
 
     /// Returns whether the results of all items are listed.
     #[must_use]
-    pub const fn complete(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.listed >= self.items.len()
     }
 
@@ -184,7 +184,7 @@
 
     /// Returns when the next retry delay ends, if an item has one.
     #[must_use]
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
+    pub fn next_retry(&self, now: Instant) -> Option<Instant> {
         let ends = self.items.iter().filter_map(|item| match item.phase {
             Phase::Waiting { after } if after > now => Some(after),
             _ => None,
@@ -193,7 +193,7 @@
     }
 
     /// Keeps a waiting item from starting before an instant.
-    pub fn hold(&mut self, idx: usize, until: Instant) {
+    pub fn hold_until(&mut self, idx: usize, until: Instant) {
         let item = &mut self.items[idx];
         if matches!(item.phase, Phase::Waiting { .. } | Phase::Held { .. }) {
             item.phase = Phase::Held { until };
@@ -202,14 +202,14 @@
 
     /// Returns whether any item is held.
     #[must_use]
-    pub fn holds_any(&self) -> bool {
+    pub fn has_held_items(&self) -> bool {
         let is_held = |item: &ItemState| matches!(item.phase, Phase::Held { .. });
         self.items.iter().any(is_held)
     }
 
     /// Returns how many items wait for an engine.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let is_waiting = |item: &&ItemState| matches!(item.phase, Phase::Waiting { .. });
         self.items.iter().filter(is_waiting).count()
     }
@@ -258,7 +258,7 @@
         let is_unfinished =
             |item: &ItemState| matches!(item.phase, Phase::Running | Phase::Waiting { .. });
         let count = self.items.iter().filter(|item| is_unfinished(item)).count();
-        if self.waiting() > 0 || count * STRAGGLER_DIVISOR > self.items.len() {
+        if self.waiting_count() > 0 || count * STRAGGLER_DIVISOR > self.items.len() {
             return Vec::new();
         }
         let items = self
@@ -440,7 +440,7 @@
 
     /// Returns at most `limit` results that can be listed next.
     #[must_use]
-    pub fn ready(&self, submission: &Submission, limit: usize) -> Vec<(usize, ItemResult)> {
+    pub fn ready_results(&self, submission: &Submission, limit: usize) -> Vec<(usize, ItemResult)> {
         let ready = self.items.iter().enumerate().filter_map(|(idx, state)| {
             let Phase::Ready(outcome) = &state.phase else {
                 return None;
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -90,7 +90,7 @@
     assert!(batch.append_event(0, 2, "c", Some(4)));
     assert!(batch.complete_text(now, 0));
     batch.complete_scoring(0, Some("s".to_owned()));
-    let ready = batch.ready(&submission(&[1]), 10);
+    let ready = batch.ready_results(&submission(&[1]), 10);
     let expected = Outcome::Completed {
         text: "a\nb\nc".to_owned(),
         versions: vec![3, 4],
@@ -131,15 +131,15 @@
         batch.record_interruption(now, 0, None, Interruption::NotRun);
         batch.record_interruption(now, 0, None, Interruption::Lost);
     }
-    assert!(batch.ready(&step, 9).is_empty());
+    assert!(batch.ready_results(&step, 9).is_empty());
     for _ in 0..3 {
         batch.start(0);
         batch.record_interruption(now, 0, None, Interruption::Failed);
     }
-    assert_eq!(batch.ready(&step, 9)[0].1.outcome, Outcome::Errored);
+    assert_eq!(batch.ready_results(&step, 9)[0].1.outcome, Outcome::Errored);
     batch.start(1);
     batch.record_interruption(now, 1, None, Interruption::Never);
-    assert_eq!(batch.ready(&step, 9).len(), 2);
+    assert_eq!(batch.ready_results(&step, 9).len(), 2);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     for _ in 0..4 {
         batch.start(0);
         batch.record_interruption(now, 0, None, Interruption::NotRun);
-        let delay = batch.next_due(now).unwrap() - now;
+        let delay = batch.next_retry(now).unwrap() - now;
         assert!(delay > last_delay);
         last_delay = delay;
     }
@@ -212,7 +212,7 @@
         prop_assert!(successor.complete_text(now, 0));
         successor.complete_scoring(0, None);
         let expected: Vec<String> = (0..next.max(1)).map(|n| format!("e{n}")).collect();
-        match &successor.ready(&step, 9)[0].1.outcome {
+        match &successor.ready_results(&step, 9)[0].1.outcome {
             Outcome::Completed { text, .. } => prop_assert_eq!(text, &expected.join("\n")),
             Outcome::Errored => prop_assert!(false),
         }
@@ -226,21 +226,21 @@
     let step = submission(&[1, 2, 3]);
     let mut batch = Batch::new(now, &step, 3, false, 0);
     batch.restore_result("1-0");
-    assert_eq!(batch.listed(), 1);
+    assert_eq!(batch.listed_count(), 1);
     let mut listed = HashSet::new();
     for n in start_all(&mut batch, now) {
         assert_ne!(n, 2, "already listed");
         batch.complete_text(now, n);
         batch.complete_scoring(n, None);
-        let ready = batch.ready(&step, 1);
+        let ready = batch.ready_results(&step, 1);
         for (n, _) in &ready {
             assert!(listed.insert(*n));
         }
         batch.mark_listed(ready.iter().map(|(n, _)| *n));
     }
-    assert!(batch.complete());
+    assert!(batch.is_complete());
     batch.give_up();
-    assert!(batch.ready(&step, 9).is_empty());
+    assert!(batch.ready_results(&step, 9).is_empty());
 }
 
 fn text(events: u64, version: u64) -> Text {
