--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -14,7 +14,7 @@
     quarantine::Verdict,
     rollout::{
         batch::Interruption,
-        engines::{EngineKey, Want},
+        engines::{EngineKey, Requirements},
         urgency,
         waits::Lack,
     },
@@ -144,8 +144,8 @@
         n: usize,
         not: Option<EngineKey>,
     ) -> Option<EngineKey> {
-        let want = Want {
-            not: not.or_else(|| owned.avoid.borrow().get(&n).copied()),
+        let want = Requirements {
+            excluded: not.or_else(|| owned.avoid.borrow().get(&n).copied()),
             ..want(owned, route, n)?
         };
         self.engines.borrow().choose(now, &want)
@@ -174,9 +174,9 @@
         floor: u64,
     ) -> Option<EngineKey> {
         let engines = self.engines.borrow();
-        let want = Want {
-            floor,
-            exact: None,
+        let want = Requirements {
+            min_version: floor,
+            exact_version: None,
             ..want(owned, route, n)?
         };
         let found = engines.choose(now, &want);
@@ -271,15 +271,15 @@
 }
 
 /// Returns what an item needs of its engine.
-fn want<'a>(owned: &'a Owned, route: &'a Route, n: usize) -> Option<Want<'a>> {
+fn want<'a>(owned: &'a Owned, route: &'a Route, n: usize) -> Option<Requirements<'a>> {
     let submission = &owned.submission;
     let group = submission.items[n].group.as_str();
-    Some(Want {
+    Some(Requirements {
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
-        floor: submission.floor,
-        exact: owned.batch.borrow().required_version(n),
+        min_version: submission.floor,
+        exact_version: owned.batch.borrow().required_version(n),
         group,
-        not: None,
+        excluded: None,
     })
 }
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -91,19 +91,19 @@
 
 /// What an item requires of its engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Requirements<'a> {
     /// The service.
     pub service: &'a str,
     /// The model, if the item names one.
     pub model: Option<&'a str>,
     /// The oldest weight version that is allowed.
-    pub floor: u64,
+    pub min_version: u64,
     /// The only weight version that is allowed, if it is fixed.
-    pub exact: Option<u64>,
+    pub exact_version: Option<u64>,
     /// The item's group, which breaks ties.
     pub group: &'a str,
     /// An engine that must not be chosen.
-    pub not: Option<EngineKey>,
+    pub excluded: Option<EngineKey>,
 }
 
 /// All engines, as one owner of batches sees them.
@@ -193,7 +193,7 @@
 
     /// Chooses an engine with free capacity for an item.
     #[must_use]
-    pub fn choose(&self, now: Instant, requirements: &Want<'_>) -> Option<EngineKey> {
+    pub fn choose(&self, now: Instant, requirements: &Requirements<'_>) -> Option<EngineKey> {
         let speed = self.service_speed(requirements.service);
         let tier = |engine: &EngineState| {
             let known = speed.zip(engine.pace);
@@ -202,7 +202,7 @@
             if outdated { tier.max(Tier::Mild) } else { tier }
         };
         let is_eligible = |key: EngineKey, engine: &EngineState| {
-            Some(key) != requirements.not
+            Some(key) != requirements.excluded
                 && engine.is_open
                 && engine.service == requirements.service
                 && engine.paused_until.is_none_or(|until| until <= now)
@@ -225,7 +225,7 @@
 
     /// Returns what is missing when no engine can be chosen.
     #[must_use]
-    pub fn lack(&self, requirements: &Want<'_>) -> Lack {
+    pub fn lack(&self, requirements: &Requirements<'_>) -> Lack {
         let is_suitable = |engine: &EngineState| {
             engine.is_open
                 && engine.service == requirements.service
@@ -446,14 +446,17 @@
     }
 }
 
-fn has_weights(engine: &EngineState, requirements: &Want<'_>) -> bool {
+fn has_weights(engine: &EngineState, requirements: &Requirements<'_>) -> bool {
     let Some(model) = requirements.model else {
         return true;
     };
     let Some(version) = engine.weights.get(model).copied() else {
         return false;
     };
-    version >= requirements.floor && requirements.exact.is_none_or(|exact| exact == version)
+    version >= requirements.min_version
+        && requirements
+            .exact_version
+            .is_none_or(|exact| exact == version)
 }
 
 /// Keeps the highest reported version, because registrations lag behind answers.
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     rollout::{
-        engines::{Engines, Want},
+        engines::{Engines, Requirements},
         pace::{Paces, Sample},
         wave::{Goal, Loader, Pace, plan},
     },
@@ -13,13 +13,13 @@
     time::{Duration, Instant},
 };
 
-const REQUIREMENTS: Want<'static> = Want {
+const REQUIREMENTS: Requirements<'static> = Requirements {
     service: "lm",
     model: Some("guide"),
-    floor: 3,
-    exact: None,
+    min_version: 3,
+    exact_version: None,
     group: "g",
-    not: None,
+    excluded: None,
 };
 
 fn engines(versions: &[u64]) -> Engines {
@@ -45,8 +45,8 @@
     }
     chosen.sort();
     assert_eq!(chosen, ["e1", "e1", "e2", "e2"]);
-    let exact = Want {
-        exact: Some(9),
+    let exact = Requirements {
+        exact_version: Some(9),
         ..REQUIREMENTS
     };
     assert_eq!(engines.choose(now, &exact), None);
@@ -61,7 +61,7 @@
     let engines = engines(&[3; 12]);
     let chosen = (0..200).filter_map(|n| {
         let group = format!("g{n}");
-        let requirements = Want {
+        let requirements = Requirements {
             group: &group,
             ..REQUIREMENTS
         };
