--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -154,7 +154,7 @@
     /// Says what an item lacks that can't start now.
     fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<Lack> {
         let want = want(owned, route, n)?;
-        Some(self.engines.borrow().lack(&want))
+        Some(self.engines.borrow().wait_reason(&want))
     }
 
     /// Returns the entry of an engine.
@@ -225,7 +225,7 @@
         let item = &owned.submission.items[n];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
         let last = owned.batch.borrow().last_event(n).unwrap_or(0);
-        let expected = self.engines.borrow().expected(service, hint, last);
+        let expected = self.engines.borrow().expected_duration(service, hint, last);
         let left = owned.due.saturating_duration_since(now);
         urgency::rank(
             owned.priority,
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -149,7 +149,7 @@
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(seat);
         let events = owned.batch.borrow().last_event(n).unwrap_or(0);
-        self.engines.borrow_mut().whole(events, item.hint);
+        self.engines.borrow_mut().record_text(events, item.hint);
         let whole = owned.batch.borrow_mut().complete_text(Instant::now(), n);
         if whole {
             self.score(owned, n).await;
@@ -320,7 +320,7 @@
     async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Interruption> {
         let mut sent = pin!(sent);
         let start = Instant::now();
-        let usual = self.batches.engines.borrow().usual(self.service);
+        let usual = self.batches.engines.borrow().median_pace(self.service);
         let mut wait = Duration::from_secs_f64(usual.unwrap_or(PACE) * QUEUED).max(LEAST_QUEUED);
         loop {
             if let Ok(answer) = timeout(wait, &mut sent).await {
@@ -404,7 +404,7 @@
         body: &mut Incoming,
         flight: &mut InFlight,
     ) -> Result<Option<Frame<Bytes>>, Interruption> {
-        let usual = self.batches.engines.borrow().usual(self.service);
+        let usual = self.batches.engines.borrow().median_pace(self.service);
         let stall = Duration::from_secs_f64(usual.unwrap_or(PACE) * STALL).max(LEAST_STALL);
         let mut wait = stall;
         loop {
@@ -479,7 +479,7 @@
         };
         let events = self.grown().unwrap_or(0);
         let engines = self.batches.engines.borrow();
-        if engines.is_better(self.service, pace, events, other) {
+        if engines.is_worth_moving(self.service, pace, events, other) {
             return Err(Interruption::Moved);
         }
         Ok(())
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -199,7 +199,7 @@
         for news in news {
             match news {
                 News::Seen(e) if !e.weights.is_empty() => {
-                    engines.set(e);
+                    engines.update(e);
                 }
                 News::Seen(_) => {}
                 News::Gone(id) => engines.remove(id),
@@ -258,7 +258,7 @@
 
     /// Returns how many items of this process run at an engine.
     pub(super) fn running_at(&self, endpoint: &str) -> u32 {
-        self.engines.borrow().mine(endpoint)
+        self.engines.borrow().own_items(endpoint)
     }
 
     /// Says whether an engine is known to be much slower than its peers.
--- a/hibiscusroad-daemon/src/gateway/batches/seat.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/seat.rs
@@ -16,7 +16,7 @@
 impl Seat {
     /// Takes a place at an engine.
     pub(super) fn take(batches: &Rc<Batches>, key: EngineKey) -> Self {
-        batches.engines.borrow_mut().start(key);
+        batches.engines.borrow_mut().add_item(key);
         Self {
             batches: Rc::clone(batches),
             key,
@@ -26,7 +26,7 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.batches.engines.borrow_mut().end(self.key);
+        self.batches.engines.borrow_mut().remove_item(self.key);
         self.batches.work.notify_one();
     }
 }
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -125,7 +125,7 @@
     }
 
     /// Adds an engine, or updates it from its registration.
-    pub fn set(&mut self, endpoint: &Endpoint) {
+    pub fn update(&mut self, endpoint: &Endpoint) {
         let Endpoint {
             id, born, service, ..
         } = endpoint;
@@ -177,7 +177,7 @@
 
     /// Returns how many items of this owner run at an engine.
     #[must_use]
-    pub fn mine(&self, id: &str) -> u32 {
+    pub fn own_items(&self, id: &str) -> u32 {
         self.key(id).map_or(0, |key| self.states[key].own_items)
     }
 
@@ -225,7 +225,7 @@
 
     /// Returns what is missing when no engine can be chosen.
     #[must_use]
-    pub fn lack(&self, requirements: &Requirements<'_>) -> Lack {
+    pub fn wait_reason(&self, requirements: &Requirements<'_>) -> Lack {
         let is_suitable = |engine: &EngineState| {
             engine.is_open
                 && engine.service == requirements.service
@@ -259,7 +259,7 @@
     /// Returns whether `other` is enough faster than an engine with this `pace` to move a
     /// run with `events` events there: a long run moves for a smaller difference.
     #[must_use]
-    pub fn is_better(&self, service: &str, pace: f64, events: u64, other: EngineKey) -> bool {
+    pub fn is_worth_moving(&self, service: &str, pace: f64, events: u64, other: EngineKey) -> bool {
         let Some(speed) = self.service_speed(service) else {
             return false;
         };
@@ -276,7 +276,7 @@
     }
 
     /// Records the number of events of a complete text, and its length hint in tokens.
-    pub fn whole(&mut self, events: u64, hint: Option<u32>) {
+    pub fn record_text(&mut self, events: u64, hint: Option<u32>) {
         let mean = self.mean_events.unwrap_or(events as f64);
         self.mean_events = Some(mean + (events as f64 - mean) * EVENTS_WEIGHT);
         if let Some(hint) = hint.filter(|_| events > 0) {
@@ -289,7 +289,7 @@
     /// Returns how long a text with this hint in tokens is expected to take after event
     /// `last` at one of the fastest engines; zero before any text was completed.
     #[must_use]
-    pub fn expected(&self, service: &str, hint: u32, last: u64) -> Duration {
+    pub fn expected_duration(&self, service: &str, hint: u32, last: u64) -> Duration {
         let known = self.service_speed(service).zip(self.tokens_per_event);
         let Some((speed, ratio)) = known.filter(|(_, ratio)| *ratio > 0.0) else {
             return Duration::ZERO;
@@ -299,14 +299,14 @@
     }
 
     /// Records that an item was sent to an engine.
-    pub fn start(&mut self, key: EngineKey) {
+    pub fn add_item(&mut self, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.own_items += 1;
         }
     }
 
     /// Records that an item no longer runs at an engine.
-    pub fn end(&mut self, key: EngineKey) {
+    pub fn remove_item(&mut self, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.own_items = engine.own_items.saturating_sub(1);
         }
@@ -433,7 +433,7 @@
 
     /// Returns the median pace of a service's engines, in seconds per event.
     #[must_use]
-    pub fn usual(&self, service: &str) -> Option<f64> {
+    pub fn median_pace(&self, service: &str) -> Option<f64> {
         self.service_speed(service).map(|speed| speed.median)
     }
 
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -29,7 +29,7 @@
             model: "guide".to_owned(),
             version: *version,
         };
-        engines.set(&engine(&format!("e{n}"), None, vec![weights]));
+        engines.update(&engine(&format!("e{n}"), None, vec![weights]));
     }
     engines
 }
@@ -40,7 +40,7 @@
     let mut engines = engines(&[2, 3, 9]);
     let mut chosen = Vec::new();
     while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-        engines.start(key);
+        engines.add_item(key);
         chosen.push(engines.id(key).unwrap().to_owned());
     }
     chosen.sort();
@@ -50,7 +50,7 @@
         ..REQUIREMENTS
     };
     assert_eq!(engines.choose(now, &exact), None);
-    engines.end(engines.key("e2").unwrap());
+    engines.remove_item(engines.key("e2").unwrap());
     assert_eq!(engines.choose(now, &exact), engines.key("e2"));
 }
 
@@ -100,7 +100,7 @@
     }
     let mut order = Vec::new();
     while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-        engines.start(key);
+        engines.add_item(key);
         order.push(engines.id(key).unwrap().to_owned());
     }
     assert!(
@@ -115,12 +115,12 @@
         "one item shows when the slow engine recovers"
     );
     let fast = engines.key("e0").unwrap();
-    assert!(engines.is_better("lm", 0.13, 1, fast));
-    engines.whole(20, None);
-    assert!(!engines.is_better("lm", 0.049, 20, fast));
-    assert!(engines.is_better("lm", 0.049, 60, fast));
-    assert!(!engines.is_better("lm", 0.049, 60, engines.key("e4").unwrap()));
-    assert!(!engines.is_better("lm", 0.037, 60, fast));
+    assert!(engines.is_worth_moving("lm", 0.13, 1, fast));
+    engines.record_text(20, None);
+    assert!(!engines.is_worth_moving("lm", 0.049, 20, fast));
+    assert!(engines.is_worth_moving("lm", 0.049, 60, fast));
+    assert!(!engines.is_worth_moving("lm", 0.049, 60, engines.key("e4").unwrap()));
+    assert!(!engines.is_worth_moving("lm", 0.037, 60, fast));
 }
 
 #[test]
@@ -338,7 +338,7 @@
     let start_all = |engines: &mut Engines, now| {
         let mut started = 0;
         while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-            engines.start(key);
+            engines.add_item(key);
             started += 1;
         }
         started
@@ -405,10 +405,10 @@
         }]
     };
     let mut engines = Engines::new();
-    engines.set(&engine("e0", Some(1), weights()));
+    engines.update(&engine("e0", Some(1), weights()));
     let key = engines.key("e0").unwrap();
-    engines.start(key);
-    engines.start(key);
+    engines.add_item(key);
+    engines.add_item(key);
     engines.paced(now, key, 0.2);
     let former = engines.paces_of(now, store, "lm");
     assert_eq!(
@@ -417,12 +417,12 @@
         "the engine is full"
     );
     engines.remove("e0");
-    engines.set(&engine("e0", Some(2), weights()));
+    engines.update(&engine("e0", Some(2), weights()));
     assert_eq!(engines.hear(now, store, &former), 0);
-    assert_eq!(engines.usual("lm"), None);
+    assert_eq!(engines.median_pace("lm"), None);
     assert!(engines.choose(now, &REQUIREMENTS).is_some());
-    engines.end(key);
-    assert_eq!(engines.mine("e0"), 0);
+    engines.remove_item(key);
+    assert_eq!(engines.own_items("e0"), 0);
 }
 
 // Guards against a model whose engines are mostly slow: they load nothing, and the model
