--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -192,7 +192,7 @@
         key: EngineKey,
     ) {
         let Some(endpoint) = self.endpoint(key) else {
-            self.engines.borrow_mut().failed(now, key);
+            self.engines.borrow_mut().record_failure(now, key);
             return;
         };
         let seat = Seat::take(self, key);
@@ -255,8 +255,8 @@
         };
         self.line.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
-            Interruption::NotRun => engines.refused(now, key),
-            Interruption::Lost => engines.failed(now, key),
+            Interruption::NotRun => engines.record_refusal(now, key),
+            Interruption::Lost => engines.record_failure(now, key),
             Interruption::Moved | Interruption::Failed | Interruption::Never => {}
         }
         owned
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -126,7 +126,7 @@
         if let Some(pace) = pace {
             self.engines
                 .borrow_mut()
-                .paced(Instant::now(), seat.key, pace);
+                .record_pace(Instant::now(), seat.key, pace);
         }
         if let Err(cause) = ended {
             log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
@@ -330,7 +330,10 @@
             if now.saturating_duration_since(start) > HEAD {
                 return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().full(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_queueing(now, self.key);
             if self.elsewhere(now).is_some() {
                 log::debug!(target: BATCHES, item = id,
                     waited_ms = millis(start.elapsed()); "An item leaves an engine's queue.");
@@ -346,7 +349,7 @@
         let told = text(headers, header::LOAD).and_then(header::load);
         let mut engines = self.batches.engines.borrow_mut();
         if let Some((running, queued, _)) = told {
-            engines.told(Instant::now(), self.key, running + queued);
+            engines.record_load(Instant::now(), self.key, running + queued);
         }
         let echo = text(headers, header::REQUEST);
         if echo.is_some_and(|echo| echo != head.id) {
@@ -363,7 +366,7 @@
         }
         self.version = text(headers, header::WEIGHTS).and_then(|v| v.trim().parse().ok());
         if let Some((model, version)) = self.owned.submission.model.as_deref().zip(self.version) {
-            engines.weights(self.key, model, version);
+            engines.record_version(self.key, model, version);
         }
         Ok(())
     }
@@ -424,7 +427,10 @@
             if now.saturating_duration_since(self.heard) > GAP {
                 return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().stalled(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_stall(now, self.key);
             if self.elsewhere(now).is_some() {
                 return Err(Interruption::Moved);
             }
@@ -448,7 +454,7 @@
             self.version = Some(version);
             if let Some(model) = self.owned.submission.model.as_deref() {
                 let mut engines = self.batches.engines.borrow_mut();
-                engines.weights(self.key, model, version);
+                engines.record_version(self.key, model, version);
             }
         }
         if !self.grow(event) {
@@ -473,7 +479,10 @@
             return Ok(());
         }
         let pace = self.pace.unwrap_or(gap);
-        self.batches.engines.borrow_mut().paced(now, self.key, pace);
+        self.batches
+            .engines
+            .borrow_mut()
+            .record_pace(now, self.key, pace);
         let Some(other) = self.elsewhere(now) else {
             return Ok(());
         };
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -270,7 +270,7 @@
     pub(super) fn saw(&self, endpoint: &str, model: &str, version: u64) {
         let mut engines = self.engines.borrow_mut();
         if let Some(key) = engines.key(endpoint) {
-            engines.weights(key, model, version);
+            engines.record_version(key, model, version);
         }
         drop(engines);
         self.work.notify_one();
--- a/hibiscusroad-daemon/src/gateway/batches/share.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/share.rs
@@ -34,7 +34,7 @@
             }
             let since = Instant::now();
             sleep(SHARE).await;
-            let services = self.engines.borrow().sampled_since(since);
+            let services = self.engines.borrow().services_sampled_since(since);
             for service in services {
                 self.share(&service, &mut seen).await;
             }
@@ -43,7 +43,10 @@
 
     async fn share(&self, service: &str, seen: &mut Seen) {
         let Some(now) = self.store.now() else { return };
-        let own = self.engines.borrow().paces_of(Instant::now(), now, service);
+        let own = self
+            .engines
+            .borrow()
+            .own_paces(Instant::now(), now, service);
         let id = row::paces(service);
         // The second try has what others wrote meanwhile.
         for _ in 0..2 {
@@ -90,7 +93,10 @@
             }
         };
         if let Some(now) = self.store.now() {
-            let heard = self.engines.borrow_mut().hear(Instant::now(), now, &paces);
+            let heard = self
+                .engines
+                .borrow_mut()
+                .merge_paces(Instant::now(), now, &paces);
             log::debug!(target: BATCHES, service = row.id.key.as_str(), row = row.version,
                 engines = heard, store_ms = millis(now); "Paces of engines are heard.");
         }
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -313,14 +313,14 @@
     }
 
     /// Records the total of running and queued requests that an engine reported.
-    pub fn told(&mut self, now: Instant, key: EngineKey, total: u32) {
+    pub fn record_load(&mut self, now: Instant, key: EngineKey, total: u32) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.others_report = Some((now, total.saturating_sub(engine.own_items)));
         }
     }
 
     /// Records the weight version that an engine reported with an answer.
-    pub fn weights(&mut self, key: EngineKey, model: &str, version: u64) {
+    pub fn record_version(&mut self, key: EngineKey, model: &str, version: u64) {
         if let Some(engine) = self.states.get_mut(key) {
             raise_version(&mut engine.weights, model, version);
         }
@@ -329,7 +329,7 @@
     /// Records that an engine refused an item without running it.
     ///
     /// An engine that refuses although it reported free slots is probably loading weights.
-    pub fn refused(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_refusal(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             let pause = if engine.free_slots(now) > 0 {
                 STALL_PAUSE
@@ -341,14 +341,14 @@
     }
 
     /// Records that an engine is full: an item of this owner waits in its queue.
-    pub fn full(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_queueing(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.others_report = Some((now, engine.slots.saturating_sub(engine.own_items)));
         }
     }
 
     /// Records that an engine couldn't be reached or lost the connection.
-    pub fn failed(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_failure(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             let pause = MIN_FAILURE_PAUSE * (1 << engine.failures.min(5));
             engine.failures += 1;
@@ -357,14 +357,14 @@
     }
 
     /// Records that an engine makes no events: it loads weights, or is disturbed.
-    pub fn stalled(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_stall(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.paused_until = Some(now + STALL_PAUSE);
         }
     }
 
     /// Records a measurement of an engine's pace, in seconds per event.
-    pub fn paced(&mut self, now: Instant, key: EngineKey, pace: f64) {
+    pub fn record_pace(&mut self, now: Instant, key: EngineKey, pace: f64) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.failures = 0;
             engine.pace_as_of = Some(now);
@@ -376,7 +376,7 @@
 
     /// Returns the services of engines that this process has sampled since an instant.
     #[must_use]
-    pub fn sampled_since(&self, since: Instant) -> BTreeSet<String> {
+    pub fn services_sampled_since(&self, since: Instant) -> BTreeSet<String> {
         let engines = self.states.values();
         let measured =
             engines.filter(|engine| engine.own_measurement.is_some_and(|at| at >= since));
@@ -387,7 +387,7 @@
     ///
     /// `store_now` is the store's steady clock at `now`.
     #[must_use]
-    pub fn paces_of(&self, now: Instant, store_now: Duration, service: &str) -> Paces {
+    pub fn own_paces(&self, now: Instant, store_now: Duration, service: &str) -> Paces {
         let mut paces = Paces::new();
         for engine in self
             .states
@@ -412,7 +412,7 @@
     /// ones, and returns the number of engines updated.
     ///
     /// `store_now` is the store's steady clock at `now`.
-    pub fn hear(&mut self, now: Instant, store_now: Duration, paces: &Paces) -> usize {
+    pub fn merge_paces(&mut self, now: Instant, store_now: Duration, paces: &Paces) -> usize {
         let mut updated = 0;
         for engine in self.states.values_mut() {
             let Some(sample) = paces.get(&engine.incarnation) else {
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -79,7 +79,7 @@
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
-    engines.told(now, key, 2);
+    engines.record_load(now, key, 2);
     assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     assert_eq!(
         engines.choose(now + Duration::from_secs(1), &REQUIREMENTS),
@@ -96,7 +96,7 @@
     let paces = [0.037, 0.037, 0.037, 0.049, 0.049, 0.13];
     for (n, pace) in paces.iter().enumerate() {
         let key = engines.key(&format!("e{n}")).unwrap();
-        engines.paced(now, key, *pace);
+        engines.record_pace(now, key, *pace);
     }
     let mut order = Vec::new();
     while let Some(key) = engines.choose(now, &REQUIREMENTS) {
@@ -128,11 +128,11 @@
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
-    engines.failed(now, key);
+    engines.record_failure(now, key);
     assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     let later = now + Duration::from_millis(300);
     assert_eq!(engines.choose(later, &REQUIREMENTS), Some(key));
-    engines.failed(later, key);
+    engines.record_failure(later, key);
     assert_eq!(
         engines.choose(later + Duration::from_millis(300), &REQUIREMENTS),
         None
@@ -289,23 +289,23 @@
     let mut engines = engines(&[3, 3, 3]);
     let key = engines.key("e0").unwrap();
     let earlier = now.checked_sub(Duration::from_secs(4)).unwrap();
-    engines.paced(earlier, key, 0.037);
+    engines.record_pace(earlier, key, 0.037);
     let mut paces = Paces::new();
     paces.record("e0", sample(900_000, 530_000));
     paces.record("e1", sample(37_000, 530_000));
     paces.record("gone", sample(37_000, 530_000));
-    assert_eq!(engines.hear(now, store, &paces), 1);
-    assert_eq!(engines.hear(now, store, &paces), 0, "already known");
+    assert_eq!(engines.merge_paces(now, store, &paces), 1);
+    assert_eq!(engines.merge_paces(now, store, &paces), 0, "already known");
     paces.record("e0", sample(41_000, 539_000));
-    assert_eq!(engines.hear(now, store, &paces), 1);
+    assert_eq!(engines.merge_paces(now, store, &paces), 1);
     // Only own measurements are shared: received ones would never expire.
-    let own = engines.paces_of(now, store, "lm");
+    let own = engines.own_paces(now, store, "lm");
     let shared: Vec<(&str, u64)> = own
         .iter()
         .map(|(id, sample)| (id, sample.measured_at))
         .collect();
     assert_eq!(shared, [("e0", 536_000)]);
-    assert!(engines.sampled_since(now).is_empty());
+    assert!(engines.services_sampled_since(now).is_empty());
 }
 
 #[test]
@@ -333,7 +333,7 @@
     let mut engines = engines(&[3, 3, 3]);
     for (n, pace) in [0.037, 0.037, 0.4].into_iter().enumerate() {
         let key = engines.key(&format!("e{n}")).unwrap();
-        engines.paced(now, key, pace);
+        engines.record_pace(now, key, pace);
     }
     let start_all = |engines: &mut Engines, now| {
         let mut started = 0;
@@ -409,8 +409,8 @@
     let key = engines.key("e0").unwrap();
     engines.add_item(key);
     engines.add_item(key);
-    engines.paced(now, key, 0.2);
-    let former = engines.paces_of(now, store, "lm");
+    engines.record_pace(now, key, 0.2);
+    let former = engines.own_paces(now, store, "lm");
     assert_eq!(
         engines.choose(now, &REQUIREMENTS),
         None,
@@ -418,7 +418,7 @@
     );
     engines.remove("e0");
     engines.update(&engine("e0", Some(2), weights()));
-    assert_eq!(engines.hear(now, store, &former), 0);
+    assert_eq!(engines.merge_paces(now, store, &former), 0);
     assert_eq!(engines.median_pace("lm"), None);
     assert!(engines.choose(now, &REQUIREMENTS).is_some());
     engines.remove_item(key);
