--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -16,7 +16,7 @@
         batch::Interruption,
         engines::{EngineKey, Requirements},
         urgency,
-        waits::Lack,
+        waits::WaitReason,
     },
     roster::Endpoint,
 };
@@ -152,7 +152,7 @@
     }
 
     /// Says what an item lacks that can't start now.
-    fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<Lack> {
+    fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<WaitReason> {
         let want = want(owned, route, n)?;
         Some(self.engines.borrow().wait_reason(&want))
     }
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -134,7 +134,7 @@
                 fingerprint = subject.map(|it| it.fingerprint().to_string()),
                 events = run.events, pace_us = micros(run.pace), took_ms = millis(start.elapsed()),
                 waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-                room_ms = millis(lacked.room); "A run of an item broke off.");
+                room_ms = millis(lacked.capacity); "A run of an item broke off.");
             self.broke(owned, n, seat.key, before, cause);
             return;
         }
@@ -142,7 +142,7 @@
             endpoint = endpoint.id.as_str(), before:? = before, events = run.events,
             pace_us = micros(run.pace), hint:? = item.hint, took_ms = millis(start.elapsed()),
             waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-            room_ms = millis(lacked.room), group = item.group.as_str();
+            room_ms = millis(lacked.capacity), group = item.group.as_str();
             "The text of an item is whole.");
         let meters = &self.line.meters;
         meters.runs.with_label_values(&["whole"]).inc();
--- a/hibiscusroad-daemon/src/gateway/batches/seat.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/seat.rs
@@ -2,7 +2,7 @@
 
 use super::Batches;
 use hibiscusroad::{
-    rollout::{engines::EngineKey, waits::Waited},
+    rollout::{engines::EngineKey, waits::WaitTimes},
     roster::Endpoint,
 };
 use std::{rc::Rc, time::Duration};
@@ -43,5 +43,5 @@
     /// The only weight version that will do.
     pub(super) exact: Option<u64>,
     /// For how long it has waited, and of that for what.
-    pub(super) waited: (Duration, Waited),
+    pub(super) waited: (Duration, WaitTimes),
 }
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -12,7 +12,7 @@
     Item, ItemResult, Outcome, Submission,
     start_order::{groups, start_order},
     text::{Piece, Text},
-    waits::{Lack, WaitTracker, Waited},
+    waits::{WaitReason, WaitTimes, WaitTracker},
 };
 use std::{
     cmp::Reverse,
@@ -73,7 +73,7 @@
     /// Whether the trainer may go on without its group and ask for it again.
     is_optional: bool,
     /// When the present wait began, and the wait times of the batch at that instant.
-    wait_start: (Instant, Waited),
+    wait_start: (Instant, WaitTimes),
 }
 
 /// The state of one batch at its owner.
@@ -115,7 +115,7 @@
             failures: 0,
             scorer_failures: 0,
             interruptions: 0,
-            wait_start: (now, Waited::default()),
+            wait_start: (now, WaitTimes::default()),
             is_optional: target < groups.len()
                 && groups[item.group.as_str()].position >= carried_groups,
         };
@@ -277,14 +277,14 @@
     }
 
     /// Records what the next item waits for from now on, if it waits.
-    pub fn record_wait(&mut self, now: Instant, lack: Option<Lack>) {
+    pub fn record_wait(&mut self, now: Instant, lack: Option<WaitReason>) {
         self.waits.record(now, lack);
     }
 
     /// Returns how long an item has waited since this owner got the batch or the item was
     /// interrupted, and the known reasons with their shares of that time.
     #[must_use]
-    pub fn wait_times(&self, now: Instant, idx: usize) -> (Duration, Waited) {
+    pub fn wait_times(&self, now: Instant, idx: usize) -> (Duration, WaitTimes) {
         let (since, before) = self.items[idx].wait_start;
         let elapsed = now.saturating_duration_since(since);
         (elapsed, self.waits.total(now).since(before))
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -19,7 +19,7 @@
     rollout::{
         pace::{Paces, Sample},
         tier::{ServiceSpeed, Tier},
-        waits::Lack,
+        waits::WaitReason,
     },
     roster::Endpoint,
 };
@@ -225,16 +225,16 @@
 
     /// Returns what is missing when no engine can be chosen.
     #[must_use]
-    pub fn wait_reason(&self, requirements: &Requirements<'_>) -> Lack {
+    pub fn wait_reason(&self, requirements: &Requirements<'_>) -> WaitReason {
         let is_suitable = |engine: &EngineState| {
             engine.is_open
                 && engine.service == requirements.service
                 && has_weights(engine, requirements)
         };
         if self.states.values().any(is_suitable) {
-            Lack::Room
+            WaitReason::Capacity
         } else {
-            Lack::Weights
+            WaitReason::Weights
         }
     }
 
--- a/src/rollout/waits.rs
+++ b/src/rollout/waits.rs
@@ -8,29 +8,29 @@
 
 /// What the next item needs and no engine has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Lack {
+pub enum WaitReason {
     /// Weights that are new enough.
     Weights,
     /// Capacity at engines with such weights.
-    Room,
+    Capacity,
 }
 
 /// Total times that items waited, by what they needed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Waited {
+pub struct WaitTimes {
     /// Time without any engine whose weights are new enough.
     pub weights: Duration,
     /// Time without free capacity at such engines.
-    pub room: Duration,
+    pub capacity: Duration,
 }
 
-impl Waited {
+impl WaitTimes {
     /// Returns the times added since `before`.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
             weights: self.weights.saturating_sub(before.weights),
-            room: self.room.saturating_sub(before.room),
+            capacity: self.capacity.saturating_sub(before.capacity),
         }
     }
 }
@@ -39,27 +39,27 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WaitTracker {
     /// The waits that have ended.
-    total: Waited,
+    total: WaitTimes,
     /// The wait in progress and its start.
-    current: Option<(Lack, Instant)>,
+    current: Option<(WaitReason, Instant)>,
 }
 
 impl WaitTracker {
     /// Records what the next item waits for from now on, if it waits.
-    pub fn record(&mut self, now: Instant, lack: Option<Lack>) {
+    pub fn record(&mut self, now: Instant, lack: Option<WaitReason>) {
         self.total = self.total(now);
         self.current = lack.map(|lack| (lack, now));
     }
 
     /// Returns the wait times up to now.
     #[must_use]
-    pub fn total(&self, now: Instant) -> Waited {
+    pub fn total(&self, now: Instant) -> WaitTimes {
         let mut total = self.total;
         if let Some((lack, since)) = self.current {
             let elapsed = now.saturating_duration_since(since);
             match lack {
-                Lack::Weights => total.weights += elapsed,
-                Lack::Room => total.room += elapsed,
+                WaitReason::Weights => total.weights += elapsed,
+                WaitReason::Capacity => total.capacity += elapsed,
             }
         }
         total
