--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -81,7 +81,7 @@
     fn unkept_drafts(&self) -> Vec<(usize, Piece)> {
         let drafts = self.drafts.borrow();
         let found = drafts.iter().filter_map(|(n, draft)| {
-            let piece = draft.text.unkept(0)?;
+            let piece = draft.text.unsaved_piece(0)?;
             Some((*n, piece))
         });
         found.collect()
@@ -89,7 +89,8 @@
 
     fn has_open_drafts(&self) -> bool {
         let drafts = self.drafts.borrow();
-        let open = |draft: &Draft| !draft.task.is_finished() || draft.text.unkept(0).is_some();
+        let open =
+            |draft: &Draft| !draft.task.is_finished() || draft.text.unsaved_piece(0).is_some();
         drafts.values().any(open)
     }
 }
@@ -173,7 +174,7 @@
             let mut drafts = owned.drafts.borrow_mut();
             for (n, piece) in &pieces {
                 if let Some(draft) = drafts.get_mut(n) {
-                    draft.text.keep(piece);
+                    draft.text.mark_saved(piece);
                 }
             }
         }
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -261,7 +261,9 @@
     fn grown(&self) -> Option<u64> {
         if self.draft {
             let drafts = self.owned.drafts.borrow();
-            return drafts.get(&self.n).and_then(|draft| draft.text.last());
+            return drafts
+                .get(&self.n)
+                .and_then(|draft| draft.text.last_event());
         }
         self.owned.batch.borrow().last_event(self.n)
     }
@@ -271,8 +273,11 @@
         if self.draft {
             let mut drafts = self.owned.drafts.borrow_mut();
             let draft = drafts.get_mut(&self.n);
-            return draft
-                .is_some_and(|draft| draft.text.extend(event.number, &event.data, self.version));
+            return draft.is_some_and(|draft| {
+                draft
+                    .text
+                    .append_event(event.number, &event.data, self.version)
+            });
         }
         let mut batch = self.owned.batch.borrow_mut();
         batch.append_event(self.n, event.number, &event.data, self.version)
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -312,7 +312,7 @@
             kept.push(row);
         }
         for (item, text) in carried {
-            let (last, versions) = (text.last(), text.versions().to_vec());
+            let (last, versions) = (text.last_event(), text.versions().to_vec());
             if batch.carry_over(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
                     versions:? = versions; "A text is carried over.");
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -173,12 +173,12 @@
             Phase::Held { until } => until <= now,
             _ => false,
         };
-        let has_text = |idx: &usize| self.items[*idx].text.last().is_some();
+        let has_text = |idx: &usize| self.items[*idx].text.last_event().is_some();
         let waiting = self.start_order.iter().copied().filter(is_due);
         waiting
             .clone()
             .filter(has_text)
-            .max_by_key(|idx| self.items[*idx].text.last())
+            .max_by_key(|idx| self.items[*idx].text.last_event())
             .or_else(|| waiting.into_iter().next())
     }
 
@@ -241,7 +241,7 @@
         };
         let item = &mut self.items[idx];
         let is_waiting = matches!(item.phase, Phase::Waiting { .. });
-        let is_longer = text.last() > item.text.last();
+        let is_longer = text.last_event() > item.text.last_event();
         if !is_waiting || !is_longer || !text.is_usable(self.min_version, self.single_version) {
             return false;
         }
@@ -272,7 +272,7 @@
             })
             .map(|(idx, _)| idx)
             .collect();
-        found.sort_by_key(|idx| Reverse(self.items[*idx].text.last()));
+        found.sort_by_key(|idx| Reverse(self.items[*idx].text.last_event()));
         found
     }
 
@@ -294,7 +294,7 @@
     pub fn start(&mut self, idx: usize) -> Option<u64> {
         let item = &mut self.items[idx];
         item.phase = Phase::Running;
-        item.text.last()
+        item.text.last_event()
     }
 
     /// Appends an event that `version` generated to an item's text; returns `false` if it
@@ -306,13 +306,13 @@
         data: &str,
         version: Option<u64>,
     ) -> bool {
-        self.items[idx].text.extend(number, data, version)
+        self.items[idx].text.append_event(number, data, version)
     }
 
     /// Returns the last event of an item's text.
     #[must_use]
     pub fn last_event(&self, idx: usize) -> Option<u64> {
-        self.items[idx].text.last()
+        self.items[idx].text.last_event()
     }
 
     /// Returns at most `limit` pieces of unfinished texts that are not saved yet, those of
@@ -329,9 +329,9 @@
             .enumerate()
             .filter(|(_, item)| is_unfinished(item));
         let mut found: Vec<(usize, Piece)> = items
-            .filter_map(|(idx, item)| Some((idx, item.text.unkept(item.round)?)))
+            .filter_map(|(idx, item)| Some((idx, item.text.unsaved_piece(item.round)?)))
             .collect();
-        found.sort_by_key(|(idx, _)| Reverse(self.items[*idx].text.last()));
+        found.sort_by_key(|(idx, _)| Reverse(self.items[*idx].text.last_event()));
         found.truncate(limit);
         found
     }
@@ -340,7 +340,7 @@
     pub fn mark_saved(&mut self, idx: usize, piece: &Piece) {
         let item = &mut self.items[idx];
         if item.round == piece.round {
-            item.text.keep(piece);
+            item.text.mark_saved(piece);
         }
     }
 
@@ -373,7 +373,7 @@
         let wait_start = (now, self.waits.total(now));
         let item = &mut self.items[idx];
         item.wait_start = wait_start;
-        let has_grown = item.text.last() > before;
+        let has_grown = item.text.last_event() > before;
         item.interruptions = if has_grown { 1 } else { item.interruptions + 1 };
         match cause {
             Interruption::Never => {
--- a/src/rollout/text.rs
+++ b/src/rollout/text.rs
@@ -61,7 +61,7 @@
 impl Text {
     /// Returns the number of the last event.
     #[must_use]
-    pub const fn last(&self) -> Option<u64> {
+    pub const fn last_event(&self) -> Option<u64> {
         self.last
     }
 
@@ -79,7 +79,7 @@
 
     /// Appends an event that `version` generated; returns `false` if it doesn't follow
     /// the last one.
-    pub fn extend(&mut self, number: u64, data: &str, version: Option<u64>) -> bool {
+    pub fn append_event(&mut self, number: u64, data: &str, version: Option<u64>) -> bool {
         if self.last.is_some_and(|last| number != last + 1) {
             return false;
         }
@@ -115,7 +115,7 @@
 
     /// Returns the part that is not saved yet, if there is one.
     #[must_use]
-    pub fn unkept(&self, round: u32) -> Option<Piece> {
+    pub fn unsaved_piece(&self, round: u32) -> Option<Piece> {
         let last = self.last.filter(|last| Some(*last) != self.saved)?;
         // Skips the line feed after the saved data: `append` restores it.
         let start = self.saved_len + usize::from(self.saved.is_some());
@@ -129,7 +129,7 @@
     }
 
     /// Records that a piece is saved.
-    pub fn keep(&mut self, piece: &Piece) {
+    pub fn mark_saved(&mut self, piece: &Piece) {
         if self.saved == piece.after {
             self.saved_len += usize::from(self.saved.is_some()) + piece.text.len();
             self.saved = Some(piece.last);
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -246,7 +246,7 @@
 fn text(events: u64, version: u64) -> Text {
     let mut text = Text::default();
     for number in 1..=events {
-        assert!(text.extend(number, "e", Some(version)));
+        assert!(text.append_event(number, "e", Some(version)));
     }
     text
 }
@@ -278,7 +278,7 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, true, 1);
     let mut mixed = text(3, 3);
-    assert!(mixed.extend(4, "e", Some(4)));
+    assert!(mixed.append_event(4, "e", Some(4)));
     assert!(!batch.carry_over("0-0", mixed));
     assert!(batch.carry_over("0-0", text(2, 4)));
     assert_eq!(batch.required_version(0), Some(4));
