--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -11,7 +11,7 @@
     rollout::{
         Submission,
         batch::Batch,
-        presence::{Loss, RENEWAL, Sign},
+        presence::{HEARTBEAT_INTERVAL, Loss, Sign},
         row::{self, Head, Presence},
         text::{Piece, Text},
     },
@@ -90,7 +90,7 @@
             }
             backoff.reset();
             loop {
-                sleep(RENEWAL).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 // The first answer of the store tells its clock.
                 if self.is_seen_to_live() || presence.offset.is_none() {
                     break;
--- a/src/rollout/choice.rs
+++ b/src/rollout/choice.rs
@@ -10,7 +10,7 @@
 //! wrong: if the process is gone, its batches are taken over like any others.
 
 use crate::rollout::{
-    presence::{RENEWAL, SILENCE},
+    presence::{HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT},
     row::Presence,
 };
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Maximum age of the row of a process that counts as alive. Beyond it, another process
 /// is about to take its batches over; a shorter one would scatter the batches of
 /// trainers over processes again.
-const MAX_ROW_AGE: Duration = SILENCE.saturating_add(RENEWAL);
+const MAX_ROW_AGE: Duration = HEARTBEAT_TIMEOUT.saturating_add(HEARTBEAT_INTERVAL);
 /// A process whose memory is smaller than the accepting one's by more than this factor
 /// is not chosen: hosts with little memory also have slow links and slow processors.
 const MAX_MEMORY_RATIO: u32 = 2;
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -15,10 +15,10 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Time between two renewals of a row, and between two polls of a watcher.
-pub const RENEWAL: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// An owner whose row is unchanged for this time is taken to be dead: it has missed
 /// three renewals.
-pub const SILENCE: Duration = Duration::from_millis(800);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Number of store latencies added to [`SILENCE`]. A slow store delays the renewal by
 /// two (a write takes longer than a read) and the poll by one or two.
 const TIMEOUT_LATENCIES: u32 = 4;
@@ -128,10 +128,10 @@
     pub fn pause<'a>(&self, name: &str, owners: impl IntoIterator<Item = &'a str>) -> Duration {
         let mut owners = owners.into_iter();
         if owners.any(|owner| self.is_watcher(name, owner)) {
-            return RENEWAL;
+            return HEARTBEAT_INTERVAL;
         }
         let count = u32::try_from(self.processes.len()).unwrap_or(u32::MAX);
-        RENEWAL * count.div_ceil(WATCHERS).max(1)
+        HEARTBEAT_INTERVAL * count.div_ceil(WATCHERS).max(1)
     }
 
     /// Returns whether a process is one of the watchers of an owner.
@@ -153,8 +153,9 @@
     #[must_use]
     pub fn heir(&self, name: &str) -> Option<&str> {
         let last_poll = self.last_poll?;
-        let is_alive =
-            |process: &Observation| last_poll.saturating_duration_since(process.since) < SILENCE;
+        let is_alive = |process: &Observation| {
+            last_poll.saturating_duration_since(process.since) < HEARTBEAT_TIMEOUT
+        };
         let others = self
             .processes
             .iter()
@@ -202,6 +203,6 @@
             return Some(Loss::LivesAnew);
         }
         let unchanged = last_poll.saturating_duration_since(process.since.max(since));
-        (unchanged > SILENCE + self.latency * TIMEOUT_LATENCIES).then_some(Loss::Silent)
+        (unchanged > HEARTBEAT_TIMEOUT + self.latency * TIMEOUT_LATENCIES).then_some(Loss::Silent)
     }
 }
--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -1,6 +1,8 @@
 //! Tests the detection of lost owners through a store that is slow or unreachable.
 
-use hibiscusroad::rollout::presence::{Loss, Presences, RENEWAL, SILENCE, Sign};
+use hibiscusroad::rollout::presence::{
+    HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Loss, Presences, Sign,
+};
 use std::{
     collections::HashSet,
     time::{Duration, Instant},
@@ -33,7 +35,7 @@
         let is_queued = writes.len() % 3 == 2;
         at += latency * if is_queued { 4 } else { 2 };
         writes.push(at);
-        at += RENEWAL;
+        at += HEARTBEAT_INTERVAL;
     }
     let mut presences = Presences::new();
     let mut at = offset;
@@ -48,7 +50,7 @@
         if presences.lost(OWNER, start).is_some() {
             return Some(at);
         }
-        at += RENEWAL;
+        at += HEARTBEAT_INTERVAL;
     }
     None
 }
@@ -73,7 +75,10 @@
     let stop = Duration::from_secs(5);
     let detected = simulate(latency, stop, Duration::from_secs(10), Duration::ZERO).unwrap();
     assert!(detected > stop, "{detected:?}");
-    assert!(detected < stop + SILENCE + 2 * RENEWAL, "{detected:?}");
+    assert!(
+        detected < stop + HEARTBEAT_TIMEOUT + 2 * HEARTBEAT_INTERVAL,
+        "{detected:?}"
+    );
 }
 
 // Guards against live owners that are taken to be dead after an outage of the store.
@@ -87,9 +92,13 @@
     let recovery = start + Duration::from_mins(1);
     presences.seen(recovery, latency, vec![sign(OWNER, 7)]);
     assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(recovery + SILENCE, latency, vec![sign(OWNER, 7)]);
+    presences.seen(recovery + HEARTBEAT_TIMEOUT, latency, vec![sign(OWNER, 7)]);
     assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(recovery + SILENCE * 2, latency, vec![sign(OWNER, 7)]);
+    presences.seen(
+        recovery + HEARTBEAT_TIMEOUT * 2,
+        latency,
+        vec![sign(OWNER, 7)],
+    );
     assert_eq!(presences.lost(OWNER, start), Some(Loss::Silent));
 }
 
@@ -143,7 +152,7 @@
     };
     assert_eq!(presences.heir("gateway-1"), None);
     presences.seen(start, latency, (1..=4).map(|n| row(n, n)).collect());
-    let later = start + SILENCE * 2;
+    let later = start + HEARTBEAT_TIMEOUT * 2;
     let renewed = |n: u64| if n < 4 { n + 10 } else { n };
     presences.seen(
         later,
@@ -176,7 +185,7 @@
     let rows = || vec![row(1, 512), row(2, 160), row(3, 512), row(4, 512)];
     let latency = Duration::from_millis(5);
     presences.seen(start, latency, rows());
-    presences.seen(start + SILENCE * 3, latency, rows());
+    presences.seen(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
     let successor = presences.heir("gateway-1").unwrap();
     assert!(
         ["gateway-3/aa", "gateway-4/aa"].contains(&successor),
@@ -243,7 +252,7 @@
         for owner in owners {
             let watchers = names
                 .iter()
-                .filter(|name| presences.pause(name, [owner]) <= RENEWAL);
+                .filter(|name| presences.pause(name, [owner]) <= HEARTBEAT_INTERVAL);
             assert!(watchers.count() >= 6, "{count}");
         }
     }
@@ -259,7 +268,7 @@
     let unwatched = owners.iter().filter(|owner| {
         let mut watchers = alive
             .iter()
-            .filter(|name| presences.pause(name, [owner.as_str()]) <= RENEWAL);
+            .filter(|name| presences.pause(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
         watchers.next().is_none()
     });
     assert!(unwatched.count() <= 5);
