--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -11,7 +11,7 @@
     rollout::{
         Submission,
         batch::Batch,
-        presence::{HEARTBEAT_INTERVAL, Loss, Sign},
+        presence::{HEARTBEAT_INTERVAL, Heartbeat, Loss},
         row::{self, Head, Presence},
         text::{Piece, Text},
     },
@@ -110,7 +110,7 @@
 
     fn presence(&self) -> Presence {
         Presence {
-            life: self.life.clone(),
+            incarnation: self.life.clone(),
             peer: self.directory.address,
             renewed: millis(self.store.now().unwrap_or_default()),
             memory: self.memory,
@@ -415,11 +415,15 @@
     }
 }
 
-fn sign(row: &Row) -> Option<Sign> {
-    let Presence { life, memory, .. } = presence(row)?;
-    Some(Sign {
+fn sign(row: &Row) -> Option<Heartbeat> {
+    let Presence {
+        incarnation: life,
+        memory,
+        ..
+    } = presence(row)?;
+    Some(Heartbeat {
         name: row.id.key.clone(),
-        life,
+        incarnation: life,
         version: row.version,
         memory,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -139,7 +139,7 @@
             .iter()
             .filter_map(|row| {
                 let presence = presence(row)?;
-                let held = owners.get(&presence.life)?;
+                let held = owners.get(&presence.incarnation)?;
                 Some(Candidate {
                     presence,
                     items: held.items,
@@ -149,9 +149,9 @@
             .collect();
         let now = self.store.now().unwrap_or_default();
         let chosen = choice::choose(&candidates, items, self.memory, now);
-        let other = chosen.filter(|found| found.presence.life != self.life);
+        let other = chosen.filter(|found| found.presence.incarnation != self.life);
         other.map_or(own, |found| Owner {
-            life: found.presence.life.clone(),
+            life: found.presence.incarnation.clone(),
             peer: found.presence.peer,
         })
     }
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -46,11 +46,11 @@
 
 /// The row of a process, as read by a poll.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sign {
+pub struct Heartbeat {
     /// The name of the process.
     pub name: String,
     /// The incarnation of the process.
-    pub life: String,
+    pub incarnation: String,
     /// The version of the row.
     pub version: u64,
     /// Megabytes that the process may use.
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct Observation {
-    life: String,
+    incarnation: String,
     version: u64,
     memory: u32,
     /// When this version was first seen.
@@ -90,7 +90,7 @@
     }
 
     /// Records a poll that the store answered at `now`, after `latency`.
-    pub fn seen(&mut self, now: Instant, latency: Duration, signs: Vec<Sign>) {
+    pub fn seen(&mut self, now: Instant, latency: Duration, signs: Vec<Heartbeat>) {
         self.latency = latency;
         self.last_poll = Some(now);
         let present: HashSet<&str> = signs.iter().map(|sign| sign.name.as_str()).collect();
@@ -100,7 +100,7 @@
             let known = self.processes.get(&sign.name);
             if known.is_none_or(|process| process.version != sign.version) {
                 let process = Observation {
-                    life: sign.life,
+                    incarnation: sign.incarnation,
                     version: sign.version,
                     memory: sign.memory,
                     since: now,
@@ -165,7 +165,7 @@
             let score = xxh3_64_with_seed(other.as_bytes(), seed);
             (is_alive(process), process.memory, score)
         });
-        chosen.map(|(_, process)| process.life.as_str())
+        chosen.map(|(_, process)| process.incarnation.as_str())
     }
 
     /// Returns how long the process `name` with `memory` MB waits before it takes over
@@ -199,7 +199,7 @@
         let Some(process) = self.processes.get(name) else {
             return (last_poll - since > FIRST_ROW_TIMEOUT).then_some(Loss::NoRow);
         };
-        if process.life != owner {
+        if process.incarnation != owner {
             return Some(Loss::LivesAnew);
         }
         let unchanged = last_poll.saturating_duration_since(process.since.max(since));
--- a/src/rollout/row.rs
+++ b/src/rollout/row.rs
@@ -121,7 +121,8 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Presence {
     /// The incarnation of the process.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub incarnation: String,
     /// The address at which it relays other processes' calls to the store, if it does.
     #[serde(default)]
     pub peer: Option<SocketAddr>,
--- a/tests/rollout_choice.rs
+++ b/tests/rollout_choice.rs
@@ -13,7 +13,7 @@
     Candidate {
         presence: Presence {
             offset: None,
-            life: format!("{name}/aa"),
+            incarnation: format!("{name}/aa"),
             peer: None,
             renewed: 10_000 - age_ms,
             memory,
@@ -26,7 +26,7 @@
 /// Returns the process for a batch of 200 items that a process with 512 MB accepts.
 fn chosen(candidates: &[Candidate]) -> Option<&str> {
     let candidate = choose(candidates, 200, 512, NOW)?;
-    Some(&candidate.presence.life)
+    Some(&candidate.presence.incarnation)
 }
 
 // Guards against the steps of a trainer being scattered over processes.
--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -1,7 +1,7 @@
 //! Tests the detection of lost owners through a store that is slow or unreachable.
 
 use hibiscusroad::rollout::presence::{
-    HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Loss, Presences, Sign,
+    HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Heartbeat, Loss, Presences,
 };
 use std::{
     collections::HashSet,
@@ -10,10 +10,10 @@
 
 const OWNER: &str = "gateway-1/aa";
 
-fn sign(life: &str, version: u64) -> Sign {
-    Sign {
+fn sign(life: &str, version: u64) -> Heartbeat {
+    Heartbeat {
         name: "gateway-1".to_owned(),
-        life: life.to_owned(),
+        incarnation: life.to_owned(),
         version,
         memory: 512,
     }
@@ -144,9 +144,9 @@
     let start = Instant::now();
     let mut presences = Presences::new();
     let latency = Duration::from_millis(5);
-    let row = |n: u64, version: u64| Sign {
+    let row = |n: u64, version: u64| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version,
         memory: 512,
     };
@@ -176,9 +176,9 @@
 fn successor_exists_where_no_other_process_owns_batches() {
     let start = Instant::now();
     let mut presences = Presences::new();
-    let row = |n: u64, memory: u32| Sign {
+    let row = |n: u64, memory: u32| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version: n,
         memory,
     };
@@ -197,9 +197,9 @@
 #[test]
 fn large_processes_take_over_first() {
     let mut presences = Presences::new();
-    let sign = |n: u32| Sign {
+    let sign = |n: u32| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version: 1,
         memory: if n < 4 { 160 } else { 512 },
     };
@@ -218,9 +218,9 @@
 /// Builds the view of a process that has polled `count` rows, and their names.
 fn poll_processes(count: usize) -> (Presences, Vec<String>) {
     let names: Vec<String> = (0..count).map(|n| format!("gateway-{n}")).collect();
-    let sign = |name: &String| Sign {
+    let sign = |name: &String| Heartbeat {
         name: name.clone(),
-        life: format!("{name}/aa"),
+        incarnation: format!("{name}/aa"),
         version: 1,
         memory: 512,
     };
