--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -40,7 +40,7 @@
         Submission,
         batch::Batch,
         engines::{EngineKey, Engines},
-        presence::{Loss, Presences},
+        presence::{FailureDetector, Loss},
         row::Head,
     },
     roster::News,
@@ -101,7 +101,7 @@
     /// When it had a batch or a duty last.
     owned_at: Cell<Option<Instant>>,
     /// What this process saw of the others.
-    seen: RefCell<Presences>,
+    seen: RefCell<FailureDetector>,
     /// The others were looked at.
     looked: Notify,
     /// No batch is accepted or taken over any more.
@@ -187,7 +187,7 @@
             owning: Notify::new(),
             duty: Cell::new(false),
             owned_at: Cell::new(None),
-            seen: RefCell::new(Presences::new()),
+            seen: RefCell::new(FailureDetector::new()),
             looked: Notify::new(),
             leaving: Cell::new(false),
         }
@@ -242,7 +242,7 @@
     /// are. It is known here since `since`.
     pub(super) fn lost(&self, life: &str, since: Instant) -> Option<(Loss, usize)> {
         let seen = self.seen.borrow();
-        let why = seen.lost(life, since)?;
+        let why = seen.loss(life, since)?;
         Some((why, seen.count()))
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -142,14 +142,14 @@
             match self.look().await {
                 Ok(()) => {
                     for (id, row) in foreign {
-                        let why = self.seen.borrow().lost(&row.head.owner, row.since);
+                        let why = self.seen.borrow().loss(&row.head.owner, row.since);
                         if let Some(why) = why {
                             self.take_over(&id, &row, why).await;
                         }
                     }
                 }
                 Err(error) => {
-                    self.seen.borrow_mut().blind();
+                    self.seen.borrow_mut().clear();
                     log::debug!(target: BATCHES, error = error.as_str();
                         "Owners of batches could not be looked at.");
                 }
@@ -166,7 +166,10 @@
             let foreign = self.foreign();
             let owners = foreign.iter().map(|(_, row)| row.head.owner.as_str());
             let owners = owners.chain([WEIGHTS_DUTY]);
-            let pause = self.seen.borrow().pause(&self.directory.name, owners);
+            let pause = self
+                .seen
+                .borrow()
+                .poll_interval(&self.directory.name, owners);
             let next = looked + pause;
             if Instant::now() >= next {
                 return;
@@ -195,7 +198,7 @@
         self.directory.hear(&self.store, &page.rows);
         let signs = page.rows.iter().filter_map(sign).collect();
         let latency = now.saturating_duration_since(start);
-        self.seen.borrow_mut().seen(now, latency, signs);
+        self.seen.borrow_mut().record_poll(now, latency, signs);
         self.looked.notify_waiters();
         Ok(())
     }
@@ -384,7 +387,7 @@
 impl Batches {
     fn heir(&self) -> Option<String> {
         let seen = self.seen.borrow();
-        seen.heir(&self.directory.name).map(str::to_owned)
+        seen.successor(&self.directory.name).map(str::to_owned)
     }
 
     /// Makes another process the owner of a batch.
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -68,7 +68,7 @@
 
 /// The rows of all processes, as one process has seen them.
 #[derive(Debug, Default)]
-pub struct Presences {
+pub struct FailureDetector {
     processes: HashMap<String, Observation>,
     /// The latency of the store at the last poll.
     latency: Duration,
@@ -76,7 +76,7 @@
     last_poll: Option<Instant>,
 }
 
-impl Presences {
+impl FailureDetector {
     /// Creates the view of a process that has not polled yet.
     #[must_use]
     pub fn new() -> Self {
@@ -90,7 +90,7 @@
     }
 
     /// Records a poll that the store answered at `now`, after `latency`.
-    pub fn seen(&mut self, now: Instant, latency: Duration, signs: Vec<Heartbeat>) {
+    pub fn record_poll(&mut self, now: Instant, latency: Duration, signs: Vec<Heartbeat>) {
         self.latency = latency;
         self.last_poll = Some(now);
         let present: HashSet<&str> = signs.iter().map(|sign| sign.name.as_str()).collect();
@@ -112,7 +112,7 @@
 
     /// Clears the view after a failed poll: time without polls must not count as an
     /// owner's silence.
-    pub fn blind(&mut self) {
+    pub fn clear(&mut self) {
         self.processes.clear();
         self.last_poll = None;
     }
@@ -125,7 +125,11 @@
     /// owner would be noticed seconds late. So each owner has a few watchers that poll
     /// often, and the other processes together poll as often as those.
     #[must_use]
-    pub fn pause<'a>(&self, name: &str, owners: impl IntoIterator<Item = &'a str>) -> Duration {
+    pub fn poll_interval<'a>(
+        &self,
+        name: &str,
+        owners: impl IntoIterator<Item = &'a str>,
+    ) -> Duration {
         let mut owners = owners.into_iter();
         if owners.any(|owner| self.is_watcher(name, owner)) {
             return HEARTBEAT_INTERVAL;
@@ -151,7 +155,7 @@
     /// engines. Processes that own nothing renew no rows; if there are only such, one of
     /// them is chosen nevertheless. Should it be gone, the batches are taken over.
     #[must_use]
-    pub fn heir(&self, name: &str) -> Option<&str> {
+    pub fn successor(&self, name: &str) -> Option<&str> {
         let last_poll = self.last_poll?;
         let is_alive = |process: &Observation| {
             last_poll.saturating_duration_since(process.since) < HEARTBEAT_TIMEOUT
@@ -193,7 +197,7 @@
     /// this process has known of it since `since`. Polls from before then are about
     /// another owner, and time after the last poll doesn't count as silence.
     #[must_use]
-    pub fn lost(&self, owner: &str, since: Instant) -> Option<Loss> {
+    pub fn loss(&self, owner: &str, since: Instant) -> Option<Loss> {
         let (name, _) = owner.rsplit_once('/')?;
         let last_poll = self.last_poll.filter(|last_poll| *last_poll >= since)?;
         let Some(process) = self.processes.get(name) else {
--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -1,7 +1,7 @@
 //! Tests the detection of lost owners through a store that is slow or unreachable.
 
 use hibiscusroad::rollout::presence::{
-    HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Heartbeat, Loss, Presences,
+    FailureDetector, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Heartbeat, Loss,
 };
 use std::{
     collections::HashSet,
@@ -37,7 +37,7 @@
         writes.push(at);
         at += HEARTBEAT_INTERVAL;
     }
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let mut at = offset;
     while at < end {
         // The store reads its state in the middle of the call.
@@ -45,9 +45,9 @@
         at += latency;
         let version = writes.iter().filter(|write| **write <= as_of).count() as u64;
         if version > 0 {
-            presences.seen(start + at, latency, vec![sign(OWNER, version)]);
+            presences.record_poll(start + at, latency, vec![sign(OWNER, version)]);
         }
-        if presences.lost(OWNER, start).is_some() {
+        if presences.loss(OWNER, start).is_some() {
             return Some(at);
         }
         at += HEARTBEAT_INTERVAL;
@@ -85,21 +85,21 @@
 #[test]
 fn outage_of_the_store_does_not_count_as_silence() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.seen(start, latency, vec![sign(OWNER, 7)]);
-    presences.blind();
+    presences.record_poll(start, latency, vec![sign(OWNER, 7)]);
+    presences.clear();
     let recovery = start + Duration::from_mins(1);
-    presences.seen(recovery, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(recovery + HEARTBEAT_TIMEOUT, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(
+    presences.record_poll(recovery, latency, vec![sign(OWNER, 7)]);
+    assert_eq!(presences.loss(OWNER, start), None);
+    presences.record_poll(recovery + HEARTBEAT_TIMEOUT, latency, vec![sign(OWNER, 7)]);
+    assert_eq!(presences.loss(OWNER, start), None);
+    presences.record_poll(
         recovery + HEARTBEAT_TIMEOUT * 2,
         latency,
         vec![sign(OWNER, 7)],
     );
-    assert_eq!(presences.lost(OWNER, start), Some(Loss::Silent));
+    assert_eq!(presences.loss(OWNER, start), Some(Loss::Silent));
 }
 
 // Guards against an owner that is taken to be gone by a poll from before it was known, or
@@ -107,14 +107,14 @@
 #[test]
 fn owner_is_not_lost_before_a_poll() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(start, latency, vec![sign("gateway-1/before", 1)]);
+    assert_eq!(presences.loss(OWNER, start), None);
+    presences.record_poll(start, latency, vec![sign("gateway-1/before", 1)]);
     let since = start + Duration::from_secs(9);
-    assert_eq!(presences.lost(OWNER, since), None, "an earlier poll");
-    presences.seen(since, latency, vec![sign(OWNER, 2)]);
-    assert_eq!(presences.lost(OWNER, since), None);
+    assert_eq!(presences.loss(OWNER, since), None, "an earlier poll");
+    presences.record_poll(since, latency, vec![sign(OWNER, 2)]);
+    assert_eq!(presences.loss(OWNER, since), None);
 }
 
 // An owner that removed its row or was restarted is detected without a timeout.
@@ -122,19 +122,19 @@
 fn owner_that_left_or_restarted_is_detected_at_once() {
     let start = Instant::now();
     let now = start + Duration::from_secs(9);
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.seen(now, latency, vec![sign(OWNER, 1)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(now, latency, Vec::new());
-    assert_eq!(presences.lost(OWNER, start), Some(Loss::NoRow));
+    presences.record_poll(now, latency, vec![sign(OWNER, 1)]);
+    assert_eq!(presences.loss(OWNER, start), None);
+    presences.record_poll(now, latency, Vec::new());
+    assert_eq!(presences.loss(OWNER, start), Some(Loss::NoRow));
     assert_eq!(
-        presences.lost(OWNER, now),
+        presences.loss(OWNER, now),
         None,
         "its first row may not be written yet"
     );
-    presences.seen(now, latency, vec![sign("gateway-1/bb", 2)]);
-    assert_eq!(presences.lost(OWNER, now), Some(Loss::LivesAnew));
+    presences.record_poll(now, latency, vec![sign("gateway-1/bb", 2)]);
+    assert_eq!(presences.loss(OWNER, now), Some(Loss::LivesAnew));
 }
 
 // A stopping process chooses a successor that is alive and not itself; different
@@ -142,7 +142,7 @@
 #[test]
 fn successor_is_alive() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let latency = Duration::from_millis(5);
     let row = |n: u64, version: u64| Heartbeat {
         name: format!("gateway-{n}"),
@@ -150,22 +150,22 @@
         version,
         memory: 512,
     };
-    assert_eq!(presences.heir("gateway-1"), None);
-    presences.seen(start, latency, (1..=4).map(|n| row(n, n)).collect());
+    assert_eq!(presences.successor("gateway-1"), None);
+    presences.record_poll(start, latency, (1..=4).map(|n| row(n, n)).collect());
     let later = start + HEARTBEAT_TIMEOUT * 2;
     let renewed = |n: u64| if n < 4 { n + 10 } else { n };
-    presences.seen(
+    presences.record_poll(
         later,
         latency,
         (1..=4).map(|n| row(n, renewed(n))).collect(),
     );
-    let successor = presences.heir("gateway-1").unwrap();
+    let successor = presences.successor("gateway-1").unwrap();
     assert!(
         ["gateway-2/aa", "gateway-3/aa"].contains(&successor),
         "{successor}"
     );
     let successors: HashSet<_> = (5..40)
-        .filter_map(|n| presences.heir(&format!("gateway-{n}")))
+        .filter_map(|n| presences.successor(&format!("gateway-{n}")))
         .collect();
     let alive = ["gateway-1/aa", "gateway-2/aa", "gateway-3/aa"];
     assert_eq!(successors, alive.into());
@@ -175,7 +175,7 @@
 #[test]
 fn successor_exists_where_no_other_process_owns_batches() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let row = |n: u64, memory: u32| Heartbeat {
         name: format!("gateway-{n}"),
         incarnation: format!("gateway-{n}/aa"),
@@ -184,9 +184,9 @@
     };
     let rows = || vec![row(1, 512), row(2, 160), row(3, 512), row(4, 512)];
     let latency = Duration::from_millis(5);
-    presences.seen(start, latency, rows());
-    presences.seen(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
-    let successor = presences.heir("gateway-1").unwrap();
+    presences.record_poll(start, latency, rows());
+    presences.record_poll(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
+    let successor = presences.successor("gateway-1").unwrap();
     assert!(
         ["gateway-3/aa", "gateway-4/aa"].contains(&successor),
         "{successor}"
@@ -196,7 +196,7 @@
 // Guards against batches of a lost owner that are scattered, or go to small hosts.
 #[test]
 fn large_processes_take_over_first() {
-    let mut presences = Presences::new();
+    let mut presences = FailureDetector::new();
     let sign = |n: u32| Heartbeat {
         name: format!("gateway-{n}"),
         incarnation: format!("gateway-{n}/aa"),
@@ -204,7 +204,7 @@
         memory: if n < 4 { 160 } else { 512 },
     };
     assert!(presences.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
-    presences.seen(
+    presences.record_poll(
         Instant::now(),
         Duration::from_millis(5),
         (0..8).map(sign).collect(),
@@ -216,7 +216,7 @@
 }
 
 /// Builds the view of a process that has polled `count` rows, and their names.
-fn poll_processes(count: usize) -> (Presences, Vec<String>) {
+fn poll_processes(count: usize) -> (FailureDetector, Vec<String>) {
     let names: Vec<String> = (0..count).map(|n| format!("gateway-{n}")).collect();
     let sign = |name: &String| Heartbeat {
         name: name.clone(),
@@ -224,8 +224,8 @@
         version: 1,
         memory: 512,
     };
-    let mut presences = Presences::new();
-    presences.seen(
+    let mut presences = FailureDetector::new();
+    presences.record_poll(
         Instant::now(),
         Duration::from_millis(4),
         names.iter().map(sign).collect(),
@@ -240,7 +240,9 @@
     for count in [8, 34, 88, 360] {
         let (presences, names) = poll_processes(count);
         let owners = ["gateway-1/aa", "gateway-2/aa"];
-        let intervals = names.iter().map(|name| presences.pause(name, owners));
+        let intervals = names
+            .iter()
+            .map(|name| presences.poll_interval(name, owners));
         let rate: f64 = intervals
             .clone()
             .map(|interval| 1.0 / interval.as_secs_f64())
@@ -252,7 +254,7 @@
         for owner in owners {
             let watchers = names
                 .iter()
-                .filter(|name| presences.pause(name, [owner]) <= HEARTBEAT_INTERVAL);
+                .filter(|name| presences.poll_interval(name, [owner]) <= HEARTBEAT_INTERVAL);
             assert!(watchers.count() >= 6, "{count}");
         }
     }
@@ -268,13 +270,13 @@
     let unwatched = owners.iter().filter(|owner| {
         let mut watchers = alive
             .iter()
-            .filter(|name| presences.pause(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
+            .filter(|name| presences.poll_interval(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
         watchers.next().is_none()
     });
     assert!(unwatched.count() <= 5);
     let longest = names
         .iter()
-        .map(|name| presences.pause(name, ["owner-1/aa"]))
+        .map(|name| presences.poll_interval(name, ["owner-1/aa"]))
         .max();
     assert!(longest.unwrap() <= Duration::from_secs(20));
 }
