--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -213,7 +213,7 @@
         let groups: Vec<u32> = items.map(|item| row::group_hash(&item.group)).collect();
         let later = heads
             .values()
-            .filter(|row| row.head.is_kin(own) && row.head.accepted > own.accepted);
+            .filter(|row| row.head.shares_texts_with(own) && row.head.accepted > own.accepted);
         later
             .flat_map(|row| &row.head.groups)
             .any(|group| groups.contains(group))
@@ -255,7 +255,7 @@
         let heads = self.heads.borrow();
         let with = heads.iter().filter(|(known, row)| {
             known.as_str() != id
-                && row.head.is_kin(head)
+                && row.head.shares_texts_with(head)
                 && row.head.accepted <= head.accepted
                 && row.head.groups.contains(&group)
         });
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -184,7 +184,7 @@
     fn foreign(&self) -> Vec<(String, HeadRow)> {
         let heads = self.heads.borrow();
         let now = millis(self.store.now().unwrap_or_default());
-        let open = |row: &HeadRow| !row.head.ended && now < row.head.until;
+        let open = |row: &HeadRow| !row.head.ended && now < row.head.runs_until;
         let open = heads.iter().filter(|(_, row)| open(row));
         let foreign = open.filter(|(_, row)| row.head.owner != self.life);
         foreign.map(|(id, row)| (id.clone(), row.clone())).collect()
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -70,7 +70,7 @@
         wait: Duration,
     ) -> Result<Response<Out>, Failure> {
         let found = self.find(call.batch()).await?;
-        if !found.is_some_and(|row| row.head.is_of(account)) {
+        if !found.is_some_and(|row| row.head.is_accessible_to(account)) {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
         }
         match call {
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -300,7 +300,7 @@
             host: route.host.clone(),
             path: path.to_owned(),
             accepted,
-            until: accepted + millis(route.ttl.or(route.due).unwrap_or(LIFE)),
+            runs_until: accepted + millis(route.ttl.or(route.due).unwrap_or(LIFE)),
             owner,
             total: submission.items.len(),
             ended: false,
@@ -365,7 +365,7 @@
 /// Answers a submission of a batch that is known: to its own account it was accepted,
 /// to any other its id says nothing, as in all calls about batches.
 fn repeated(head: &Head, account: Option<&str>) -> Response<Out> {
-    if head.is_of(account) {
+    if head.is_accessible_to(account) {
         accepted()
     } else {
         problem(ErrorKind::UnknownBatch, Duration::ZERO)
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -55,7 +55,7 @@
         let heads = self.heads.borrow();
         let due = heads.iter().filter(|(_, row)| {
             let age = row.head.age(now);
-            let open = !row.head.ended && now < Duration::from_millis(row.head.until);
+            let open = !row.head.ended && now < Duration::from_millis(row.head.runs_until);
             age > self.keep + SPARE && !open
         });
         due.map(|(id, row)| (id.clone(), row.clone())).collect()
--- a/src/rollout/row.rs
+++ b/src/rollout/row.rs
@@ -54,7 +54,8 @@
     /// The store's steady clock when it was accepted, in milliseconds.
     pub accepted: u64,
     /// The store's steady clock at which its items stop running, in milliseconds.
-    pub until: u64,
+    #[serde(rename = "until")]
+    pub runs_until: u64,
     /// The process that runs it: the name and the incarnation, separated by a slash.
     pub owner: String,
     /// Number of items.
@@ -98,7 +99,7 @@
     /// Returns whether a caller with this client account may access the batch. A batch
     /// without an account is on a public route or in a deployment without keys.
     #[must_use]
-    pub fn is_of(&self, account: Option<&str>) -> bool {
+    pub fn is_accessible_to(&self, account: Option<&str>) -> bool {
         self.account.is_none() || self.account.as_deref() == account
     }
 
@@ -106,7 +107,7 @@
     /// both have the same client account and model. Callers choose the IDs of items and
     /// groups, and guessing another caller's ID must not give access to its texts.
     #[must_use]
-    pub fn is_kin(&self, other: &Self) -> bool {
+    pub fn shares_texts_with(&self, other: &Self) -> bool {
         self.account == other.account && self.model == other.model
     }
 
