--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -160,7 +160,7 @@
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
         for (n, piece) in &pieces {
-            let id = row::draft(
+            let id = row::draft_piece(
                 &owned.id,
                 &owned.submission.items[*n].id,
                 owned.tenure,
@@ -276,7 +276,7 @@
         };
         let rows = self.store.read_whole(&range).await?.rows;
         let parts = rows.iter().filter_map(|row| {
-            let name = row::piece_item(&batch, &row.id.key);
+            let name = row::parse_piece_key(&batch, &row.id.key);
             let piece = serde_json::from_slice::<Piece>(&row.value).ok();
             let part = name.zip(piece).map(|((_, tenure), piece)| (tenure, piece));
             if part.is_none() {
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -82,7 +82,7 @@
             }
             let presence = self.presence();
             let value = serde_json::to_vec(&presence).unwrap_or_default();
-            let change = Change::new().put(row::entry(&self.directory.name), value);
+            let change = Change::new().put(row::process(&self.directory.name), value);
             let done = self.store.transact(&change).await;
             if !matches!(done, Commit::Done { .. }) {
                 sleep(backoff.next_wait(&mut rand::rng())).await;
@@ -267,7 +267,7 @@
     }
 
     async fn load(&self, id: &str) -> Result<Loaded, String> {
-        let name = row::object(id);
+        let name = row::submission_object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
             self.kept(id, 0),
@@ -377,7 +377,7 @@
             self.keep_once(&owned).await;
             self.hand_on(&owned.id).await;
         }
-        let change = Change::new().remove(row::entry(&self.directory.name));
+        let change = Change::new().remove(row::process(&self.directory.name));
         let done = self.store.transact(&change).await;
         log::info!(target: BATCHES, done = matches!(done, Commit::Done { .. });
             "All batches are given back.");
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -85,7 +85,7 @@
         };
         let mut found = Vec::new();
         for row in self.store.read_whole(&range).await?.rows {
-            let name = row::piece_item(id, &row.id.key);
+            let name = row::parse_piece_key(id, &row.id.key);
             let piece = serde_json::from_slice(&row.value).ok();
             match name.zip(piece) {
                 // A draft is for a later batch.
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -182,7 +182,7 @@
         if let Some((_, submission)) = known {
             return Ok(submission);
         }
-        let object = self.store.get_object(&row::object(id)).await?;
+        let object = self.store.get_object(&row::submission_object(id)).await?;
         let object = object.ok_or_else(|| Failure::Refused("no submission is there".into()))?;
         let submission = Rc::new(batch::submission(&object)?);
         let mut bodies = self.bodies.borrow_mut();
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -171,7 +171,10 @@
     async fn keep(&self, id: &str, body: &Bytes, end: Instant) -> Result<(), String> {
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
         loop {
-            let kept = self.store.put_object(&row::object(id), body.to_vec()).await;
+            let kept = self
+                .store
+                .put_object(&row::submission_object(id), body.to_vec())
+                .await;
             let Err(failure) = kept else {
                 return Ok(());
             };
--- a/src/rollout/row.rs
+++ b/src/rollout/row.rs
@@ -191,7 +191,7 @@
 /// starts its drafts from the beginning, so the tenure keeps their pieces from being
 /// joined with those of the former owner's runs.
 #[must_use]
-pub fn draft(batch: &str, item: &str, tenure: u64, draft_piece: &Piece) -> RowId {
+pub fn draft_piece(batch: &str, item: &str, tenure: u64, draft_piece: &Piece) -> RowId {
     let item = format!("{item}{DRAFT_SEPARATOR}{tenure:016x}");
     piece(batch, &item, draft_piece)
 }
@@ -199,7 +199,7 @@
 /// Parses the key of a piece into the item and the tenure of its draft. The tenure is
 /// empty for the item's own text.
 #[must_use]
-pub fn piece_item<'a>(batch: &str, key: &'a str) -> Option<(&'a str, &'a str)> {
+pub fn parse_piece_key<'a>(batch: &str, key: &'a str) -> Option<(&'a str, &'a str)> {
     let rest = key.strip_prefix(batch)?.strip_prefix('/')?;
     let item = rest.rsplitn(3, '/').nth(2)?;
     Some(item.split_once(DRAFT_SEPARATOR).unwrap_or((item, "")))
@@ -207,7 +207,7 @@
 
 /// Returns the ID of the heartbeat row of a process.
 #[must_use]
-pub fn entry(name: &str) -> RowId {
+pub fn process(name: &str) -> RowId {
     RowId::new(ENTRIES, "", name)
 }
 
@@ -219,6 +219,6 @@
 
 /// Returns the name of the object that holds a batch's submission.
 #[must_use]
-pub fn object(batch: &str) -> String {
+pub fn submission_object(batch: &str) -> String {
     format!("batch-{batch}")
 }
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -147,7 +147,7 @@
     assert!(keys.is_sorted(), "{keys:?}");
     assert!(
         keys.iter()
-            .all(|key| row::piece_item("b", key) == Some(("item/1", "")))
+            .all(|key| row::parse_piece_key("b", key) == Some(("item/1", "")))
     );
     assert!(row::buckets().any(|bucket| bucket == row::bucket("b")));
 }
