--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -19,7 +19,7 @@
 use futures_util::future::join;
 use hibiscusroad::{
     clock::millis,
-    rollout::turns::VALID,
+    rollout::turns::ORDER_TTL,
     table::{Change, Commit, Range},
     usage::{self, Kept, Reports, Step, Terms, Window, Windows},
 };
@@ -240,7 +240,7 @@
             sleep(pause.min(LOOK)).await;
             return true;
         }
-        let until = self.duty.now() + VALID;
+        let until = self.duty.now() + ORDER_TTL;
         if !self.write_down(window, kept.clone()).await {
             return false;
         }
@@ -274,7 +274,7 @@
         let Some(now) = self.store.now() else {
             return false;
         };
-        let fresh = now.saturating_sub(Duration::from_millis(kept.at)) < VALID;
+        let fresh = now.saturating_sub(Duration::from_millis(kept.at)) < ORDER_TTL;
         if fresh && kept.holder == self.duty.life() {
             return true;
         }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -25,7 +25,7 @@
 };
 use hibiscusroad::{
     rollout::{
-        turns::{Turns, VALID},
+        turns::{ORDER_TTL, Turns},
         wave::Pace,
     },
     roster::News,
@@ -161,7 +161,7 @@
         self.loading.borrow_mut().clear();
         self.orders.borrow_mut().clear();
         let known = self.read_turns().await;
-        let quiet = self.duty.now() + self.duty.apart() + VALID;
+        let quiet = self.duty.now() + self.duty.apart() + ORDER_TTL;
         // Engines that check numbers refuse the old holder's orders themselves.
         let wait = !known && !self.fences && fence > 1;
         self.quiet.set(wait.then_some(quiet));
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -4,7 +4,7 @@
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
     rollout::{
-        turns::VALID,
+        turns::ORDER_TTL,
         wave::{Goal, Load, Loader, plan},
     },
     roster::Endpoint,
@@ -46,7 +46,7 @@
             self.loading
                 .borrow_mut()
                 .insert(load.endpoint.clone(), until);
-            spawn_local(Rc::clone(self).load(load, at_once, now + VALID));
+            spawn_local(Rc::clone(self).load(load, at_once, now + ORDER_TTL));
         }
     }
 
--- a/src/rollout/turns.rs
+++ b/src/rollout/turns.rs
@@ -15,7 +15,7 @@
 
 /// An order is sent within this time after its record was begun, or not at all. A slow
 /// store takes 250 ms for a write.
-pub const VALID: Duration = Duration::from_millis(600);
+pub const ORDER_TTL: Duration = Duration::from_millis(600);
 /// Maximum difference between two processes' estimates of the store's clock: half of a
 /// slow round trip.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(250);
@@ -60,13 +60,13 @@
     pub fn barred(&self, engine: &str, holder: &str, apart: Duration) -> Option<Duration> {
         let record = self.engines.get(engine)?;
         (record.holder != holder)
-            .then(|| Duration::from_millis(record.recorded_at) + VALID + apart + MAX_CLOCK_SKEW)
+            .then(|| Duration::from_millis(record.recorded_at) + ORDER_TTL + apart + MAX_CLOCK_SKEW)
     }
 
     /// Drops the orders that no longer block any holder at the store's time `now`.
     pub fn expire(&mut self, now: Duration, apart: Duration) {
         let end = |record: &OrderRecord| {
-            Duration::from_millis(record.recorded_at) + VALID + apart + MAX_CLOCK_SKEW
+            Duration::from_millis(record.recorded_at) + ORDER_TTL + apart + MAX_CLOCK_SKEW
         };
         self.engines.retain(|_, record| end(record) > now);
     }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     lease::{Holding, Lease, Next, Row, Terms},
-    rollout::turns::{Turns, VALID},
+    rollout::turns::{ORDER_TTL, Turns},
 };
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
     let mut turns = Turns::new();
     turns.note("e1", "gateway-1/aa", now);
     let until = turns.barred("e1", "gateway-2/bb", APART).unwrap();
-    assert!(until >= now + VALID + APART, "{until:?}");
+    assert!(until >= now + ORDER_TTL + APART, "{until:?}");
     assert_eq!(turns.barred("e2", "gateway-2/bb", APART), None);
     assert_eq!(turns.barred("e1", "gateway-1/aa", APART), None);
     turns.expire(until, APART);
@@ -140,7 +140,7 @@
         let name = n.to_string();
         if let Some(write) = self.write.filter(|write| write.answered_at <= at) {
             self.write = None;
-            let in_time = STEP * at < STEP * write.sent_at + VALID;
+            let in_time = STEP * at < STEP * write.sent_at + ORDER_TTL;
             if !write.applied {
                 self.lease_version = None;
             }
