--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -19,7 +19,7 @@
 use futures_util::future::join;
 use hibiscusroad::{
     clock::millis,
-    rollout::turns::ORDER_TTL,
+    rollout::order_records::ORDER_TTL,
     table::{Change, Commit, Range},
     usage::{self, Kept, Reports, Step, Terms, Window, Windows},
 };
--- a/hibiscusroad-daemon/src/gateway/weights/learned.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/learned.rs
@@ -3,7 +3,7 @@
 use super::{DUTIES, Weights, turns_row};
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
-    rollout::turns::Turns,
+    rollout::order_records::OrderRecords,
     table::{Change, Commit, Range, RowId},
 };
 use std::time::{Duration, Instant};
@@ -67,7 +67,7 @@
             Err(error) => {
                 log::error!(target: WEIGHTS, row = row.version, error = error.to_string().as_str();
                     "The last orders are broken; all engines are left alone for a while.");
-                self.turns.replace(Turns::new());
+                self.turns.replace(OrderRecords::new());
                 false
             }
         }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -25,7 +25,7 @@
 };
 use hibiscusroad::{
     rollout::{
-        turns::{ORDER_TTL, Turns},
+        order_records::{ORDER_TTL, OrderRecords},
         wave::Pace,
     },
     roster::News,
@@ -67,7 +67,7 @@
     /// the holder before has ordered.
     quiet: Cell<Option<Instant>>,
     /// Which engines were ordered lately, and by whom.
-    turns: RefCell<Turns>,
+    turns: RefCell<OrderRecords>,
     /// The fencing number under which this process has last prepared to order.
     prepared: Cell<Option<u64>>,
     /// When what was learned of loads was kept last.
@@ -106,7 +106,7 @@
             orders: RefCell::default(),
             pace: RefCell::new(Pace::new()),
             quiet: Cell::new(None),
-            turns: RefCell::new(Turns::new()),
+            turns: RefCell::new(OrderRecords::new()),
             prepared: Cell::new(None),
             kept: Cell::new(None),
             heard: Cell::new(None),
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -4,7 +4,7 @@
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
     rollout::{
-        turns::ORDER_TTL,
+        order_records::ORDER_TTL,
         wave::{Goal, Load, Loader, plan},
     },
     roster::Endpoint,
@@ -59,7 +59,7 @@
         let mut turns = self.turns.borrow().clone();
         turns.expire(store, self.duty.apart());
         for load in loads {
-            turns.note(&load.endpoint, self.duty.life(), store);
+            turns.record(&load.endpoint, self.duty.life(), store);
         }
         let value = serde_json::to_vec(&turns).unwrap_or_default();
         let change = Change::new().put(turns_row(), value);
@@ -132,7 +132,7 @@
         let weights = weights.collect();
         let until = self.loading.borrow().get(&endpoint.id).copied();
         let turns = self.turns.borrow();
-        let barred = turns.barred(&endpoint.id, self.duty.life(), self.duty.apart());
+        let barred = turns.blocked_until(&endpoint.id, self.duty.life(), self.duty.apart());
         let store = self.store.now().unwrap_or_default();
         Loader {
             weights,
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -10,7 +10,7 @@
 //! * [`wave`]: plans which engine loads which weights next.
 //! * [`pace`]: the speed of engines, as owners share it.
 //! * [`presence`]: detects whether the owner of a batch is alive.
-//! * [`turns`]: records the last order to each engine, for when the duty changes hands.
+//! * [`order_records`]: records the last order to each engine, for when the duty changes hands.
 //! * [`urgency`]: the priority of an item at its engine.
 //! * [`waits`]: accounts for the time that items wait before they run.
 //! * [`text`]: the growing text of an item, and the pieces of it that are saved.
@@ -28,6 +28,7 @@
 pub mod batch;
 pub mod choice;
 pub mod engines;
+pub mod order_records;
 pub mod pace;
 pub mod presence;
 pub mod row;
@@ -35,7 +36,6 @@
 mod start_order;
 pub mod text;
 mod tier;
-pub mod turns;
 pub mod urgency;
 pub mod waits;
 pub mod wave;
--- a/src/rollout/turns.rs
+++ b/src/rollout/order_records.rs
@@ -32,11 +32,11 @@
 
 /// The last order to each engine, by engine ID.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Turns {
+pub struct OrderRecords {
     engines: BTreeMap<String, OrderRecord>,
 }
 
-impl Turns {
+impl OrderRecords {
     /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
@@ -44,7 +44,7 @@
     }
 
     /// Records that `holder` is about to order an engine at the store's time `now`.
-    pub fn note(&mut self, engine: &str, holder: &str, now: Duration) {
+    pub fn record(&mut self, engine: &str, holder: &str, now: Duration) {
         let record = OrderRecord {
             holder: holder.to_owned(),
             recorded_at: millis(now),
@@ -57,7 +57,7 @@
     ///
     /// Orders of two holders to one engine are at least `apart` from each other.
     #[must_use]
-    pub fn barred(&self, engine: &str, holder: &str, apart: Duration) -> Option<Duration> {
+    pub fn blocked_until(&self, engine: &str, holder: &str, apart: Duration) -> Option<Duration> {
         let record = self.engines.get(engine)?;
         (record.holder != holder)
             .then(|| Duration::from_millis(record.recorded_at) + ORDER_TTL + apart + MAX_CLOCK_SKEW)
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -4,7 +4,7 @@
     Window, Windows,
     tally::{key_prefix, parse_window},
 };
-use crate::{clock::millis, rollout::turns::Turns, table::RowId};
+use crate::{clock::millis, rollout::order_records::OrderRecords, table::RowId};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -134,14 +134,14 @@
     /// successor waits until none of them can arrive any more.
     #[must_use]
     pub fn barred(&self, holder: &str) -> Option<Duration> {
-        let mut turns = Turns::new();
+        let mut turns = OrderRecords::new();
         let others = self
             .stored
             .values()
             .filter(|report| report.holder != holder);
         let last = others.max_by_key(|report| report.at)?;
-        turns.note(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
-        turns.barred(TURNS_KEY, holder, self.terms.apart)
+        turns.record(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
+        turns.blocked_until(TURNS_KEY, holder, self.terms.apart)
     }
 
     /// Returns the next action at the time of day `now`. `store_back` is when the store
