--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -5,7 +5,7 @@
 use hibiscusroad::{
     rollout::{
         order_records::ORDER_TTL,
-        wave::{Goal, Load, Loader, plan},
+        wave::{EngineStatus, Goal, Load, plan},
     },
     roster::Endpoint,
     table::{Change, Commit},
@@ -35,7 +35,7 @@
         let goals = self.goals();
         let engines = self.engines(now, &goals);
         let at_once = self.pace.borrow().at_once(engines.len());
-        let busy = engines.iter().filter(|engine| engine.busy).count();
+        let busy = engines.iter().filter(|engine| engine.loading).count();
         let loads = plan(&engines, &goals, at_once);
         let at_once = busy + loads.len();
         if loads.is_empty() || !self.write_turns(&loads).await {
@@ -108,7 +108,7 @@
         goals.collect()
     }
 
-    fn engines(&self, now: Instant, goals: &[Goal]) -> Vec<Loader> {
+    fn engines(&self, now: Instant, goals: &[Goal]) -> Vec<EngineStatus> {
         let Some(catalog) = self.known.catalog() else {
             return Vec::new();
         };
@@ -122,7 +122,7 @@
         open.map(|endpoint| self.loader(now, endpoint)).collect()
     }
 
-    fn loader(&self, now: Instant, endpoint: Endpoint) -> Loader {
+    fn loader(&self, now: Instant, endpoint: Endpoint) -> EngineStatus {
         let seen = self.seen.borrow();
         let weights = endpoint.weights.into_iter().map(|weights| {
             let key = (endpoint.id.clone(), weights.model.clone());
@@ -134,12 +134,12 @@
         let turns = self.turns.borrow();
         let barred = turns.blocked_until(&endpoint.id, self.duty.life(), self.duty.apart());
         let store = self.store.now().unwrap_or_default();
-        Loader {
+        EngineStatus {
             weights,
-            barred: barred.is_some_and(|until| store < until),
+            blocked: barred.is_some_and(|until| store < until),
             slow: self.batches.is_slow(&endpoint.id),
-            busy: until.is_some_and(|until| now < until),
-            load: self.batches.running_at(&endpoint.id),
+            loading: until.is_some_and(|until| now < until),
+            running_requests: self.batches.running_at(&endpoint.id),
             id: endpoint.id,
         }
     }
--- a/src/rollout/wave.rs
+++ b/src/rollout/wave.rs
@@ -33,19 +33,19 @@
 
 /// An engine, as the holder of the duty sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Loader {
+pub struct EngineStatus {
     /// The ID of the engine.
     pub id: String,
     /// The versions that it has, by model.
     pub weights: HashMap<String, u64>,
     /// Whether an order is in progress there.
-    pub busy: bool,
+    pub loading: bool,
     /// Whether it must not be ordered for now, although no order is in progress.
-    pub barred: bool,
+    pub blocked: bool,
     /// Whether it is much slower than its peers.
     pub slow: bool,
     /// Number of requests known to run there.
-    pub load: u32,
+    pub running_requests: u32,
 }
 
 /// What the steps of a model need.
@@ -76,14 +76,20 @@
 
 /// Chooses the loads to order now, limiting the loads in progress to `at_once`.
 #[must_use]
-pub fn plan(engines: &[Loader], goals: &[Goal], at_once: usize) -> Vec<Load> {
-    let busy = engines.iter().filter(|engine| engine.busy).count();
+pub fn plan(engines: &[EngineStatus], goals: &[Goal], at_once: usize) -> Vec<Load> {
+    let busy = engines.iter().filter(|engine| engine.loading).count();
     let mut candidates = Vec::new();
     for (goal, mut assigned) in goals.iter().zip(assign(engines, goals)) {
         let version = |idx: &usize| engines[*idx].weights.get(&goal.model).copied().unwrap_or(0);
         let oldest = goal.named.saturating_sub(goal.lag);
         // The least loaded engines go first, because the fewest runs are held up there.
-        assigned.sort_by_key(|idx| (version(idx), engines[*idx].load, engines[*idx].id.clone()));
+        assigned.sort_by_key(|idx| {
+            (
+                version(idx),
+                engines[*idx].running_requests,
+                engines[*idx].id.clone(),
+            )
+        });
         let newer = assigned.iter().filter(|idx| version(idx) > oldest).count();
         // Half of the engines should stay usable after the next version.
         let mut missing = assigned.len().div_ceil(2).saturating_sub(newer);
@@ -108,7 +114,7 @@
     candidates.sort_by(Candidate::cmp_urgency);
     let mut chosen = HashSet::new();
     let can_load =
-        |load: &Candidate<'_>| !engines[load.engine].busy && !engines[load.engine].barred;
+        |load: &Candidate<'_>| !engines[load.engine].loading && !engines[load.engine].blocked;
     let loads = candidates.into_iter().filter(can_load);
     loads
         .filter(|load| chosen.insert(load.engine))
@@ -145,7 +151,7 @@
 
 /// Assigns engines to models, preferring those with the newest weights, so that engines
 /// stay with their models whichever process decides.
-fn assign(engines: &[Loader], goals: &[Goal]) -> Vec<Vec<usize>> {
+fn assign(engines: &[EngineStatus], goals: &[Goal]) -> Vec<Vec<usize>> {
     let healthy = engines.iter().filter(|engine| !engine.slow).count();
     let mut quotas = quotas(healthy, goals);
     let mut pairs = Vec::new();
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -4,7 +4,7 @@
     rollout::{
         engines::{Engines, Requirements},
         pace::{Paces, Sample},
-        wave::{Goal, Loader, Pace, plan},
+        wave::{EngineStatus, Goal, Pace, plan},
     },
     roster::{Endpoint, Weights},
 };
@@ -160,14 +160,14 @@
 }
 
 /// Builds engines that all have the same weights.
-fn loaders(count: usize, weights: &[(&str, u64)]) -> Vec<Loader> {
-    let engines = (0..count).map(|n| Loader {
+fn loaders(count: usize, weights: &[(&str, u64)]) -> Vec<EngineStatus> {
+    let engines = (0..count).map(|n| EngineStatus {
         id: format!("e{n}"),
         weights: weights.iter().map(|(m, v)| ((*m).to_owned(), *v)).collect(),
-        busy: false,
-        barred: false,
+        loading: false,
+        blocked: false,
         slow: false,
-        load: 0,
+        running_requests: 0,
     });
     engines.collect()
 }
@@ -183,7 +183,7 @@
 }
 
 /// Runs the planned loads until there are none; returns how many there were.
-fn run_loads(engines: &mut [Loader], goals: &[Goal]) -> usize {
+fn run_loads(engines: &mut [EngineStatus], goals: &[Goal]) -> usize {
     let mut loads = 0;
     loop {
         let planned = plan(engines, goals, 2);
@@ -206,7 +206,7 @@
     let mut engines = loaders(9, &[("guide", 1)]);
     let mut loads = Vec::new();
     for named in 2..12 {
-        let is_usable = |e: &Loader| e.weights["guide"] + 1 >= named;
+        let is_usable = |e: &EngineStatus| e.weights["guide"] + 1 >= named;
         let usable = engines.iter().filter(|e| is_usable(e)).count();
         assert!(usable >= 4, "{usable} usable engines for version {named}");
         loads.push(run_loads(&mut engines, &[goal("guide", named, 1)]));
@@ -247,7 +247,7 @@
 fn concurrent_loads_are_limited() {
     let mut engines = loaders(9, &[("guide", 1)]);
     assert_eq!(plan(&engines, &[goal("guide", 9, 1)], 2).len(), 2);
-    engines[0].busy = true;
+    engines[0].loading = true;
     let loads = plan(&engines, &[goal("guide", 9, 1)], 2);
     assert_eq!(loads.len(), 1);
     assert_ne!(loads[0].endpoint, "e0");
@@ -438,8 +438,8 @@
         ]
     };
     run_loads(&mut engines, &goals(3));
-    let usable = |engines: &[Loader], named: u64| {
-        let is_usable = |e: &&Loader| !e.slow && e.weights["a"] + 1 >= named;
+    let usable = |engines: &[EngineStatus], named: u64| {
+        let is_usable = |e: &&EngineStatus| !e.slow && e.weights["a"] + 1 >= named;
         engines.iter().filter(is_usable).count()
     };
     let assigned: Vec<usize> = (0..9).filter(|n| engines[*n].weights["a"] > 1).collect();
