--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -7,7 +7,7 @@
 use crate::{gateway::http::encode, logs::WEIGHTS};
 use hibiscusroad::{
     clock::millis,
-    rollout::{Order, OrderAnswer, wave::Load},
+    rollout::{Order, OrderAnswer, wave::WeightLoad},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -32,7 +32,7 @@
 impl Weights {
     /// Has one engine load one version, and waits until it is seen to run it. The
     /// order is sent before `until`, or not at all.
-    pub(super) async fn load(self: Rc<Self>, load: Load, at_once: usize, until: Instant) {
+    pub(super) async fn load(self: Rc<Self>, load: WeightLoad, at_once: usize, until: Instant) {
         let start = Instant::now();
         let done = self.try_load(&load, until).await;
         let took = start.elapsed();
@@ -54,7 +54,7 @@
         self.changed.notify_one();
     }
 
-    async fn try_load(&self, load: &Load, until: Instant) -> bool {
+    async fn try_load(&self, load: &WeightLoad, until: Instant) -> bool {
         let Some(endpoint) = self.members.get(&load.endpoint) else {
             return false;
         };
@@ -118,7 +118,7 @@
 
     /// Waits until an engine has loaded: it registers that at once. Its report
     /// lags behind, and is asked for only if it says nothing for long.
-    async fn watch(&self, endpoint: &Endpoint, load: &Load) -> bool {
+    async fn watch(&self, endpoint: &Endpoint, load: &WeightLoad) -> bool {
         let end = Instant::now() + LONGEST;
         let mut look = Instant::now() + SILENT;
         while Instant::now() < end {
@@ -149,7 +149,7 @@
     }
 
     /// Notes what an engine reports; `true` if it runs the version.
-    fn runs(&self, load: &Load, report: &Report) -> bool {
+    fn runs(&self, load: &WeightLoad, report: &Report) -> bool {
         for weights in &report.weights {
             self.saw(&load.endpoint, &weights.model, weights.version);
         }
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -5,7 +5,7 @@
 use hibiscusroad::{
     rollout::{
         order_records::ORDER_TTL,
-        wave::{EngineStatus, Goal, Load, plan},
+        wave::{EngineStatus, ModelGoal, WeightLoad, plan},
     },
     roster::Endpoint,
     table::{Change, Commit},
@@ -52,7 +52,7 @@
 
     /// Writes down which engines are about to be ordered; `false` if nothing may be
     /// sent, since the lease isn't known to be this process's any more.
-    async fn write_turns(&self, loads: &[Load]) -> bool {
+    async fn write_turns(&self, loads: &[WeightLoad]) -> bool {
         let Some(store) = self.store.now() else {
             return false;
         };
@@ -93,12 +93,12 @@
         }
     }
 
-    fn goals(&self) -> Vec<Goal> {
+    fn goals(&self) -> Vec<ModelGoal> {
         let needs = self.batches.needs();
         let goals = self.known.named().into_iter().map(|(model, named)| {
             let need = needs.get(&model);
-            Goal {
-                named,
+            ModelGoal {
+                newest: named,
                 lag: need.map_or(0, |head| head.lag),
                 work: need.map_or(0, |head| head.work) as f64,
                 priority: need.map_or(0, |head| head.priority),
@@ -108,7 +108,7 @@
         goals.collect()
     }
 
-    fn engines(&self, now: Instant, goals: &[Goal]) -> Vec<EngineStatus> {
+    fn engines(&self, now: Instant, goals: &[ModelGoal]) -> Vec<EngineStatus> {
         let Some(catalog) = self.known.catalog() else {
             return Vec::new();
         };
--- a/src/rollout/wave.rs
+++ b/src/rollout/wave.rs
@@ -50,11 +50,11 @@
 
 /// What the steps of a model need.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Goal {
+pub struct ModelGoal {
     /// The model.
     pub model: String,
     /// The newest version that was announced.
-    pub named: u64,
+    pub newest: u64,
     /// Number of versions by which its steps may lag.
     pub lag: u64,
     /// Its share of the work, in any unit.
@@ -65,7 +65,7 @@
 
 /// A load to order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Load {
+pub struct WeightLoad {
     /// The engine.
     pub endpoint: String,
     /// The model.
@@ -76,12 +76,12 @@
 
 /// Chooses the loads to order now, limiting the loads in progress to `at_once`.
 #[must_use]
-pub fn plan(engines: &[EngineStatus], goals: &[Goal], at_once: usize) -> Vec<Load> {
+pub fn plan(engines: &[EngineStatus], goals: &[ModelGoal], at_once: usize) -> Vec<WeightLoad> {
     let busy = engines.iter().filter(|engine| engine.loading).count();
     let mut candidates = Vec::new();
     for (goal, mut assigned) in goals.iter().zip(assign(engines, goals)) {
         let version = |idx: &usize| engines[*idx].weights.get(&goal.model).copied().unwrap_or(0);
-        let oldest = goal.named.saturating_sub(goal.lag);
+        let oldest = goal.newest.saturating_sub(goal.lag);
         // The least loaded engines go first, because the fewest runs are held up there.
         assigned.sort_by_key(|idx| {
             (
@@ -97,14 +97,14 @@
         let mut usable = assigned.iter().filter(|idx| version(idx) >= oldest).count();
         for idx in assigned {
             let stale = version(&idx) < oldest;
-            if version(&idx) >= goal.named || !(stale || missing > 0) {
+            if version(&idx) >= goal.newest || !(stale || missing > 0) {
                 continue;
             }
             missing = missing.saturating_sub(1);
             candidates.push(Candidate {
                 stale,
                 usable_share: if stale { usable as f64 / quota } else { 0.0 },
-                versions_behind: goal.named - version(&idx),
+                versions_behind: goal.newest - version(&idx),
                 engine: idx,
                 goal,
             });
@@ -119,10 +119,10 @@
     loads
         .filter(|load| chosen.insert(load.engine))
         .take(at_once.saturating_sub(busy))
-        .map(|load| Load {
+        .map(|load| WeightLoad {
             endpoint: engines[load.engine].id.clone(),
             model: load.goal.model.clone(),
-            version: load.goal.named,
+            version: load.goal.newest,
         })
         .collect()
 }
@@ -135,7 +135,7 @@
     usable_share: f64,
     versions_behind: u64,
     engine: usize,
-    goal: &'a Goal,
+    goal: &'a ModelGoal,
 }
 
 impl Candidate<'_> {
@@ -151,7 +151,7 @@
 
 /// Assigns engines to models, preferring those with the newest weights, so that engines
 /// stay with their models whichever process decides.
-fn assign(engines: &[EngineStatus], goals: &[Goal]) -> Vec<Vec<usize>> {
+fn assign(engines: &[EngineStatus], goals: &[ModelGoal]) -> Vec<Vec<usize>> {
     let healthy = engines.iter().filter(|engine| !engine.slow).count();
     let mut quotas = quotas(healthy, goals);
     let mut pairs = Vec::new();
@@ -159,7 +159,7 @@
         for (idx, engine) in engines.iter().enumerate().filter(|(_, e)| !e.slow) {
             let version = engine.weights.get(&goal.model).copied().unwrap_or(0);
             let tie_breaker = xxh3_64_with_seed(engine.id.as_bytes(), model as u64);
-            pairs.push((goal.named.saturating_sub(version), tie_breaker, model, idx));
+            pairs.push((goal.newest.saturating_sub(version), tie_breaker, model, idx));
         }
     }
     pairs.sort_unstable();
@@ -176,7 +176,7 @@
 }
 
 /// Divides `count` engines among models in proportion to their work.
-fn quotas(count: usize, goals: &[Goal]) -> Vec<usize> {
+fn quotas(count: usize, goals: &[ModelGoal]) -> Vec<usize> {
     let total: f64 = goals.iter().map(|goal| goal.work.max(1.0)).sum();
     let mut quotas = vec![MIN_ENGINES.min(count / goals.len().max(1)); goals.len()];
     let given: usize = quotas.iter().sum();
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -4,7 +4,7 @@
     rollout::{
         engines::{Engines, Requirements},
         pace::{Paces, Sample},
-        wave::{EngineStatus, Goal, Pace, plan},
+        wave::{EngineStatus, ModelGoal, Pace, plan},
     },
     roster::{Endpoint, Weights},
 };
@@ -172,10 +172,10 @@
     engines.collect()
 }
 
-fn goal(model: &str, named: u64, lag: u64) -> Goal {
-    Goal {
+fn goal(model: &str, named: u64, lag: u64) -> ModelGoal {
+    ModelGoal {
         model: model.to_owned(),
-        named,
+        newest: named,
         lag,
         work: 1.0,
         priority: 0,
@@ -183,7 +183,7 @@
 }
 
 /// Runs the planned loads until there are none; returns how many there were.
-fn run_loads(engines: &mut [EngineStatus], goals: &[Goal]) -> usize {
+fn run_loads(engines: &mut [EngineStatus], goals: &[ModelGoal]) -> usize {
     let mut loads = 0;
     loop {
         let planned = plan(engines, goals, 2);
@@ -361,11 +361,11 @@
 #[test]
 fn stale_models_are_loaded_in_turn() {
     let engines = loaders(12, &[("a", 1), ("b", 1)]);
-    let urgent = Goal {
+    let urgent = ModelGoal {
         work: 2.0,
         ..goal("a", 5, 1)
     };
-    let other = Goal {
+    let other = ModelGoal {
         priority: 3,
         ..goal("b", 5, 1)
     };
