--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -7,7 +7,7 @@
 use crate::{gateway::http::encode, logs::WEIGHTS};
 use hibiscusroad::{
     clock::millis,
-    rollout::{Order, OrderAnswer, wave::WeightLoad},
+    rollout::{Order, OrderAnswer, load_plan::WeightLoad},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -43,7 +43,7 @@
         self.meters.loads.with_label_values(&[outcome]).inc();
         if done {
             self.meters.load_seconds.observe(took.as_secs_f64());
-            self.pace.borrow_mut().loaded(at_once, took);
+            self.pace.borrow_mut().record_load(at_once, took);
             self.keep_pace().await;
             self.loading.borrow_mut().remove(&load.endpoint);
         } else {
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -25,8 +25,8 @@
 };
 use hibiscusroad::{
     rollout::{
+        load_plan::LoadConcurrency,
         order_records::{ORDER_TTL, OrderRecords},
-        wave::Pace,
     },
     roster::News,
     table::RowId,
@@ -62,7 +62,7 @@
     seen: RefCell<HashMap<(String, String), u64>>,
     /// Orders that engines accepted, as far as known.
     orders: RefCell<HashMap<String, u64>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<LoadConcurrency>,
     /// Until when all engines are left alone, because nobody knows which of them
     /// the holder before has ordered.
     quiet: Cell<Option<Instant>>,
@@ -104,7 +104,7 @@
             loading: RefCell::default(),
             seen: RefCell::default(),
             orders: RefCell::default(),
-            pace: RefCell::new(Pace::new()),
+            pace: RefCell::new(LoadConcurrency::new()),
             quiet: Cell::new(None),
             turns: RefCell::new(OrderRecords::new()),
             prepared: Cell::new(None),
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -4,8 +4,8 @@
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
     rollout::{
+        load_plan::{EngineStatus, ModelGoal, WeightLoad, plan},
         order_records::ORDER_TTL,
-        wave::{EngineStatus, ModelGoal, WeightLoad, plan},
     },
     roster::Endpoint,
     table::{Change, Commit},
@@ -34,7 +34,7 @@
         self.hear_paces().await;
         let goals = self.goals();
         let engines = self.engines(now, &goals);
-        let at_once = self.pace.borrow().at_once(engines.len());
+        let at_once = self.pace.borrow().max_loads(engines.len());
         let busy = engines.iter().filter(|engine| engine.loading).count();
         let loads = plan(&engines, &goals, at_once);
         let at_once = busy + loads.len();
--- a/src/rollout/wave.rs
+++ b/src/rollout/load_plan.rs
@@ -197,12 +197,12 @@
 /// The number from which on loads slow each other down differs between deployments and
 /// is not configured. One more load is tried as long as the last increase paid off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Pace {
+pub struct LoadConcurrency {
     /// Average seconds per load, by the number of concurrent loads.
     seconds: HashMap<usize, f64>,
 }
 
-impl Pace {
+impl LoadConcurrency {
     /// Creates a state without samples.
     #[must_use]
     pub fn new() -> Self {
@@ -210,7 +210,7 @@
     }
 
     /// Records the duration of a load that ran while `at_once` loads were in progress.
-    pub fn loaded(&mut self, at_once: usize, duration: Duration) {
+    pub fn record_load(&mut self, at_once: usize, duration: Duration) {
         let seconds = duration.as_secs_f64().max(0.001);
         let mean = self.seconds.entry(at_once).or_insert(seconds);
         *mean += (seconds - *mean) * SAMPLE_WEIGHT;
@@ -218,7 +218,7 @@
 
     /// Returns how many loads to run at once on this number of engines.
     #[must_use]
-    pub fn at_once(&self, engines: usize) -> usize {
+    pub fn max_loads(&self, engines: usize) -> usize {
         let rate = |loads: usize| {
             self.seconds
                 .get(&loads)
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -7,7 +7,7 @@
 //! * [`choice`]: chooses the process that runs a new batch.
 //! * [`batch`]: the state of a batch: which item starts next and which results are listed.
 //! * [`engines`]: chooses the engine for an item.
-//! * [`wave`]: plans which engine loads which weights next.
+//! * [`load_plan`]: plans which engine loads which weights next.
 //! * [`pace`]: the speed of engines, as owners share it.
 //! * [`presence`]: detects whether the owner of a batch is alive.
 //! * [`order_records`]: records the last order to each engine, for when the duty changes hands.
@@ -28,6 +28,7 @@
 pub mod batch;
 pub mod choice;
 pub mod engines;
+pub mod load_plan;
 pub mod order_records;
 pub mod pace;
 pub mod presence;
@@ -38,6 +39,5 @@
 mod tier;
 pub mod urgency;
 pub mod waits;
-pub mod wave;
 
 pub use self::spec::{Item, ItemResult, Order, OrderAnswer, Outcome, Scorer, Submission};
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -3,8 +3,8 @@
 use hibiscusroad::{
     rollout::{
         engines::{Engines, Requirements},
+        load_plan::{EngineStatus, LoadConcurrency, ModelGoal, plan},
         pace::{Paces, Sample},
-        wave::{EngineStatus, ModelGoal, Pace, plan},
     },
     roster::{Endpoint, Weights},
 };
@@ -258,16 +258,19 @@
 #[test]
 fn number_of_concurrent_loads_is_learned() {
     for threshold in [2_u32, 5, 8] {
-        let mut pace = Pace::new();
+        let mut pace = LoadConcurrency::new();
         for _ in 0..60 {
-            let loads = pace.at_once(9);
+            let loads = pace.max_loads(9);
             let factor = (loads as f64 / f64::from(threshold)).max(1.0);
-            pace.loaded(loads, Duration::from_secs_f64(0.9 * factor));
+            pace.record_load(loads, Duration::from_secs_f64(0.9 * factor));
         }
         assert!(
-            u32::try_from(pace.at_once(9)).unwrap().abs_diff(threshold) <= 1,
+            u32::try_from(pace.max_loads(9))
+                .unwrap()
+                .abs_diff(threshold)
+                <= 1,
             "{threshold}: {}",
-            pace.at_once(9)
+            pace.max_loads(9)
         );
     }
 }
@@ -378,17 +381,17 @@
 // one learned.
 #[test]
 fn learned_concurrency_survives_encoding() {
-    let mut pace = Pace::new();
-    assert_eq!(pace.at_once(9), 2);
-    assert_eq!(pace.at_once(40), 5, "more engines allow more loads");
+    let mut pace = LoadConcurrency::new();
+    assert_eq!(pace.max_loads(9), 2);
+    assert_eq!(pace.max_loads(40), 5, "more engines allow more loads");
     for n in 2..7_u32 {
         let factor = f64::from(n.max(4)) / 4.0;
-        pace.loaded(n as usize, Duration::from_secs_f64(0.9 * factor));
+        pace.record_load(n as usize, Duration::from_secs_f64(0.9 * factor));
     }
-    assert_eq!(pace.at_once(9), 4);
-    assert_eq!(pace.at_once(40), 4, "the initial number was too high");
+    assert_eq!(pace.max_loads(9), 4);
+    assert_eq!(pace.max_loads(40), 4, "the initial number was too high");
     let encoded = serde_json::to_vec(&pace).unwrap();
-    let decoded: Pace = serde_json::from_slice(&encoded).unwrap();
+    let decoded: LoadConcurrency = serde_json::from_slice(&encoded).unwrap();
     assert_eq!(decoded, pace);
 }
 
