--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -277,7 +277,7 @@
     Some(Requirements {
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
-        min_version: submission.floor,
+        min_version: submission.min_version,
         exact_version: owned.batch.borrow().required_version(n),
         group,
         excluded: None,
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -117,7 +117,7 @@
     fn next_floor(&self, owned: &Owned) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
         let named = self.known.named().get(model).copied()?;
-        let began = owned.submission.floor + owned.lag;
+        let began = owned.submission.min_version + owned.lag;
         (named > began).then(|| (named + 1).saturating_sub(owned.lag))
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -142,8 +142,8 @@
                 let held = owners.get(&presence.incarnation)?;
                 Some(Candidate {
                     presence,
-                    items: held.items,
-                    last: held.last,
+                    open_items: held.items,
+                    last_batch_at: held.last,
                 })
             })
             .collect();
@@ -232,7 +232,7 @@
         } = new;
         log::info!(target: BATCHES, batch = id, items = submission.items.len(),
             model = submission.model.as_deref(), step = submission.step,
-            floor = submission.floor, groups = head.groups.len(),
+            floor = submission.min_version, groups = head.groups.len(),
             target = submission.target, carried = head.carried, row = version,
             owner = head.owner.as_str(); "A batch is accepted.");
         self.count("accepted");
@@ -307,7 +307,7 @@
             owner,
             total: submission.items.len(),
             ended: false,
-            lag: named.unwrap_or(1).saturating_sub(submission.floor),
+            lag: named.unwrap_or(1).saturating_sub(submission.min_version),
             work: submission.items.iter().map(tokens).sum(),
             carried: self.carried(name.as_deref(), model.as_deref(), &groups),
             priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -7,7 +7,7 @@
 use crate::{gateway::http::encode, logs::WEIGHTS};
 use hibiscusroad::{
     clock::millis,
-    rollout::{Order, OrderAnswer, load_plan::WeightLoad},
+    rollout::{LoadOrder, OrderAnswer, load_plan::WeightLoad},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -75,13 +75,13 @@
                 .insert(load.endpoint.clone(), orders);
             return false;
         };
-        let order = Order {
+        let order = LoadOrder {
             endpoint: load.endpoint.clone(),
             model: load.model.clone(),
             version: load.version,
             holder: self.duty.life().to_owned(),
-            fence,
-            expected: orders,
+            fencing_token: fence,
+            expected_orders: orders,
         };
         let mut weights = endpoint.weights.iter();
         let from = weights.find(|weights| weights.model == load.model);
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -130,7 +130,7 @@
             waits: WaitTracker::default(),
             listed: 0,
             max_attempts: max_attempts.max(1),
-            min_version: submission.floor,
+            min_version: submission.min_version,
             single_version,
         }
     }
--- a/src/rollout/choice.rs
+++ b/src/rollout/choice.rs
@@ -32,9 +32,9 @@
     /// The row of the process, as read for this choice.
     pub presence: Presence,
     /// Number of items in its open batches.
-    pub items: usize,
+    pub open_items: usize,
     /// When it was given its last batch, by the store's clock.
-    pub last: Duration,
+    pub last_batch_at: Duration,
 }
 
 /// Chooses the process for a batch of `items` items that a process with `memory` MB
@@ -55,8 +55,8 @@
         let alive = now.saturating_sub(renewed) <= MAX_ROW_AGE;
         let large = candidate_memory.saturating_mul(MAX_MEMORY_RATIO) >= memory;
         let max_items = MAX_ITEMS_PER_MB * usize::try_from(candidate_memory).unwrap_or(usize::MAX);
-        alive && large && candidate.items + items <= max_items
+        alive && large && candidate.open_items + items <= max_items
     };
     let eligible = candidates.iter().filter(eligible);
-    eligible.max_by_key(|candidate| (candidate.presence.memory, candidate.last))
+    eligible.max_by_key(|candidate| (candidate.presence.memory, candidate.last_batch_at))
 }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -40,4 +40,4 @@
 pub mod urgency;
 pub mod waits;
 
-pub use self::spec::{Item, ItemResult, Order, OrderAnswer, Outcome, Scorer, Submission};
+pub use self::spec::{Item, ItemResult, LoadOrder, OrderAnswer, Outcome, Scorer, Submission};
--- a/src/rollout/spec.rs
+++ b/src/rollout/spec.rs
@@ -44,7 +44,7 @@
     /// The model that generates.
     pub model: Option<String>,
     /// The oldest weight version that may generate.
-    pub floor: u64,
+    pub min_version: u64,
     /// Number of complete groups that the trainer waits for.
     pub target: Option<usize>,
     /// The generations.
@@ -78,7 +78,7 @@
 
 /// An order to load weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct LoadOrder {
     /// The engine that the order is for.
     pub endpoint: String,
     /// The model.
@@ -88,9 +88,9 @@
     /// The holder that gives the order.
     pub holder: String,
     /// The fencing token of the holder's lease.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Number of orders that the engine must have accepted before.
-    pub expected: u64,
+    pub expected_orders: u64,
 }
 
 /// An engine's answer to an order.
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -31,7 +31,7 @@
     Submission {
         step: Some(1),
         model: Some("guide".to_owned()),
-        floor: 3,
+        min_version: 3,
         target: Some(hints.len()),
         items: items.collect(),
     }
--- a/tests/rollout_choice.rs
+++ b/tests/rollout_choice.rs
@@ -18,8 +18,8 @@
             renewed: 10_000 - age_ms,
             memory,
         },
-        items: 200,
-        last: Duration::from_secs(8),
+        open_items: 200,
+        last_batch_at: Duration::from_secs(8),
     }
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn batches_of_all_trainers_go_to_one_process() {
     let mut owners = [candidate("a", 10, 512), candidate("b", 10, 512)];
-    owners[1].last += Duration::from_secs(1);
+    owners[1].last_batch_at += Duration::from_secs(1);
     assert_eq!(chosen(&owners), Some("b/aa"));
 }
 
@@ -74,8 +74,8 @@
 #[test]
 fn owner_without_capacity_gets_nothing_more() {
     let mut full = candidate("a", 10, 512);
-    full.items = 1_025;
+    full.open_items = 1_025;
     assert!(choose(std::slice::from_ref(&full), 1_024, 512, NOW).is_none());
-    full.items = 1_024;
+    full.open_items = 1_024;
     assert!(choose(&[full], 1_024, 512, NOW).is_some());
 }
