--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -9,7 +9,7 @@
 //! Since nothing is sent that isn't written down, the lease may be taken from a holder
 //! that is only suspected to be gone, by the same signs as owners of batches: after
 //! 1.1 s in place of a span, or at once where its process was started anew.
-//! [`hibiscusroad::rollout::turns`] says what a new holder leaves alone, and until when.
+//! [`hibiscusroad::rollout::order_records`] says what a new holder leaves alone, and until when.
 
 use super::{batches::Batches, boot::BootClock, store::Store};
 use crate::logs::DUTY as PART;
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -3,7 +3,7 @@
 //! It writes down which engines it is about to order before it sends anything, and an
 //! engine's own count of accepted orders goes along as a condition: an order whose
 //! answer was lost, and that is carried out late, is refused then because others came
-//! after it. [`hibiscusroad::rollout::turns`] says which engines a new holder leaves
+//! after it. [`hibiscusroad::rollout::order_records`] says which engines a new holder leaves
 //! alone.
 //!
 //! * [`order`]: what is to be loaded next, and that it is written down first.
--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -277,8 +277,8 @@
     }
 
     /// Records what the next item waits for from now on, if it waits.
-    pub fn record_wait(&mut self, now: Instant, lack: Option<WaitReason>) {
-        self.waits.record(now, lack);
+    pub fn record_wait(&mut self, now: Instant, reason: Option<WaitReason>) {
+        self.waits.record(now, reason);
     }
 
     /// Returns how long an item has waited since this owner got the batch or the item was
--- a/src/rollout/load_plan.rs
+++ b/src/rollout/load_plan.rs
@@ -74,9 +74,9 @@
     pub version: u64,
 }
 
-/// Chooses the loads to order now, limiting the loads in progress to `at_once`.
+/// Chooses the loads to order now, limiting the loads in progress to `max_loads`.
 #[must_use]
-pub fn plan(engines: &[EngineStatus], goals: &[ModelGoal], at_once: usize) -> Vec<WeightLoad> {
+pub fn plan(engines: &[EngineStatus], goals: &[ModelGoal], max_loads: usize) -> Vec<WeightLoad> {
     let busy = engines.iter().filter(|engine| engine.loading).count();
     let mut candidates = Vec::new();
     for (goal, mut assigned) in goals.iter().zip(assign(engines, goals)) {
@@ -118,7 +118,7 @@
     let loads = candidates.into_iter().filter(can_load);
     loads
         .filter(|load| chosen.insert(load.engine))
-        .take(at_once.saturating_sub(busy))
+        .take(max_loads.saturating_sub(busy))
         .map(|load| WeightLoad {
             endpoint: engines[load.engine].id.clone(),
             model: load.goal.model.clone(),
@@ -209,10 +209,10 @@
         Self::default()
     }
 
-    /// Records the duration of a load that ran while `at_once` loads were in progress.
-    pub fn record_load(&mut self, at_once: usize, duration: Duration) {
+    /// Records the duration of a load that ran while `concurrent` loads were in progress.
+    pub fn record_load(&mut self, concurrent: usize, duration: Duration) {
         let seconds = duration.as_secs_f64().max(0.001);
-        let mean = self.seconds.entry(at_once).or_insert(seconds);
+        let mean = self.seconds.entry(concurrent).or_insert(seconds);
         *mean += (seconds - *mean) * SAMPLE_WEIGHT;
     }
 
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -19,11 +19,12 @@
 /// An owner whose row is unchanged for this time is taken to be dead: it has missed
 /// three renewals.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Number of store latencies added to [`SILENCE`]. A slow store delays the renewal by
-/// two (a write takes longer than a read) and the poll by one or two.
+/// Number of store latencies added to [`HEARTBEAT_TIMEOUT`]. A slow store delays the
+/// renewal by two (a write takes longer than a read) and the poll by one or two.
 const TIMEOUT_LATENCIES: u32 = 4;
-/// Number of processes, drawn by hash, that poll for an owner at every [`RENEWAL`].
-/// The others poll less often and notice an owner whose watchers fail with it.
+/// Number of processes, drawn by hash, that poll for an owner at every
+/// [`HEARTBEAT_INTERVAL`]. The others poll less often and notice an owner whose watchers
+/// fail with it.
 const WATCHERS: u32 = 6;
 /// Range over which the takeover delays of processes are spread, in milliseconds. The
 /// other processes need time to learn of the first takeover.
@@ -66,7 +67,7 @@
     since: Instant,
 }
 
-/// The rows of all processes, as one process has seen them.
+/// Detects lost owners from the rows of all processes that one process polls.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
     processes: HashMap<String, Observation>,
@@ -90,22 +91,25 @@
     }
 
     /// Records a poll that the store answered at `now`, after `latency`.
-    pub fn record_poll(&mut self, now: Instant, latency: Duration, signs: Vec<Heartbeat>) {
+    pub fn record_poll(&mut self, now: Instant, latency: Duration, heartbeats: Vec<Heartbeat>) {
         self.latency = latency;
         self.last_poll = Some(now);
-        let present: HashSet<&str> = signs.iter().map(|sign| sign.name.as_str()).collect();
+        let present: HashSet<&str> = heartbeats
+            .iter()
+            .map(|heartbeat| heartbeat.name.as_str())
+            .collect();
         self.processes
             .retain(|name, _| present.contains(name.as_str()));
-        for sign in signs {
-            let known = self.processes.get(&sign.name);
-            if known.is_none_or(|process| process.version != sign.version) {
+        for heartbeat in heartbeats {
+            let known = self.processes.get(&heartbeat.name);
+            if known.is_none_or(|process| process.version != heartbeat.version) {
                 let process = Observation {
-                    incarnation: sign.incarnation,
-                    version: sign.version,
-                    memory: sign.memory,
+                    incarnation: heartbeat.incarnation,
+                    version: heartbeat.version,
+                    memory: heartbeat.memory,
                     since: now,
                 };
-                self.processes.insert(sign.name, process);
+                self.processes.insert(heartbeat.name, process);
             }
         }
     }
--- a/src/rollout/waits.rs
+++ b/src/rollout/waits.rs
@@ -46,18 +46,18 @@
 
 impl WaitTracker {
     /// Records what the next item waits for from now on, if it waits.
-    pub fn record(&mut self, now: Instant, lack: Option<WaitReason>) {
+    pub fn record(&mut self, now: Instant, reason: Option<WaitReason>) {
         self.total = self.total(now);
-        self.current = lack.map(|lack| (lack, now));
+        self.current = reason.map(|reason| (reason, now));
     }
 
     /// Returns the wait times up to now.
     #[must_use]
     pub fn total(&self, now: Instant) -> WaitTimes {
         let mut total = self.total;
-        if let Some((lack, since)) = self.current {
+        if let Some((reason, since)) = self.current {
             let elapsed = now.saturating_duration_since(since);
-            match lack {
+            match reason {
                 WaitReason::Weights => total.weights += elapsed,
                 WaitReason::Capacity => total.capacity += elapsed,
             }
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -23,9 +23,9 @@
 const MAX_REPORT_DELAY: Duration = Duration::from_mins(1);
 /// How long reports and counts stay in the store, for inspection.
 const RETENTION: Duration = Duration::from_mins(2);
-/// The one key of all windows in [`Turns`]: calls of two holders must not overlap, even
+/// The one key of all windows in [`OrderRecords`]: calls of two holders must not overlap, even
 /// for different windows.
-const TURNS_KEY: &str = "usage";
+const ORDERS_KEY: &str = "usage";
 
 /// The timing of reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -134,14 +134,14 @@
     /// successor waits until none of them can arrive any more.
     #[must_use]
     pub fn barred(&self, holder: &str) -> Option<Duration> {
-        let mut turns = OrderRecords::new();
+        let mut records = OrderRecords::new();
         let others = self
             .stored
             .values()
             .filter(|report| report.holder != holder);
         let last = others.max_by_key(|report| report.at)?;
-        turns.record(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
-        turns.blocked_until(TURNS_KEY, holder, self.terms.apart)
+        records.record(ORDERS_KEY, &last.holder, Duration::from_millis(last.at));
+        records.blocked_until(ORDERS_KEY, holder, self.terms.apart)
     }
 
     /// Returns the next action at the time of day `now`. `store_back` is when the store
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -160,7 +160,7 @@
 }
 
 /// Builds engines that all have the same weights.
-fn loaders(count: usize, weights: &[(&str, u64)]) -> Vec<EngineStatus> {
+fn engine_statuses(count: usize, weights: &[(&str, u64)]) -> Vec<EngineStatus> {
     let engines = (0..count).map(|n| EngineStatus {
         id: format!("e{n}"),
         weights: weights.iter().map(|(m, v)| ((*m).to_owned(), *v)).collect(),
@@ -203,7 +203,7 @@
 // only every other version.
 #[test]
 fn engines_skip_versions_when_steps_may_lag() {
-    let mut engines = loaders(9, &[("guide", 1)]);
+    let mut engines = engine_statuses(9, &[("guide", 1)]);
     let mut loads = Vec::new();
     for named in 2..12 {
         let is_usable = |e: &EngineStatus| e.weights["guide"] + 1 >= named;
@@ -216,7 +216,7 @@
 
 #[test]
 fn every_engine_loads_each_version_when_steps_may_not_lag() {
-    let mut engines = loaders(5, &[("guide", 1)]);
+    let mut engines = engine_statuses(5, &[("guide", 1)]);
     assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 5);
     assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 0);
 }
@@ -224,7 +224,7 @@
 // Guards against models that exchange engines from version to version.
 #[test]
 fn models_keep_their_engines() {
-    let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
+    let mut engines = engine_statuses(9, &[("a", 1), ("b", 1), ("c", 1)]);
     let goals = |named| {
         [
             goal("a", named, 1),
@@ -245,7 +245,7 @@
 
 #[test]
 fn concurrent_loads_are_limited() {
-    let mut engines = loaders(9, &[("guide", 1)]);
+    let mut engines = engine_statuses(9, &[("guide", 1)]);
     assert_eq!(plan(&engines, &[goal("guide", 9, 1)], 2).len(), 2);
     engines[0].loading = true;
     let loads = plan(&engines, &[goal("guide", 9, 1)], 2);
@@ -258,19 +258,19 @@
 #[test]
 fn number_of_concurrent_loads_is_learned() {
     for threshold in [2_u32, 5, 8] {
-        let mut pace = LoadConcurrency::new();
+        let mut concurrency = LoadConcurrency::new();
         for _ in 0..60 {
-            let loads = pace.max_loads(9);
+            let loads = concurrency.max_loads(9);
             let factor = (loads as f64 / f64::from(threshold)).max(1.0);
-            pace.record_load(loads, Duration::from_secs_f64(0.9 * factor));
+            concurrency.record_load(loads, Duration::from_secs_f64(0.9 * factor));
         }
         assert!(
-            u32::try_from(pace.max_loads(9))
+            u32::try_from(concurrency.max_loads(9))
                 .unwrap()
                 .abs_diff(threshold)
                 <= 1,
             "{threshold}: {}",
-            pace.max_loads(9)
+            concurrency.max_loads(9)
         );
     }
 }
@@ -363,7 +363,7 @@
 // its engines back.
 #[test]
 fn stale_models_are_loaded_in_turn() {
-    let engines = loaders(12, &[("a", 1), ("b", 1)]);
+    let engines = engine_statuses(12, &[("a", 1), ("b", 1)]);
     let urgent = ModelGoal {
         work: 2.0,
         ..goal("a", 5, 1)
@@ -381,18 +381,26 @@
 // one learned.
 #[test]
 fn learned_concurrency_survives_encoding() {
-    let mut pace = LoadConcurrency::new();
-    assert_eq!(pace.max_loads(9), 2);
-    assert_eq!(pace.max_loads(40), 5, "more engines allow more loads");
+    let mut concurrency = LoadConcurrency::new();
+    assert_eq!(concurrency.max_loads(9), 2);
+    assert_eq!(
+        concurrency.max_loads(40),
+        5,
+        "more engines allow more loads"
+    );
     for n in 2..7_u32 {
         let factor = f64::from(n.max(4)) / 4.0;
-        pace.record_load(n as usize, Duration::from_secs_f64(0.9 * factor));
+        concurrency.record_load(n as usize, Duration::from_secs_f64(0.9 * factor));
     }
-    assert_eq!(pace.max_loads(9), 4);
-    assert_eq!(pace.max_loads(40), 4, "the initial number was too high");
-    let encoded = serde_json::to_vec(&pace).unwrap();
+    assert_eq!(concurrency.max_loads(9), 4);
+    assert_eq!(
+        concurrency.max_loads(40),
+        4,
+        "the initial number was too high"
+    );
+    let encoded = serde_json::to_vec(&concurrency).unwrap();
     let decoded: LoadConcurrency = serde_json::from_slice(&encoded).unwrap();
-    assert_eq!(decoded, pace);
+    assert_eq!(decoded, concurrency);
 }
 
 // Guards against load and paces of an engine's former incarnation that are attributed to
@@ -432,7 +440,7 @@
 // gets others.
 #[test]
 fn slow_engines_are_excluded_from_the_plan() {
-    let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
+    let mut engines = engine_statuses(9, &[("a", 1), ("b", 1), ("c", 1)]);
     let goals = |named| {
         [
             goal("a", named, 1),
--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -10,10 +10,10 @@
 
 const OWNER: &str = "gateway-1/aa";
 
-fn sign(life: &str, version: u64) -> Heartbeat {
+fn heartbeat(incarnation: &str, version: u64) -> Heartbeat {
     Heartbeat {
         name: "gateway-1".to_owned(),
-        incarnation: life.to_owned(),
+        incarnation: incarnation.to_owned(),
         version,
         memory: 512,
     }
@@ -37,7 +37,7 @@
         writes.push(at);
         at += HEARTBEAT_INTERVAL;
     }
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let mut at = offset;
     while at < end {
         // The store reads its state in the middle of the call.
@@ -45,9 +45,9 @@
         at += latency;
         let version = writes.iter().filter(|write| **write <= as_of).count() as u64;
         if version > 0 {
-            presences.record_poll(start + at, latency, vec![sign(OWNER, version)]);
+            detector.record_poll(start + at, latency, vec![heartbeat(OWNER, version)]);
         }
-        if presences.loss(OWNER, start).is_some() {
+        if detector.loss(OWNER, start).is_some() {
             return Some(at);
         }
         at += HEARTBEAT_INTERVAL;
@@ -85,21 +85,25 @@
 #[test]
 fn outage_of_the_store_does_not_count_as_silence() {
     let start = Instant::now();
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.record_poll(start, latency, vec![sign(OWNER, 7)]);
-    presences.clear();
+    detector.record_poll(start, latency, vec![heartbeat(OWNER, 7)]);
+    detector.clear();
     let recovery = start + Duration::from_mins(1);
-    presences.record_poll(recovery, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.loss(OWNER, start), None);
-    presences.record_poll(recovery + HEARTBEAT_TIMEOUT, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.loss(OWNER, start), None);
-    presences.record_poll(
+    detector.record_poll(recovery, latency, vec![heartbeat(OWNER, 7)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(
+        recovery + HEARTBEAT_TIMEOUT,
+        latency,
+        vec![heartbeat(OWNER, 7)],
+    );
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(
         recovery + HEARTBEAT_TIMEOUT * 2,
         latency,
-        vec![sign(OWNER, 7)],
+        vec![heartbeat(OWNER, 7)],
     );
-    assert_eq!(presences.loss(OWNER, start), Some(Loss::Silent));
+    assert_eq!(detector.loss(OWNER, start), Some(Loss::Silent));
 }
 
 // Guards against an owner that is taken to be gone by a poll from before it was known, or
@@ -107,14 +111,14 @@
 #[test]
 fn owner_is_not_lost_before_a_poll() {
     let start = Instant::now();
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    assert_eq!(presences.loss(OWNER, start), None);
-    presences.record_poll(start, latency, vec![sign("gateway-1/before", 1)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(start, latency, vec![heartbeat("gateway-1/before", 1)]);
     let since = start + Duration::from_secs(9);
-    assert_eq!(presences.loss(OWNER, since), None, "an earlier poll");
-    presences.record_poll(since, latency, vec![sign(OWNER, 2)]);
-    assert_eq!(presences.loss(OWNER, since), None);
+    assert_eq!(detector.loss(OWNER, since), None, "an earlier poll");
+    detector.record_poll(since, latency, vec![heartbeat(OWNER, 2)]);
+    assert_eq!(detector.loss(OWNER, since), None);
 }
 
 // An owner that removed its row or was restarted is detected without a timeout.
@@ -122,19 +126,19 @@
 fn owner_that_left_or_restarted_is_detected_at_once() {
     let start = Instant::now();
     let now = start + Duration::from_secs(9);
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.record_poll(now, latency, vec![sign(OWNER, 1)]);
-    assert_eq!(presences.loss(OWNER, start), None);
-    presences.record_poll(now, latency, Vec::new());
-    assert_eq!(presences.loss(OWNER, start), Some(Loss::NoRow));
+    detector.record_poll(now, latency, vec![heartbeat(OWNER, 1)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(now, latency, Vec::new());
+    assert_eq!(detector.loss(OWNER, start), Some(Loss::NoRow));
     assert_eq!(
-        presences.loss(OWNER, now),
+        detector.loss(OWNER, now),
         None,
         "its first row may not be written yet"
     );
-    presences.record_poll(now, latency, vec![sign("gateway-1/bb", 2)]);
-    assert_eq!(presences.loss(OWNER, now), Some(Loss::LivesAnew));
+    detector.record_poll(now, latency, vec![heartbeat("gateway-1/bb", 2)]);
+    assert_eq!(detector.loss(OWNER, now), Some(Loss::LivesAnew));
 }
 
 // A stopping process chooses a successor that is alive and not itself; different
@@ -142,7 +146,7 @@
 #[test]
 fn successor_is_alive() {
     let start = Instant::now();
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
     let row = |n: u64, version: u64| Heartbeat {
         name: format!("gateway-{n}"),
@@ -150,22 +154,22 @@
         version,
         memory: 512,
     };
-    assert_eq!(presences.successor("gateway-1"), None);
-    presences.record_poll(start, latency, (1..=4).map(|n| row(n, n)).collect());
+    assert_eq!(detector.successor("gateway-1"), None);
+    detector.record_poll(start, latency, (1..=4).map(|n| row(n, n)).collect());
     let later = start + HEARTBEAT_TIMEOUT * 2;
     let renewed = |n: u64| if n < 4 { n + 10 } else { n };
-    presences.record_poll(
+    detector.record_poll(
         later,
         latency,
         (1..=4).map(|n| row(n, renewed(n))).collect(),
     );
-    let successor = presences.successor("gateway-1").unwrap();
+    let successor = detector.successor("gateway-1").unwrap();
     assert!(
         ["gateway-2/aa", "gateway-3/aa"].contains(&successor),
         "{successor}"
     );
     let successors: HashSet<_> = (5..40)
-        .filter_map(|n| presences.successor(&format!("gateway-{n}")))
+        .filter_map(|n| detector.successor(&format!("gateway-{n}")))
         .collect();
     let alive = ["gateway-1/aa", "gateway-2/aa", "gateway-3/aa"];
     assert_eq!(successors, alive.into());
@@ -175,7 +179,7 @@
 #[test]
 fn successor_exists_where_no_other_process_owns_batches() {
     let start = Instant::now();
-    let mut presences = FailureDetector::new();
+    let mut detector = FailureDetector::new();
     let row = |n: u64, memory: u32| Heartbeat {
         name: format!("gateway-{n}"),
         incarnation: format!("gateway-{n}/aa"),
@@ -184,9 +188,9 @@
     };
     let rows = || vec![row(1, 512), row(2, 160), row(3, 512), row(4, 512)];
     let latency = Duration::from_millis(5);
-    presences.record_poll(start, latency, rows());
-    presences.record_poll(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
-    let successor = presences.successor("gateway-1").unwrap();
+    detector.record_poll(start, latency, rows());
+    detector.record_poll(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
+    let successor = detector.successor("gateway-1").unwrap();
     assert!(
         ["gateway-3/aa", "gateway-4/aa"].contains(&successor),
         "{successor}"
@@ -196,20 +200,20 @@
 // Guards against batches of a lost owner that are scattered, or go to small hosts.
 #[test]
 fn large_processes_take_over_first() {
-    let mut presences = FailureDetector::new();
-    let sign = |n: u32| Heartbeat {
+    let mut detector = FailureDetector::new();
+    let heartbeat = |n: u32| Heartbeat {
         name: format!("gateway-{n}"),
         incarnation: format!("gateway-{n}/aa"),
         version: 1,
         memory: if n < 4 { 160 } else { 512 },
     };
-    assert!(presences.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
-    presences.record_poll(
+    assert!(detector.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
+    detector.record_poll(
         Instant::now(),
         Duration::from_millis(5),
-        (0..8).map(sign).collect(),
+        (0..8).map(heartbeat).collect(),
     );
-    let delay = |n: u32| presences.takeover_delay(&format!("gateway-{n}"), sign(n).memory);
+    let delay = |n: u32| detector.takeover_delay(&format!("gateway-{n}"), heartbeat(n).memory);
     let longest = (4..8).map(delay).max().unwrap();
     assert!((0..4).all(|n| delay(n) >= longest));
     assert!((0..8).all(|n| delay(n) <= Duration::from_millis(300)));
@@ -218,19 +222,19 @@
 /// Builds the view of a process that has polled `count` rows, and their names.
 fn poll_processes(count: usize) -> (FailureDetector, Vec<String>) {
     let names: Vec<String> = (0..count).map(|n| format!("gateway-{n}")).collect();
-    let sign = |name: &String| Heartbeat {
+    let heartbeat = |name: &String| Heartbeat {
         name: name.clone(),
         incarnation: format!("{name}/aa"),
         version: 1,
         memory: 512,
     };
-    let mut presences = FailureDetector::new();
-    presences.record_poll(
+    let mut detector = FailureDetector::new();
+    detector.record_poll(
         Instant::now(),
         Duration::from_millis(4),
-        names.iter().map(sign).collect(),
+        names.iter().map(heartbeat).collect(),
     );
-    (presences, names)
+    (detector, names)
 }
 
 // Guards against polls that exhaust the store with many processes, and against owners
@@ -238,11 +242,11 @@
 #[test]
 fn each_owner_has_a_few_watchers_among_any_number_of_processes() {
     for count in [8, 34, 88, 360] {
-        let (presences, names) = poll_processes(count);
+        let (detector, names) = poll_processes(count);
         let owners = ["gateway-1/aa", "gateway-2/aa"];
         let intervals = names
             .iter()
-            .map(|name| presences.poll_interval(name, owners));
+            .map(|name| detector.poll_interval(name, owners));
         let rate: f64 = intervals
             .clone()
             .map(|interval| 1.0 / interval.as_secs_f64())
@@ -254,7 +258,7 @@
         for owner in owners {
             let watchers = names
                 .iter()
-                .filter(|name| presences.poll_interval(name, [owner]) <= HEARTBEAT_INTERVAL);
+                .filter(|name| detector.poll_interval(name, [owner]) <= HEARTBEAT_INTERVAL);
             assert!(watchers.count() >= 6, "{count}");
         }
     }
@@ -264,19 +268,19 @@
 // owners are polled eventually.
 #[test]
 fn nearly_all_owners_keep_a_watcher_when_a_third_of_hosts_fail() {
-    let (presences, names) = poll_processes(360);
+    let (detector, names) = poll_processes(360);
     let alive: HashSet<&String> = names.iter().skip(120).collect();
     let owners: Vec<String> = (0..1000).map(|n| format!("owner-{n}/aa")).collect();
     let unwatched = owners.iter().filter(|owner| {
         let mut watchers = alive
             .iter()
-            .filter(|name| presences.poll_interval(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
+            .filter(|name| detector.poll_interval(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
         watchers.next().is_none()
     });
     assert!(unwatched.count() <= 5);
     let longest = names
         .iter()
-        .map(|name| presences.poll_interval(name, ["owner-1/aa"]))
+        .map(|name| detector.poll_interval(name, ["owner-1/aa"]))
         .max();
     assert!(longest.unwrap() <= Duration::from_secs(20));
 }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -14,14 +14,14 @@
 #[test]
 fn only_engines_with_recent_orders_are_spared() {
     let now = Duration::from_secs(100);
-    let mut turns = OrderRecords::new();
-    turns.record("e1", "gateway-1/aa", now);
-    let until = turns.blocked_until("e1", "gateway-2/bb", APART).unwrap();
+    let mut records = OrderRecords::new();
+    records.record("e1", "gateway-1/aa", now);
+    let until = records.blocked_until("e1", "gateway-2/bb", APART).unwrap();
     assert!(until >= now + ORDER_TTL + APART, "{until:?}");
-    assert_eq!(turns.blocked_until("e2", "gateway-2/bb", APART), None);
-    assert_eq!(turns.blocked_until("e1", "gateway-1/aa", APART), None);
-    turns.expire(until, APART);
-    assert_eq!(turns, OrderRecords::new());
+    assert_eq!(records.blocked_until("e2", "gateway-2/bb", APART), None);
+    assert_eq!(records.blocked_until("e1", "gateway-1/aa", APART), None);
+    records.expire(until, APART);
+    assert_eq!(records, OrderRecords::new());
 }
 
 // The lease of a suspected holder is taken over before it expires, but only if the
@@ -68,7 +68,7 @@
 struct Store {
     holder: usize,
     version: u64,
-    turns: OrderRecords,
+    records: OrderRecords,
 }
 
 /// The write of an order's record; times are in steps.
@@ -85,7 +85,7 @@
 struct Process {
     /// The version of the lease's row under which it believes to hold the lease.
     lease_version: Option<u64>,
-    turns: OrderRecords,
+    records: OrderRecords,
     write: Option<Write>,
     /// Remaining steps of a freeze.
     frozen_steps: u32,
@@ -117,7 +117,7 @@
     fn new(lease_version: Option<u64>) -> Self {
         Self {
             lease_version,
-            turns: OrderRecords::new(),
+            records: OrderRecords::new(),
             write: None,
             frozen_steps: 0,
         }
@@ -130,7 +130,7 @@
         if write.arrives_at == at && (unconditional || self.lease_version == Some(store.version)) {
             write.applied = true;
             store
-                .turns
+                .records
                 .record(&write.engine.to_string(), name, STEP * write.sent_at);
         }
     }
@@ -153,11 +153,11 @@
             store.holder = n;
             store.version += 1;
             self.lease_version = Some(store.version);
-            self.turns = store.turns.clone();
+            self.records = store.records.clone();
             return None;
         }
         let blocked_until = self
-            .turns
+            .records
             .blocked_until(&choices.engine.to_string(), &name, APART);
         if self.lease_version.is_some() && blocked_until.is_none_or(|until| until <= STEP * at) {
             let arrives_at = at + 1 + choices.request_latency;
@@ -179,7 +179,7 @@
     let mut store = Store {
         holder: 0,
         version: 1,
-        turns: OrderRecords::new(),
+        records: OrderRecords::new(),
     };
     let lease_version = |n: usize| (n == 0).then_some(1);
     let mut processes: Vec<Process> = (0..HOLDERS)
