--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -11,7 +11,7 @@
     rollout::{
         Submission,
         batch::Batch,
-        presence::{Loss, RENEWAL, Sign},
+        presence::{HEARTBEAT_INTERVAL, Heartbeat, Loss},
         row::{self, Head, Presence},
         text::{Piece, Text},
     },
@@ -82,7 +82,7 @@
             }
             let presence = self.presence();
             let value = serde_json::to_vec(&presence).unwrap_or_default();
-            let change = Change::new().put(row::entry(&self.directory.name), value);
+            let change = Change::new().put(row::process(&self.directory.name), value);
             let done = self.store.transact(&change).await;
             if !matches!(done, Commit::Done { .. }) {
                 sleep(backoff.next_wait(&mut rand::rng())).await;
@@ -90,7 +90,7 @@
             }
             backoff.reset();
             loop {
-                sleep(RENEWAL).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 // The first answer of the store tells its clock.
                 if self.is_seen_to_live() || presence.offset.is_none() {
                     break;
@@ -110,7 +110,7 @@
 
     fn presence(&self) -> Presence {
         Presence {
-            life: self.life.clone(),
+            incarnation: self.life.clone(),
             peer: self.directory.address,
             renewed: millis(self.store.now().unwrap_or_default()),
             memory: self.memory,
@@ -142,14 +142,14 @@
             match self.look().await {
                 Ok(()) => {
                     for (id, row) in foreign {
-                        let why = self.seen.borrow().lost(&row.head.owner, row.since);
+                        let why = self.seen.borrow().loss(&row.head.owner, row.since);
                         if let Some(why) = why {
                             self.take_over(&id, &row, why).await;
                         }
                     }
                 }
                 Err(error) => {
-                    self.seen.borrow_mut().blind();
+                    self.seen.borrow_mut().clear();
                     log::debug!(target: BATCHES, error = error.as_str();
                         "Owners of batches could not be looked at.");
                 }
@@ -166,7 +166,10 @@
             let foreign = self.foreign();
             let owners = foreign.iter().map(|(_, row)| row.head.owner.as_str());
             let owners = owners.chain([WEIGHTS_DUTY]);
-            let pause = self.seen.borrow().pause(&self.directory.name, owners);
+            let pause = self
+                .seen
+                .borrow()
+                .poll_interval(&self.directory.name, owners);
             let next = looked + pause;
             if Instant::now() >= next {
                 return;
@@ -181,7 +184,7 @@
     fn foreign(&self) -> Vec<(String, HeadRow)> {
         let heads = self.heads.borrow();
         let now = millis(self.store.now().unwrap_or_default());
-        let open = |row: &HeadRow| !row.head.ended && now < row.head.until;
+        let open = |row: &HeadRow| !row.head.ended && now < row.head.runs_until;
         let open = heads.iter().filter(|(_, row)| open(row));
         let foreign = open.filter(|(_, row)| row.head.owner != self.life);
         foreign.map(|(id, row)| (id.clone(), row.clone())).collect()
@@ -195,7 +198,7 @@
         self.directory.update(&self.store, &page.rows);
         let signs = page.rows.iter().filter_map(sign).collect();
         let latency = now.saturating_duration_since(start);
-        self.seen.borrow_mut().seen(now, latency, signs);
+        self.seen.borrow_mut().record_poll(now, latency, signs);
         self.looked.notify_waiters();
         Ok(())
     }
@@ -264,7 +267,7 @@
     }
 
     async fn load(&self, id: &str) -> Result<Loaded, String> {
-        let name = row::object(id);
+        let name = row::submission_object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
             self.kept(id, 0),
@@ -301,19 +304,19 @@
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
             match batch::decode_item_id(result) {
-                Ok(item) => batch.restore(&item),
+                Ok(item) => batch.restore_result(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str(); "A kept result is broken."),
             }
         }
         let mut kept = Vec::new();
         for (row, item, piece) in pieces {
-            batch.resume(&item, piece);
+            batch.restore_piece(&item, piece);
             kept.push(row);
         }
         for (item, text) in carried {
-            let (last, versions) = (text.last(), text.versions().to_vec());
-            if batch.carry(&item, text) {
+            let (last, versions) = (text.last_event(), text.versions().to_vec());
+            if batch.carry_over(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
                     versions:? = versions; "A text is carried over.");
             }
@@ -374,7 +377,7 @@
             self.keep_once(&owned).await;
             self.hand_on(&owned.id).await;
         }
-        let change = Change::new().remove(row::entry(&self.directory.name));
+        let change = Change::new().remove(row::process(&self.directory.name));
         let done = self.store.transact(&change).await;
         log::info!(target: BATCHES, done = matches!(done, Commit::Done { .. });
             "All batches are given back.");
@@ -384,7 +387,7 @@
 impl Batches {
     fn heir(&self) -> Option<String> {
         let seen = self.seen.borrow();
-        seen.heir(&self.directory.name).map(str::to_owned)
+        seen.successor(&self.directory.name).map(str::to_owned)
     }
 
     /// Makes another process the owner of a batch.
@@ -415,11 +418,15 @@
     }
 }
 
-fn sign(row: &Row) -> Option<Sign> {
-    let Presence { life, memory, .. } = decode_presence(row)?;
-    Some(Sign {
+fn sign(row: &Row) -> Option<Heartbeat> {
+    let Presence {
+        incarnation: life,
+        memory,
+        ..
+    } = decode_presence(row)?;
+    Some(Heartbeat {
         name: row.id.key.clone(),
-        life,
+        incarnation: life,
         version: row.version,
         memory,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -29,7 +29,7 @@
 impl Batches {
     /// Keeps texts for as long as the batch runs here.
     pub(super) async fn keep_pieces(self: Rc<Self>, owned: Rc<Owned>) {
-        while !owned.batch.borrow().complete() {
+        while !owned.batch.borrow().is_complete() {
             sleep(KEEP).await;
             self.keep_once(&owned).await;
             self.keep_drafts(&owned).await;
@@ -38,7 +38,7 @@
 
     /// Keeps what has come since the last time.
     pub(super) async fn keep_once(&self, owned: &Owned) {
-        let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
+        let mut pieces = owned.batch.borrow().unsaved_pieces(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
@@ -59,7 +59,7 @@
             Commit::Done { .. } => {
                 let mut batch = owned.batch.borrow_mut();
                 for (n, piece) in &pieces {
-                    batch.keep(*n, piece);
+                    batch.mark_saved(*n, piece);
                 }
                 owned.pieces.borrow_mut().extend(rows);
             }
@@ -85,7 +85,7 @@
         };
         let mut found = Vec::new();
         for row in self.store.read_whole(&range).await?.rows {
-            let name = row::piece_item(id, &row.id.key);
+            let name = row::parse_piece_key(id, &row.id.key);
             let piece = serde_json::from_slice(&row.value).ok();
             match name.zip(piece) {
                 // A draft is for a later batch.
--- a/hibiscusroad-daemon/src/gateway/batches/seat.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/seat.rs
@@ -2,7 +2,7 @@
 
 use super::Batches;
 use hibiscusroad::{
-    rollout::{engines::EngineKey, waits::Waited},
+    rollout::{engines::EngineKey, waits::WaitTimes},
     roster::Endpoint,
 };
 use std::{rc::Rc, time::Duration};
@@ -16,7 +16,7 @@
 impl Seat {
     /// Takes a place at an engine.
     pub(super) fn take(batches: &Rc<Batches>, key: EngineKey) -> Self {
-        batches.engines.borrow_mut().start(key);
+        batches.engines.borrow_mut().add_item(key);
         Self {
             batches: Rc::clone(batches),
             key,
@@ -26,7 +26,7 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.batches.engines.borrow_mut().end(self.key);
+        self.batches.engines.borrow_mut().remove_item(self.key);
         self.batches.work.notify_one();
     }
 }
@@ -43,5 +43,5 @@
     /// The only weight version that will do.
     pub(super) exact: Option<u64>,
     /// For how long it has waited, and of that for what.
-    pub(super) waited: (Duration, Waited),
+    pub(super) waited: (Duration, WaitTimes),
 }
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -139,19 +139,19 @@
             .iter()
             .filter_map(|row| {
                 let presence = decode_presence(row)?;
-                let held = owners.get(&presence.life)?;
+                let held = owners.get(&presence.incarnation)?;
                 Some(Candidate {
                     presence,
-                    items: held.items,
-                    last: held.last,
+                    open_items: held.items,
+                    last_batch_at: held.last,
                 })
             })
             .collect();
         let now = self.store.now().unwrap_or_default();
         let chosen = choice::choose(&candidates, items, self.memory, now);
-        let other = chosen.filter(|found| found.presence.life != self.life);
+        let other = chosen.filter(|found| found.presence.incarnation != self.life);
         other.map_or(own, |found| Owner {
-            life: found.presence.life.clone(),
+            life: found.presence.incarnation.clone(),
             peer: found.presence.peer,
         })
     }
@@ -171,7 +171,10 @@
     async fn keep(&self, id: &str, body: &Bytes, end: Instant) -> Result<(), String> {
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
         loop {
-            let kept = self.store.put_object(&row::object(id), body.to_vec()).await;
+            let kept = self
+                .store
+                .put_object(&row::submission_object(id), body.to_vec())
+                .await;
             let Err(failure) = kept else {
                 return Ok(());
             };
@@ -229,7 +232,7 @@
         } = new;
         log::info!(target: BATCHES, batch = id, items = submission.items.len(),
             model = submission.model.as_deref(), step = submission.step,
-            floor = submission.floor, groups = head.groups.len(),
+            floor = submission.min_version, groups = head.groups.len(),
             target = submission.target, carried = head.carried, row = version,
             owner = head.owner.as_str(); "A batch is accepted.");
         self.count("accepted");
@@ -300,11 +303,11 @@
             host: route.host.clone(),
             path: path.to_owned(),
             accepted,
-            until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(LIFE)),
+            runs_until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(LIFE)),
             owner,
             total: submission.items.len(),
             ended: false,
-            lag: named.unwrap_or(1).saturating_sub(submission.floor),
+            lag: named.unwrap_or(1).saturating_sub(submission.min_version),
             work: submission.items.iter().map(tokens).sum(),
             carried: self.carried(name.as_deref(), model.as_deref(), &groups),
             priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
@@ -365,7 +368,7 @@
 /// Answers a submission of a batch that is known: to its own account it was accepted,
 /// to any other its id says nothing, as in all calls about batches.
 fn repeated(head: &Head, account: Option<&str>) -> Response<Out> {
-    if head.is_of(account) {
+    if head.is_accessible_to(account) {
         accepted()
     } else {
         problem(ErrorKind::UnknownBatch, Duration::ZERO)
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -20,7 +20,7 @@
 use futures_util::future::join;
 use hibiscusroad::{
     clock::millis,
-    rollout::turns::VALID,
+    rollout::order_records::ORDER_TTL,
     table::{Change, Commit, Range},
     usage::{self, ReportTiming, Reports, Step, StoredReport, Window, Windows},
 };
@@ -250,7 +250,7 @@
             sleep(delay.min(MAX_SLEEP)).await;
             return true;
         }
-        let valid_until = self.duty.now() + VALID;
+        let valid_until = self.duty.now() + ORDER_TTL;
         if !self.record_attempt(window, report.clone()).await {
             return false;
         }
@@ -284,7 +284,7 @@
         let Some(now) = self.store.now() else {
             return false;
         };
-        let is_recent = now.saturating_sub(Duration::from_millis(report.written_at)) < VALID;
+        let is_recent = now.saturating_sub(Duration::from_millis(report.written_at)) < ORDER_TTL;
         if is_recent && report.holder == self.duty.life() {
             return true;
         }
--- a/hibiscusroad-daemon/src/gateway/weights/handover.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/handover.rs
@@ -3,7 +3,7 @@
 use super::{DUTIES, Weights, orders_row};
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
-    rollout::turns::Turns,
+    rollout::order_records::OrderRecords,
     table::{Change, Commit, Range, RowId},
 };
 use std::time::{Duration, Instant};
@@ -62,14 +62,14 @@
             }
         };
         match serde_json::from_slice(&row.value) {
-            Ok(turns) => {
-                self.turns.replace(turns);
+            Ok(records) => {
+                self.order_records.replace(records);
                 true
             }
             Err(error) => {
                 log::error!(target: WEIGHTS, row = row.version, error = error.to_string().as_str();
                     "The last orders can't be decoded; no engine is ordered for a while.");
-                self.turns.replace(Turns::new());
+                self.order_records.replace(OrderRecords::new());
                 false
             }
         }
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -7,7 +7,7 @@
 use crate::{gateway::http::encode, logs::WEIGHTS};
 use hibiscusroad::{
     clock::millis,
-    rollout::{Order, OrderAnswer, wave::Load},
+    rollout::{LoadOrder, OrderAnswer, load_plan::WeightLoad},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -31,7 +31,12 @@
 impl Weights {
     /// Orders an engine to load a version, and waits until the engine runs it. The order is
     /// sent before `valid_until`, or not at all.
-    pub(super) async fn load(self: Rc<Self>, load: Load, concurrency: usize, valid_until: Instant) {
+    pub(super) async fn load(
+        self: Rc<Self>,
+        load: WeightLoad,
+        concurrency: usize,
+        valid_until: Instant,
+    ) {
         let start = Instant::now();
         let done = self.try_load(&load, valid_until).await;
         let duration = start.elapsed();
@@ -42,7 +47,7 @@
         self.meters.loads.with_label_values(&[outcome]).inc();
         if done {
             self.meters.load_seconds.observe(duration.as_secs_f64());
-            self.pace.borrow_mut().loaded(concurrency, duration);
+            self.pace.borrow_mut().record_load(concurrency, duration);
             self.write_pace().await;
             self.reserved.borrow_mut().remove(&load.endpoint);
         } else {
@@ -53,7 +58,7 @@
         self.plan_needed.notify_one();
     }
 
-    async fn try_load(&self, load: &Load, valid_until: Instant) -> bool {
+    async fn try_load(&self, load: &WeightLoad, valid_until: Instant) -> bool {
         let Some(endpoint) = self.members.get(&load.endpoint) else {
             return false;
         };
@@ -74,13 +79,13 @@
                 .insert(load.endpoint.clone(), order_count);
             return false;
         };
-        let order = Order {
+        let order = LoadOrder {
             endpoint: load.endpoint.clone(),
             model: load.model.clone(),
             version: load.version,
             holder: self.duty.life().to_owned(),
-            fence,
-            expected: order_count,
+            fencing_token: fence,
+            expected_orders: order_count,
         };
         let mut weights = endpoint.weights.iter();
         let previous = weights.find(|weights| weights.model == load.model);
@@ -119,7 +124,7 @@
     ///
     /// An engine registers new weights at once. Its report lags behind, and is fetched only if
     /// the engine doesn't register them for a while.
-    async fn wait_until_loaded(&self, endpoint: &Endpoint, load: &Load) -> bool {
+    async fn wait_until_loaded(&self, endpoint: &Endpoint, load: &WeightLoad) -> bool {
         let deadline = Instant::now() + LOAD_TIMEOUT;
         let mut next_report = Instant::now() + REGISTRATION_TIMEOUT;
         while Instant::now() < deadline {
@@ -152,7 +157,7 @@
     /// Records the versions that an engine reports.
     ///
     /// Returns `true` if it runs the version of the load and has no load under way.
-    fn record_report(&self, load: &Load, report: &Report) -> bool {
+    fn record_report(&self, load: &WeightLoad, report: &Report) -> bool {
         for weights in &report.weights {
             self.record_version(&load.endpoint, &weights.model, weights.version);
         }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -1,7 +1,7 @@
 //! Loading of weights: the holder of the lease orders engines to load new versions.
 //!
 //! It records in the store which engines it is about to order before it sends an order, and
-//! [`hibiscusroad::rollout::turns`] says which of them a new holder may not order yet. An order
+//! [`hibiscusroad::rollout::order_records`] says which of them a new holder may not order yet. An order
 //! carries the number of orders that the engine has accepted as a precondition, so that an
 //! engine refuses a delayed order if it has accepted another since.
 //!
@@ -24,8 +24,8 @@
 };
 use hibiscusroad::{
     rollout::{
-        turns::{Turns, VALID},
-        wave::Pace,
+        load_plan::LoadConcurrency,
+        order_records::{ORDER_TTL, OrderRecords},
     },
     roster::EndpointChange,
     table::RowId,
@@ -63,12 +63,12 @@
     reported: RefCell<HashMap<(String, String), u64>>,
     /// How many orders engines have accepted, if known.
     order_counts: RefCell<HashMap<String, u64>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<LoadConcurrency>,
     /// Until when no engine is ordered, because it is unknown which of them the previous
     /// holder has ordered.
     quiet_until: Cell<Option<Instant>>,
     /// Which engines were ordered recently, and by which holder.
-    turns: RefCell<Turns>,
+    order_records: RefCell<OrderRecords>,
     /// The fencing token for which this process last read the state of the previous holder.
     prepared_token: Cell<Option<u64>>,
     /// When the pace of loads was last written.
@@ -106,9 +106,9 @@
             reserved: RefCell::default(),
             reported: RefCell::default(),
             order_counts: RefCell::default(),
-            pace: RefCell::new(Pace::new()),
+            pace: RefCell::new(LoadConcurrency::new()),
             quiet_until: Cell::new(None),
-            turns: RefCell::new(Turns::new()),
+            order_records: RefCell::new(OrderRecords::new()),
             prepared_token: Cell::new(None),
             pace_written: Cell::new(None),
             paces_read: Cell::new(None),
@@ -167,7 +167,7 @@
         self.reserved.borrow_mut().clear();
         self.order_counts.borrow_mut().clear();
         let orders_known = self.read_orders().await;
-        let quiet_until = self.duty.now() + self.duty.apart() + VALID;
+        let quiet_until = self.duty.now() + self.duty.apart() + ORDER_TTL;
         // Engines that check fencing tokens refuse orders of the previous holder themselves.
         let must_wait = !orders_known && !self.engines_fence && fence > 1;
         self.quiet_until.set(must_wait.then_some(quiet_until));
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -4,8 +4,8 @@
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
     rollout::{
-        turns::VALID,
-        wave::{Goal, Load, Loader, plan},
+        load_plan::{EngineStatus, ModelGoal, WeightLoad, plan},
+        order_records::ORDER_TTL,
     },
     roster::Endpoint,
     table::{Change, Commit},
@@ -33,8 +33,8 @@
         self.read_paces().await;
         let goals = self.goals();
         let engines = self.engines(now, &goals);
-        let max_concurrency = self.pace.borrow().at_once(engines.len());
-        let busy = engines.iter().filter(|engine| engine.busy).count();
+        let max_concurrency = self.pace.borrow().max_loads(engines.len());
+        let busy = engines.iter().filter(|engine| engine.loading).count();
         let loads = plan(&engines, &goals, max_concurrency);
         let concurrency = busy + loads.len();
         if loads.is_empty() || !self.record_orders(&loads).await {
@@ -45,7 +45,7 @@
             self.reserved
                 .borrow_mut()
                 .insert(load.endpoint.clone(), until);
-            spawn_local(Rc::clone(self).load(load, concurrency, now + VALID));
+            spawn_local(Rc::clone(self).load(load, concurrency, now + ORDER_TTL));
         }
     }
 
@@ -53,20 +53,20 @@
     ///
     /// Returns `false` if that fails, for example because this process no longer holds the
     /// lease. No order may be sent then.
-    async fn record_orders(&self, loads: &[Load]) -> bool {
+    async fn record_orders(&self, loads: &[WeightLoad]) -> bool {
         let Some(now) = self.store.now() else {
             return false;
         };
-        let mut turns = self.turns.borrow().clone();
-        turns.expire(now, self.duty.apart());
+        let mut records = self.order_records.borrow().clone();
+        records.expire(now, self.duty.apart());
         for load in loads {
-            turns.note(&load.endpoint, self.duty.life(), now);
+            records.record(&load.endpoint, self.duty.life(), now);
         }
-        let value = serde_json::to_vec(&turns).unwrap_or_default();
+        let value = serde_json::to_vec(&records).unwrap_or_default();
         let change = Change::new().put(orders_row(), value);
         match self.duty.transact(change).await {
             Some(Commit::Done { .. }) => {
-                self.turns.replace(turns);
+                self.order_records.replace(records);
                 true
             }
             None => false,
@@ -95,12 +95,12 @@
     }
 
     /// Returns the versions that engines should run, and how urgently.
-    fn goals(&self) -> Vec<Goal> {
+    fn goals(&self) -> Vec<ModelGoal> {
         let needs = self.batches.needs();
         let goals = self.known.named().into_iter().map(|(model, named)| {
             let need = needs.get(&model);
-            Goal {
-                named,
+            ModelGoal {
+                newest: named,
                 lag: need.map_or(0, |head| head.lag),
                 work: need.map_or(0, |head| head.work) as f64,
                 priority: need.map_or(0, |head| head.priority),
@@ -111,7 +111,7 @@
     }
 
     /// Returns the engines that run a model of the goals and aren't draining.
-    fn engines(&self, now: Instant, goals: &[Goal]) -> Vec<Loader> {
+    fn engines(&self, now: Instant, goals: &[ModelGoal]) -> Vec<EngineStatus> {
         let Some(catalog) = self.known.catalog() else {
             return Vec::new();
         };
@@ -125,7 +125,7 @@
         staying.map(|endpoint| self.loader(now, endpoint)).collect()
     }
 
-    fn loader(&self, now: Instant, endpoint: Endpoint) -> Loader {
+    fn loader(&self, now: Instant, endpoint: Endpoint) -> EngineStatus {
         let reported = self.reported.borrow();
         let weights = endpoint.weights.into_iter().map(|weights| {
             let key = (endpoint.id.clone(), weights.model.clone());
@@ -134,15 +134,16 @@
         });
         let weights = weights.collect();
         let reserved_until = self.reserved.borrow().get(&endpoint.id).copied();
-        let turns = self.turns.borrow();
-        let blocked_until = turns.barred(&endpoint.id, self.duty.life(), self.duty.apart());
+        let records = self.order_records.borrow();
+        let blocked_until =
+            records.blocked_until(&endpoint.id, self.duty.life(), self.duty.apart());
         let store_now = self.store.now().unwrap_or_default();
-        Loader {
+        EngineStatus {
             weights,
-            barred: blocked_until.is_some_and(|until| store_now < until),
+            blocked: blocked_until.is_some_and(|until| store_now < until),
             slow: self.batches.is_slow(&endpoint.id),
-            busy: reserved_until.is_some_and(|until| now < until),
-            load: self.batches.running_at(&endpoint.id),
+            loading: reserved_until.is_some_and(|until| now < until),
+            running_requests: self.batches.running_at(&endpoint.id),
             id: endpoint.id,
         }
     }
--- a/tests/rollout_batch.rs
+++ b/tests/rollout_batch.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::rollout::{
     Item, Outcome, Submission,
-    batch::{Batch, Break},
+    batch::{Batch, Interruption},
     text::{Piece, Text, assemble},
 };
 use proptest::prelude::*;
@@ -31,7 +31,7 @@
     Submission {
         step: Some(1),
         model: Some("guide".to_owned()),
-        floor: 3,
+        min_version: 3,
         target: Some(hints.len()),
         items: items.collect(),
     }
@@ -75,16 +75,22 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     assert_eq!(batch.start(0), None);
-    assert!(batch.extend(0, 0, "a", Some(3)));
-    assert!(batch.extend(0, 1, "b", Some(3)));
-    assert!(!batch.extend(0, 3, "d", Some(3)), "event 2 is missing");
-    assert!(!batch.extend(0, 1, "b", Some(3)), "event 1 is a repeat");
-    batch.broke(now, 0, None, Break::Lost);
+    assert!(batch.append_event(0, 0, "a", Some(3)));
+    assert!(batch.append_event(0, 1, "b", Some(3)));
+    assert!(
+        !batch.append_event(0, 3, "d", Some(3)),
+        "event 2 is missing"
+    );
+    assert!(
+        !batch.append_event(0, 1, "b", Some(3)),
+        "event 1 is a repeat"
+    );
+    batch.record_interruption(now, 0, None, Interruption::Lost);
     assert_eq!(batch.start(0), Some(1));
-    assert!(batch.extend(0, 2, "c", Some(4)));
-    assert!(batch.generated(now, 0));
-    batch.scored(0, Some("s".to_owned()));
-    let ready = batch.ready(&submission(&[1]), 10);
+    assert!(batch.append_event(0, 2, "c", Some(4)));
+    assert!(batch.complete_text(now, 0));
+    batch.complete_scoring(0, Some("s".to_owned()));
+    let ready = batch.ready_results(&submission(&[1]), 10);
     let expected = Outcome::Completed {
         text: "a\nb\nc".to_owned(),
         versions: vec![3, 4],
@@ -100,16 +106,19 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 0);
     batch.start(0);
-    batch.extend(0, 0, "a", Some(2));
-    assert!(!batch.generated(now, 0), "version 2 is below the minimum");
-    assert_eq!(batch.last(0), None);
+    batch.append_event(0, 0, "a", Some(2));
+    assert!(
+        !batch.complete_text(now, 0),
+        "version 2 is below the minimum"
+    );
+    assert_eq!(batch.last_event(0), None);
     let mut single = Batch::new(now, &submission(&[1]), 3, true, 0);
     single.start(0);
-    single.extend(0, 0, "a", Some(3));
-    assert_eq!(single.pinned(0), Some(3));
-    single.extend(0, 1, "b", Some(4));
-    single.broke(now, 0, None, Break::Moved);
-    assert_eq!(single.last(0), None);
+    single.append_event(0, 0, "a", Some(3));
+    assert_eq!(single.required_version(0), Some(3));
+    single.append_event(0, 1, "b", Some(4));
+    single.record_interruption(now, 0, None, Interruption::Moved);
+    assert_eq!(single.last_event(0), None);
 }
 
 #[test]
@@ -119,18 +128,18 @@
     let mut batch = Batch::new(now, &step, 3, false, 0);
     for _ in 0..20 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::NotRun);
-        batch.broke(now, 0, None, Break::Lost);
+        batch.record_interruption(now, 0, None, Interruption::NotRun);
+        batch.record_interruption(now, 0, None, Interruption::Lost);
     }
-    assert!(batch.ready(&step, 9).is_empty());
+    assert!(batch.ready_results(&step, 9).is_empty());
     for _ in 0..3 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::Failed);
+        batch.record_interruption(now, 0, None, Interruption::Failed);
     }
-    assert_eq!(batch.ready(&step, 9)[0].1.outcome, Outcome::Errored);
+    assert_eq!(batch.ready_results(&step, 9)[0].1.outcome, Outcome::Errored);
     batch.start(1);
-    batch.broke(now, 1, None, Break::Never);
-    assert_eq!(batch.ready(&step, 9).len(), 2);
+    batch.record_interruption(now, 1, None, Interruption::Never);
+    assert_eq!(batch.ready_results(&step, 9).len(), 2);
 }
 
 #[test]
@@ -141,13 +150,13 @@
     batch.start(1);
     for _ in 0..4 {
         batch.start(0);
-        batch.broke(now, 0, None, Break::NotRun);
-        let delay = batch.next_due(now).unwrap() - now;
+        batch.record_interruption(now, 0, None, Interruption::NotRun);
+        let delay = batch.next_retry(now).unwrap() - now;
         assert!(delay > last_delay);
         last_delay = delay;
     }
     batch.start(0);
-    batch.broke(now, 0, None, Break::Moved);
+    batch.record_interruption(now, 0, None, Interruption::Moved);
     assert_eq!(
         batch.next_start(now),
         Some(0),
@@ -173,18 +182,18 @@
             match action {
                 0 | 1 => for _ in 0..events {
                     let data = format!("e{next}");
-                    prop_assert!(batch.extend(0, next, &data, Some(3)));
+                    prop_assert!(batch.append_event(0, next, &data, Some(3)));
                     next += 1;
                 },
                 _ => {
-                    batch.broke(now, 0, None, Break::Moved);
+                    batch.record_interruption(now, 0, None, Interruption::Moved);
                     batch.start(0);
                 }
             }
-            for (idx, piece) in batch.unkept(9) {
+            for (idx, piece) in batch.unsaved_pieces(9) {
                 // The next save repeats a lost one, with more events.
                 if !lost_saves[step_idx] {
-                    batch.keep(idx, &piece);
+                    batch.mark_saved(idx, &piece);
                     store.push(piece);
                 }
             }
@@ -192,18 +201,18 @@
         let mut successor = Batch::new(now, &step, 3, false, 0);
         let saved = store.last().map(|piece| piece.last);
         for piece in store {
-            successor.resume("0-0", piece);
+            successor.restore_piece("0-0", piece);
         }
-        prop_assert_eq!(successor.last(0), saved);
+        prop_assert_eq!(successor.last_event(0), saved);
         successor.start(0);
         for number in saved.map_or(0, |last| last + 1)..next.max(1) {
             let data = format!("e{number}");
-            prop_assert!(successor.extend(0, number, &data, Some(3)));
+            prop_assert!(successor.append_event(0, number, &data, Some(3)));
         }
-        prop_assert!(successor.generated(now, 0));
-        successor.scored(0, None);
+        prop_assert!(successor.complete_text(now, 0));
+        successor.complete_scoring(0, None);
         let expected: Vec<String> = (0..next.max(1)).map(|n| format!("e{n}")).collect();
-        match &successor.ready(&step, 9)[0].1.outcome {
+        match &successor.ready_results(&step, 9)[0].1.outcome {
             Outcome::Completed { text, .. } => prop_assert_eq!(text, &expected.join("\n")),
             Outcome::Errored => prop_assert!(false),
         }
@@ -216,28 +225,28 @@
     let now = Instant::now();
     let step = submission(&[1, 2, 3]);
     let mut batch = Batch::new(now, &step, 3, false, 0);
-    batch.restore("1-0");
-    assert_eq!(batch.listed(), 1);
+    batch.restore_result("1-0");
+    assert_eq!(batch.listed_count(), 1);
     let mut listed = HashSet::new();
     for n in start_all(&mut batch, now) {
         assert_ne!(n, 2, "already listed");
-        batch.generated(now, n);
-        batch.scored(n, None);
-        let ready = batch.ready(&step, 1);
+        batch.complete_text(now, n);
+        batch.complete_scoring(n, None);
+        let ready = batch.ready_results(&step, 1);
         for (n, _) in &ready {
             assert!(listed.insert(*n));
         }
-        batch.list(ready.iter().map(|(n, _)| *n));
+        batch.mark_listed(ready.iter().map(|(n, _)| *n));
     }
-    assert!(batch.complete());
+    assert!(batch.is_complete());
     batch.give_up();
-    assert!(batch.ready(&step, 9).is_empty());
+    assert!(batch.ready_results(&step, 9).is_empty());
 }
 
 fn text(events: u64, version: u64) -> Text {
     let mut text = Text::default();
     for number in 1..=events {
-        assert!(text.extend(number, "e", Some(version)));
+        assert!(text.append_event(number, "e", Some(version)));
     }
     text
 }
@@ -249,18 +258,18 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, false, 1);
     assert!(
-        !batch.carry("0-0", text(9, 2)),
+        !batch.carry_over("0-0", text(9, 2)),
         "older than the minimum version"
     );
-    assert!(!batch.carry("1-0", text(9, 3)), "unknown item");
-    assert!(batch.carry("0-0", text(5, 3)));
+    assert!(!batch.carry_over("1-0", text(9, 3)), "unknown item");
+    assert!(batch.carry_over("0-0", text(5, 3)));
     assert!(
-        !batch.carry("0-0", text(4, 4)),
+        !batch.carry_over("0-0", text(4, 4)),
         "shorter than the present text"
     );
     assert_eq!(batch.start(0), Some(5));
-    assert!(!batch.carry("0-0", text(8, 4)), "the item is running");
-    let pieces = batch.unkept(9);
+    assert!(!batch.carry_over("0-0", text(8, 4)), "the item is running");
+    let pieces = batch.unsaved_pieces(9);
     assert_eq!((pieces[0].1.after, pieces[0].1.last), (None, 5));
 }
 
@@ -269,10 +278,10 @@
     let now = Instant::now();
     let mut batch = Batch::new(now, &submission(&[1]), 3, true, 1);
     let mut mixed = text(3, 3);
-    assert!(mixed.extend(4, "e", Some(4)));
-    assert!(!batch.carry("0-0", mixed));
-    assert!(batch.carry("0-0", text(2, 4)));
-    assert_eq!(batch.pinned(0), Some(4));
+    assert!(mixed.append_event(4, "e", Some(4)));
+    assert!(!batch.carry_over("0-0", mixed));
+    assert!(batch.carry_over("0-0", text(2, 4)));
+    assert_eq!(batch.required_version(0), Some(4));
 }
 
 // Drafts are only for the last items of a step, and only if a later step could not use
@@ -286,16 +295,16 @@
     let order = start_all(&mut batch, now);
     for n in &order {
         for number in 1..=(*n as u64 + 1) {
-            assert!(batch.extend(*n, number, "e", Some(3)));
+            assert!(batch.append_event(*n, number, "e", Some(3)));
         }
     }
     assert!(batch.stragglers(4).is_empty(), "all are running");
     for n in 0..6 {
-        batch.generated(now, n);
+        batch.complete_text(now, n);
     }
     assert_eq!(batch.stragglers(4), [7, 6], "longest first");
     assert!(batch.stragglers(3).is_empty(), "their texts are usable");
-    batch.broke(now, 7, None, Break::Lost);
+    batch.record_interruption(now, 7, None, Interruption::Lost);
     assert!(
         batch.stragglers(4).is_empty(),
         "one of them waits for an engine"
@@ -312,10 +321,10 @@
         step.target = Some(target);
         let mut batch = Batch::new(now, &step, 3, false, carried);
         for n in start_all(&mut batch, now) {
-            assert!(batch.extend(n, 1, "e", Some(3)));
+            assert!(batch.append_event(n, 1, "e", Some(3)));
         }
         for n in 0..6 {
-            batch.generated(now, n);
+            batch.complete_text(now, n);
         }
         assert!(batch.stragglers(4).is_empty());
     }
@@ -363,12 +372,14 @@
     batch.start(first);
     let second = batch.next_start(now).unwrap();
     batch.start(second);
-    assert!(batch.extend(first, 1, "a", Some(3)) && batch.extend(first, 2, "b", Some(3)));
+    assert!(
+        batch.append_event(first, 1, "a", Some(3)) && batch.append_event(first, 2, "b", Some(3))
+    );
     for number in 1..=40 {
-        assert!(batch.extend(second, number, "c", Some(3)));
+        assert!(batch.append_event(second, number, "c", Some(3)));
     }
-    batch.broke(now, first, None, Break::Moved);
-    batch.broke(now, second, None, Break::Moved);
+    batch.record_interruption(now, first, None, Interruption::Moved);
+    batch.record_interruption(now, second, None, Interruption::Moved);
     assert_eq!(batch.next_start(now), Some(second));
     batch.start(second);
     assert_eq!(batch.next_start(now), Some(first));
@@ -376,6 +387,6 @@
     assert!(
         batch
             .next_start(now)
-            .is_some_and(|n| batch.last(n).is_none())
+            .is_some_and(|n| batch.last_event(n).is_none())
     );
 }
