--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -13,10 +13,10 @@
     catalog::{Kind, Route},
     quarantine::Verdict,
     rollout::{
-        batch::Break,
-        engines::{EngineKey, Want},
+        batch::Interruption,
+        engines::{EngineKey, Requirements},
         urgency,
-        waits::Lack,
+        waits::WaitReason,
     },
     roster::Endpoint,
 };
@@ -51,8 +51,12 @@
             for owned in &mine {
                 drafted &= self.draft_stragglers(now, owned);
             }
-            let waits = mine.iter().any(|owned| owned.batch.borrow().waiting() > 0);
-            let held = mine.iter().any(|owned| owned.batch.borrow().holds_any());
+            let waits = mine
+                .iter()
+                .any(|owned| owned.batch.borrow().waiting_count() > 0);
+            let held = mine
+                .iter()
+                .any(|owned| owned.batch.borrow().has_held_items());
             let next = if waits { LOOK } else { DRAFT_LOOK };
             tokio::select! {
                 () = self.work.notified() => {}
@@ -87,16 +91,16 @@
             let next = owned.batch.borrow().next_start(now);
             let Some(n) = next else { return };
             if self.is_quarantined(owned, n) {
-                owned.batch.borrow_mut().hold(n, now + HOLD);
+                owned.batch.borrow_mut().hold_until(n, now + HOLD);
                 continue;
             }
             self.drop_lost(owned, &route, n);
             let Some(key) = self.choose(now, owned, &route, n, None) else {
                 let lack = self.lack(owned, &route, n);
-                owned.batch.borrow_mut().lacks(now, lack);
+                owned.batch.borrow_mut().record_wait(now, lack);
                 return;
             };
-            owned.batch.borrow_mut().lacks(now, None);
+            owned.batch.borrow_mut().record_wait(now, None);
             self.start(now, owned, &route, n, key);
         }
     }
@@ -120,14 +124,14 @@
     /// Only between runs: events of a run that goes on would be added to nothing,
     /// and the trainer would get a text without its beginning.
     fn drop_lost(&self, owned: &Owned, route: &Route, n: usize) {
-        let pinned = owned.batch.borrow().pinned(n);
+        let pinned = owned.batch.borrow().required_version(n);
         let Some((version, model)) = pinned.zip(owned.submission.model.as_deref()) else {
             return;
         };
         let engines = self.engines.borrow();
         let mut services = route.shares.iter().map(|share| share.service.as_str());
         if !services.any(|service| engines.has_version(service, model, version)) {
-            owned.batch.borrow_mut().restart(n);
+            owned.batch.borrow_mut().discard_text(n);
         }
     }
 
@@ -140,17 +144,17 @@
         n: usize,
         not: Option<EngineKey>,
     ) -> Option<EngineKey> {
-        let want = Want {
-            not: not.or_else(|| owned.avoid.borrow().get(&n).copied()),
+        let want = Requirements {
+            excluded: not.or_else(|| owned.avoid.borrow().get(&n).copied()),
             ..want(owned, route, n)?
         };
         self.engines.borrow().choose(now, &want)
     }
 
     /// Says what an item lacks that can't start now.
-    fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<Lack> {
+    fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<WaitReason> {
         let want = want(owned, route, n)?;
-        Some(self.engines.borrow().lack(&want))
+        Some(self.engines.borrow().wait_reason(&want))
     }
 
     /// Returns the entry of an engine.
@@ -170,9 +174,9 @@
         floor: u64,
     ) -> Option<EngineKey> {
         let engines = self.engines.borrow();
-        let want = Want {
-            floor,
-            exact: None,
+        let want = Requirements {
+            min_version: floor,
+            exact_version: None,
             ..want(owned, route, n)?
         };
         let found = engines.choose(now, &want);
@@ -188,13 +192,13 @@
         key: EngineKey,
     ) {
         let Some(endpoint) = self.endpoint(key) else {
-            self.engines.borrow_mut().failed(now, key);
+            self.engines.borrow_mut().record_failure(now, key);
             return;
         };
         let seat = Seat::take(self, key);
         owned.avoid.borrow_mut().remove(&n);
-        let exact = owned.batch.borrow().pinned(n);
-        let waited = owned.batch.borrow().waited(now, n);
+        let exact = owned.batch.borrow().required_version(n);
+        let waited = owned.batch.borrow().wait_times(now, n);
         let before = owned.batch.borrow_mut().start(n);
         let priority = self.rank(now, owned, route, &endpoint.service, n);
         let start = Start {
@@ -220,8 +224,8 @@
     fn rank(&self, now: Instant, owned: &Owned, route: &Route, service: &str, n: usize) -> u8 {
         let item = &owned.submission.items[n];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
-        let last = owned.batch.borrow().last(n).unwrap_or(0);
-        let expected = self.engines.borrow().expected(service, hint, last);
+        let last = owned.batch.borrow().last_event(n).unwrap_or(0);
+        let expected = self.engines.borrow().expected_duration(service, hint, last);
         let left = owned.due.saturating_duration_since(now);
         urgency::rank(
             owned.priority,
@@ -238,25 +242,28 @@
         n: usize,
         key: EngineKey,
         before: Option<u64>,
-        cause: Break,
+        cause: Interruption,
     ) {
         let now = Instant::now();
         let mut engines = self.engines.borrow_mut();
         let outcome = match cause {
-            Break::NotRun => "not-run",
-            Break::Lost => "lost",
-            Break::Moved => "moved",
-            Break::Failed => "failed",
-            Break::Never => "never",
+            Interruption::NotRun => "not-run",
+            Interruption::Lost => "lost",
+            Interruption::Moved => "moved",
+            Interruption::Failed => "failed",
+            Interruption::Never => "never",
         };
         self.line.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
-            Break::NotRun => engines.refused(now, key),
-            Break::Lost => engines.failed(now, key),
-            Break::Moved | Break::Failed | Break::Never => {}
+            Interruption::NotRun => engines.record_refusal(now, key),
+            Interruption::Lost => engines.record_failure(now, key),
+            Interruption::Moved | Interruption::Failed | Interruption::Never => {}
         }
-        owned.batch.borrow_mut().broke(now, n, before, cause);
-        if cause == Break::Moved {
+        owned
+            .batch
+            .borrow_mut()
+            .record_interruption(now, n, before, cause);
+        if cause == Interruption::Moved {
             owned.avoid.borrow_mut().insert(n, key);
         }
         owned.ready.notify_one();
@@ -264,15 +271,15 @@
 }
 
 /// Returns what an item needs of its engine.
-fn want<'a>(owned: &'a Owned, route: &'a Route, n: usize) -> Option<Want<'a>> {
+fn want<'a>(owned: &'a Owned, route: &'a Route, n: usize) -> Option<Requirements<'a>> {
     let submission = &owned.submission;
     let group = submission.items[n].group.as_str();
-    Some(Want {
+    Some(Requirements {
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
-        floor: submission.floor,
-        exact: owned.batch.borrow().pinned(n),
+        min_version: submission.min_version,
+        exact_version: owned.batch.borrow().required_version(n),
         group,
-        not: None,
+        excluded: None,
     })
 }
--- a/src/rollout/engines.rs
+++ b/src/rollout/engines.rs
@@ -19,7 +19,7 @@
     rollout::{
         pace::{Paces, Sample},
         tier::{ServiceSpeed, Tier},
-        waits::Lack,
+        waits::WaitReason,
     },
     roster::Endpoint,
 };
@@ -31,17 +31,16 @@
 
 /// Lifetime of an engine's report of its load: generations take about a second.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(800);
-/// Pause after a refusal: about one slot in ten becomes free meanwhile.
+/// Pause after a refusal, in which slots become free.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after the first failed connection; it doubles with each further one.
 const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause after failed connections.
 const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
-/// Pause after an engine made no events: a third of the time that loading weights takes.
-/// An item that is sent too early moves on at once.
+/// Pause after an engine made no events. It is shorter than a load of weights, because an
+/// item that is sent too early moves on at once.
 const STALL_PAUSE: Duration = Duration::from_millis(300);
-/// A run is long if it has this many times the events of an average one; half of the runs
-/// that get there have as many again to come.
+/// A run is long if it has this many times the events of an average one.
 const LONG_RUN_FACTOR: f64 = 1.5;
 /// Weight of a new sample in the average number of events of a text.
 const EVENTS_WEIGHT: f64 = 0.05;
@@ -92,19 +91,19 @@
 
 /// What an item requires of its engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Requirements<'a> {
     /// The service.
     pub service: &'a str,
     /// The model, if the item names one.
     pub model: Option<&'a str>,
     /// The oldest weight version that is allowed.
-    pub floor: u64,
+    pub min_version: u64,
     /// The only weight version that is allowed, if it is fixed.
-    pub exact: Option<u64>,
+    pub exact_version: Option<u64>,
     /// The item's group, which breaks ties.
     pub group: &'a str,
     /// An engine that must not be chosen.
-    pub not: Option<EngineKey>,
+    pub excluded: Option<EngineKey>,
 }
 
 /// All engines, as one owner of batches sees them.
@@ -126,7 +125,7 @@
     }
 
     /// Adds an engine, or updates it from its registration.
-    pub fn set(&mut self, endpoint: &Endpoint) {
+    pub fn update(&mut self, endpoint: &Endpoint) {
         let Endpoint {
             id,
             started_ms,
@@ -181,7 +180,7 @@
 
     /// Returns how many items of this owner run at an engine.
     #[must_use]
-    pub fn mine(&self, id: &str) -> u32 {
+    pub fn own_items(&self, id: &str) -> u32 {
         self.key(id).map_or(0, |key| self.states[key].own_items)
     }
 
@@ -197,7 +196,7 @@
 
     /// Chooses an engine with free capacity for an item.
     #[must_use]
-    pub fn choose(&self, now: Instant, requirements: &Want<'_>) -> Option<EngineKey> {
+    pub fn choose(&self, now: Instant, requirements: &Requirements<'_>) -> Option<EngineKey> {
         let speed = self.service_speed(requirements.service);
         let tier = |engine: &EngineState| {
             let known = speed.zip(engine.pace);
@@ -206,7 +205,7 @@
             if outdated { tier.max(Tier::Mild) } else { tier }
         };
         let is_eligible = |key: EngineKey, engine: &EngineState| {
-            Some(key) != requirements.not
+            Some(key) != requirements.excluded
                 && engine.is_open
                 && engine.service == requirements.service
                 && engine.paused_until.is_none_or(|until| until <= now)
@@ -229,16 +228,16 @@
 
     /// Returns what is missing when no engine can be chosen.
     #[must_use]
-    pub fn lack(&self, requirements: &Want<'_>) -> Lack {
+    pub fn wait_reason(&self, requirements: &Requirements<'_>) -> WaitReason {
         let is_suitable = |engine: &EngineState| {
             engine.is_open
                 && engine.service == requirements.service
                 && has_weights(engine, requirements)
         };
         if self.states.values().any(is_suitable) {
-            Lack::Room
+            WaitReason::Capacity
         } else {
-            Lack::Weights
+            WaitReason::Weights
         }
     }
 
@@ -263,7 +262,7 @@
     /// Returns whether `other` is enough faster than an engine with this `pace` to move a
     /// run with `events` events there: a long run moves for a smaller difference.
     #[must_use]
-    pub fn is_better(&self, service: &str, pace: f64, events: u64, other: EngineKey) -> bool {
+    pub fn is_worth_moving(&self, service: &str, pace: f64, events: u64, other: EngineKey) -> bool {
         let Some(speed) = self.service_speed(service) else {
             return false;
         };
@@ -280,7 +279,7 @@
     }
 
     /// Records the number of events of a complete text, and its length hint in tokens.
-    pub fn whole(&mut self, events: u64, hint: Option<u32>) {
+    pub fn record_text(&mut self, events: u64, hint: Option<u32>) {
         let mean = self.mean_events.unwrap_or(events as f64);
         self.mean_events = Some(mean + (events as f64 - mean) * EVENTS_WEIGHT);
         if let Some(hint) = hint.filter(|_| events > 0) {
@@ -293,7 +292,7 @@
     /// Returns how long a text with this hint in tokens is expected to take after event
     /// `last` at one of the fastest engines; zero before any text was completed.
     #[must_use]
-    pub fn expected(&self, service: &str, hint: u32, last: u64) -> Duration {
+    pub fn expected_duration(&self, service: &str, hint: u32, last: u64) -> Duration {
         let known = self.service_speed(service).zip(self.tokens_per_event);
         let Some((speed, ratio)) = known.filter(|(_, ratio)| *ratio > 0.0) else {
             return Duration::ZERO;
@@ -303,28 +302,28 @@
     }
 
     /// Records that an item was sent to an engine.
-    pub fn start(&mut self, key: EngineKey) {
+    pub fn add_item(&mut self, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.own_items += 1;
         }
     }
 
     /// Records that an item no longer runs at an engine.
-    pub fn end(&mut self, key: EngineKey) {
+    pub fn remove_item(&mut self, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.own_items = engine.own_items.saturating_sub(1);
         }
     }
 
     /// Records the total of running and queued requests that an engine reported.
-    pub fn told(&mut self, now: Instant, key: EngineKey, total: u32) {
+    pub fn record_load(&mut self, now: Instant, key: EngineKey, total: u32) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.others_report = Some((now, total.saturating_sub(engine.own_items)));
         }
     }
 
     /// Records the weight version that an engine reported with an answer.
-    pub fn weights(&mut self, key: EngineKey, model: &str, version: u64) {
+    pub fn record_version(&mut self, key: EngineKey, model: &str, version: u64) {
         if let Some(engine) = self.states.get_mut(key) {
             raise_version(&mut engine.weights, model, version);
         }
@@ -333,7 +332,7 @@
     /// Records that an engine refused an item without running it.
     ///
     /// An engine that refuses although it reported free slots is probably loading weights.
-    pub fn refused(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_refusal(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             let pause = if engine.free_slots(now) > 0 {
                 STALL_PAUSE
@@ -345,14 +344,14 @@
     }
 
     /// Records that an engine is full: an item of this owner waits in its queue.
-    pub fn full(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_queueing(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.others_report = Some((now, engine.slots.saturating_sub(engine.own_items)));
         }
     }
 
     /// Records that an engine couldn't be reached or lost the connection.
-    pub fn failed(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_failure(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             let pause = MIN_FAILURE_PAUSE * (1 << engine.failures.min(5));
             engine.failures += 1;
@@ -361,14 +360,14 @@
     }
 
     /// Records that an engine makes no events: it loads weights, or is disturbed.
-    pub fn stalled(&mut self, now: Instant, key: EngineKey) {
+    pub fn record_stall(&mut self, now: Instant, key: EngineKey) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.paused_until = Some(now + STALL_PAUSE);
         }
     }
 
     /// Records a measurement of an engine's pace, in seconds per event.
-    pub fn paced(&mut self, now: Instant, key: EngineKey, pace: f64) {
+    pub fn record_pace(&mut self, now: Instant, key: EngineKey, pace: f64) {
         if let Some(engine) = self.states.get_mut(key) {
             engine.failures = 0;
             engine.pace_as_of = Some(now);
@@ -380,7 +379,7 @@
 
     /// Returns the services of engines that this process has sampled since an instant.
     #[must_use]
-    pub fn sampled_since(&self, since: Instant) -> BTreeSet<String> {
+    pub fn services_sampled_since(&self, since: Instant) -> BTreeSet<String> {
         let engines = self.states.values();
         let measured =
             engines.filter(|engine| engine.own_measurement.is_some_and(|at| at >= since));
@@ -391,7 +390,7 @@
     ///
     /// `store_now` is the store's steady clock at `now`.
     #[must_use]
-    pub fn paces_of(&self, now: Instant, store_now: Duration, service: &str) -> Paces {
+    pub fn own_paces(&self, now: Instant, store_now: Duration, service: &str) -> Paces {
         let mut paces = Paces::new();
         for engine in self
             .states
@@ -416,7 +415,7 @@
     /// ones, and returns the number of engines updated.
     ///
     /// `store_now` is the store's steady clock at `now`.
-    pub fn hear(&mut self, now: Instant, store_now: Duration, paces: &Paces) -> usize {
+    pub fn merge_paces(&mut self, now: Instant, store_now: Duration, paces: &Paces) -> usize {
         let mut updated = 0;
         for engine in self.states.values_mut() {
             let Some(sample) = paces.get(&engine.incarnation) else {
@@ -437,7 +436,7 @@
 
     /// Returns the median pace of a service's engines, in seconds per event.
     #[must_use]
-    pub fn usual(&self, service: &str) -> Option<f64> {
+    pub fn median_pace(&self, service: &str) -> Option<f64> {
         self.service_speed(service).map(|speed| speed.median)
     }
 
@@ -450,14 +449,17 @@
     }
 }
 
-fn has_weights(engine: &EngineState, requirements: &Want<'_>) -> bool {
+fn has_weights(engine: &EngineState, requirements: &Requirements<'_>) -> bool {
     let Some(model) = requirements.model else {
         return true;
     };
     let Some(version) = engine.weights.get(model).copied() else {
         return false;
     };
-    version >= requirements.floor && requirements.exact.is_none_or(|exact| exact == version)
+    version >= requirements.min_version
+        && requirements
+            .exact_version
+            .is_none_or(|exact| exact == version)
 }
 
 /// Keeps the highest reported version, because registrations lag behind answers.
--- a/tests/rollout_presence.rs
+++ b/tests/rollout_presence.rs
@@ -1,6 +1,8 @@
 //! Tests the detection of lost owners through a store that is slow or unreachable.
 
-use hibiscusroad::rollout::presence::{Loss, Presences, RENEWAL, SILENCE, Sign};
+use hibiscusroad::rollout::presence::{
+    FailureDetector, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, Heartbeat, Loss,
+};
 use std::{
     collections::HashSet,
     time::{Duration, Instant},
@@ -8,10 +10,10 @@
 
 const OWNER: &str = "gateway-1/aa";
 
-fn sign(life: &str, version: u64) -> Sign {
-    Sign {
+fn heartbeat(incarnation: &str, version: u64) -> Heartbeat {
+    Heartbeat {
         name: "gateway-1".to_owned(),
-        life: life.to_owned(),
+        incarnation: incarnation.to_owned(),
         version,
         memory: 512,
     }
@@ -33,9 +35,9 @@
         let is_queued = writes.len() % 3 == 2;
         at += latency * if is_queued { 4 } else { 2 };
         writes.push(at);
-        at += RENEWAL;
+        at += HEARTBEAT_INTERVAL;
     }
-    let mut presences = Presences::new();
+    let mut detector = FailureDetector::new();
     let mut at = offset;
     while at < end {
         // The store reads its state in the middle of the call.
@@ -43,12 +45,12 @@
         at += latency;
         let version = writes.iter().filter(|write| **write <= as_of).count() as u64;
         if version > 0 {
-            presences.seen(start + at, latency, vec![sign(OWNER, version)]);
+            detector.record_poll(start + at, latency, vec![heartbeat(OWNER, version)]);
         }
-        if presences.lost(OWNER, start).is_some() {
+        if detector.loss(OWNER, start).is_some() {
             return Some(at);
         }
-        at += RENEWAL;
+        at += HEARTBEAT_INTERVAL;
     }
     None
 }
@@ -73,24 +75,35 @@
     let stop = Duration::from_secs(5);
     let detected = simulate(latency, stop, Duration::from_secs(10), Duration::ZERO).unwrap();
     assert!(detected > stop, "{detected:?}");
-    assert!(detected < stop + SILENCE + 2 * RENEWAL, "{detected:?}");
+    assert!(
+        detected < stop + HEARTBEAT_TIMEOUT + 2 * HEARTBEAT_INTERVAL,
+        "{detected:?}"
+    );
 }
 
 // Guards against live owners that are taken to be dead after an outage of the store.
 #[test]
 fn outage_of_the_store_does_not_count_as_silence() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.seen(start, latency, vec![sign(OWNER, 7)]);
-    presences.blind();
+    detector.record_poll(start, latency, vec![heartbeat(OWNER, 7)]);
+    detector.clear();
     let recovery = start + Duration::from_mins(1);
-    presences.seen(recovery, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(recovery + SILENCE, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(recovery + SILENCE * 2, latency, vec![sign(OWNER, 7)]);
-    assert_eq!(presences.lost(OWNER, start), Some(Loss::Silent));
+    detector.record_poll(recovery, latency, vec![heartbeat(OWNER, 7)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(
+        recovery + HEARTBEAT_TIMEOUT,
+        latency,
+        vec![heartbeat(OWNER, 7)],
+    );
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(
+        recovery + HEARTBEAT_TIMEOUT * 2,
+        latency,
+        vec![heartbeat(OWNER, 7)],
+    );
+    assert_eq!(detector.loss(OWNER, start), Some(Loss::Silent));
 }
 
 // Guards against an owner that is taken to be gone by a poll from before it was known, or
@@ -98,14 +111,14 @@
 #[test]
 fn owner_is_not_lost_before_a_poll() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(start, latency, vec![sign("gateway-1/before", 1)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(start, latency, vec![heartbeat("gateway-1/before", 1)]);
     let since = start + Duration::from_secs(9);
-    assert_eq!(presences.lost(OWNER, since), None, "an earlier poll");
-    presences.seen(since, latency, vec![sign(OWNER, 2)]);
-    assert_eq!(presences.lost(OWNER, since), None);
+    assert_eq!(detector.loss(OWNER, since), None, "an earlier poll");
+    detector.record_poll(since, latency, vec![heartbeat(OWNER, 2)]);
+    assert_eq!(detector.loss(OWNER, since), None);
 }
 
 // An owner that removed its row or was restarted is detected without a timeout.
@@ -113,19 +126,19 @@
 fn owner_that_left_or_restarted_is_detected_at_once() {
     let start = Instant::now();
     let now = start + Duration::from_secs(9);
-    let mut presences = Presences::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    presences.seen(now, latency, vec![sign(OWNER, 1)]);
-    assert_eq!(presences.lost(OWNER, start), None);
-    presences.seen(now, latency, Vec::new());
-    assert_eq!(presences.lost(OWNER, start), Some(Loss::NoRow));
+    detector.record_poll(now, latency, vec![heartbeat(OWNER, 1)]);
+    assert_eq!(detector.loss(OWNER, start), None);
+    detector.record_poll(now, latency, Vec::new());
+    assert_eq!(detector.loss(OWNER, start), Some(Loss::NoRow));
     assert_eq!(
-        presences.lost(OWNER, now),
+        detector.loss(OWNER, now),
         None,
         "its first row may not be written yet"
     );
-    presences.seen(now, latency, vec![sign("gateway-1/bb", 2)]);
-    assert_eq!(presences.lost(OWNER, now), Some(Loss::LivesAnew));
+    detector.record_poll(now, latency, vec![heartbeat("gateway-1/bb", 2)]);
+    assert_eq!(detector.loss(OWNER, now), Some(Loss::LivesAnew));
 }
 
 // A stopping process chooses a successor that is alive and not itself; different
@@ -133,30 +146,30 @@
 #[test]
 fn successor_is_alive() {
     let start = Instant::now();
-    let mut presences = Presences::new();
+    let mut detector = FailureDetector::new();
     let latency = Duration::from_millis(5);
-    let row = |n: u64, version: u64| Sign {
+    let row = |n: u64, version: u64| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version,
         memory: 512,
     };
-    assert_eq!(presences.heir("gateway-1"), None);
-    presences.seen(start, latency, (1..=4).map(|n| row(n, n)).collect());
-    let later = start + SILENCE * 2;
+    assert_eq!(detector.successor("gateway-1"), None);
+    detector.record_poll(start, latency, (1..=4).map(|n| row(n, n)).collect());
+    let later = start + HEARTBEAT_TIMEOUT * 2;
     let renewed = |n: u64| if n < 4 { n + 10 } else { n };
-    presences.seen(
+    detector.record_poll(
         later,
         latency,
         (1..=4).map(|n| row(n, renewed(n))).collect(),
     );
-    let successor = presences.heir("gateway-1").unwrap();
+    let successor = detector.successor("gateway-1").unwrap();
     assert!(
         ["gateway-2/aa", "gateway-3/aa"].contains(&successor),
         "{successor}"
     );
     let successors: HashSet<_> = (5..40)
-        .filter_map(|n| presences.heir(&format!("gateway-{n}")))
+        .filter_map(|n| detector.successor(&format!("gateway-{n}")))
         .collect();
     let alive = ["gateway-1/aa", "gateway-2/aa", "gateway-3/aa"];
     assert_eq!(successors, alive.into());
@@ -166,18 +179,18 @@
 #[test]
 fn successor_exists_where_no_other_process_owns_batches() {
     let start = Instant::now();
-    let mut presences = Presences::new();
-    let row = |n: u64, memory: u32| Sign {
+    let mut detector = FailureDetector::new();
+    let row = |n: u64, memory: u32| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version: n,
         memory,
     };
     let rows = || vec![row(1, 512), row(2, 160), row(3, 512), row(4, 512)];
     let latency = Duration::from_millis(5);
-    presences.seen(start, latency, rows());
-    presences.seen(start + SILENCE * 3, latency, rows());
-    let successor = presences.heir("gateway-1").unwrap();
+    detector.record_poll(start, latency, rows());
+    detector.record_poll(start + HEARTBEAT_TIMEOUT * 3, latency, rows());
+    let successor = detector.successor("gateway-1").unwrap();
     assert!(
         ["gateway-3/aa", "gateway-4/aa"].contains(&successor),
         "{successor}"
@@ -187,41 +200,41 @@
 // Guards against batches of a lost owner that are scattered, or go to small hosts.
 #[test]
 fn large_processes_take_over_first() {
-    let mut presences = Presences::new();
-    let sign = |n: u32| Sign {
+    let mut detector = FailureDetector::new();
+    let heartbeat = |n: u32| Heartbeat {
         name: format!("gateway-{n}"),
-        life: format!("gateway-{n}/aa"),
+        incarnation: format!("gateway-{n}/aa"),
         version: 1,
         memory: if n < 4 { 160 } else { 512 },
     };
-    assert!(presences.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
-    presences.seen(
+    assert!(detector.takeover_delay("gateway-1", 160) < Duration::from_millis(150));
+    detector.record_poll(
         Instant::now(),
         Duration::from_millis(5),
-        (0..8).map(sign).collect(),
+        (0..8).map(heartbeat).collect(),
     );
-    let delay = |n: u32| presences.takeover_delay(&format!("gateway-{n}"), sign(n).memory);
+    let delay = |n: u32| detector.takeover_delay(&format!("gateway-{n}"), heartbeat(n).memory);
     let longest = (4..8).map(delay).max().unwrap();
     assert!((0..4).all(|n| delay(n) >= longest));
     assert!((0..8).all(|n| delay(n) <= Duration::from_millis(300)));
 }
 
 /// Builds the view of a process that has polled `count` rows, and their names.
-fn poll_processes(count: usize) -> (Presences, Vec<String>) {
+fn poll_processes(count: usize) -> (FailureDetector, Vec<String>) {
     let names: Vec<String> = (0..count).map(|n| format!("gateway-{n}")).collect();
-    let sign = |name: &String| Sign {
+    let heartbeat = |name: &String| Heartbeat {
         name: name.clone(),
-        life: format!("{name}/aa"),
+        incarnation: format!("{name}/aa"),
         version: 1,
         memory: 512,
     };
-    let mut presences = Presences::new();
-    presences.seen(
+    let mut detector = FailureDetector::new();
+    detector.record_poll(
         Instant::now(),
         Duration::from_millis(4),
-        names.iter().map(sign).collect(),
+        names.iter().map(heartbeat).collect(),
     );
-    (presences, names)
+    (detector, names)
 }
 
 // Guards against polls that exhaust the store with many processes, and against owners
@@ -229,9 +242,11 @@
 #[test]
 fn each_owner_has_a_few_watchers_among_any_number_of_processes() {
     for count in [8, 34, 88, 360] {
-        let (presences, names) = poll_processes(count);
+        let (detector, names) = poll_processes(count);
         let owners = ["gateway-1/aa", "gateway-2/aa"];
-        let intervals = names.iter().map(|name| presences.pause(name, owners));
+        let intervals = names
+            .iter()
+            .map(|name| detector.poll_interval(name, owners));
         let rate: f64 = intervals
             .clone()
             .map(|interval| 1.0 / interval.as_secs_f64())
@@ -243,7 +258,7 @@
         for owner in owners {
             let watchers = names
                 .iter()
-                .filter(|name| presences.pause(name, [owner]) <= RENEWAL);
+                .filter(|name| detector.poll_interval(name, [owner]) <= HEARTBEAT_INTERVAL);
             assert!(watchers.count() >= 6, "{count}");
         }
     }
@@ -253,19 +268,19 @@
 // owners are polled eventually.
 #[test]
 fn nearly_all_owners_keep_a_watcher_when_a_third_of_hosts_fail() {
-    let (presences, names) = poll_processes(360);
+    let (detector, names) = poll_processes(360);
     let alive: HashSet<&String> = names.iter().skip(120).collect();
     let owners: Vec<String> = (0..1000).map(|n| format!("owner-{n}/aa")).collect();
     let unwatched = owners.iter().filter(|owner| {
         let mut watchers = alive
             .iter()
-            .filter(|name| presences.pause(name, [owner.as_str()]) <= RENEWAL);
+            .filter(|name| detector.poll_interval(name, [owner.as_str()]) <= HEARTBEAT_INTERVAL);
         watchers.next().is_none()
     });
     assert!(unwatched.count() <= 5);
     let longest = names
         .iter()
-        .map(|name| presences.pause(name, ["owner-1/aa"]))
+        .map(|name| detector.poll_interval(name, ["owner-1/aa"]))
         .max();
     assert!(longest.unwrap() <= Duration::from_secs(20));
 }
