--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -66,14 +66,14 @@
 }
 
 impl Billing {
-    /// Starts a receiver; `checks` says whether it refuses outdated fencing tokens.
+    /// Starts a receiver; `checks_fence` says whether it refuses outdated fencing tokens.
     ///
     /// # Errors
     ///
     /// Returns an I/O error if it can't listen.
-    pub fn start(checks: bool) -> io::Result<Self> {
+    pub fn start(checks_fence: bool) -> io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner {
-            checks_fence: checks,
+            checks_fence,
             ..Inner::default()
         }));
         let serving = Arc::clone(&inner);
@@ -106,7 +106,7 @@
 
     /// Returns how many reports were refused for an outdated fencing token.
     #[must_use]
-    pub fn fenced(&self) -> u32 {
+    pub fn refused(&self) -> u32 {
         lock(&self.inner).refused
     }
 
--- a/hibiscusroad-standins/src/http.rs
+++ b/hibiscusroad-standins/src/http.rs
@@ -286,7 +286,7 @@
 
 /// A writer that flushes when it is dropped.
 ///
-/// The encoder writes the last chunk on drop, and tiny_http doesn't flush its buffer, so
+/// The encoder writes the last chunk on drop, and `tiny_http` doesn't flush its buffer, so
 /// the caller would never see the end of the answer.
 struct FlushOnDrop(Box<dyn Write + Send>);
 
--- a/hibiscusroad-standins/src/relay.rs
+++ b/hibiscusroad-standins/src/relay.rs
@@ -1,6 +1,6 @@
 //! A TCP relay that can close, delay or silence its connections.
 //!
-//! tiny_http doesn't expose its sockets, so a server can't close a connection without an
+//! `tiny_http` doesn't expose its sockets, so a server can't close a connection without an
 //! answer or notice that a caller has disconnected. Every stand-in therefore listens
 //! through a relay. Tests also use relays between processes under test.
 
--- a/hibiscusroad-standins/src/trainer.rs
+++ b/hibiscusroad-standins/src/trainer.rs
@@ -43,11 +43,11 @@
     pub fn start(listen: SocketAddr, url: &str, step: Duration) -> io::Result<Self> {
         let report = Arc::new(Mutex::new(Report::default()));
         let stopping = Arc::new(AtomicBool::new(false));
-        let (shared, stop, url) = (Arc::clone(&report), Arc::clone(&stopping), url.to_owned());
+        let (shared, stop_flag, url) = (Arc::clone(&report), Arc::clone(&stopping), url.to_owned());
         thread::Builder::new()
             .name("trainer".to_owned())
             .spawn(move || {
-                while !stop.load(Ordering::Relaxed) {
+                while !stop_flag.load(Ordering::Relaxed) {
                     fetch_step(&url, step, &shared);
                 }
             })?;
