--- a/benches/route.rs
+++ b/benches/route.rs
@@ -37,7 +37,7 @@
     fn new(services: usize, prefixes: bool) -> Self {
         let now = Instant::now();
         let mut router = Router::new("senec", 1);
-        let spec = ServiceSpec::new().depth(2 * WAITING);
+        let spec = ServiceSpec::new().max_queued(2 * WAITING);
         let services: Vec<ServiceKey> = (0..services)
             .map(|n| router.set_service(now, &format!("service-{n}"), spec.clone()))
             .collect();
@@ -76,7 +76,7 @@
         if self.prefixes {
             call = call.tokens(500).prefix(self.seq % 997);
         }
-        self.router.arrive(self.now, call);
+        self.router.submit(self.now, call);
         self.drain();
     }
 
@@ -126,7 +126,7 @@
         let waiting: usize = self
             .services
             .iter()
-            .map(|s| self.router.waiting(*s, CLASS))
+            .map(|s| self.router.queued(*s, CLASS))
             .sum();
         assert!(waiting > WAITING / 10 * 9, "{waiting} calls wait");
         let running = self.running.len();
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -1,4 +1,4 @@
-//! The router: its tables, the events that go in, the steps that come out.
+//! The router: its tables, the events that it handles and the steps it returns.
 
 use crate::{
     class::Class,
@@ -6,8 +6,8 @@
     id::RequestId,
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, ServiceKey, ServiceSpec, Step,
-        place::PUMP,
-        table::{CallKey, CallRow, Due, EndpointRow, Seen, ServiceRow},
+        placement::DISPATCH_INTERVAL,
+        table::{CallKey, CallRow, EndpointRow, ReceivedReport, ServiceRow, Timer},
     },
 };
 use rand::SeedableRng;
@@ -18,73 +18,73 @@
     time::{Duration, Instant},
 };
 
-/// Expected seconds of a call before any was answered.
-const UNKNOWN_WORK: f64 = 0.05;
+/// Assumed service time of a call before any was answered.
+const DEFAULT_WORK_SECS: f64 = 0.05;
 
-/// Decides where the calls of one entry run.
+/// Decides where and when the calls of one entry run.
 ///
-/// Each event names the present instant, which never goes back.
+/// Each event carries the current instant, which must not decrease.
 #[derive(Debug)]
 pub struct Router {
-    pub(super) place: String,
+    pub(super) data_centre: String,
     pub(super) seed: u64,
     pub(super) rng: Pcg64,
-    pub(super) names: HashMap<String, ServiceKey>,
+    pub(super) service_keys: HashMap<String, ServiceKey>,
     pub(super) services: SlotMap<ServiceKey, ServiceRow>,
     pub(super) endpoints: SlotMap<EndpointKey, EndpointRow>,
     pub(super) calls: SlotMap<CallKey, CallRow>,
-    pub(super) index: HashMap<RequestId, CallKey>,
-    pub(super) timers: BTreeSet<(Instant, Due)>,
+    pub(super) call_keys: HashMap<RequestId, CallKey>,
+    pub(super) timers: BTreeSet<(Instant, Timer)>,
     pub(super) steps: VecDeque<Step>,
-    pub(super) found: Vec<EndpointKey>,
+    pub(super) ring_candidates: Vec<EndpointKey>,
     seq: u64,
 }
 
 impl Router {
-    /// Creates a router for an entry that stands at `place`.
+    /// Creates a router for an entry in a data centre.
     ///
-    /// `seed` starts the random choices, so that a test can repeat them.
+    /// `seed` makes the random choices reproducible.
     #[must_use]
-    pub fn new(place: &str, seed: u64) -> Self {
+    pub fn new(data_centre: &str, seed: u64) -> Self {
         Self {
-            place: place.to_owned(),
+            data_centre: data_centre.to_owned(),
             seed,
             rng: Pcg64::seed_from_u64(seed),
-            names: HashMap::new(),
+            service_keys: HashMap::new(),
             services: SlotMap::with_key(),
             endpoints: SlotMap::with_key(),
             calls: SlotMap::with_key(),
-            index: HashMap::new(),
+            call_keys: HashMap::new(),
             timers: BTreeSet::new(),
             steps: VecDeque::new(),
-            found: Vec::new(),
+            ring_candidates: Vec::new(),
             seq: 0,
         }
     }
 
-    /// Adds a service, or changes the one of this name.
+    /// Adds a service, or replaces the settings of the one with this name.
     pub fn set_service(&mut self, now: Instant, name: &str, spec: ServiceSpec) -> ServiceKey {
         if let Some(key) = self.service(name) {
             self.services[key].spec = spec;
-            self.pump(now, key);
+            self.dispatch(now, key);
             return key;
         }
         let key = self.services.insert(ServiceRow::new(spec));
-        self.names.insert(name.to_owned(), key);
+        self.service_keys.insert(name.to_owned(), key);
         key
     }
 
     /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<ServiceKey> {
-        self.names.get(name).copied()
+        self.service_keys.get(name).copied()
     }
 
-    /// Adds an endpoint that takes work at once.
+    /// Adds an endpoint, which accepts calls immediately.
     ///
     /// # Panics
     ///
-    /// Panics if `service` is not one of this router.
+    /// Panics if `service` does not belong to this router.
     pub fn add_endpoint(
         &mut self,
         now: Instant,
@@ -93,18 +93,18 @@
     ) -> EndpointKey {
         let key = self.insert_endpoint(service, spec);
         self.set_tiers(now, service);
-        self.pump(now, service);
+        self.dispatch(now, service);
         key
     }
 
-    /// Adds endpoints that take work at once.
+    /// Adds several endpoints, which accept calls immediately.
     ///
-    /// Endpoints that become known together are to come together: whose subset each is
-    /// in depends on all of them, and is found out once.
+    /// This is cheaper than adding them one by one, because the service's tiers are
+    /// assigned only once.
     ///
     /// # Panics
     ///
-    /// Panics if `service` is not one of this router.
+    /// Panics if `service` does not belong to this router.
     pub fn add_endpoints(
         &mut self,
         now: Instant,
@@ -116,7 +116,7 @@
             .map(|spec| self.insert_endpoint(service, spec))
             .collect();
         self.set_tiers(now, service);
-        self.pump(now, service);
+        self.dispatch(now, service);
         keys
     }
 
@@ -129,89 +129,99 @@
         key
     }
 
-    /// Says whether the endpoint takes new work.
-    pub fn set_open(&mut self, now: Instant, endpoint: EndpointKey, open: bool) {
+    /// Sets whether an endpoint accepts new calls.
+    pub fn set_accepting(&mut self, now: Instant, endpoint: EndpointKey, accepting: bool) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if row.open == open {
+        if row.accepting == accepting {
             return;
         }
-        row.open = open;
+        row.accepting = accepting;
         let service = row.service;
-        let fit = row.health.fit();
+        let healthy = row.health.is_healthy();
         self.refresh(now, endpoint);
-        if !open {
-            self.services[service].ready.retain(|key| *key != endpoint);
-            self.trim(now, service);
-        } else if !fit {
-            // Whoever opens it again knows more than an old suspicion.
+        if !accepting {
+            self.services[service]
+                .awaiting_trial
+                .retain(|key| *key != endpoint);
+            self.refuse_unanswerable(now, service);
+        } else if !healthy {
+            // The entry reopens only endpoints that it knows to be available.
             self.readmit(now, endpoint);
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
-    /// Forgets an endpoint; what still runs there is reported by the entry.
+    /// Removes an endpoint. The entry still reports the end of each attempt that
+    /// runs there.
     pub fn remove_endpoint(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(service) = self.endpoints.get(endpoint).map(|row| row.service) else {
             return;
         };
         self.drop_endpoint(now, endpoint);
         self.set_tiers(now, service);
-        self.trim(now, service);
-        self.pump(now, service);
+        self.refuse_unanswerable(now, service);
+        self.dispatch(now, service);
     }
 
-    /// Takes a call in; the answer comes out as steps.
+    /// Admits or refuses a new call; the outcome follows as steps.
     ///
-    /// A call whose id is known already is ignored.
-    pub fn arrive(&mut self, now: Instant, call: Call) {
-        if self.index.contains_key(&call.id) {
+    /// A call whose id is already known is ignored.
+    pub fn submit(&mut self, now: Instant, call: Call) {
+        if self.call_keys.contains_key(&call.id) {
             return;
         }
         if !self.services.contains_key(call.service) {
             self.steps.push_back(Step::Refuse {
                 id: call.id,
                 kind: ErrorKind::UnknownService,
-                after: Duration::ZERO,
+                retry_after: Duration::ZERO,
             });
             return;
         }
-        let work = self.expect(&call).map_or(UNKNOWN_WORK, |e| e.mean);
+        let work = self.estimate(&call).map_or(DEFAULT_WORK_SECS, |e| e.mean);
         self.seq += 1;
         let key = self.calls.insert(CallRow::new(call, work, self.seq));
-        self.index.insert(call.id, key);
+        self.call_keys.insert(call.id, key);
         if self.admit(now, key) {
-            self.pump(now, call.service);
+            self.dispatch(now, call.service);
         }
     }
 
-    /// Forgets a call whose caller has gone, and cancels what runs of it.
+    /// Removes a call whose caller has disconnected and cancels its attempts.
     pub fn cancel(&mut self, now: Instant, id: RequestId) {
-        if let Some(key) = self.index.get(&id).copied() {
+        if let Some(key) = self.call_keys.get(&id).copied() {
             let service = self.calls[key].call.service;
-            self.forget(now, key);
-            self.pump(now, service);
+            self.remove_call(now, key);
+            self.dispatch(now, service);
         }
     }
 
-    /// Notes that an attempt gave a sign of life: `tokens` so far.
-    pub fn progress(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, _tokens: u64) {
-        let runs = self
-            .index
+    /// Records progress of an attempt, so that its endpoint does not count as
+    /// silent. The number of tokens so far is ignored.
+    pub fn record_progress(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        endpoint: EndpointKey,
+        _tokens: u64,
+    ) {
+        let running_there = self
+            .call_keys
             .get(&id)
             .is_some_and(|key| self.calls[*key].runs_at(endpoint));
-        if let Some(row) = self.endpoints.get_mut(endpoint).filter(|_| runs) {
-            row.health.life = Some(now);
+        if let Some(row) = self.endpoints.get_mut(endpoint).filter(|_| running_there) {
+            row.health.last_activity = Some(now);
         }
     }
 
-    /// Notes that the caller has got part of this attempt's answer.
+    /// Records that the caller has received part of this attempt's answer.
     ///
-    /// From then on no other attempt can answer the call, so it is neither
-    /// hedged nor moved nor tried again, and a hedge of it is cancelled.
+    /// From then on no other attempt can answer the call: it is neither hedged,
+    /// moved nor retried, and its other attempt is cancelled.
     pub fn commit(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey) {
-        let Some(key) = self.index.get(&id).copied() else {
+        let Some(key) = self.call_keys.get(&id).copied() else {
             return;
         };
         let row = &mut self.calls[key];
@@ -219,154 +229,158 @@
             return;
         }
         row.committed = true;
-        row.ran = Some(ErrorKind::AnswerShort);
+        row.run_error = Some(ErrorKind::AnswerShort);
         let attempts = row.attempts;
         let service = row.call.service;
-        for (slot, attempt) in attempts.iter().enumerate() {
+        for (attempt_index, attempt) in attempts.iter().enumerate() {
             if attempt.is_some_and(|attempt| attempt.endpoint != endpoint) {
-                self.cancel_attempt(now, key, slot);
+                self.cancel_attempt(now, key, attempt_index);
             }
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
-    /// Notes how an attempt ended.
+    /// Records how an attempt ended.
     ///
-    /// A [`Step::Refuse`] or another [`Step::Start`] follows unless it was
-    /// answered or a hedge of it still runs. What is told of an attempt that
-    /// was cancelled before is ignored.
+    /// Unless the call was answered or another attempt of it is running, it is
+    /// then queued for a retry or refused. Outcomes of cancelled attempts are
+    /// ignored.
     pub fn finish(&mut self, now: Instant, id: RequestId, endpoint: EndpointKey, outcome: Outcome) {
-        let Some(key) = self.index.get(&id).copied() else {
+        let Some(key) = self.call_keys.get(&id).copied() else {
             return;
         };
         let service = self.calls[key].call.service;
         match outcome {
-            Outcome::Answered => self.answered(now, key, endpoint),
-            Outcome::NotRun(kind) => self.not_run(now, key, endpoint, kind),
-            Outcome::Failed(kind) => self.failed(now, key, endpoint, kind),
+            Outcome::Answered => self.finish_answered(now, key, endpoint),
+            Outcome::NotRun(kind) => self.finish_not_run(now, key, endpoint, kind),
+            Outcome::Failed(kind) => self.finish_failed(now, key, endpoint, kind),
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
-    /// Takes in what an endpoint reported of itself.
+    /// Records the load that an endpoint reported.
     ///
-    /// The reports may lag, have gaps or be absent altogether.
-    pub fn report(&mut self, now: Instant, endpoint: EndpointKey, report: LoadReport) {
+    /// Reports may be late, incomplete or missing altogether.
+    pub fn record_load(&mut self, now: Instant, endpoint: EndpointKey, report: LoadReport) {
         let Some(row) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        row.limit.bound(report.limit);
-        // Only an engine that batches reports its cache.
+        row.limit.set_max(report.limit);
+        // Only batching engines report their cache memory.
         if report.cache_free > 0 {
-            row.limit.engine(report.running, report.queued);
+            row.limit.record_engine_load(report.running, report.queued);
         }
-        row.seen = Some(Seen {
+        row.last_report = Some(ReceivedReport {
             report,
-            at: now.checked_sub(report.age).unwrap_or(now),
-            own: row.running,
-            sent: 0,
+            valid_at: now.checked_sub(report.age).unwrap_or(now),
+            own_running: row.running,
+            tokens_sent: 0,
         });
         let service = row.service;
         self.refresh(now, endpoint);
-        if !self.services[service].idle() {
-            self.pump(now, service);
+        if !self.services[service].queues_empty() {
+            self.dispatch(now, service);
         }
     }
 
-    /// Runs what is due: expiry, hedges, trials and placement.
+    /// Handles the timers that are due: expiry, hedges, health checks and placement.
     pub fn tick(&mut self, now: Instant) {
-        while let Some((at, due)) = self.timers.first().copied() {
+        while let Some((at, timer)) = self.timers.first().copied() {
             if at > now {
                 return;
             }
             self.timers.pop_first();
-            match due {
-                Due::Call(key) => self.call_due(now, key),
-                Due::Endpoint(key) => self.endpoint_due(now, key),
-                Due::Service(key) => self.service_due(now, key),
+            match timer {
+                Timer::Call(key) => self.handle_call_timer(now, key),
+                Timer::Endpoint(key) => self.handle_endpoint_timer(now, key),
+                Timer::Service(key) => self.handle_service_timer(now, key),
             }
         }
     }
 
-    /// Says when [`Router::tick`] has something to do at the latest.
+    /// Returns when [`Router::tick`] has to be called at the latest.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the next step, if there is one.
+    /// Removes and returns the next step, if there is one.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Returns how many calls of a class wait for a service.
+    /// Returns the number of queued calls of a class.
     #[must_use]
-    pub fn waiting(&self, service: ServiceKey, class: Class) -> usize {
+    pub fn queued(&self, service: ServiceKey, class: Class) -> usize {
         self.services
             .get(service)
             .map_or(0, |row| row.queue(class).len())
     }
 
-    /// Returns how many attempts of a class run for a service.
+    /// Returns the number of running attempts of a class.
     #[must_use]
     pub fn running(&self, service: ServiceKey, class: Class) -> u32 {
         let row = self.services.get(service);
-        row.map_or(0, |row| row.used[class.index()])
+        row.map_or(0, |row| row.running[class.index()])
     }
 
-    /// Returns how many attempts run at an endpoint, and how many may.
+    /// Returns the number of attempts that run at an endpoint, and its limit, which
+    /// is 0 while the endpoint gets no calls.
     #[must_use]
     pub fn load(&self, endpoint: EndpointKey) -> Option<(u32, u32)> {
         let row = self.endpoints.get(endpoint)?;
-        let limit = if row.usable() { row.limit.get() } else { 0 };
+        let limit = if row.is_usable() { row.limit.get() } else { 0 };
         Some((row.running, limit))
     }
 
-    /// Sets a call's timer unless it goes off sooner: it is then set again.
-    pub(super) fn set_call_due(&mut self, key: CallKey, at: Instant) {
+    /// Sets a call's timer, unless it is already set to an earlier instant; its
+    /// handler then sets it again.
+    pub(super) fn set_call_timer(&mut self, key: CallKey, at: Instant) {
         let row = &mut self.calls[key];
-        if row.due.is_some_and(|due| due <= at) {
+        if row.timer_at.is_some_and(|timer_at| timer_at <= at) {
             return;
         }
-        if let Some(due) = row.due.replace(at) {
-            self.timers.remove(&(due, Due::Call(key)));
+        if let Some(timer_at) = row.timer_at.replace(at) {
+            self.timers.remove(&(timer_at, Timer::Call(key)));
         }
-        self.timers.insert((at, Due::Call(key)));
+        self.timers.insert((at, Timer::Call(key)));
     }
 
-    fn call_due(&mut self, now: Instant, key: CallKey) {
+    fn handle_call_timer(&mut self, now: Instant, key: CallKey) {
         let row = &mut self.calls[key];
         let service = row.call.service;
-        row.due = None;
-        if now >= row.call.deadline || (row.waits && now >= row.last_start) {
-            let kind = match (row.runs(), now >= row.call.deadline) {
+        row.timer_at = None;
+        if now >= row.call.deadline || (row.queued && now >= row.latest_start) {
+            let kind = match (row.is_running(), now >= row.call.deadline) {
                 (true, _) => ErrorKind::TimedOut,
                 (false, true) => ErrorKind::Expired,
                 (false, false) => ErrorKind::Saturated,
             };
-            self.time_out(now, key);
-            self.missed(service);
+            self.record_unfinished(now, key);
+            self.record_late(service);
             self.refuse(now, key, kind);
-            self.pump(now, service);
+            self.dispatch(now, service);
             return;
         }
-        let next = if row.waits {
-            row.last_start
+        let next = if row.queued {
+            row.latest_start
         } else {
             row.call.deadline
         };
-        self.set_call_due(key, next);
-        self.hedge(now, key);
+        self.set_call_timer(key, next);
+        self.start_hedge(now, key);
     }
 
-    /// Looks again at a service with a backlog: reserves fade without events.
-    fn service_due(&mut self, now: Instant, key: ServiceKey) {
-        self.services[key].due = None;
-        self.pump(now, key);
+    /// Places queued calls at an interval, because reserved slots become free
+    /// without an event.
+    fn handle_service_timer(&mut self, now: Instant, key: ServiceKey) {
+        self.services[key].timer_at = None;
+        self.dispatch(now, key);
         let row = &mut self.services[key];
-        if !row.idle() {
-            row.due = Some(now + PUMP);
-            self.timers.insert((now + PUMP, Due::Service(key)));
+        if !row.queues_empty() {
+            row.timer_at = Some(now + DISPATCH_INTERVAL);
+            self.timers
+                .insert((now + DISPATCH_INTERVAL, Timer::Service(key)));
         }
     }
 }
