--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -138,8 +138,8 @@
         (&line["id"], &line["kind"]),
         (&json!("d0"), &json!("key-missing"))
     );
-    let log = std::fs::read_to_string(&gateway.output).unwrap();
-    assert!(!log.contains("charity-key") && !log.contains("school-key"));
+    let output = std::fs::read_to_string(&gateway.output).unwrap();
+    assert!(!output.contains("charity-key") && !output.contains("school-key"));
 }
 
 // Guards against serving a request with a revoked key once a gateway has the configuration
