--- a/hibiscusroad-daemon/src/side/mod.rs
+++ b/hibiscusroad-daemon/src/side/mod.rs
@@ -28,10 +28,10 @@
 
 mod call;
 mod event;
+mod gauges;
 mod link;
-mod news;
-mod numbers;
 mod orders;
+mod polls;
 mod pool;
 mod report;
 mod request;
@@ -158,10 +158,10 @@
     settings: &Settings,
     side: &settings::Side,
     events: &Sender<Event>,
-) -> io::Result<[news::Poll; 2]> {
+) -> io::Result<[polls::Poll; 2]> {
     Ok([
-        news::poll_load(side, events.clone())?,
-        news::poll_hosts(settings, side, events.clone())?,
+        polls::poll_load(side, events.clone())?,
+        polls::poll_hosts(settings, side, events.clone())?,
     ])
 }
 
