--- a/hibiscusroad-daemon/src/side/link.rs
+++ b/hibiscusroad-daemon/src/side/link.rs
@@ -1,4 +1,4 @@
-//! Takes links from entries, on a thread with tonic's runtime.
+//! Server for the streams from entries, on a thread with tonic's runtime.
 
 use crate::side::{LOG, event::Event, request::Inbound, wire};
 use flume::Sender;
@@ -24,27 +24,30 @@
     transport::{Server as Transport, server::TcpIncoming},
 };
 
-/// Frames that wait for one entry. What they hold is bounded by the gate's
-/// window; a link whose queue is full is closed, and its entry attaches anew.
-const QUEUE: usize = 4096;
+/// Capacity of the queue of frames to one entry. The gate's window bounds their
+/// bytes. A stream whose queue is full is closed, and its entry attaches again.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// How long a new link may take to say Hello.
-const HELLO_LIMIT: Duration = Duration::from_secs(1);
+/// How long a new stream may take to send Hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a link may be silent until its task gives up. The gate closes it
-/// earlier; this ends the task of a connection that broke without a word.
-const TASK_SILENCE: Duration = LINK_SILENCE.saturating_mul(2);
+/// How long a stream may be silent until the task that reads it ends. The gate
+/// closes the stream earlier; this ends the task of a connection that was lost
+/// without being closed.
+const READ_TIMEOUT: Duration = LINK_SILENCE.saturating_mul(2);
 
-/// How long the last frames may take to leave when the side stops.
-const FLUSH_LIMIT: Duration = Duration::from_secs(1);
+/// How long queued frames may take to be sent when the sidecar stops.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between signs of life on a connection without an open link.
-const KEEPALIVE: Duration = Duration::from_secs(2);
+/// Interval and timeout of HTTP/2 keepalive pings. They detect a lost connection
+/// that has no open stream.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The largest frame. An entry's largest request body has 1 MiB by default.
-const LARGEST_FRAME: usize = 64 << 20;
+/// Maximum size of a frame, in bytes. It is larger than the largest request body
+/// that an entry accepts.
+const MAX_FRAME_SIZE: usize = 64 << 20;
 
-/// The thread that takes links.
+/// The thread that accepts streams.
 #[derive(Debug)]
 pub struct Server {
     stop: oneshot::Sender<()>,
@@ -56,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the thread or the runtime can't be made.
+    /// Returns an error if the thread or the runtime can't be created.
     pub fn start(listener: TcpListener, events: Sender<Event>) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -67,11 +70,11 @@
         Ok(Self { stop, thread })
     }
 
-    /// Ends the thread once the last frames have left, or after a second.
+    /// Ends the thread once the queued frames are sent, or after a timeout.
     pub fn stop(self) {
         drop(self.stop);
         if self.thread.join().is_err() {
-            log::error!(target: LOG, "The thread of the links panicked.");
+            log::error!(target: LOG, "The stream server's thread panicked.");
         }
     }
 }
@@ -86,15 +89,15 @@
     let server = async {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
-        let service = LinkServer::new(Links { events }).max_decoding_message_size(LARGEST_FRAME);
+        let service = LinkServer::new(Links { events }).max_decoding_message_size(MAX_FRAME_SIZE);
         let stopped = async move {
-            // An error says that the sender was dropped, which is the signal.
+            // The sender is dropped to signal the stop, so this is an error.
             drop(stopped.await);
             drop(flush);
         };
         Transport::builder()
-            .http2_keepalive_interval(Some(KEEPALIVE))
-            .http2_keepalive_timeout(Some(KEEPALIVE))
+            .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+            .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL))
             .add_service(service)
             .serve_with_incoming_shutdown(incoming, stopped)
             .await
@@ -103,10 +106,10 @@
     let ended = runtime.block_on(async {
         let server = tokio::spawn(server);
         drop(flushed.await);
-        timeout(FLUSH_LIMIT, server).await
+        timeout(FLUSH_TIMEOUT, server).await
     });
     if let Ok(Ok(Err(error))) = ended {
-        log::error!(target: LOG, "Links can't be taken: {error}.");
+        log::error!(target: LOG, "Streams can't be accepted: {error}.");
     }
 }
 
@@ -126,63 +129,64 @@
         request: Request<Streaming<ToSide>>,
     ) -> Result<Response<Self::OpenStream>, Status> {
         let mut frames = request.into_inner();
-        let first = timeout(HELLO_LIMIT, frames.message()).await;
-        let first = first.map_err(|_error| Status::deadline_exceeded("no Hello came"))??;
-        let hello = wire::hello(first).map_err(refuse)?;
+        let first = timeout(HELLO_TIMEOUT, frames.message()).await;
+        let first = first
+            .map_err(|_error| Status::deadline_exceeded("no Hello was received in time"))??;
+        let hello = wire::hello(first).map_err(invalid_frame)?;
         if hello.version != VERSION {
-            return Err(other_version(hello.version));
+            return Err(version_mismatch(hello.version));
         }
-        let (out, queue) = mpsc::channel(QUEUE);
+        let (out, queue) = mpsc::channel(QUEUE_CAPACITY);
         let (reply, key) = oneshot::channel();
-        let hello = wire::entry(hello);
-        let back = out.downgrade();
+        let hello = wire::entry_hello(hello);
+        let weak_out = out.downgrade();
         let open = Event::Open { hello, out, reply };
-        self.hand_over(open).await?;
+        self.send_event(open).await?;
         let key = key.await.map_err(|_error| stopping())?;
-        tokio::spawn(read(key, frames, self.events.clone(), back));
+        tokio::spawn(read_frames(key, frames, self.events.clone(), weak_out));
         Ok(Response::new(ReceiverStream::new(queue)))
     }
 }
 
 impl Links {
-    async fn hand_over(&self, event: Event) -> Result<(), Status> {
+    async fn send_event(&self, event: Event) -> Result<(), Status> {
         let sent = self.events.send_async(event).await;
         sent.map_err(|_error| stopping())
     }
 }
 
-/// Hands the frames of one link over until it ends.
+/// Sends the frames of one stream to the actor until the stream ends.
 ///
-/// A frame that can't be understood ends the link with a status that says so:
-/// what it asked for is unknown, and going on would leave its sender waiting.
-async fn read(
+/// An invalid frame ends the stream with a status that says so. Ignoring it would
+/// leave the sender waiting for a reply.
+async fn read_frames(
     key: LinkKey,
     mut frames: Streaming<ToSide>,
     events: Sender<Event>,
-    back: WeakOutbound,
+    weak_out: WeakOutbound,
 ) {
-    while let Ok(Ok(Some(frame))) = timeout(TASK_SILENCE, frames.message()).await {
+    while let Ok(Ok(Some(frame))) = timeout(READ_TIMEOUT, frames.message()).await {
         match wire::inbound(Instant::now(), frame) {
             Ok(frame) => {
-                if hand_over(&events, key, frame).await.is_err() {
+                if send_frame(&events, key, frame).await.is_err() {
                     return;
                 }
             }
             Err(error) => {
-                log::warn!(target: LOG, "A link is closed: {error}.");
-                if let Some(out) = back.upgrade() {
-                    // A full queue drops the reason, and the link closes all the same.
-                    drop(out.try_send(Err(refuse(error))));
+                log::warn!(target: LOG, "A stream from an entry is closed: {error}.");
+                if let Some(out) = weak_out.upgrade() {
+                    // If the queue is full, the stream closes without the reason.
+                    drop(out.try_send(Err(invalid_frame(error))));
                 }
                 break;
             }
         }
     }
-    // An actor that has ended needs no word.
+    // Fails only if the actor has ended.
     drop(events.send_async(Event::Lost(key)).await);
 }
 
-async fn hand_over(
+async fn send_frame(
     events: &Sender<Event>,
     key: LinkKey,
     frame: Inbound,
@@ -190,17 +194,17 @@
     events.send_async(Event::Frame(key, frame)).await
 }
 
-fn refuse(error: wire::Broken) -> Status {
+fn invalid_frame(error: wire::InvalidFrame) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
 fn stopping() -> Status {
-    Status::unavailable("the side has stopped")
+    Status::unavailable("the sidecar has stopped")
 }
 
-fn other_version(theirs: u32) -> Status {
+fn version_mismatch(entry_version: u32) -> Status {
     Status::failed_precondition(format!(
-        "wire-version: this side speaks version {VERSION} and the entry version {theirs}; \
+        "wire-version: this sidecar speaks version {VERSION} and the entry version {entry_version}; \
          run the same release on both"
     ))
 }
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -1,4 +1,4 @@
-//! The border between generated frames and the side's own types.
+//! Conversion between generated frames and the sidecar's types.
 
 use crate::side::request::{Hello, Http, Inbound, Order, Request};
 use hibiscusroad::{
@@ -10,35 +10,35 @@
 };
 use std::time::{Duration, Instant};
 
-/// Why a frame can't be understood.
+/// Why a frame is invalid.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-pub enum Broken {
-    /// The frame is of no known kind.
-    #[error("the frame is of no known kind")]
-    Empty,
-    /// The frame names no attempt.
-    #[error("the frame names no attempt")]
-    NoId,
+pub enum InvalidFrame {
+    /// The frame is empty or of an unknown kind.
+    #[error("the frame is empty or of an unknown kind")]
+    UnknownKind,
+    /// The frame has no attempt id.
+    #[error("the frame has no attempt id")]
+    MissingId,
     /// The first frame is not Hello, or a later one is.
-    #[error("Hello is sent first and once")]
-    Order,
+    #[error("Hello must be the first frame and must not be repeated")]
+    HelloOrder,
 }
 
 /// Reads the first frame of a link.
 ///
 /// # Errors
 ///
-/// Returns [`Broken`] if it isn't Hello.
-pub fn hello(frame: Option<wire::ToSide>) -> Result<wire::Hello, Broken> {
+/// Returns [`InvalidFrame`] if it isn't Hello.
+pub fn hello(frame: Option<wire::ToSide>) -> Result<wire::Hello, InvalidFrame> {
     match frame.and_then(|frame| frame.frame) {
         Some(In::Hello(hello)) => Ok(hello),
-        _ => Err(Broken::Order),
+        _ => Err(InvalidFrame::HelloOrder),
     }
 }
 
-/// Takes over what an entry says of itself.
+/// Converts a Hello.
 #[must_use]
-pub fn entry(hello: wire::Hello) -> Hello {
+pub fn entry_hello(hello: wire::Hello) -> Hello {
     Hello {
         entry: hello.entry,
         incarnation: Incarnation(hello.incarnation),
@@ -47,14 +47,14 @@
     }
 }
 
-/// Reads a frame that came at `now`.
+/// Converts a frame that arrived at `now`.
 ///
 /// # Errors
 ///
-/// Returns [`Broken`] if it can't be understood.
-pub fn inbound(now: Instant, frame: wire::ToSide) -> Result<Inbound, Broken> {
-    Ok(match frame.frame.ok_or(Broken::Empty)? {
-        In::Hello(_) => return Err(Broken::Order),
+/// Returns [`InvalidFrame`] if the frame is invalid.
+pub fn inbound(now: Instant, frame: wire::ToSide) -> Result<Inbound, InvalidFrame> {
+    Ok(match frame.frame.ok_or(InvalidFrame::UnknownKind)? {
+        In::Hello(_) => return Err(InvalidFrame::HelloOrder),
         In::Start(start) => Inbound::Start(Box::new(request(now, start)?)),
         In::Attach(attach) => Inbound::Attach(id(attach.id)?, attach.offset),
         In::Ack(ack) => Inbound::Ack(id(ack.id)?, ack.offset, ack.done),
@@ -66,8 +66,8 @@
     })
 }
 
-fn request(now: Instant, start: wire::Start) -> Result<Request, Broken> {
-    let left = Duration::from_millis(start.remaining_ms.into());
+fn request(now: Instant, start: wire::Start) -> Result<Request, InvalidFrame> {
+    let remaining = Duration::from_millis(start.remaining_ms.into());
     let repeat = if start.once {
         Repeat::Once
     } else {
@@ -80,7 +80,7 @@
     Ok(Request {
         ask: Ask {
             id: id(start.id)?,
-            deadline: now + left,
+            deadline: now + remaining,
             repeat,
         },
         http: Http {
@@ -110,17 +110,17 @@
     }
 }
 
-fn id(id: Option<wire::Id>) -> Result<RequestId, Broken> {
-    let id = id.ok_or(Broken::NoId)?;
+fn id(id: Option<wire::Id>) -> Result<RequestId, InvalidFrame> {
+    let id = id.ok_or(InvalidFrame::MissingId)?;
     Ok(RequestId {
         origin: Incarnation(id.origin),
         seq: id.seq,
     })
 }
 
-/// Writes a frame of the gate.
+/// Converts a frame of the gate. `retry_delay` is sent with a refusal.
 #[must_use]
-pub fn outbound(frame: &Frame, retry: Duration) -> ToEntry {
+pub fn outbound(frame: &Frame, retry_delay: Duration) -> ToEntry {
     ToEntry::from(match frame {
         Frame::Head { id, head } => Out::Head(wire_head(*id, head)),
         Frame::Chunk { id, chunk } => Out::Chunk(wire::Chunk {
@@ -133,7 +133,7 @@
             length: *length,
             runs: runs.iter().map(wire_run).collect(),
         }),
-        Frame::Refused { id, kind } => Out::Refused(refused(*id, *kind, retry)),
+        Frame::Refused { id, kind } => Out::Refused(refused(*id, *kind, retry_delay)),
         Frame::Standing { id, standing } => Out::Standing(wire::Standing {
             id: wire_id(*id),
             state: state(*standing).into(),
@@ -141,11 +141,11 @@
     })
 }
 
-fn refused(id: RequestId, kind: ErrorKind, retry: Duration) -> wire::Refused {
+fn refused(id: RequestId, kind: ErrorKind, retry_delay: Duration) -> wire::Refused {
     wire::Refused {
         id: wire_id(id),
         problem: kind.answer().problem.to_owned(),
-        retry_ms: millis(retry),
+        retry_ms: millis(retry_delay),
     }
 }
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// Whole milliseconds of a duration.
+/// Converts a duration to whole milliseconds, saturating.
 #[must_use]
 pub fn millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
