--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -1,4 +1,4 @@
-//! One call at the endpoint, from a worker's thread.
+//! HTTP calls to the endpoint, made on worker threads.
 
 use crate::{
     headers,
@@ -24,28 +24,28 @@
     http::{HeaderMap, Request, Response, header},
 };
 
-/// How long opening a connection may take, in the same data centre.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a call that may run only once is waited for, at the least. It runs
-/// on after its caller has gone, because the answer is kept for a repeat.
-const ONCE_LIMIT: Duration = Duration::from_mins(5);
+/// Minimum timeout of a call that may run only once. Such a call outlives its
+/// caller, because its answer is retained for a repeat of the request.
+const MIN_ONCE_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// How long an order may take: an engine loads a version in tens of seconds.
-const ORDER_LIMIT: Duration = Duration::from_mins(2);
+/// Timeout of an order. An engine loads a weight version in tens of seconds.
+const ORDER_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Bytes read in one piece.
-const PIECE: usize = 16 << 10;
+/// Size of the read buffer, in bytes.
+const READ_BUFFER_SIZE: usize = 16 << 10;
 
-/// The longest answer that is searched for a weight version, and the longest
-/// answer to an order.
-const LONGEST_WHOLE: usize = 1 << 20;
+/// Maximum number of bytes kept of an answer that is searched for a weight
+/// version, and of an answer to an order.
+const MAX_SCANNED: usize = 1 << 20;
 
-/// How long a connection that is not used is kept.
-const IDLE_AGE: Duration = Duration::from_secs(5);
+/// How long an idle connection is kept open.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(5);
 
-/// Creates a client for one worker.
-pub fn agent() -> Agent {
+/// Creates an HTTP client for one worker.
+pub fn new_agent() -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
@@ -55,101 +55,112 @@
         .user_agent("")
         .accept("")
         .accept_encoding("")
-        .timeout_connect(Some(CONNECT_LIMIT))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
         .max_idle_connections(1)
-        .max_idle_age(IDLE_AGE)
+        .max_idle_age(MAX_IDLE_AGE)
         .build()
         .into()
 }
 
-/// What a call needs besides its request.
+/// Context of a call: the client, the endpoint and where the answer goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Line<'a> {
-    /// The client.
+pub struct CallContext<'a> {
+    /// HTTP client.
     pub agent: &'a Agent,
-    /// The endpoint.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Whether it is a model engine.
-    pub model: bool,
-    /// Holds the call back or ends it.
+    /// Whether the endpoint is a model engine.
+    pub is_model: bool,
+    /// Pauses or aborts the call.
     pub throttle: &'a Throttle,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub events: &'a Sender<Event>,
 }
 
-/// Calls the endpoint and hands its answer over as it comes.
+/// Calls the endpoint and sends its answer to the actor as it arrives.
 ///
 /// # Errors
 ///
-/// Returns why there is no whole answer. A kind that says "not run" is returned
+/// Returns why the answer is not complete. A kind that says "not run" is returned
 /// only if nothing was sent.
-pub fn run(line: Line<'_>, ask: Ask, http: Http) -> Result<Vec<Run>, ErrorKind> {
-    let left = ask.deadline.saturating_duration_since(Instant::now());
-    let limit = match ask.repeat {
-        Repeat::Free => left,
-        Repeat::Once => left.max(ONCE_LIMIT),
+pub fn send_request(context: CallContext<'_>, ask: Ask, http: Http) -> Result<Vec<Run>, ErrorKind> {
+    let remaining = ask.deadline.saturating_duration_since(Instant::now());
+    let timeout = match ask.repeat {
+        Repeat::Free => remaining,
+        Repeat::Once => remaining.max(MIN_ONCE_TIMEOUT),
     };
     let is_head = http.method == "HEAD";
-    let response = send(line, http, limit)?;
+    let response = send(context, http, timeout)?;
     let (parts, body) = response.into_parts();
-    let bounded = is_head || is_bounded(parts.status.as_u16(), &parts.headers);
-    let events = is_event_stream(&parts.headers);
+    let has_framing = is_head || has_framing(parts.status.as_u16(), &parts.headers);
+    let is_stream = is_event_stream(&parts.headers);
     let head = Head {
         status: parts.status.as_u16(),
         headers: end_to_end(&parts.headers),
     };
-    hand_over(line.events, Event::Head(ask.id, head))?;
-    let mut reader = AnswerReader::new(line, ask.id, events);
-    reader.pass_on(body)?;
-    reader.end(bounded)
+    send_event(context.events, Event::Head(ask.id, head))?;
+    let mut reader = AnswerReader::new(context, ask.id, is_stream);
+    reader.forward(body)?;
+    reader.finish(has_framing)
 }
 
-/// Passes an order to the engine and returns its status and body.
+/// Sends an order to the engine and returns the status and body of the answer.
 ///
 /// # Errors
 ///
-/// Returns why there is no whole answer, as [`run`] does.
-pub fn order(line: Line<'_>, http: Http) -> Result<(u16, Vec<u8>), ErrorKind> {
-    let response = send(line, http, ORDER_LIMIT)?;
+/// Returns why the answer is not complete, like [`send_request`].
+pub fn send_order(context: CallContext<'_>, http: Http) -> Result<(u16, Vec<u8>), ErrorKind> {
+    let response = send(context, http, ORDER_TIMEOUT)?;
     let status = response.status().as_u16();
     let mut body = Vec::new();
     let reader = response.into_body().into_reader();
-    let read = reader.take(LONGEST_WHOLE as u64).read_to_end(&mut body);
-    read.map_err(|error| broken_read(&error))?;
+    let read = reader.take(MAX_SCANNED as u64).read_to_end(&mut body);
+    read.map_err(|error| classify_read_error(&error))?;
     Ok((status, body))
 }
 
-/// Sends the request and waits for the head of the answer.
-fn send(line: Line<'_>, http: Http, limit: Duration) -> Result<Response<Body>, ErrorKind> {
-    let uri = format!("http://{}{}", line.address, http.path);
+/// Sends a request and waits for the status and headers of the answer.
+fn send(
+    context: CallContext<'_>,
+    http: Http,
+    timeout: Duration,
+) -> Result<Response<Body>, ErrorKind> {
+    let uri = format!("http://{}{}", context.address, http.path);
     let mut builder = Request::builder().method(http.method.as_str()).uri(uri);
     for Header { name, value } in &http.headers {
-        let own = name.eq_ignore_ascii_case("content-length");
-        if !own && !is_hop_by_hop(name, &http.headers) {
+        // The client adds its own Content-Length.
+        let is_length = name.eq_ignore_ascii_case("content-length");
+        if !is_length && !is_hop_by_hop(name, &http.headers) {
             builder = builder.header(name, value);
         }
     }
     let has_body = !http.body.is_empty() || takes_body(&http.method);
-    let limit = Some(limit);
-    let sent = if has_body {
+    let timeout = Some(timeout);
+    let result = if has_body {
         let request = builder
             .body(http.body)
             .map_err(|_error| ErrorKind::BadRequest)?;
-        let request = line.agent.configure_request(request).timeout_global(limit);
-        line.agent.run(request.build())
+        let request = context
+            .agent
+            .configure_request(request)
+            .timeout_global(timeout);
+        context.agent.run(request.build())
     } else {
         let request = builder.body(()).map_err(|_error| ErrorKind::BadRequest)?;
-        let request = line.agent.configure_request(request).timeout_global(limit);
-        line.agent.run(request.build())
+        let request = context
+            .agent
+            .configure_request(request)
+            .timeout_global(timeout);
+        context.agent.run(request.build())
     };
-    sent.map_err(|error| unsent_or_broken(&error))
+    result.map_err(|error| classify_send_error(&error))
 }
 
-/// Finds the kind of a failure before the head of the answer.
+/// Classifies a failure before the status and headers of the answer.
 ///
-/// Only a connection that was refused or not made in time shows that nothing
-/// was sent. Everything else may come after the endpoint read the request.
-fn unsent_or_broken(error: &ureq::Error) -> ErrorKind {
+/// Only a connection that was refused or not opened in time shows that nothing
+/// was sent. After any other failure the endpoint may have read the request.
+fn classify_send_error(error: &ureq::Error) -> ErrorKind {
     match error {
         ureq::Error::Timeout(Timeout::Connect | Timeout::Resolve) => ErrorKind::EndpointDown,
         ureq::Error::Timeout(_) => ErrorKind::TimedOut,
@@ -161,7 +172,8 @@
     }
 }
 
-fn broken_read(error: &io::Error) -> ErrorKind {
+/// Classifies a failure while the body of an answer is read.
+fn classify_read_error(error: &io::Error) -> ErrorKind {
     let inner = error.get_ref().and_then(|e| e.downcast_ref());
     match (error.kind(), inner) {
         (_, Some(ureq::Error::Timeout(_))) => ErrorKind::TimedOut,
@@ -170,69 +182,71 @@
     }
 }
 
-/// Reads one answer's body and passes it on.
+/// Reads the body of one answer and forwards it to the actor.
 struct AnswerReader<'a> {
-    line: Line<'a>,
+    context: CallContext<'a>,
     id: RequestId,
     scanner: Option<Scanner>,
-    whole: Vec<u8>,
+    /// The first bytes of an answer that is not an event stream.
+    body: Vec<u8>,
 }
 
 impl<'a> AnswerReader<'a> {
-    fn new(line: Line<'a>, id: RequestId, events: bool) -> Self {
+    fn new(context: CallContext<'a>, id: RequestId, is_stream: bool) -> Self {
         Self {
-            line,
+            context,
             id,
-            scanner: (line.model && events).then(Scanner::default),
-            whole: Vec::new(),
+            scanner: (context.is_model && is_stream).then(Scanner::default),
+            body: Vec::new(),
         }
     }
 
-    fn pass_on(&mut self, body: Body) -> Result<(), ErrorKind> {
+    fn forward(&mut self, body: Body) -> Result<(), ErrorKind> {
         let mut reader = body.into_reader();
-        let mut piece = vec![0; PIECE];
-        while self.line.throttle.take() {
-            let read = reader.read(&mut piece);
-            let read = read.map_err(|error| broken_read(&error))?;
+        let mut buf = vec![0; READ_BUFFER_SIZE];
+        while self.context.throttle.acquire() {
+            let read = reader.read(&mut buf);
+            let read = read.map_err(|error| classify_read_error(&error))?;
             if read == 0 {
                 return Ok(());
             }
-            self.look(&piece[..read]);
-            let data = piece[..read].into();
-            hand_over(self.line.events, Event::Bytes(self.id, data))?;
+            self.scan(&buf[..read]);
+            let data = buf[..read].into();
+            send_event(self.context.events, Event::Bytes(self.id, data))?;
         }
         Err(ErrorKind::OutcomeUnknown)
     }
 
-    fn look(&mut self, data: &[u8]) {
+    /// Searches the next bytes for the weight version.
+    fn scan(&mut self, data: &[u8]) {
         if let Some(scanner) = &mut self.scanner {
             scanner.scan(data);
-        } else if self.line.model {
-            let room = LONGEST_WHOLE.saturating_sub(self.whole.len());
+        } else if self.context.is_model {
+            let room = MAX_SCANNED.saturating_sub(self.body.len());
             let part = &data[..data.len().min(room)];
-            self.whole.extend_from_slice(part);
+            self.body.extend_from_slice(part);
         }
     }
 
-    /// Decides whether the answer is whole.
-    fn end(self, bounded: bool) -> Result<Vec<Run>, ErrorKind> {
+    /// Returns the weight versions if the answer is complete.
+    fn finish(self, has_framing: bool) -> Result<Vec<Run>, ErrorKind> {
         match self.scanner {
             Some(scanner) if scanner.is_done() => Ok(scanner.into_runs()),
-            None if bounded => Ok(sse::whole_runs(&self.whole)),
+            None if has_framing => Ok(sse::document_runs(&self.body)),
             Some(_) | None => Err(ErrorKind::AnswerShort),
         }
     }
 }
 
-/// The actor has ended if this fails; then nobody waits for the answer.
-fn hand_over(events: &Sender<Event>, event: Event) -> Result<(), ErrorKind> {
+/// Sends an event to the actor. Fails only if the actor has ended.
+fn send_event(events: &Sender<Event>, event: Event) -> Result<(), ErrorKind> {
     events
         .send(event)
         .map_err(|_error| ErrorKind::OutcomeUnknown)
 }
 
-/// Says whether a body's end can be told from a broken connection.
-fn is_bounded(status: u16, headers: &HeaderMap) -> bool {
+/// Returns whether the end of a body can be told from a lost connection.
+fn has_framing(status: u16, headers: &HeaderMap) -> bool {
     let no_body = matches!(status, 100..=199 | 204 | 304);
     no_body
         || headers.contains_key(header::CONTENT_LENGTH)
@@ -240,16 +254,16 @@
 }
 
 fn is_event_stream(headers: &HeaderMap) -> bool {
-    let kind = headers.get(header::CONTENT_TYPE);
-    let kind = kind.and_then(|value| value.to_str().ok());
-    kind.is_some_and(|kind| kind.trim_start().starts_with("text/event-stream"))
+    let content_type = headers.get(header::CONTENT_TYPE);
+    let content_type = content_type.and_then(|value| value.to_str().ok());
+    content_type.is_some_and(|value| value.trim_start().starts_with("text/event-stream"))
 }
 
 fn takes_body(method: &str) -> bool {
     matches!(method, "POST" | "PUT" | "PATCH")
 }
 
-/// The headers of an answer that concern its receiver.
+/// Returns the end-to-end headers of an answer.
 fn end_to_end(headers: &HeaderMap) -> Vec<Header> {
     let all: Vec<Header> = headers
         .iter()
@@ -264,12 +278,12 @@
     kept.cloned().collect()
 }
 
-/// Says whether a header concerns one connection only: by its name, or because
-/// `Connection` names it.
+/// Returns whether a header applies to one connection only, either by its name or
+/// because a `Connection` header lists it.
 fn is_hop_by_hop(name: &str, headers: &[Header]) -> bool {
-    let mut named = headers
+    let mut listed = headers
         .iter()
         .filter(|header| header.name.eq_ignore_ascii_case("connection"))
         .flat_map(|header| header.value.split(','));
-    headers::is_hop_by_hop(name) || named.any(|other| name.eq_ignore_ascii_case(other.trim()))
+    headers::is_hop_by_hop(name) || listed.any(|other| name.eq_ignore_ascii_case(other.trim()))
 }
--- a/hibiscusroad-daemon/src/side/event.rs
+++ b/hibiscusroad-daemon/src/side/event.rs
@@ -1,4 +1,4 @@
-//! The events that other threads hand to the actor.
+//! Events that other threads send to the actor.
 
 use crate::side::request::{EndpointLoad, Hello, Inbound, WorkerKey};
 use hibiscusroad::{
@@ -10,60 +10,60 @@
 use tokio::sync::{mpsc, oneshot};
 use tonic::Status;
 
-/// Where frames to an entry are queued.
+/// Queue of frames to one entry.
 pub type Outbound = mpsc::Sender<Result<ToEntry, Status>>;
 
-/// What happened.
+/// An event for the actor.
 #[derive(Debug)]
 pub enum Event {
     /// An entry opened a link.
     Open {
-        /// What it says of itself.
+        /// The entry's Hello.
         hello: Hello,
-        /// Where frames to it go.
+        /// Queue of frames to it.
         out: Outbound,
-        /// Gets the key of the link.
+        /// Receives the key of the link.
         reply: oneshot::Sender<LinkKey>,
     },
-    /// A frame came.
+    /// A frame arrived on a link.
     Frame(LinkKey, Inbound),
-    /// A link broke.
+    /// A link was lost.
     Lost(LinkKey),
-    /// The endpoint answered with status and headers.
+    /// The endpoint sent the status and headers of an answer.
     Head(RequestId, Head),
-    /// The endpoint sent bytes.
+    /// The endpoint sent part of an answer's body.
     Bytes(RequestId, Arc<[u8]>),
-    /// A call ended, and its worker is free.
+    /// A call ended, and its worker is idle.
     Ended {
         /// The worker.
         worker: WorkerKey,
         /// The attempt.
         id: RequestId,
-        /// The weight versions, or why there is no whole answer.
+        /// The weight versions, or why the answer is not complete.
         outcome: Result<Vec<Run>, ErrorKind>,
     },
-    /// An order ended, and its worker is free.
-    Ordered {
+    /// An order ended, and its worker is idle.
+    OrderEnded {
         /// The worker.
         worker: WorkerKey,
-        /// The link that it came over.
+        /// The link on which it arrived.
         link: LinkKey,
-        /// The number that the entry gave it.
+        /// The entry's sequence number of it.
         seq: u64,
-        /// Status and body, or why there are none.
+        /// Status and body, or why the answer is not complete.
         outcome: Result<(u16, Vec<u8>), ErrorKind>,
     },
     /// The endpoint reported its load.
     Load(EndpointLoad),
-    /// Whether anything listens at the endpoint's address.
-    Reached(bool),
-    /// The host list says whether this host is leaving.
-    Listed {
-        /// Whether it is.
+    /// Whether the endpoint is reachable: it did not refuse a connection.
+    Reachable(bool),
+    /// The host list was read.
+    HostList {
+        /// Whether it says that this host is leaving.
         leaving: bool,
     },
-    /// A duty's lease row was read; none if it could not be.
+    /// The fencing token in a duty's lease row; none if the row could not be read.
     Lease(String, Option<u64>),
-    /// The process is to stop.
+    /// A graceful shutdown was requested.
     Stop,
 }
--- a/hibiscusroad-daemon/src/side/gauges.rs
+++ b/hibiscusroad-daemon/src/side/gauges.rs
@@ -1,4 +1,4 @@
-//! What a side counts and measures.
+//! Metrics of the sidecar.
 
 use crate::{metrics, side::role::Role};
 use hibiscusroad::ErrorKind;
@@ -13,19 +13,19 @@
         metrics.count(metrics::GATE_REFUSED, &[service, problem]);
     }
 
-    /// Reports the gauges, once a second.
-    pub(super) fn report_numbers(&mut self, now: Instant) {
+    /// Reports the gauges if their interval has elapsed.
+    pub(super) fn report_gauges(&mut self, now: Instant) {
         let metrics = &self.setup.metrics;
-        if !metrics.is_on() || now < self.reported + metrics::REPORT_INTERVAL {
+        if !metrics.is_on() || now < self.reported_at + metrics::REPORT_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.reported_at = now;
         let tags = [("service", self.setup.side.service.as_str())];
         let load = self.gate.load();
         metrics.gauge(metrics::GATE_RUNNING, load.running.into(), &tags);
         metrics.gauge(metrics::BUFFERED, load.held as u64, &tags);
         metrics.gauge(metrics::LINKS, self.links.len() as u64, &[]);
-        metrics.gauge(metrics::CONFIG_VERSION, self.report.version(), &[]);
+        metrics.gauge(metrics::CONFIG_VERSION, self.report.config_version(), &[]);
         metrics.flush();
     }
 }
--- a/hibiscusroad-daemon/src/side/mod.rs
+++ b/hibiscusroad-daemon/src/side/mod.rs
@@ -1,30 +1,27 @@
-//! The role side: the gate to one endpoint.
+//! Sidecar: admission and forwarding of requests to one endpoint.
 //!
 //! # Design
 //!
-//! The crate's [`Gate`](hibiscusroad::gate::Gate) decides; this module does
-//! what it says. One stakker actor owns the gate, the links and the workers,
-//! on the thread that calls [`run`]. Around it:
+//! A [`Gate`](hibiscusroad::gate::Gate) takes the decisions; this module does the
+//! I/O. One actor owns the gate, the streams and the workers, on the thread that
+//! calls [`run`]. The other threads are:
 //!
-//! * a thread with tonic's runtime, which takes links and turns frames into
-//!   typed events;
-//! * workers, each a thread that makes one call at the endpoint at a time;
+//! * the server for streams from entries, with tonic's runtime;
+//! * workers, each of which makes one call to the endpoint at a time;
 //! * two threads that poll the endpoint's load and the host list.
 //!
-//! All of them hand events over through one bounded channel and hold no state
-//! that outlives a call. A link's reading waits while the channel is full, and
-//! so does a worker's; the actor never waits for either.
+//! They send events to the actor through one bounded channel. While it is full,
+//! streams and workers wait; the actor never waits for them.
 //!
 //! # Trade-offs
 //!
-//! An endpoint is called with blocking I/O, a thread for each call. A side has
-//! one endpoint and its limit bounds the threads; in exchange a call reads like
-//! the HTTP exchange it is. Ending a call shuts its socket, because a blocked
-//! read sees nothing else.
+//! Each call uses blocking I/O on its own thread, which keeps the code simple. The
+//! endpoint's concurrency limit bounds the threads. To abort a call, its socket is
+//! shut down, since that is what ends a blocked read.
 //!
-//! An answer that ends when its connection closes is not taken as whole: a
-//! crash of the endpoint looks the same. Endpoints have to send a length, a
-//! chunked body or, for events, `[DONE]`.
+//! An answer delimited only by the end of its connection counts as incomplete,
+//! since a crash of the endpoint looks the same. Endpoints must send a length, a
+//! chunked body or, for a stream of events, `[DONE]`.
 
 mod call;
 mod event;
@@ -59,38 +56,38 @@
     time::Instant,
 };
 
-/// Why a side did not run.
+/// Why the sidecar failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The settings have no table `side`.
-    #[error("the settings have no [side]")]
+    #[error("the settings have no table [side]")]
     NoSide,
-    /// The address for links can't be used.
-    #[error("links can't be taken on {0}: {1}")]
+    /// The listening address can't be used.
+    #[error("can't listen for streams on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// A thread or the signals could not be set up.
-    #[error("the process could not be set up: {0}")]
+    /// A thread or the signal handler can't be set up.
+    #[error("the process can't be set up: {0}")]
     Setup(#[from] io::Error),
 }
 
-/// Reads the fencing number in a duty's lease row.
+/// Reads the fencing token in a duty's lease row.
 ///
-/// Runs on a thread of its own and may block. `None` says that the row could
-/// not be read; a row that doesn't exist has the number 0.
+/// Runs on a separate thread and may block. Returns `None` if the row can't be
+/// read; the token of a row that doesn't exist is 0.
 pub type ReadLease = Arc<dyn Fn(&str) -> Option<u64> + Send + Sync>;
 
-/// Stops a side that runs, from another thread.
+/// Stops a running sidecar from another thread.
 #[derive(Clone)]
 pub struct Handle {
     events: Sender<Event>,
-    /// Where the side takes links.
+    /// Listening address for streams from entries.
     pub links: SocketAddr,
 }
 
 impl Handle {
-    /// Asks for a graceful shutdown: no new work, work in flight completes.
+    /// Requests a graceful shutdown: new work is refused, work in flight completes.
     pub fn stop(&self) {
-        // A side that has ended needs no word.
+        // Fails only if the sidecar has ended.
         drop(self.events.send(Event::Stop));
     }
 }
@@ -103,28 +100,29 @@
     }
 }
 
-/// Runs the role side until a signal stops it.
+/// Runs the sidecar until a signal stops it.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if the side can't start.
-pub fn run(settings: &Settings, lease: ReadLease) -> Result<(), Error> {
+/// Returns an error if the sidecar can't start.
+pub fn run(settings: &Settings, read_lease: ReadLease) -> Result<(), Error> {
     let signals = SignalHandler::new()?;
-    let mut watched = Ok(());
-    serve(settings, lease, |handle| {
-        watched = signals.watch(move || handle.stop());
+    let mut watch_result = Ok(());
+    serve(settings, read_lease, |handle| {
+        watch_result = signals.watch(move || handle.stop());
     })?;
-    Ok(watched?)
+    Ok(watch_result?)
 }
 
-/// Runs the role side until the handle that `ready` gets is told to stop.
+/// Runs the sidecar until it is stopped through the handle that is passed to
+/// `ready`.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if the side can't start.
+/// Returns an error if the sidecar can't start.
 pub fn serve(
     settings: &Settings,
-    lease: ReadLease,
+    read_lease: ReadLease,
     ready: impl FnOnce(Handle),
 ) -> Result<(), Error> {
     let side = settings.side.as_ref().ok_or(Error::NoSide)?;
@@ -139,21 +137,21 @@
         side: side.clone(),
         incarnation: Incarnation::draw(),
         events: sender.clone(),
-        lease,
+        read_lease,
         metrics,
     };
-    log::info!(target: LOG, "Takes links for {} on {links}.", side.endpoint);
+    log::info!(target: LOG, "Listens for streams to {} on {links}.", side.endpoint);
     ready(Handle {
         events: sender,
         links,
     });
-    own_tables(setup, &events);
+    run_actor(setup, &events);
     drop(polls);
     server.stop();
     Ok(())
 }
 
-/// Starts the threads that ask for news.
+/// Starts the threads that poll the endpoint's load and the host list.
 fn start_polls(
     settings: &Settings,
     side: &settings::Side,
@@ -165,14 +163,14 @@
     ])
 }
 
-/// Runs the actor that owns the tables until the side has stopped.
-fn own_tables(setup: Setup, events: &flume::Receiver<Event>) {
+/// Runs the actor until the sidecar has stopped.
+fn run_actor(setup: Setup, events: &flume::Receiver<Event>) {
     let mut stakker = Stakker::new(Instant::now());
     let role = actor!(stakker, Role::init(setup), ret_shutdown!(stakker));
     event_loop::run(
         &mut stakker,
         events,
-        |stakker, event| call!([role, stakker], take(event)),
+        |stakker, event| call!([role, stakker], handle_event(event)),
         |stakker, now| call!([role, stakker], settle(now)),
     );
 }
--- a/hibiscusroad-daemon/src/side/orders.rs
+++ b/hibiscusroad-daemon/src/side/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, and the lease rows that decide which may pass.
+//! Orders to the engine, and the lease rows whose fencing tokens admit them.
 
 use crate::{
     logs::SIDE as LOG,
@@ -16,25 +16,27 @@
 use std::{sync::Arc, thread, time::Instant};
 
 impl Role {
-    pub(super) fn order(&mut self, now: Instant, link: LinkKey, order: Order) {
+    /// Starts an order, or refuses it if its fencing token is not admitted.
+    pub(super) fn start_order(&mut self, now: Instant, link: LinkKey, order: Order) {
         let seq = order.seq;
-        let passed = self.gate.order(link, &order.duty, order.fence);
-        if passed == Err(OrderRefusal::Unlearned) {
+        let admitted = self.gate.order(link, &order.duty, order.fence);
+        if admitted == Err(OrderRefusal::Unlearned) {
             self.read_lease(&order.duty);
         }
-        let sent = passed
+        let started = admitted
             .map_err(OrderRefusal::kind)
-            .and_then(|()| self.pool.order(now, link, order));
-        match sent {
-            Ok(()) => self.orders += 1,
+            .and_then(|()| self.pool.start_order(now, link, order));
+        match started {
+            Ok(()) => self.orders_in_flight += 1,
             Err(kind) => {
                 log::info!(target: LOG, "An order is refused: {kind}.");
-                self.order_done(now, link, seq, Err(kind));
+                self.send_order_done(now, link, seq, Err(kind));
             }
         }
     }
 
-    pub(super) fn ordered(
+    /// Handles the end of an order.
+    pub(super) fn finish_order(
         &mut self,
         now: Instant,
         worker: WorkerKey,
@@ -42,12 +44,12 @@
         seq: u64,
         outcome: Result<(u16, Vec<u8>), ErrorKind>,
     ) {
-        self.pool.free(now, worker);
-        self.orders -= 1;
-        self.order_done(now, link, seq, outcome);
+        self.pool.set_idle(now, worker);
+        self.orders_in_flight -= 1;
+        self.send_order_done(now, link, seq, outcome);
     }
 
-    fn order_done(
+    fn send_order_done(
         &mut self,
         now: Instant,
         link: LinkKey,
@@ -63,32 +65,34 @@
             body,
             fence: self.gate.fence(),
         };
-        self.push(now, link, Frame::OrderDone(done).into());
+        self.queue_frame(now, link, Frame::OrderDone(done).into());
     }
 
+    /// Reads a duty's lease row on a new thread, unless it is being read.
     fn read_lease(&mut self, duty: &str) {
-        if !self.learning.insert(duty.to_owned()) {
+        if !self.lease_reads.insert(duty.to_owned()) {
             return;
         }
-        let (duty, lease) = (duty.to_owned(), Arc::clone(&self.setup.lease));
+        let (duty, read_lease) = (duty.to_owned(), Arc::clone(&self.setup.read_lease));
         let events = self.setup.events.clone();
         let name = duty.clone();
         let spawned = thread::Builder::new()
             .name("lease".to_owned())
             .spawn(move || {
-                let number = lease(&duty);
-                // An actor that has ended needs no word.
-                drop(events.send(Event::Lease(duty, number)));
+                let token = read_lease(&duty);
+                // Fails only if the actor has ended.
+                drop(events.send(Event::Lease(duty, token)));
             });
         if spawned.is_err() {
-            self.learning.remove(&name);
+            self.lease_reads.remove(&name);
         }
     }
 
-    pub(super) fn learn(&mut self, duty: &str, number: Option<u64>) {
-        self.learning.remove(duty);
-        match number {
-            Some(number) => self.gate.learn(duty, number),
+    /// Records the fencing token that was read from a duty's lease row.
+    pub(super) fn record_token(&mut self, duty: &str, token: Option<u64>) {
+        self.lease_reads.remove(duty);
+        match token {
+            Some(token) => self.gate.learn(duty, token),
             None => log::warn!(target: LOG, "The lease row of {duty} can't be read."),
         }
     }
--- a/hibiscusroad-daemon/src/side/polls.rs
+++ b/hibiscusroad-daemon/src/side/polls.rs
@@ -1,4 +1,4 @@
-//! The threads that ask for news: the endpoint's load and the host list.
+//! Threads that poll the endpoint's load and the host list.
 
 use crate::{
     platform::{HostList, State},
@@ -14,89 +14,90 @@
     time::{Duration, Instant},
 };
 
-/// Time between two questions for the endpoint's load.
-const LOAD_EVERY: Duration = Duration::from_secs(1);
+/// Time between two polls of the endpoint's load.
+const LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the endpoint may take to report its load.
-const LOAD_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of one poll of the endpoint's load.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Shortest and longest time between two readings of the host list.
-const HOSTS_EVERY: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
+/// Minimum and maximum time between two polls of the host list.
+const HOSTS_INTERVAL: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
 
-/// Time between two readings for each row of the list. A row has about 150
-/// bytes, so that reading it costs a side 15 KB/s at the most; at 960 rows it is
-/// read each 9.6 s, and entries that read it earlier place nothing here.
-const FOR_EACH_HOST: Duration = Duration::from_millis(10);
+/// Time between two polls for each row of the host list. It bounds the bandwidth
+/// that reading a long list takes.
+const INTERVAL_PER_HOST: Duration = Duration::from_millis(10);
 
-/// A thread that asks again and again, until this is dropped.
+/// A thread that polls until this handle is dropped.
 #[derive(Debug)]
 pub struct Poll {
     _stop: Sender<()>,
 }
 
 impl Poll {
-    /// Starts a thread that calls `ask` and waits for what it returns.
-    fn start(name: &str, mut ask: impl FnMut() -> Duration + Send + 'static) -> io::Result<Self> {
+    /// Starts a thread that calls `poll` repeatedly; it returns the delay until the
+    /// next call.
+    fn start(name: &str, mut poll: impl FnMut() -> Duration + Send + 'static) -> io::Result<Self> {
         let (stop, stopped) = flume::bounded::<()>(0);
         thread::Builder::new()
             .name(name.to_owned())
             .spawn(move || {
-                let mut wait = Duration::ZERO;
-                while stopped.recv_timeout(wait) == Err(RecvTimeoutError::Timeout) {
-                    wait = ask();
+                let mut delay = Duration::ZERO;
+                while stopped.recv_timeout(delay) == Err(RecvTimeoutError::Timeout) {
+                    delay = poll();
                 }
             })?;
         Ok(Self { _stop: stop })
     }
 }
 
-/// Asks the endpoint for its load, each second.
+/// Starts the thread that polls the endpoint's load.
 ///
 /// # Errors
 ///
-/// Returns the system's error if no thread can be had.
+/// Returns an error if the thread can't be spawned.
 pub fn poll_load(side: &Side, events: Sender<Event>) -> io::Result<Poll> {
     let agent = load_agent();
     let address = side.address;
     Poll::start("load", move || {
-        // News that finds no room is replaced by the next.
+        // If the channel is full, the result is dropped; the next poll replaces it.
         match fetch_load(&agent, address) {
             Ok(load) => {
-                drop(events.try_send(Event::Reached(true)));
+                drop(events.try_send(Event::Reachable(true)));
                 drop(events.try_send(Event::Load(load)));
             }
-            Err(error) => drop(events.try_send(Event::Reached(!nobody_listens(&error)))),
+            Err(error) => drop(events.try_send(Event::Reachable(!is_refused(&error)))),
         }
-        LOAD_EVERY
+        LOAD_INTERVAL
     })
 }
 
-/// Reads from the host list whether this host is leaving.
+/// Starts the thread that reads from the host list whether this host is leaving.
 ///
 /// # Errors
 ///
-/// Returns the system's error if no thread can be had.
+/// Returns an error if the thread can't be spawned.
 pub fn poll_hosts(settings: &Settings, side: &Side, events: Sender<Event>) -> io::Result<Poll> {
     let list = HostList::new(&settings.platform.hosts);
     let (service, endpoint) = (side.service.clone(), side.endpoint.clone());
     Poll::start("hosts", move || {
         let Ok(hosts) = list.fetch() else {
-            return HOSTS_EVERY[0];
+            return HOSTS_INTERVAL[0];
         };
-        let mut mine = hosts.iter().filter(|host| {
+        let mut own_rows = hosts.iter().filter(|host| {
             host.role == "side" && host.service == service && host.endpoint == endpoint
         });
-        let leaving = mine.any(|host| host.state == State::Leaving);
-        // News that finds no room is replaced by the next.
-        drop(events.try_send(Event::Listed { leaving }));
+        let leaving = own_rows.any(|host| host.state == State::Leaving);
+        // If the channel is full, the result is dropped; the next poll replaces it.
+        drop(events.try_send(Event::HostList { leaving }));
         let rows = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
-        let wait = FOR_EACH_HOST.saturating_mul(rows);
-        wait.clamp(HOSTS_EVERY[0], HOSTS_EVERY[1])
+        let interval = INTERVAL_PER_HOST.saturating_mul(rows);
+        interval.clamp(HOSTS_INTERVAL[0], HOSTS_INTERVAL[1])
     })
 }
 
+/// The endpoint's answer to `GET /load`.
 #[derive(Deserialize)]
-struct Report {
+struct LoadReport {
     #[serde(default)]
     running: u32,
     #[serde(default)]
@@ -115,25 +116,25 @@
 
 fn load_agent() -> ureq::Agent {
     ureq::Agent::config_builder()
-        .timeout_global(Some(LOAD_LIMIT))
+        .timeout_global(Some(LOAD_TIMEOUT))
         .proxy(None)
         .build()
         .into()
 }
 
-/// Says whether a question shows that the endpoint is not there.
+/// Returns whether the endpoint refused the connection.
 ///
-/// One that answers late, or has nothing at the path, is there: only a refused
-/// connection is proof.
-fn nobody_listens(error: &ureq::Error) -> bool {
+/// Only this shows that the endpoint is down. One that answers late or with an
+/// error is running.
+fn is_refused(error: &ureq::Error) -> bool {
     matches!(error, ureq::Error::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused)
 }
 
 fn fetch_load(agent: &ureq::Agent, address: SocketAddr) -> Result<EndpointLoad, ureq::Error> {
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let mut response = agent.get(format!("http://{address}/load")).call()?;
     let bytes = response.body_mut().read_to_vec()?;
-    let report: Report = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
+    let report: LoadReport = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
     Ok(EndpointLoad {
         running: report.running,
         queued: report.queued,
@@ -141,6 +142,6 @@
         tokens: report.tokens,
         cache_free: report.cache_free,
         weights: report.version,
-        at: asked.checked_sub(Duration::from_millis(report.age_ms)),
+        measured_at: sent_at.checked_sub(Duration::from_millis(report.age_ms)),
     })
 }
--- a/hibiscusroad-daemon/src/side/pool.rs
+++ b/hibiscusroad-daemon/src/side/pool.rs
@@ -1,14 +1,14 @@
-//! The threads that call the endpoint.
+//! Pool of threads that call the endpoint.
 //!
-//! Threads are made on demand, up to the limit of calls, and end when they have
-//! had nothing to do for some seconds. The actor alone knows which are free, so
-//! that handing a call over never waits: a free worker's channel is empty.
+//! Threads are spawned on demand, up to the concurrency limit, and end after some
+//! idle seconds. Only the actor assigns jobs, so assigning one never blocks: the
+//! channel of an idle worker is empty.
 
 use crate::{
     settings::{Kind, Side},
     side::{
         LOG,
-        call::{self, Line},
+        call::{self, CallContext},
         event::Event,
         request::{Http, Order, Request, WorkerKey},
         throttle::Throttle,
@@ -27,11 +27,11 @@
 };
 use ureq::Agent;
 
-/// How long a worker without a call is kept, with its connection.
-const IDLE: Duration = Duration::from_secs(10);
+/// How long an idle worker and its connection are kept.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Workers for orders, on top of those for calls.
-const FOR_ORDERS: usize = 2;
+/// Number of workers for orders, in addition to those for calls.
+const ORDER_WORKERS: usize = 2;
 
 #[derive(Debug)]
 enum Job {
@@ -42,34 +42,34 @@
 #[derive(Debug)]
 struct Worker {
     jobs: Sender<Job>,
-    free_since: Instant,
+    idle_since: Instant,
 }
 
 /// The workers of one endpoint.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
-    model: bool,
-    limit: usize,
+    is_model: bool,
+    max_workers: usize,
     events: Sender<Event>,
     workers: SlotMap<WorkerKey, Worker>,
-    /// Free workers; the one that was used last is last.
-    free: Vec<WorkerKey>,
-    calls: HashMap<RequestId, Arc<Throttle>>,
+    /// Idle workers; the most recently used one is last.
+    idle: Vec<WorkerKey>,
+    throttles: HashMap<RequestId, Arc<Throttle>>,
 }
 
 impl Pool {
-    /// Creates a pool without threads.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(side: &Side, events: Sender<Event>) -> Self {
         Self {
             address: side.address,
-            model: side.kind == Kind::Model,
-            limit: side.limit as usize + FOR_ORDERS,
+            is_model: side.kind == Kind::Model,
+            max_workers: side.limit as usize + ORDER_WORKERS,
             events,
             workers: SlotMap::with_key(),
-            free: Vec::new(),
-            calls: HashMap::new(),
+            idle: Vec::new(),
+            throttles: HashMap::new(),
         }
     }
 
@@ -77,12 +77,12 @@
     ///
     /// # Errors
     ///
-    /// Returns a kind that says "not run" if no thread can be had.
-    pub fn call(&mut self, now: Instant, request: Box<Request>) -> Result<(), ErrorKind> {
+    /// Returns a kind that says "not run" if no worker is available.
+    pub fn start_call(&mut self, now: Instant, request: Box<Request>) -> Result<(), ErrorKind> {
         let id = request.ask.id;
         let throttle = Arc::new(Throttle::default());
-        self.hand_over(now, Job::Call(request, Arc::clone(&throttle)))?;
-        self.calls.insert(id, throttle);
+        self.assign(now, Job::Call(request, Arc::clone(&throttle)))?;
+        self.throttles.insert(id, throttle);
         Ok(())
     }
 
@@ -90,36 +90,41 @@
     ///
     /// # Errors
     ///
-    /// Returns a kind that says "not run" if no thread can be had.
-    pub fn order(&mut self, now: Instant, link: LinkKey, order: Order) -> Result<(), ErrorKind> {
-        self.hand_over(now, Job::Order(link, order.seq, order.http))
+    /// Returns a kind that says "not run" if no worker is available.
+    pub fn start_order(
+        &mut self,
+        now: Instant,
+        link: LinkKey,
+        order: Order,
+    ) -> Result<(), ErrorKind> {
+        self.assign(now, Job::Order(link, order.seq, order.http))
     }
 
-    /// Returns what holds a call back, while it runs.
+    /// Returns the throttle of a call in flight.
     #[must_use]
     pub fn throttle(&self, id: RequestId) -> Option<&Throttle> {
-        self.calls.get(&id).map(|throttle| &**throttle)
+        self.throttles.get(&id).map(|throttle| &**throttle)
     }
 
-    /// Notes that a worker ended its call.
-    pub fn ended(&mut self, now: Instant, worker: WorkerKey, id: RequestId) {
-        self.calls.remove(&id);
-        self.free(now, worker);
+    /// Records that a call ended and its worker is idle.
+    pub fn finish_call(&mut self, now: Instant, worker: WorkerKey, id: RequestId) {
+        self.throttles.remove(&id);
+        self.set_idle(now, worker);
     }
 
-    /// Notes that a worker is free.
-    pub fn free(&mut self, now: Instant, worker: WorkerKey) {
+    /// Records that a worker is idle.
+    pub fn set_idle(&mut self, now: Instant, worker: WorkerKey) {
         if let Some(row) = self.workers.get_mut(worker) {
-            row.free_since = now;
-            self.free.push(worker);
+            row.idle_since = now;
+            self.idle.push(worker);
         }
     }
 
-    /// Lets go of the workers that have long been free.
-    pub fn sweep(&mut self, now: Instant) {
+    /// Removes the workers that have been idle for too long.
+    pub fn remove_idle(&mut self, now: Instant) {
         let workers = &mut self.workers;
-        self.free.retain(|key| {
-            let kept = workers[*key].free_since + IDLE > now;
+        self.idle.retain(|key| {
+            let kept = workers[*key].idle_since + IDLE_TIMEOUT > now;
             if !kept {
                 workers.remove(*key);
             }
@@ -127,35 +132,37 @@
         });
     }
 
-    fn hand_over(&mut self, now: Instant, job: Job) -> Result<(), ErrorKind> {
-        let key = match self.free.pop() {
+    /// Assigns a job to an idle worker or a new one.
+    fn assign(&mut self, now: Instant, job: Job) -> Result<(), ErrorKind> {
+        let key = match self.idle.pop() {
             Some(key) => key,
-            None => self.grow(now)?,
+            None => self.spawn(now)?,
         };
         let sent = self.workers[key].jobs.try_send(job);
         sent.map_err(|_error| {
-            // The thread has panicked; its row must not be used again.
-            log::error!(target: LOG, "A worker is gone.");
+            // The worker's thread panicked, so its entry must not be used again.
+            log::error!(target: LOG, "A worker thread ended unexpectedly.");
             self.workers.remove(key);
             ErrorKind::HandoverFull
         })
     }
 
-    fn grow(&mut self, now: Instant) -> Result<WorkerKey, ErrorKind> {
-        if self.workers.len() >= self.limit {
+    /// Spawns a worker.
+    fn spawn(&mut self, now: Instant) -> Result<WorkerKey, ErrorKind> {
+        if self.workers.len() >= self.max_workers {
             return Err(ErrorKind::HandoverFull);
         }
         let (jobs, queue) = flume::bounded(1);
         let key = self.workers.insert(Worker {
             jobs,
-            free_since: now,
+            idle_since: now,
         });
-        let (address, model, events) = (self.address, self.model, self.events.clone());
+        let (address, is_model, events) = (self.address, self.is_model, self.events.clone());
         let spawned = thread::Builder::new()
             .name("endpoint".to_owned())
-            .spawn(move || work(key, address, model, &queue, &events));
+            .spawn(move || work(key, address, is_model, &queue, &events));
         if let Err(error) = spawned {
-            log::error!(target: LOG, "No thread for a call: {error}.");
+            log::error!(target: LOG, "A worker thread can't be spawned: {error}.");
             self.workers.remove(key);
             return Err(ErrorKind::HandoverFull);
         }
@@ -163,30 +170,30 @@
     }
 }
 
-/// The life of one worker.
+/// Runs the jobs of one worker until its channel is closed.
 fn work(
     worker: WorkerKey,
     address: SocketAddr,
-    model: bool,
+    is_model: bool,
     jobs: &Receiver<Job>,
     events: &Sender<Event>,
 ) {
-    let mut kept = call::agent();
+    let mut shared = call::new_agent();
     for job in jobs {
         let (agent, throttle) = match &job {
-            Job::Call(request, throttle) => (agent_for(request, &kept), Arc::clone(throttle)),
-            Job::Order(..) => (call::agent(), Arc::default()),
+            Job::Call(request, throttle) => (agent_for(request, &shared), Arc::clone(throttle)),
+            Job::Order(..) => (call::new_agent(), Arc::default()),
         };
-        let line = Line {
+        let context = CallContext {
             agent: &agent,
             address,
-            model,
+            is_model,
             throttle: &throttle,
             events,
         };
-        let event = carry_out(worker, line, job);
-        if throttle.release() {
-            kept = call::agent();
+        let event = run_job(worker, context, job);
+        if throttle.detach_agent() {
+            shared = call::new_agent();
         }
         if events.send(event).is_err() {
             return;
@@ -194,41 +201,44 @@
     }
 }
 
-/// A call that may run only once gets a connection of its own. An endpoint may
-/// close a kept one just as the next request is sent on it; such a call would
-/// then count as "may have run" though it never arrived.
-fn agent_for(request: &Request, kept: &Agent) -> Agent {
+/// Returns the client for a call.
+///
+/// A call that may run only once gets a new connection. The endpoint may close a
+/// reused one just as the request is sent, and the call would then count as "may
+/// have run" although it never arrived.
+fn agent_for(request: &Request, shared: &Agent) -> Agent {
     match request.ask.repeat {
-        Repeat::Free => kept.clone(),
-        Repeat::Once => call::agent(),
+        Repeat::Free => shared.clone(),
+        Repeat::Once => call::new_agent(),
     }
 }
 
-fn carry_out(worker: WorkerKey, line: Line<'_>, job: Job) -> Event {
+/// Runs one job and returns the event that reports its outcome.
+fn run_job(worker: WorkerKey, context: CallContext<'_>, job: Job) -> Event {
     match job {
         Job::Call(request, _) => Event::Ended {
             worker,
             id: request.ask.id,
-            outcome: guard(|| {
-                if line.throttle.hold(line.agent) {
-                    call::run(line, request.ask, request.http)
+            outcome: catch_panic(|| {
+                if context.throttle.attach_agent(context.agent) {
+                    call::send_request(context, request.ask, request.http)
                 } else {
                     Err(ErrorKind::OutcomeUnknown)
                 }
             }),
         },
-        Job::Order(origin, seq, http) => Event::Ordered {
+        Job::Order(link_key, seq, http) => Event::OrderEnded {
             worker,
-            link: origin,
+            link: link_key,
             seq,
-            outcome: guard(|| call::order(line, http)),
+            outcome: catch_panic(|| call::send_order(context, http)),
         },
     }
 }
 
-/// Turns a panic into an error: without the event that ends its call, an
-/// attempt would count against the limit for as long as the side lives.
-fn guard<T>(call: impl FnOnce() -> Result<T, ErrorKind>) -> Result<T, ErrorKind> {
+/// Turns a panic into an error, so that the event that ends the call is sent.
+/// Without it the attempt would count as in flight until the process ends.
+fn catch_panic<T>(call: impl FnOnce() -> Result<T, ErrorKind>) -> Result<T, ErrorKind> {
     let caught = panic::catch_unwind(AssertUnwindSafe(call));
     caught.unwrap_or(Err(ErrorKind::Internal))
 }
--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -1,4 +1,4 @@
-//! What a side tells of itself, and the configuration that it has.
+//! State that a sidecar reports to entries, and its configuration.
 
 use crate::side::{request::EndpointLoad, setup::Setup, wire};
 use hibiscusroad::{
@@ -8,83 +8,83 @@
 use hibiscusroad_wire::{Beat, Config, Load, VERSION, Welcome};
 use std::time::{Duration, Instant};
 
-/// How old a report of the endpoint may be to count as its present load.
-const STALE: Duration = Duration::from_secs(5);
+/// Maximum age of a load report before the gate's own counts replace it.
+const LOAD_TTL: Duration = Duration::from_secs(5);
 
-/// What a side tells of itself.
+/// State that a sidecar reports to entries.
 #[derive(Debug)]
 pub struct Report {
-    /// The load that the endpoint reported last.
+    /// The last load that the endpoint reported.
     pub load: EndpointLoad,
-    /// Whether the host list calls this host leaving.
-    pub unlisted: bool,
-    /// Whether nothing listens at the endpoint's address.
+    /// Whether the host list says that this host is leaving.
+    pub host_leaving: bool,
+    /// Whether the endpoint refuses connections.
     pub unreachable: bool,
-    /// Whether the process was told to stop.
+    /// Whether a graceful shutdown was requested.
     pub stopping: bool,
-    names: Names,
+    identity: Identity,
     register: Register,
-    /// The newest document as it came, to hand it on unchanged.
+    /// The newest configuration as received, to forward it unchanged.
     document: Vec<u8>,
-    beats: u64,
+    heartbeats: u64,
 }
 
 #[derive(Debug)]
-struct Names {
+struct Identity {
     side: String,
     host: String,
-    place: String,
+    data_centre: String,
     service: String,
     endpoint: String,
     incarnation: u64,
-    limit: u32,
+    max_running: u32,
 }
 
 impl Report {
-    /// Creates the report of a side that knows nothing yet.
+    /// Creates the report of a sidecar without configuration and load.
     #[must_use]
     pub fn new(setup: &Setup) -> Self {
-        let names = Names {
+        let identity = Identity {
             side: setup.settings.name.clone(),
             host: setup.settings.host.clone(),
-            place: setup.settings.place.clone(),
+            data_centre: setup.settings.place.clone(),
             service: setup.side.service.clone(),
             endpoint: setup.side.endpoint.clone(),
             incarnation: setup.incarnation.0,
-            limit: setup.side.limit,
+            max_running: setup.side.limit,
         };
         Self {
             load: EndpointLoad::default(),
-            unlisted: false,
+            host_leaving: false,
             unreachable: false,
             stopping: false,
-            names,
+            identity,
             register: Register::new(),
             document: Vec::new(),
-            beats: 0,
+            heartbeats: 0,
         }
     }
 
-    /// Makes the frame that answers Hello.
+    /// Returns the frame that answers Hello.
     #[must_use]
-    pub fn welcome(&self, gate: &Gate) -> Welcome {
+    pub fn welcome_frame(&self, gate: &Gate) -> Welcome {
         Welcome {
             version: VERSION,
-            side: self.names.side.clone(),
-            incarnation: self.names.incarnation,
-            service: self.names.service.clone(),
-            place: self.names.place.clone(),
+            side: self.identity.side.clone(),
+            incarnation: self.identity.incarnation,
+            service: self.identity.service.clone(),
+            place: self.identity.data_centre.clone(),
             limit: gate.load().limit,
-            config_version: self.version(),
+            config_version: self.config_version(),
         }
     }
 
-    /// Makes the next heartbeat.
-    pub fn beat(&mut self, now: Instant, gate: &Gate) -> Beat {
-        self.beats += 1;
+    /// Returns the next heartbeat.
+    pub fn next_heartbeat(&mut self, now: Instant, gate: &Gate) -> Beat {
+        self.heartbeats += 1;
         Beat {
-            seq: self.beats,
-            config_version: self.version(),
+            seq: self.heartbeats,
+            config_version: self.config_version(),
             load: Some(self.load_at(now, gate)),
             leaving: gate.is_leaving(),
             fence: gate.fence(),
@@ -92,21 +92,25 @@
         }
     }
 
-    /// The endpoint's own report while it is fresh, else what the gate counts.
+    /// Returns the load that the endpoint reported, or the gate's counts if the
+    /// report is too old.
     fn load_at(&self, now: Instant, gate: &Gate) -> Load {
-        let own = gate.load();
-        let age = self.load.at.map(|at| now.saturating_duration_since(at));
-        let Some(age) = age.filter(|age| *age < STALE) else {
+        let gate_load = gate.load();
+        let age = self
+            .load
+            .measured_at
+            .map(|at| now.saturating_duration_since(at));
+        let Some(age) = age.filter(|age| *age < LOAD_TTL) else {
             return Load {
-                running: own.running,
-                limit: own.limit,
+                running: gate_load.running,
+                limit: gate_load.limit,
                 ..Load::default()
             };
         };
-        // More than the endpoint can work on would wait inside it.
+        // Requests above the endpoint's own limit would queue inside it.
         let limit = match self.load.limit {
-            0 => own.limit,
-            theirs => theirs.min(own.limit),
+            0 => gate_load.limit,
+            reported => reported.min(gate_load.limit),
         };
         Load {
             running: self.load.running,
@@ -119,24 +123,25 @@
         }
     }
 
-    /// Returns the version of the newest configuration; 0 is none.
+    /// Returns the version of the configuration; 0 if there is none.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.register.version()
     }
 
-    /// Makes the frame that hands the configuration on.
+    /// Returns the frame that carries the configuration.
     #[must_use]
-    pub fn config(&self) -> Config {
+    pub fn config_frame(&self) -> Config {
         Config {
-            version: self.version(),
+            version: self.config_version(),
             document: self.document.clone(),
         }
     }
 
-    /// Takes a configuration if it is newer; says whether it was.
-    pub fn offer(&mut self, version: u64, bytes: Vec<u8>) -> bool {
-        if version <= self.version() {
+    /// Applies a configuration if it is valid and newer. Returns whether it was
+    /// applied.
+    pub fn update_config(&mut self, version: u64, bytes: Vec<u8>) -> bool {
+        if version <= self.config_version() {
             return false;
         }
         let parsed = serde_json::from_slice::<Document>(&bytes);
@@ -144,11 +149,11 @@
             Ok(document) if document.version == version => document,
             Ok(document) => {
                 let found = document.version;
-                log::error!(target: super::LOG, "Configuration {version} says it is {found}.");
+                log::error!(target: super::LOG, "Configuration {version} contains version {found}; it is ignored.");
                 return false;
             }
             Err(error) => {
-                log::error!(target: super::LOG, "Configuration {version} can't be read: {error}.");
+                log::error!(target: super::LOG, "Configuration {version} is invalid: {error}.");
                 return false;
             }
         };
@@ -156,22 +161,24 @@
         self.register.offer(document)
     }
 
-    /// Says whether the endpoint takes no new work, for whatever reason.
+    /// Returns whether the endpoint accepts no new work: it is drained, its host is
+    /// leaving, or the process is stopping.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        let names = &self.names;
+        let identity = &self.identity;
         let document = self.register.newest();
-        let drained = document.is_drained(&names.endpoint, &names.host, &names.place);
-        drained || self.unlisted || self.stopping
+        let drained =
+            document.is_drained(&identity.endpoint, &identity.host, &identity.data_centre);
+        drained || self.host_leaving || self.stopping
     }
 
-    /// Returns how many requests the endpoint takes at once: what its settings
-    /// allow, or less if the service's rule says so.
+    /// Returns the concurrency limit: the lower of those in the settings and in the
+    /// service's rule.
     #[must_use]
-    pub fn limit(&self) -> u32 {
+    pub fn max_running(&self) -> u32 {
         let document = self.register.newest();
-        let service = document.services.get(&self.names.service);
-        let rule = service.map_or(self.names.limit, |service| service.rule.limit);
-        rule.min(self.names.limit)
+        let service = document.services.get(&self.identity.service);
+        let rule_limit = service.map_or(self.identity.max_running, |service| service.rule.limit);
+        rule_limit.min(self.identity.max_running)
     }
 }
--- a/hibiscusroad-daemon/src/side/request.rs
+++ b/hibiscusroad-daemon/src/side/request.rs
@@ -1,4 +1,4 @@
-//! What an entry asks for, in the side's own types.
+//! Requests and frames of an entry, independent of the wire format.
 
 use hibiscusroad::{
     RequestId,
@@ -7,27 +7,27 @@
 use std::time::Instant;
 
 slotmap::new_key_type! {
-    /// Names a worker that carries requests out.
+    /// Identifies a worker of the pool.
     pub struct WorkerKey;
 }
 
 /// A request for the endpoint.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The attempt and how it may run.
+    /// The attempt, its deadline and whether it may run more than once.
     pub ask: Ask,
-    /// The HTTP part.
+    /// The HTTP request.
     pub http: Http,
 }
 
-/// The part of a request that the endpoint sees.
+/// An HTTP request to the endpoint.
 #[derive(Clone, Debug)]
 pub struct Http {
     /// The method.
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The headers, as the caller sent them.
+    /// The headers.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Vec<u8>,
@@ -36,13 +36,13 @@
 /// An order for the engine.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The number that the entry gave it.
+    /// The entry's sequence number of it.
     pub seq: u64,
-    /// The fencing number of the holder.
+    /// The fencing token of the lease holder.
     pub fence: u64,
-    /// The duty that the holder holds.
+    /// The duty whose lease allows the order.
     pub duty: String,
-    /// The HTTP part.
+    /// The HTTP request.
     pub http: Http,
 }
 
@@ -51,16 +51,17 @@
 pub enum Inbound {
     /// Start an attempt.
     Start(Box<Request>),
-    /// Send an attempt's answer from an offset on.
+    /// Send the answer of an attempt from an offset on.
     Attach(RequestId, u64),
-    /// Bytes below the offset have arrived; whether the answer is complete.
+    /// All bytes below the offset have arrived; the flag says that the answer is
+    /// no longer needed.
     Ack(RequestId, u64, bool),
-    /// The answer is no longer wanted.
+    /// Abort an attempt whose answer is no longer needed.
     Cancel(RequestId),
-    /// The attempt must never start.
+    /// Ensure that an attempt never starts if it has not, and report its state.
     Seal(RequestId),
-    /// The entry lives, has this version of the configuration, and sends no
-    /// more new work if the flag is set.
+    /// A heartbeat with the entry's configuration version; the flag says that the
+    /// entry sends no more new work.
     Beat(u64, bool),
     /// A configuration.
     Config(u64, Vec<u8>),
@@ -68,34 +69,34 @@
     Order(Box<Order>),
 }
 
-/// What an entry says of itself when it opens a link.
+/// An entry's description of itself when it opens a link.
 #[derive(Clone, Debug)]
 pub struct Hello {
-    /// Its name.
+    /// The entry's name.
     pub entry: String,
-    /// Its life.
+    /// The entry's incarnation.
     pub incarnation: hibiscusroad::Incarnation,
-    /// Counts the links that this life opened.
+    /// Sequence number of the link in this incarnation.
     pub epoch: u64,
-    /// The version of the configuration that it has.
-    pub config: u64,
+    /// Version of the entry's configuration.
+    pub config_version: u64,
 }
 
 /// The load that an endpoint reported.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLoad {
-    /// Requests that it works on.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests queued inside the endpoint.
     pub queued: u32,
-    /// Requests that it can work on at once; 0 if it doesn't say.
+    /// Concurrency limit; 0 if the endpoint reports none.
     pub limit: u32,
-    /// Tokens that it still has to read and generate.
+    /// Tokens still to be read and generated.
     pub tokens: u64,
-    /// Free tokens of its cache.
+    /// Free capacity of the cache, in tokens.
     pub cache_free: u64,
-    /// The weight version that it says it runs.
+    /// The weight version.
     pub weights: String,
-    /// When the report was true.
-    pub at: Option<Instant>,
+    /// Time of the measurement, if known.
+    pub measured_at: Option<Instant>,
 }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the tables of a side.
+//! The actor that owns the state of a sidecar.
 
 use crate::{
     metrics,
@@ -27,28 +27,28 @@
 };
 use tokio::sync::oneshot;
 
-/// Time between two heartbeats on a link.
-const BEAT: Duration = Duration::from_millis(250);
+/// Time between two heartbeats on a stream.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// When an entry may try a refused attempt again here, at the earliest.
-const RETRY: Duration = Duration::from_millis(200);
+/// Minimum time before an entry retries a refused request here.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a stopping side waits for its entries' word that they send no more:
-/// longer than an entry may be silent before its link is closed.
-const ECHO: Duration = Duration::from_secs(3);
+/// How long a stopping sidecar waits for its entries to report that they send no
+/// more work. Longer than a stream may be silent before it is closed.
+const QUIESCENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A link to an entry.
+/// A stream to an entry.
 #[derive(Debug)]
 pub(super) struct Link {
     out: Outbound,
     entry: String,
-    /// The newest version of the configuration that the entry is known to have.
-    config: u64,
-    /// Whether the entry has said that it sends no more new work.
-    quiet: bool,
+    /// The newest configuration version that the entry is known to have.
+    config_version: u64,
+    /// Whether the entry reported that it sends no more new work.
+    quiescent: bool,
 }
 
-/// The tables of a side.
+/// The state of a sidecar.
 pub struct Role {
     pub(super) setup: Setup,
     pub(super) gate: Gate,
@@ -56,282 +56,285 @@
     pub(super) pool: Pool,
     pub(super) report: Report,
     /// Duties whose lease rows are being read.
-    pub(super) learning: HashSet<String>,
-    /// Orders at the engine.
-    pub(super) orders: usize,
-    /// Until when a stopping side waits for its entries to say that they send
-    /// no more.
-    quiet: Instant,
-    /// When the process ends even if work is in flight; set once it stops.
-    ends: Option<Instant>,
+    pub(super) lease_reads: HashSet<String>,
+    /// Number of orders in flight at the engine.
+    pub(super) orders_in_flight: usize,
+    /// Until when a stopping sidecar waits for its entries to report that they send
+    /// no more work.
+    quiescence_deadline: Instant,
+    /// When the process ends even if work is in flight; set when it is stopped.
+    stop_deadline: Option<Instant>,
     timer: MinTimerKey,
-    /// When the gauges were reported.
-    pub(super) reported: Instant,
+    /// When the gauges were last reported.
+    pub(super) reported_at: Instant,
 }
 
 impl Role {
-    /// Creates the tables and starts the heartbeat.
+    /// Creates the state and starts the heartbeats.
     #[expect(clippy::unnecessary_wraps, reason = "the actor's interface")]
     pub fn init(cx: CX![], setup: Setup) -> Option<Self> {
-        after!(BEAT, [cx], beat());
+        after!(HEARTBEAT_INTERVAL, [cx], on_heartbeat());
         let side = &setup.side;
         Some(Self {
             gate: Gate::new(GateSpec::new(side.limit, side.buffer)),
             links: SecondaryMap::new(),
             pool: Pool::new(side, setup.events.clone()),
             report: Report::new(&setup),
-            learning: HashSet::new(),
-            orders: 0,
-            quiet: cx.now(),
-            ends: None,
+            lease_reads: HashSet::new(),
+            orders_in_flight: 0,
+            quiescence_deadline: cx.now(),
+            stop_deadline: None,
             timer: MinTimerKey::default(),
-            reported: cx.now(),
+            reported_at: cx.now(),
             setup,
         })
     }
 
-    /// Takes an event in and carries out what follows.
-    pub fn take(&mut self, cx: CX![], event: Event) {
+    /// Handles an event and executes the steps that follow from it.
+    pub fn handle_event(&mut self, cx: CX![], event: Event) {
         let now = cx.now();
         match event {
             Event::Open { hello, out, reply } => self.open(now, hello, out, reply),
-            Event::Frame(link, frame) => self.frame(now, link, frame),
-            Event::Lost(link) => self.lost(now, link),
+            Event::Frame(link, frame) => self.handle_frame(now, link, frame),
+            Event::Lost(link) => self.remove_link(now, link),
             Event::Head(id, head) => self.gate.head(id, head),
-            Event::Bytes(id, data) => self.bytes(now, id, data),
+            Event::Bytes(id, data) => self.buffer_bytes(now, id, data),
             Event::Ended {
                 worker,
                 id,
                 outcome,
-            } => self.ended(now, worker, id, outcome),
-            Event::Ordered {
+            } => self.finish_call(now, worker, id, outcome),
+            Event::OrderEnded {
                 worker,
                 link,
                 seq,
                 outcome,
-            } => self.ordered(now, worker, link, seq, outcome),
+            } => self.finish_order(now, worker, link, seq, outcome),
             Event::Load(load) => self.report.load = load,
-            Event::Reached(reached) => self.reached(now, reached),
-            Event::Listed { leaving } => self.listed(now, leaving),
-            Event::Lease(duty, number) => self.learn(&duty, number),
+            Event::Reachable(reachable) => self.set_reachable(now, reachable),
+            Event::HostList { leaving } => self.set_host_leaving(now, leaving),
+            Event::Lease(duty, token) => self.record_token(&duty, token),
             Event::Stop => self.stop(now),
         }
-        self.carry_out(now);
+        self.execute_steps(now);
     }
 
-    /// Runs the systems once a turn, and ends the actor when it may.
+    /// Handles the gate's timeouts once per iteration of the event loop, and ends the
+    /// actor when a shutdown is complete.
     pub fn settle(&mut self, cx: CX![], now: Instant) {
         self.gate.tick(now);
-        self.carry_out(now);
+        self.execute_steps(now);
         if let Some(due) = self.gate.next_due() {
             timer_min!(&mut self.timer, due, [cx], wake());
         }
-        let Some(ends) = self.ends else {
+        let Some(stop_deadline) = self.stop_deadline else {
             return;
         };
-        // A Start may be on its way while the gate stands idle. Ending now would
-        // leave its caller without a word on whether it ran, so the side waits
-        // until each entry has said that it sends no more. A link whose entry
-        // stands still is closed for its silence; one of an older release never
-        // says it, and is not waited for longer than ECHO.
-        let quiet = self.quiet <= now || self.links.values().all(|link| link.quiet);
-        let idle = quiet && self.orders == 0 && self.gate.is_idle(now);
-        if idle || ends <= now {
-            let left = self.gate.load().running;
-            log::info!(target: LOG, "Stops with {left} calls in flight.");
+        // A Start may be on its way although the gate is idle, and without a
+        // refusal its caller could not tell whether it ran. So the sidecar waits
+        // until every entry has reported that it sends no more work, but not longer
+        // than QUIESCENCE_TIMEOUT: an entry of an older release never reports it.
+        // The stream of a suspended entry is closed earlier for its silence.
+        let quiescent =
+            self.quiescence_deadline <= now || self.links.values().all(|link| link.quiescent);
+        let idle = quiescent && self.orders_in_flight == 0 && self.gate.is_idle(now);
+        if idle || stop_deadline <= now {
+            let running = self.gate.load().running;
+            log::info!(target: LOG, "The sidecar stops with {running} calls in flight.");
             stop!(cx);
         }
     }
 
-    /// Only wakes the loop; the systems run in [`Role::settle`].
+    /// Wakes the event loop, which then calls [`Role::settle`].
     #[expect(clippy::unused_self, reason = "the actor's interface")]
     fn wake(&mut self, _cx: CX![]) {}
 
-    fn beat(&mut self, cx: CX![]) {
-        after!(BEAT, [cx], beat());
-        self.pool.sweep(cx.now());
-        self.report_numbers(cx.now());
-        self.beat_all(cx.now());
+    fn on_heartbeat(&mut self, cx: CX![]) {
+        after!(HEARTBEAT_INTERVAL, [cx], on_heartbeat());
+        self.pool.remove_idle(cx.now());
+        self.report_gauges(cx.now());
+        self.send_heartbeats(cx.now());
     }
 
-    fn beat_all(&mut self, now: Instant) {
-        let beat = self.report.beat(now, &self.gate);
+    fn send_heartbeats(&mut self, now: Instant) {
+        let heartbeat = self.report.next_heartbeat(now, &self.gate);
         let keys: Vec<LinkKey> = self.links.keys().collect();
         for link in keys {
-            self.push(now, link, Frame::Beat(beat.clone()).into());
+            self.queue_frame(now, link, Frame::Beat(heartbeat.clone()).into());
         }
     }
 
     fn open(&mut self, now: Instant, hello: Hello, out: Outbound, reply: oneshot::Sender<LinkKey>) {
         let link = self.gate.open(now, hello.incarnation, hello.epoch);
-        log::info!(target: LOG, "Link {} of {} is open.", hello.epoch, hello.entry);
+        log::info!(target: LOG, "Stream {} of entry {} is open.", hello.epoch, hello.entry);
         let row = Link {
             out,
             entry: hello.entry,
-            config: hello.config,
-            quiet: false,
+            config_version: hello.config_version,
+            quiescent: false,
         };
         self.links.insert(link, row);
-        let welcome = self.report.welcome(&self.gate);
-        self.push(now, link, Frame::Welcome(welcome).into());
-        // A side that is leaving says so before the first call is sent to it.
-        let beat = self.report.beat(now, &self.gate);
-        self.push(now, link, Frame::Beat(beat).into());
-        self.hand_on(now, link);
+        let welcome = self.report.welcome_frame(&self.gate);
+        self.queue_frame(now, link, Frame::Welcome(welcome).into());
+        // Tells the entry before its first call whether the sidecar is leaving.
+        let heartbeat = self.report.next_heartbeat(now, &self.gate);
+        self.queue_frame(now, link, Frame::Beat(heartbeat).into());
+        self.send_newer_config(now, link);
         if reply.send(link).is_err() {
-            self.lost(now, link);
+            self.remove_link(now, link);
         }
     }
 
-    fn lost(&mut self, now: Instant, link: LinkKey) {
+    fn remove_link(&mut self, now: Instant, link: LinkKey) {
         if let Some(row) = self.links.remove(link) {
-            log::info!(target: LOG, "A link of {} is lost.", row.entry);
+            log::info!(target: LOG, "A stream of entry {} is lost.", row.entry);
         }
         self.gate.lost(now, link);
     }
 
-    fn frame(&mut self, now: Instant, link: LinkKey, frame: Inbound) {
+    fn handle_frame(&mut self, now: Instant, link: LinkKey, frame: Inbound) {
         if !self.gate.heard(now, link) {
             return;
         }
         match frame {
-            Inbound::Start(request) => self.start(now, link, request),
+            Inbound::Start(request) => self.start_call(now, link, request),
             Inbound::Attach(id, offset) => self.gate.attach(now, link, id, offset),
             Inbound::Ack(id, offset, done) => self.gate.ack(now, link, id, offset, done),
             Inbound::Cancel(id) => self.gate.cancel(now, link, id),
             Inbound::Seal(id) => self.gate.ask(now, link, id),
-            Inbound::Beat(version, quiet) => {
+            Inbound::Beat(version, quiescent) => {
                 if let Some(row) = self.links.get_mut(link) {
-                    row.quiet = quiet;
+                    row.quiescent = quiescent;
                 }
-                self.heard_version(now, link, version);
+                self.record_version(now, link, version);
             }
-            Inbound::Config(version, document) => self.config(now, link, version, document),
-            Inbound::Order(order) => self.order(now, link, *order),
+            Inbound::Config(version, document) => self.update_config(now, link, version, document),
+            Inbound::Order(order) => self.start_order(now, link, *order),
         }
     }
 
-    fn start(&mut self, now: Instant, link: LinkKey, request: Box<Request>) {
+    fn start_call(&mut self, now: Instant, link: LinkKey, request: Box<Request>) {
         let id = request.ask.id;
         match self.gate.start(now, link, request.ask) {
             Admission::Run => {
-                if let Err(kind) = self.pool.call(now, request) {
+                if let Err(kind) = self.pool.start_call(now, request) {
                     self.gate.fail(now, id, kind);
                 }
             }
-            Admission::Known => log::debug!(target: LOG, "{id} is known already."),
+            Admission::Known => log::debug!(target: LOG, "Attempt {id} is already known."),
             Admission::Refused(kind) => {
-                log::debug!(target: LOG, "{id} is refused: {kind}.");
+                log::debug!(target: LOG, "Attempt {id} is refused: {kind}.");
                 self.count_refused(kind);
             }
         }
     }
 
-    fn bytes(&mut self, now: Instant, id: RequestId, data: Arc<[u8]>) {
+    fn buffer_bytes(&mut self, now: Instant, id: RequestId, data: Arc<[u8]>) {
         self.gate.bytes(id, data);
-        // A pause has to take hold before the worker may read on.
-        self.carry_out(now);
+        // A pause must take effect before the worker may read the next chunk.
+        self.execute_steps(now);
         if let Some(throttle) = self.pool.throttle(id) {
-            throttle.put();
+            throttle.release();
         }
     }
 
-    fn ended(
+    fn finish_call(
         &mut self,
         now: Instant,
         worker: WorkerKey,
         id: RequestId,
         outcome: Result<Vec<Run>, ErrorKind>,
     ) {
-        self.pool.ended(now, worker, id);
+        self.pool.finish_call(now, worker, id);
         match outcome {
             Ok(runs) => self.gate.finish(now, id, runs),
             Err(kind) => {
-                log::debug!(target: LOG, "{id} failed: {kind}.");
+                log::debug!(target: LOG, "Attempt {id} failed: {kind}.");
                 self.gate.fail(now, id, kind);
             }
         }
     }
 
-    fn heard_version(&mut self, now: Instant, link: LinkKey, version: u64) {
+    fn record_version(&mut self, now: Instant, link: LinkKey, version: u64) {
         if let Some(row) = self.links.get_mut(link) {
-            row.config = row.config.max(version);
+            row.config_version = row.config_version.max(version);
         }
-        self.hand_on(now, link);
+        self.send_newer_config(now, link);
     }
 
     /// Sends the configuration to an entry that has an older one.
-    fn hand_on(&mut self, now: Instant, link: LinkKey) {
-        let version = self.report.version();
+    fn send_newer_config(&mut self, now: Instant, link: LinkKey) {
+        let version = self.report.config_version();
         let Some(row) = self.links.get_mut(link) else {
             return;
         };
-        if row.config < version {
-            row.config = version;
-            self.push(now, link, Frame::Config(self.report.config()).into());
+        if row.config_version < version {
+            row.config_version = version;
+            self.queue_frame(now, link, Frame::Config(self.report.config_frame()).into());
         }
     }
 
-    fn config(&mut self, now: Instant, link: LinkKey, version: u64, document: Vec<u8>) {
+    fn update_config(&mut self, now: Instant, link: LinkKey, version: u64, document: Vec<u8>) {
         if let Some(row) = self.links.get_mut(link) {
-            row.config = row.config.max(version);
+            row.config_version = row.config_version.max(version);
         }
-        if self.report.offer(version, document) {
+        if self.report.update_config(version, document) {
             log::info!(target: LOG, "Configuration {version} is in force.");
-            self.gate.set_limit(self.report.limit());
-            self.show_leaving(now);
+            self.gate.set_limit(self.report.max_running());
+            self.update_admission(now);
         }
     }
 
-    /// Takes note whether anything listens at the endpoint's address.
-    fn reached(&mut self, now: Instant, reached: bool) {
-        if self.report.unreachable == reached {
-            log::info!(target: LOG, "the endpoint can be reached: {reached}");
-            self.report.unreachable = !reached;
-            self.beat_all(now);
+    /// Records whether the endpoint is reachable.
+    fn set_reachable(&mut self, now: Instant, reachable: bool) {
+        if self.report.unreachable == reachable {
+            log::info!(target: LOG, "The endpoint is reachable: {reachable}.");
+            self.report.unreachable = !reachable;
+            self.send_heartbeats(now);
         }
     }
 
-    fn listed(&mut self, now: Instant, leaving: bool) {
-        if self.report.unlisted != leaving {
-            self.report.unlisted = leaving;
-            self.show_leaving(now);
+    /// Records whether the host list says that this host is leaving.
+    fn set_host_leaving(&mut self, now: Instant, leaving: bool) {
+        if self.report.host_leaving != leaving {
+            self.report.host_leaving = leaving;
+            self.update_admission(now);
         }
     }
 
     fn stop(&mut self, now: Instant) {
-        log::info!(target: LOG, "Stops: no new work, work in flight completes.");
-        let limit = Duration::from_secs(self.setup.settings.stop.deadline_s);
-        if self.ends.is_none() {
-            self.ends = Some(now + limit);
-            self.quiet = now + ECHO;
+        log::info!(target: LOG, "Graceful shutdown: new work is refused, work in flight completes.");
+        let timeout = Duration::from_secs(self.setup.settings.stop.deadline_s);
+        if self.stop_deadline.is_none() {
+            self.stop_deadline = Some(now + timeout);
+            self.quiescence_deadline = now + QUIESCENCE_TIMEOUT;
         }
         self.report.stopping = true;
-        self.show_leaving(now);
+        self.update_admission(now);
     }
 
-    /// Shuts or opens the gate and tells all entries at once.
-    fn show_leaving(&mut self, now: Instant) {
+    /// Sets whether the gate accepts new work, and sends heartbeats that say so.
+    fn update_admission(&mut self, now: Instant) {
         let leaving = self.report.is_leaving();
         if leaving != self.gate.is_leaving() {
-            log::info!(target: LOG, "Takes new work: {}.", !leaving);
+            log::info!(target: LOG, "The sidecar accepts new work: {}.", !leaving);
         }
         self.gate.set_leaving(leaving);
-        self.beat_all(now);
+        self.send_heartbeats(now);
     }
 
-    /// Carries out the steps of the gate.
-    fn carry_out(&mut self, now: Instant) {
+    /// Executes the steps that the gate has queued.
+    fn execute_steps(&mut self, now: Instant) {
         while let Some(step) = self.gate.next_step() {
             match step {
                 Step::Send { link, frame } => {
-                    self.push(now, link, wire::outbound(&frame, RETRY));
+                    self.queue_frame(now, link, wire::outbound(&frame, RETRY_DELAY));
                 }
-                Step::Abort { id } => self.hold(id, Throttle::abort),
-                Step::Pause { id } => self.hold(id, |throttle| throttle.pause(true)),
-                Step::Resume { id } => self.hold(id, |throttle| throttle.pause(false)),
+                Step::Abort { id } => self.with_throttle(id, Throttle::abort),
+                Step::Pause { id } => self.with_throttle(id, |t| t.set_paused(true)),
+                Step::Resume { id } => self.with_throttle(id, |t| t.set_paused(false)),
                 Step::Close { link, entry } => {
-                    log::warn!(target: LOG, "A link of entry {entry} is silent.");
+                    log::warn!(target: LOG, "A stream of entry {entry} is silent and is closed.");
                     self.setup.metrics.count(metrics::LINKS_LOST, &[]);
                     self.links.remove(link);
                 }
@@ -339,21 +342,22 @@
         }
     }
 
-    fn hold(&self, id: RequestId, act: impl FnOnce(&Throttle)) {
+    /// Calls `act` with the throttle of a call, if it is in flight.
+    fn with_throttle(&self, id: RequestId, act: impl FnOnce(&Throttle)) {
         if let Some(throttle) = self.pool.throttle(id) {
             act(throttle);
         }
     }
 
-    /// Queues a frame. An entry that doesn't read loses its link: its queue is
-    /// bounded, and it can attach anew at the offset where it stopped.
-    pub(super) fn push(&mut self, now: Instant, link: LinkKey, frame: ToEntry) {
+    /// Queues a frame to an entry. If the entry reads too slowly and its queue is
+    /// full, its stream is closed; it can attach again at its last offset.
+    pub(super) fn queue_frame(&mut self, now: Instant, link: LinkKey, frame: ToEntry) {
         let Some(row) = self.links.get(link) else {
             return;
         };
         if let Err(error) = row.out.try_send(Ok(frame)) {
-            log::warn!(target: LOG, "The queue of a link of {}: {error}.", row.entry);
-            self.lost(now, link);
+            log::warn!(target: LOG, "The queue to entry {} failed: {error}.", row.entry);
+            self.remove_link(now, link);
         }
     }
 }
--- a/hibiscusroad-daemon/src/side/setup.rs
+++ b/hibiscusroad-daemon/src/side/setup.rs
@@ -1,4 +1,4 @@
-//! What a side is made of.
+//! Configuration and dependencies of the actor.
 
 use crate::{
     metrics::Metrics,
@@ -8,19 +8,19 @@
 use flume::Sender;
 use hibiscusroad::Incarnation;
 
-/// What a side is made of.
+/// Configuration and dependencies of the actor.
 #[derive(Clone)]
 pub struct Setup {
     /// The settings of the process.
     pub settings: Settings,
     /// The settings of the role.
     pub side: Side,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Where threads hand events over.
+    /// Sends events to the actor.
     pub events: Sender<Event>,
-    /// Reads a duty's lease row.
-    pub lease: ReadLease,
-    /// Where metrics go.
+    /// Reads the fencing token in a duty's lease row.
+    pub read_lease: ReadLease,
+    /// Metrics client.
     pub metrics: Metrics,
 }
--- a/hibiscusroad-daemon/src/side/sse.rs
+++ b/hibiscusroad-daemon/src/side/sse.rs
@@ -1,17 +1,17 @@
-//! Reads the events of a streamed model answer as they pass.
+//! Scanner for the server-sent events of a model's answer.
 //!
-//! The bytes go on unchanged. What is read out of them is which weight version
-//! produced which token, and whether the stream came to its end: an engine that
-//! crashes closes its connection just as one that has finished.
+//! The bytes are forwarded unchanged. The scanner finds which weight version
+//! produced which token, and whether the stream is complete: an engine that
+//! crashes closes its connection just as one that has finished does.
 
 use hibiscusroad::gate::Run;
 use serde::Deserialize;
 
-/// The longest event that is looked into. Longer ones pass unread, so that an
-/// endless line can't fill the memory.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Maximum length of a line that is parsed, in bytes. It bounds the memory that an
+/// endless line can take.
+const MAX_LINE_LEN: usize = 1 << 20;
 
-/// What the last event says in place of JSON.
+/// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
 #[derive(Deserialize)]
@@ -30,7 +30,7 @@
     text: String,
 }
 
-/// Reads the events of one answer.
+/// Scans the events of one answer.
 #[derive(Debug, Default)]
 pub struct Scanner {
     line: Vec<u8>,
@@ -40,36 +40,36 @@
 }
 
 impl Scanner {
-    /// Takes the next bytes of the answer.
+    /// Scans the next bytes of the answer.
     pub fn scan(&mut self, data: &[u8]) {
         let mut rest = data;
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-            self.keep(&rest[..end]);
+            self.buffer(&rest[..end]);
             let line = std::mem::take(&mut self.line);
-            self.read(&line);
+            self.parse_line(&line);
             rest = &rest[end + 1..];
         }
-        self.keep(rest);
+        self.buffer(rest);
     }
 
-    /// Says whether the event that ends the stream has come.
+    /// Returns whether the event that ends the stream has arrived.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Returns the weight versions and the first token of each.
+    /// Returns the weight versions, each with the index of its first token.
     #[must_use]
     pub fn into_runs(self) -> Vec<Run> {
         self.runs
     }
 
-    fn keep(&mut self, part: &[u8]) {
-        let room = LONGEST_EVENT.saturating_sub(self.line.len());
+    fn buffer(&mut self, part: &[u8]) {
+        let room = MAX_LINE_LEN.saturating_sub(self.line.len());
         self.line.extend_from_slice(&part[..part.len().min(room)]);
     }
 
-    fn read(&mut self, line: &[u8]) {
+    fn parse_line(&mut self, line: &[u8]) {
         let Some(data) = line.strip_prefix(b"data:") else {
             return;
         };
@@ -77,13 +77,13 @@
         if data == DONE {
             self.done = true;
         } else if let Ok(event) = serde_json::from_slice::<Completion>(data) {
-            self.note(event);
+            self.record(event);
         }
     }
 
-    /// Notes one event; one without text, such as the last with the usage,
-    /// stands for no token.
-    fn note(&mut self, event: Completion) {
+    /// Records the weight version of one event. An event without text, such as the
+    /// one that reports the usage, carries no token.
+    fn record(&mut self, event: Completion) {
         if event.choices.iter().all(|choice| choice.text.is_empty()) {
             return;
         }
@@ -98,9 +98,9 @@
     }
 }
 
-/// Returns the weight version of an answer that came in one piece.
+/// Returns the weight version of an answer that is a single JSON document.
 #[must_use]
-pub fn whole_runs(body: &[u8]) -> Vec<Run> {
+pub fn document_runs(body: &[u8]) -> Vec<Run> {
     let answer = serde_json::from_slice::<Completion>(body).ok();
     let version = answer.and_then(|answer| answer.system_fingerprint);
     version
--- a/hibiscusroad-daemon/src/side/throttle.rs
+++ b/hibiscusroad-daemon/src/side/throttle.rs
@@ -1,40 +1,39 @@
-//! Holds a call back while its answer is not acknowledged, or ends it.
+//! Flow control between a worker that reads an answer and the actor.
 
 use std::{
     mem,
     sync::{Condvar, Mutex, MutexGuard, PoisonError},
 };
 
-/// Chunks of one answer on their way to the actor at once.
+/// Maximum number of chunks of one answer that the actor has not processed yet.
 ///
-/// With it a pause takes effect after a known number of bytes, although the
-/// reading goes on while the decision is made.
-pub const CREDITS: usize = 8;
+/// It bounds the bytes that are still read before a pause takes effect.
+pub const MAX_PENDING: usize = 8;
 
-/// Joins a worker and the actor for the length of one call.
+/// Pauses or aborts one call; shared by its worker and the actor.
 #[derive(Debug, Default)]
 pub struct Throttle {
     state: Mutex<State>,
-    turned: Condvar,
+    changed: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Chunks that the actor has not taken yet.
+    /// Chunks sent that the actor has not processed yet.
     pending: usize,
     paused: bool,
     aborted: bool,
-    /// The client whose sockets an abort shuts.
+    /// The client whose sockets an abort shuts down.
     agent: Option<ureq::Agent>,
 }
 
 impl Throttle {
-    /// Waits until a chunk may be read; returns false if the call is aborted.
-    pub fn take(&self) -> bool {
+    /// Waits until a chunk may be read. Returns false if the call is aborted.
+    pub fn acquire(&self) -> bool {
         let mut state = self.lock();
-        while !state.aborted && (state.paused || state.pending >= CREDITS) {
+        while !state.aborted && (state.paused || state.pending >= MAX_PENDING) {
             state = self
-                .turned
+                .changed
                 .wait(state)
                 .unwrap_or_else(PoisonError::into_inner);
         }
@@ -42,27 +41,27 @@
         !state.aborted
     }
 
-    /// Notes that the actor took a chunk.
-    pub fn put(&self) {
-        self.change(|state| state.pending = state.pending.saturating_sub(1));
+    /// Records that the actor processed a chunk.
+    pub fn release(&self) {
+        self.update(|state| state.pending = state.pending.saturating_sub(1));
     }
 
-    /// Stops the reading, or lets it go on.
-    pub fn pause(&self, paused: bool) {
-        self.change(|state| state.paused = paused);
+    /// Pauses or resumes reading the answer.
+    pub fn set_paused(&self, paused: bool) {
+        self.update(|state| state.paused = paused);
     }
 
-    /// Names the client of the call; returns false if the call is aborted.
-    pub fn hold(&self, agent: &ureq::Agent) -> bool {
+    /// Sets the client of the call. Returns false if the call is aborted.
+    pub fn attach_agent(&self, agent: &ureq::Agent) -> bool {
         let mut state = self.lock();
         state.agent = Some(agent.clone());
         !state.aborted
     }
 
-    /// Ends the call, also one that is blocked in a read.
+    /// Aborts the call, even if its worker is blocked in a read.
     pub fn abort(&self) {
         let mut agent = None;
-        self.change(|state| {
+        self.update(|state| {
             state.aborted = true;
             agent = mem::take(&mut state.agent);
         });
@@ -71,17 +70,17 @@
         }
     }
 
-    /// Lets go of the client at the end of the call; returns true if the call
-    /// was aborted, and the client with it.
-    pub fn release(&self) -> bool {
+    /// Removes the client at the end of the call. Returns true if the call was
+    /// aborted, which makes the client unusable.
+    pub fn detach_agent(&self) -> bool {
         let mut state = self.lock();
         state.agent = None;
         state.aborted
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.lock());
-        self.turned.notify_one();
+        self.changed.notify_one();
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -43,7 +43,7 @@
         entry: hello.entry,
         incarnation: Incarnation(hello.incarnation),
         epoch: hello.epoch,
-        config: hello.config_version,
+        config_version: hello.config_version,
     }
 }
 
