--- a/hibiscusroad-daemon/tests/metrics.rs
+++ b/hibiscusroad-daemon/tests/metrics.rs
@@ -148,7 +148,7 @@
     });
     let link = Link::open(&side, 1, 1);
     link.get(1, "/huts");
-    endpoint.await_call("/huts");
+    endpoint.wait_for_call("/huts");
     link.get(2, "/huts");
     link.refusal();
     listener.expect(&[
--- a/hibiscusroad-daemon/tests/side_calls.rs
+++ b/hibiscusroad-daemon/tests/side_calls.rs
@@ -1,9 +1,10 @@
-//! Calls over a link to one endpoint, whole and broken.
+//! Calls through a sidecar to one endpoint, complete and failed ones.
 
 mod side_support;
 
 use self::side_support::{
-    Endpoint, Frame, Link, PATIENCE, answer, end_events, event, events, model, side_of, start_side,
+    Endpoint, Frame, Link, TEST_TIMEOUT, answer, set_model_kind, side_of, start_side, write_event,
+    write_events_end, write_events_head,
 };
 use hibiscusroad_wire::{State, to_side};
 use std::{
@@ -14,7 +15,7 @@
 };
 
 #[test]
-fn a_plain_call_is_answered_whole() {
+fn plain_call_returns_complete_answer() {
     let endpoint = Endpoint::start(|path, stream| answer(stream, &format!("huts of {path}")));
     let side = start_side(endpoint.address, |_| {});
     let link = Link::open(&side, 7, 1);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_large_answer_comes_through_the_window() {
+fn answer_larger_than_window_is_complete() {
     let body = "plan".repeat(1 << 20);
     let sent = body.clone();
     let endpoint = Endpoint::start(move |_, stream| answer(stream, &sent));
@@ -39,25 +40,25 @@
 }
 
 #[test]
-fn versions_are_those_that_the_tokens_named() {
-    // The weights are swapped while an answer is generated. The entry must see
-    // the version of each token as the engine reported it, in runs.
+fn runs_report_weight_version_of_each_token() {
+    // Guards against a wrong weight version for a token when the weights are
+    // replaced while an answer is generated.
     let endpoint = Endpoint::start(|path, stream| {
         if path == "/load" {
             return answer(stream, "{}");
         }
-        events(stream);
+        write_events_head(stream);
         for (version, text) in [("41", "a"), ("41", "b"), ("42", "c"), ("42", "")] {
             let choice = format!(r#"[{{"text":"{text}"}}]"#);
-            event(
+            write_event(
                 stream,
                 &format!(r#"{{"system_fingerprint":"{version}","choices":{choice}}}"#),
             );
         }
-        event(stream, "[DONE]");
-        end_events(stream);
+        write_event(stream, "[DONE]");
+        write_events_end(stream);
     });
-    let side = start_side(endpoint.address, model);
+    let side = start_side(endpoint.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
     link.send(to_side::Frame::Start(link.start(
         1,
@@ -69,10 +70,9 @@
 }
 
 #[test]
-fn an_endpoint_that_dies_in_its_answer_gives_no_success() {
-    // The endpoint is killed after half of its answer; the connection closes as
-    // after a whole one. The entry must get a problem that doesn't say "not
-    // run", whatever the framing of the answer was.
+fn endpoint_crash_during_answer_is_reported() {
+    // The endpoint's connection closes in the middle of an answer. The refusal must
+    // not say "not run", whatever the framing of the answer is.
     let endpoint = Endpoint::start(|path, stream| {
         match path {
             "/length" => {
@@ -84,16 +84,16 @@
             }
             "/closed" => drop(stream.write_all(b"HTTP/1.0 200 OK\r\n\r\nhalf")),
             "/events" => {
-                events(stream);
-                event(stream, r#"{"choices":[{"text":"half"}]}"#);
-                end_events(stream);
+                write_events_head(stream);
+                write_event(stream, r#"{"choices":[{"text":"half"}]}"#);
+                write_events_end(stream);
             }
             "/load" => return answer(stream, "{}"),
             _ => {}
         }
         drop(stream.shutdown(Shutdown::Both));
     });
-    let side = start_side(endpoint.address, model);
+    let side = start_side(endpoint.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
     for (seq, path) in ["/length", "/chunked", "/closed", "/events"]
         .iter()
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn an_endpoint_that_is_down_is_not_run() {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = free.local_addr().unwrap();
-    drop(free);
+fn call_to_unreachable_endpoint_is_sealed() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    drop(listener);
     let side = start_side(address, |_| {});
     let link = Link::open(&side, 7, 1);
     link.post_once(1, "/reserve");
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn a_connection_that_closes_between_calls_costs_no_reservation() {
-    // The endpoint closes each connection when a second request arrives on it,
-    // as one does whose idle limit passes at that moment. The reservation after
-    // it must run, not end as "may have run".
+fn once_call_does_not_reuse_idle_connection() {
+    // The endpoint closes each connection when a second request arrives on it, like
+    // one whose idle timeout elapses at that moment. The reservation must run, not
+    // end as "may have run".
     let endpoint = Endpoint::start(|path, stream| {
         answer(stream, path);
-        let mut rest = [0; 1];
-        drop(stream.peek(&mut rest));
+        let mut buf = [0; 1];
+        drop(stream.peek(&mut buf));
         drop(stream.shutdown(Shutdown::Both));
     });
     let side = start_side(endpoint.address, |_| {});
@@ -140,12 +140,12 @@
 }
 
 #[test]
-fn a_slow_call_holds_up_no_other() {
-    // One call hangs in the endpoint. Calls after it go on, and the hanging one
-    // ends with its deadline.
+fn slow_call_delays_no_other_call() {
+    // One call hangs in the endpoint. Later calls are answered, and the hanging one
+    // ends at its deadline.
     let endpoint = Endpoint::start(|path, stream| {
         if path == "/slow" {
-            thread::sleep(PATIENCE);
+            thread::sleep(TEST_TIMEOUT);
         }
         answer(stream, "fine");
     });
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_duplicate_start_runs_once() {
+fn duplicate_start_runs_once() {
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
     let side = start_side(endpoint.address, |_| {});
     let link = Link::open(&side, 7, 1);
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn a_start_after_the_seal_never_runs() {
-    // The entry lost sight of a Start, had it sealed and told its caller "not
-    // run". Then the Start arrives after all.
+fn start_after_seal_never_runs() {
+    // The entry sealed an attempt and told its caller "not run"; then the delayed
+    // Start arrives.
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
     let side = start_side(endpoint.address, |_| {});
     let link = Link::open(&side, 7, 1);
--- a/hibiscusroad-daemon/tests/side_links.rs
+++ b/hibiscusroad-daemon/tests/side_links.rs
@@ -1,10 +1,10 @@
-//! Links that fail, sides that leave, and orders.
+//! Failures of streams, shutdown of sidecars, and orders.
 
 mod side_support;
 
 use self::side_support::{
-    Endpoint, Frame, Link, PATIENCE, RunningSide, answer, end_events, event, events, model,
-    start_side, start_side_with,
+    Endpoint, Frame, Link, RunningSide, TEST_TIMEOUT, answer, set_model_kind, start_side,
+    start_side_with, write_event, write_events_end, write_events_head,
 };
 use hibiscusroad::config::Document;
 use hibiscusroad_wire::{Cancel, Config, Order, Seal, State, VERSION, to_side};
@@ -18,26 +18,26 @@
 };
 use tonic::Code;
 
-/// An engine that sends a token each 20 ms.
+/// Starts an engine that sends a token every 20 ms.
 fn slow_engine(tokens: usize) -> Endpoint {
     Endpoint::start(move |path, stream| {
         if path == "/load" {
             return answer(stream, "{}");
         }
-        events(stream);
+        write_events_head(stream);
         for _ in 0..tokens {
             let token = r#"{"system_fingerprint":"41","choices":[{"text":"a"}]}"#;
-            if !event(stream, token) {
+            if !write_event(stream, token) {
                 return;
             }
             thread::sleep(Duration::from_millis(20));
         }
-        event(stream, "[DONE]");
-        end_events(stream);
+        write_event(stream, "[DONE]");
+        write_events_end(stream);
     })
 }
 
-fn generate(link: &Link, seq: u64) {
+fn start_completion(link: &Link, seq: u64) {
     link.send(to_side::Frame::Start(link.start(
         seq,
         "POST",
@@ -45,7 +45,8 @@
     )));
 }
 
-fn next_chunk(link: &Link) -> u64 {
+/// Waits for the next chunk and returns its end offset.
+fn next_chunk_end(link: &Link) -> u64 {
     loop {
         if let Frame::Chunk(chunk) = link.next() {
             return chunk.offset + chunk.data.len() as u64;
@@ -53,15 +54,16 @@
     }
 }
 
-fn await_that(what: &str, mut done: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !done() {
-        assert!(Instant::now() < until, "{what} did not happen");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn drain(version: u64, endpoint: &str) -> to_side::Frame {
+/// Returns a configuration that drains an endpoint.
+fn drain_config(version: u64, endpoint: &str) -> to_side::Frame {
     let mut document = Document {
         version,
         ..Document::default()
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn another_version_is_refused_with_both_named() {
+fn wire_version_mismatch_is_refused_with_both_versions() {
     let endpoint = slow_engine(1);
     let side = start_side(endpoint.address, |_| {});
     let link = Link::hello(side.handle.links, 7, 1, VERSION + 1);
@@ -85,15 +87,15 @@
 }
 
 #[test]
-fn a_broken_frame_ends_its_link_only() {
-    // A frame that names no attempt comes. Its link ends with a status that
-    // says so, and other links don't notice.
+fn invalid_frame_closes_only_its_stream() {
+    // A frame without an attempt id closes its stream with a status that says so,
+    // and does not affect other streams.
     let endpoint = Endpoint::start(|_, stream| answer(stream, "fine"));
     let side = start_side(endpoint.address, |_| {});
-    let (broken, other) = (Link::open(&side, 7, 1), Link::open(&side, 8, 1));
-    broken.send(to_side::Frame::Seal(Seal { id: None }));
+    let (faulty, other) = (Link::open(&side, 7, 1), Link::open(&side, 8, 1));
+    faulty.send(to_side::Frame::Seal(Seal { id: None }));
     let status = loop {
-        match broken.next_result().unwrap() {
+        match faulty.next_result().unwrap() {
             Ok(Frame::Beat(_)) => {}
             other => break other.unwrap_err(),
         }
@@ -104,19 +106,19 @@
 }
 
 #[test]
-fn a_silent_link_is_found_and_the_answer_goes_on_at_its_offset() {
-    // The link goes silent in the middle of a stream, without closing. The side
-    // closes it within a second. The entry attaches over a new link at the last
-    // byte that it has, and gets the rest, each byte once.
+fn answer_resumes_at_offset_after_silent_stream() {
+    // A stream goes silent without closing while an answer is sent. The sidecar
+    // closes it soon, and the entry attaches over a new stream at its last offset and
+    // receives the rest, each byte once.
     let engine = slow_engine(100);
-    let side = start_side(engine.address, model);
+    let side = start_side(engine.address, set_model_kind);
     let first = Link::open(&side, 7, 1);
-    generate(&first, 1);
-    let arrived = next_chunk(&first);
-    first.fall_silent();
-    let since = Instant::now();
+    start_completion(&first, 1);
+    let arrived = next_chunk_end(&first);
+    first.stop_heartbeats();
+    let started = Instant::now();
     while first.next_result().is_some_and(|frame| frame.is_ok()) {}
-    assert!(since.elapsed() < Duration::from_millis(1_300));
+    assert!(started.elapsed() < Duration::from_millis(1_300));
     let second = Link::open(&side, 7, 2);
     second.attach(1, arrived);
     let answer = second.answer_from(1, arrived);
@@ -126,14 +128,14 @@
 }
 
 #[test]
-fn an_answer_moves_to_a_new_link_while_the_old_one_stands() {
-    // Only the way back is silent, so that the side hears nothing of it. The
-    // entry opens a second link, attaches, and then closes the first.
+fn answer_moves_to_new_stream_while_old_one_is_open() {
+    // Only the direction to the entry fails, which the sidecar can't detect. The
+    // entry opens a second stream, attaches, and then closes the first.
     let engine = slow_engine(100);
-    let side = start_side(engine.address, model);
+    let side = start_side(engine.address, set_model_kind);
     let first = Link::open(&side, 7, 1);
-    generate(&first, 1);
-    let arrived = next_chunk(&first);
+    start_completion(&first, 1);
+    let arrived = next_chunk_end(&first);
     thread::sleep(Duration::from_millis(300));
     let second = Link::open(&side, 7, 2);
     second.attach(1, arrived);
@@ -144,9 +146,9 @@
 }
 
 #[test]
-fn a_start_from_a_replaced_link_never_runs() {
-    // The entry gave a link up and sealed what it had sent on it, over a new
-    // one. Then the old link delivers that attempt and another.
+fn start_on_replaced_stream_never_runs() {
+    // The entry replaced a stream and sealed an attempt over the new one. Then the
+    // old stream delivers that attempt and another.
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
     let side = start_side(endpoint.address, |_| {});
     let (old, new) = (Link::open(&side, 7, 1), Link::open(&side, 7, 2));
@@ -159,107 +161,111 @@
 }
 
 #[test]
-fn an_attempt_without_an_entry_is_ended_unless_it_runs_once() {
-    // The entry dies. What may be repeated is ended at the endpoint, whose
-    // place it takes; a reservation runs on, and another entry gets its answer.
+fn attempt_of_lost_entry_is_aborted_unless_once() {
+    // The entry crashes. A call that may be repeated is aborted, which frees its
+    // slot; a reservation completes, and another entry can get its answer.
     let endpoint = Endpoint::start(|path, stream| {
         if path == "/reserve" {
             thread::sleep(Duration::from_millis(500));
             return answer(stream, "hut 4");
         }
-        events(stream);
-        while event(stream, "{}") {
+        write_events_head(stream);
+        while write_event(stream, "{}") {
             thread::sleep(Duration::from_millis(10));
         }
     });
-    let side = start_side(endpoint.address, model);
+    let side = start_side(endpoint.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
-    generate(&link, 1);
+    start_completion(&link, 1);
     link.post_once(2, "/reserve");
-    endpoint.await_call("/v1/completions");
-    endpoint.await_call("/reserve");
+    endpoint.wait_for_call("/v1/completions");
+    endpoint.wait_for_call("/reserve");
     let id = link.id(2);
     drop(link);
     let other = Link::open(&side, 8, 1);
-    await_that("the end of the call", || {
-        other.next_beat().load.unwrap().running == 0
+    wait_until("the call to end", || {
+        other.next_heartbeat().load.unwrap().running == 0
     });
     other.send(to_side::Frame::Seal(Seal { id }));
     assert!(matches!(other.next(), Frame::Standing(s) if s.state() == State::Done));
 }
 
 #[test]
-fn a_cancel_frees_the_endpoint_at_once() {
+fn cancel_aborts_call_immediately() {
     let engine = slow_engine(1_000);
-    let side = start_side(engine.address, model);
+    let side = start_side(engine.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
-    generate(&link, 1);
-    next_chunk(&link);
-    let since = Instant::now();
+    start_completion(&link, 1);
+    next_chunk_end(&link);
+    let started = Instant::now();
     let id = link.id(1);
     link.send(to_side::Frame::Cancel(Cancel { id }));
-    await_that("the end of the call", || {
-        link.next_beat().load.unwrap().running == 0
+    wait_until("the call to end", || {
+        link.next_heartbeat().load.unwrap().running == 0
     });
-    assert!(since.elapsed() < Duration::from_secs(1));
+    assert!(started.elapsed() < Duration::from_secs(1));
 }
 
 #[test]
-fn a_drain_refuses_new_work_and_cuts_off_none() {
+fn drain_refuses_new_work_and_completes_running() {
     let engine = slow_engine(40);
-    let side = start_side(engine.address, model);
+    let side = start_side(engine.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
-    generate(&link, 1);
-    next_chunk(&link);
-    link.send(drain(3, "hut-desk-1"));
-    generate(&link, 2);
+    start_completion(&link, 1);
+    next_chunk_end(&link);
+    link.send(drain_config(3, "hut-desk-1"));
+    start_completion(&link, 2);
     assert_eq!(link.refusal(), "stopping");
-    let rest = loop {
+    let end = loop {
         match link.next() {
             Frame::End(end) => break end,
             Frame::Chunk(chunk) => link.ack(1, chunk.offset, false),
             other => panic!("unexpected {other:?}"),
         }
     };
-    assert!(rest.length > 0);
-    // An older version must not open the gate again; a newer one does.
-    link.send(drain(2, "none"));
+    assert!(end.length > 0);
+    // An older configuration must not end the drain; a newer one does.
+    link.send(drain_config(2, "none"));
     link.get(3, "/load");
     assert_eq!(link.refusal(), "stopping");
-    link.send(drain(4, "none"));
+    link.send(drain_config(4, "none"));
     link.get(4, "/load");
     assert_eq!(link.answer(4).body, b"{}");
 }
 
 #[test]
-fn a_side_hands_the_configuration_on() {
-    // The table service is down. One entry has a newer configuration; another
-    // gets it through the side.
+fn sidecar_forwards_configuration() {
+    // While the table service is down, an entry receives a newer configuration from
+    // another entry through the sidecar.
     let engine = slow_engine(1);
-    let side = start_side(engine.address, model);
+    let side = start_side(engine.address, set_model_kind);
     let first = Link::open(&side, 7, 1);
     let second = Link::open(&side, 8, 1);
-    first.send(drain(3, "other"));
+    first.send(drain_config(3, "other"));
     match second.next() {
         Frame::Config(config) => assert_eq!(config.version, 3),
         other => panic!("unexpected {other:?}"),
     }
-    await_that("the version", || first.next_beat().config_version == 3);
+    wait_until("the new version to be reported", || {
+        first.next_heartbeat().config_version == 3
+    });
 }
 
 #[test]
-fn a_stop_lets_a_stream_complete() {
-    // The host is taken away while an answer streams. Entries are told at once,
-    // new work is refused, the stream comes to its end, then the side ends.
+fn graceful_shutdown_completes_running_answer() {
+    // The sidecar is stopped while an answer is sent. Entries are told immediately,
+    // new work is refused, the answer completes, and then the sidecar ends.
     let engine = slow_engine(40);
-    let mut side = start_side(engine.address, model);
+    let mut side = start_side(engine.address, set_model_kind);
     let link = Link::open(&side, 7, 1);
-    generate(&link, 1);
-    next_chunk(&link);
-    let since = Instant::now();
+    start_completion(&link, 1);
+    next_chunk_end(&link);
+    let started = Instant::now();
     side.stop();
-    await_that("the news", || link.next_beat().leaving);
-    assert!(since.elapsed() < Duration::from_millis(250));
+    wait_until("the sidecar to report that it is leaving", || {
+        link.next_heartbeat().leaving
+    });
+    assert!(started.elapsed() < Duration::from_millis(250));
     link.get(2, "/late");
     assert_eq!(link.refusal(), "stopping");
     assert!(!side.has_ended());
@@ -274,10 +280,10 @@
 }
 
 #[test]
-fn a_call_on_its_way_to_a_stopping_side_is_refused() {
-    // A side with nothing to do is stopped. A reservation was sent before its
-    // entry heard of it. It must be refused, and its refusal must arrive: once
-    // the side is gone nobody can say that it did not run.
+fn start_in_transit_at_shutdown_is_refused() {
+    // An idle sidecar is stopped while a reservation is in transit. The refusal must
+    // reach the entry: once the sidecar has ended, no one can tell that the
+    // reservation did not run.
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
     let mut side = start_side(endpoint.address, |_| {});
     let link = Link::open(&side, 7, 1);
@@ -290,48 +296,48 @@
 }
 
 #[test]
-fn a_stop_has_a_deadline() {
+fn graceful_shutdown_has_deadline() {
     let engine = slow_engine(1_000);
     let mut side = start_side(engine.address, |settings| {
-        model(settings);
+        set_model_kind(settings);
         settings.stop.deadline_s = 1;
     });
     let link = Link::open(&side, 7, 1);
-    generate(&link, 1);
-    next_chunk(&link);
-    let since = Instant::now();
+    start_completion(&link, 1);
+    next_chunk_end(&link);
+    let started = Instant::now();
     side.stop();
     side.join();
-    assert!(since.elapsed() < Duration::from_secs(4));
+    assert!(started.elapsed() < Duration::from_secs(4));
 }
 
 #[test]
-fn a_fresh_side_learns_the_number_before_it_passes_an_order() {
-    // The side was replaced. The paused holder of lease 7 orders first; the row
-    // says 8. No order passes before the row was read, and never that one.
+fn new_sidecar_reads_token_before_admitting_order() {
+    // A new sidecar receives an order with the outdated token 7; the lease row has
+    // 8. No order is admitted before the row is read, and that one never is.
     let engine = Endpoint::start(|_, stream| answer(stream, r#"{"version":"42"}"#));
     let row = Arc::new(AtomicU64::new(0));
-    let read = Arc::clone(&row);
-    let lease = Arc::new(move |_: &str| match read.load(Ordering::SeqCst) {
+    let stored = Arc::clone(&row);
+    let read_lease = Arc::new(move |_: &str| match stored.load(Ordering::SeqCst) {
         0 => None,
-        number => Some(number),
+        token => Some(token),
     });
-    let side: RunningSide = start_side_with(engine.address, lease, model);
+    let side: RunningSide = start_side_with(engine.address, read_lease, set_model_kind);
     let link = Link::open(&side, 7, 1);
-    assert_eq!(order(&link, 1, 7), "store-down");
+    assert_eq!(send_order(&link, 1, 7), "store-down");
     row.store(8, Ordering::SeqCst);
     let mut seq = 1;
-    await_that("the learning", || {
+    wait_until("the lease row to be read", || {
         seq += 1;
-        order(&link, seq, 7) == "fenced"
+        send_order(&link, seq, 7) == "fenced"
     });
     assert_eq!(engine.count("/v1/weights"), 0);
-    assert_eq!(order(&link, 100, 8), "");
+    assert_eq!(send_order(&link, 100, 8), "");
     assert_eq!(engine.count("/v1/weights"), 1);
 }
 
-/// Gives an order and returns the problem that it met.
-fn order(link: &Link, seq: u64, fence: u64) -> String {
+/// Sends an order and returns the problem code of its reply.
+fn send_order(link: &Link, seq: u64, fence: u64) -> String {
     link.send(to_side::Frame::Order(Order {
         seq,
         fence,
--- a/hibiscusroad-daemon/tests/side_process.rs
+++ b/hibiscusroad-daemon/tests/side_process.rs
@@ -1,8 +1,10 @@
-//! A side as a process of its own, stopped and paused by signals.
+//! A sidecar as a separate process that is terminated, suspended or killed.
 
 mod side_support;
 
-use self::side_support::{Endpoint, Frame, Link, PATIENCE, answer, end_events, event, events};
+use self::side_support::{
+    Endpoint, Frame, Link, TEST_TIMEOUT, answer, write_event, write_events_end, write_events_head,
+};
 use hibiscusroad_wire::State;
 use rustix::process::{Pid, Signal, kill_process};
 use std::{
@@ -20,7 +22,7 @@
 }
 
 impl Process {
-    /// Starts a side and waits until it takes links.
+    /// Starts a sidecar and waits until it accepts connections.
     fn start(name: &str, endpoint: SocketAddr, kind: &str) -> Self {
         let links = TcpListener::bind("127.0.0.1:0")
             .unwrap()
@@ -47,9 +49,12 @@
         fs::write(&file, settings).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscusroadd"));
         let child = command.arg(file).spawn().unwrap();
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while TcpStream::connect(links).is_err() {
-            assert!(Instant::now() < until, "the side takes no links");
+            assert!(
+                Instant::now() < deadline,
+                "the sidecar accepts no connections"
+            );
             thread::sleep(Duration::from_millis(10));
         }
         Self { child, links }
@@ -61,12 +66,12 @@
     }
 
     fn wait(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < until, "the side does not end");
+            assert!(Instant::now() < deadline, "the sidecar does not end");
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -79,38 +84,37 @@
     }
 }
 
-/// The platform takes the host away: SIGTERM comes while an answer streams. The
-/// caller gets the answer to its end, and the process ends with code 0.
+/// SIGTERM arrives while an answer is sent. The answer completes, and the process
+/// exits with code 0.
 #[test]
-fn a_terminated_side_cuts_off_no_stream() {
+fn sigterm_completes_running_answer() {
     let engine = Endpoint::start(|path, stream| {
         if path == "/load" {
             return answer(stream, "{}");
         }
-        events(stream);
+        write_events_head(stream);
         for _ in 0..40 {
-            event(stream, r#"{"choices":[{"text":"a"}]}"#);
+            write_event(stream, r#"{"choices":[{"text":"a"}]}"#);
             thread::sleep(Duration::from_millis(20));
         }
-        event(stream, "[DONE]");
-        end_events(stream);
+        write_event(stream, "[DONE]");
+        write_events_end(stream);
     });
     let mut side = Process::start("terminated", engine.address, "model");
     let link = Link::open_at(side.links, 7, 1);
     link.get(1, "/v1/completions");
-    engine.await_call("/v1/completions");
+    engine.wait_for_call("/v1/completions");
     side.signal(Signal::TERM);
     let answer = link.answer(1);
     assert!(answer.body.ends_with(b"data: [DONE]\n\n"));
     assert_eq!(side.wait().code(), Some(0));
 }
 
-/// The side is paused for three seconds while a Start waits in its socket. Its
-/// entry gave the link up, opened another and asked to seal the attempt. When
-/// the side goes on, it reads both in any order: either the attempt ran and the
-/// answer says so, or it is sealed and never runs.
+/// A Start waits in the socket of a suspended sidecar while its entry opens another
+/// stream and seals the attempt. The resumed sidecar may read both in any order:
+/// either the attempt runs and is reported as such, or it is sealed and never runs.
 #[test]
-fn a_paused_side_starts_nothing_that_it_seals() {
+fn suspended_sidecar_never_starts_sealed_attempt() {
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
     let side = Process::start("paused", endpoint.address, "plain");
     let old = Link::open_at(side.links, 7, 1);
@@ -118,35 +122,34 @@
     old.post_once(1, "/reserve");
     thread::sleep(Duration::from_secs(3));
     let links = side.links;
-    let opened = thread::spawn(move || Link::open_at(links, 7, 2));
+    let opening = thread::spawn(move || Link::open_at(links, 7, 2));
     thread::sleep(Duration::from_millis(200));
     side.signal(Signal::CONT);
-    let new = opened.join().unwrap();
+    let new = opening.join().unwrap();
     new.seal(1);
     let Frame::Standing(standing) = new.next() else {
-        panic!("no standing came");
+        panic!("the next frame is no Standing");
     };
     thread::sleep(Duration::from_millis(500));
     let sealed = standing.state() == State::Sealed;
     assert_eq!(endpoint.count("/reserve"), usize::from(!sealed));
 }
 
-/// The side is killed while a reservation runs. Its successor knows nothing of
-/// it and has another incarnation; by that the entry sees that "sealed" from it
-/// says nothing about the first, and that the outcome is unknown.
+/// The successor of a killed sidecar has a new incarnation. By it an entry knows that
+/// the successor's reports say nothing about attempts at its predecessor.
 #[test]
-fn a_successor_has_another_incarnation() {
+fn successor_has_new_incarnation() {
     let endpoint = Endpoint::start(|_, stream| answer(stream, "hut 4"));
-    let mut seen = Vec::new();
+    let mut incarnations = Vec::new();
     for name in ["first", "second"] {
         let mut side = Process::start(name, endpoint.address, "plain");
         let link = Link::hello(side.links, 7, 1, hibiscusroad_wire::VERSION);
         if let Frame::Welcome(welcome) = link.next() {
-            seen.push(welcome.incarnation);
+            incarnations.push(welcome.incarnation);
         }
         side.signal(Signal::KILL);
         assert_eq!(side.wait().code(), None);
     }
-    assert_eq!(seen.len(), 2);
-    assert_ne!(seen[0], seen[1]);
+    assert_eq!(incarnations.len(), 2);
+    assert_ne!(incarnations[0], incarnations[1]);
 }
--- a/hibiscusroad-daemon/tests/side_support/mod.rs
+++ b/hibiscusroad-daemon/tests/side_support/mod.rs
@@ -1,6 +1,6 @@
-//! A side in a thread, a scripted entry and a scripted endpoint.
+//! A sidecar on a thread, a scripted entry and a scripted endpoint.
 
-#![allow(dead_code, reason = "each test uses its part")]
+#![allow(dead_code, reason = "each test uses only some of it")]
 
 use hibiscusroad_daemon::{
     settings::{Kind, Settings, Side},
@@ -26,18 +26,18 @@
 
 pub type Frame = to_entry::Frame;
 
-/// Longer than anything here takes on a busy host.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of a wait; longer than any takes on a busy host.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a side for the endpoint at `address` and returns it with its thread.
+/// Starts a sidecar for the endpoint at `address`, without readable lease rows.
 pub fn start_side(address: SocketAddr, edit: impl FnOnce(&mut Settings)) -> RunningSide {
     start_side_with(address, Arc::new(|_| None), edit)
 }
 
-/// As [`start_side`], with the lease rows given.
+/// Starts a sidecar that reads lease rows with `read_lease`.
 pub fn start_side_with(
     address: SocketAddr,
-    lease: ReadLease,
+    read_lease: ReadLease,
     edit: impl FnOnce(&mut Settings),
 ) -> RunningSide {
     let mut settings: Settings = toml::from_str(
@@ -63,10 +63,10 @@
     edit(&mut settings);
     let (sender, handles) = flume::bounded(1);
     let thread = thread::spawn(move || {
-        side::serve(&settings, lease, |handle| sender.send(handle).unwrap()).unwrap();
+        side::serve(&settings, read_lease, |handle| sender.send(handle).unwrap()).unwrap();
     });
     RunningSide {
-        handle: handles.recv_timeout(PATIENCE).unwrap(),
+        handle: handles.recv_timeout(TEST_TIMEOUT).unwrap(),
         thread: Some(thread),
     }
 }
@@ -75,7 +75,7 @@
     settings.side.as_mut().unwrap()
 }
 
-pub fn model(settings: &mut Settings) {
+pub fn set_model_kind(settings: &mut Settings) {
     side_of(settings).kind = Kind::Model;
 }
 
@@ -85,12 +85,12 @@
 }
 
 impl RunningSide {
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown.
     pub fn stop(&self) {
         self.handle.stop();
     }
 
-    /// Waits until the side has ended.
+    /// Waits until the sidecar has ended.
     pub fn join(&mut self) {
         self.thread.take().unwrap().join().unwrap();
     }
@@ -106,28 +106,28 @@
     }
 }
 
-/// One link of a scripted entry.
+/// One stream of a scripted entry.
 pub struct Link {
     origin: u64,
     out: UnboundedSender<ToSide>,
     frames: flume::Receiver<Result<Frame, Status>>,
-    beating: Arc<AtomicBool>,
+    heartbeats_on: Arc<AtomicBool>,
 }
 
 impl Link {
-    /// Opens a link and waits for Welcome.
+    /// Opens a stream and waits for Welcome.
     pub fn open(side: &RunningSide, origin: u64, epoch: u64) -> Self {
         Self::open_at(side.handle.links, origin, epoch)
     }
 
-    /// Opens a link to the side at `links` and waits for Welcome.
+    /// Opens a stream to the sidecar at `links` and waits for Welcome.
     pub fn open_at(links: SocketAddr, origin: u64, epoch: u64) -> Self {
         let link = Self::hello(links, origin, epoch, VERSION);
         assert!(matches!(link.next(), Frame::Welcome(_)));
         link
     }
 
-    /// Opens a link as an entry of another version.
+    /// Opens a stream as an entry with the given wire version.
     pub fn hello(links: SocketAddr, origin: u64, epoch: u64, version: u32) -> Self {
         let (out, queue) = unbounded_channel();
         let (sender, frames) = flume::unbounded();
@@ -139,13 +139,13 @@
             config_version: 0,
         };
         out.send(to_side::Frame::Hello(hello).into()).unwrap();
-        let beating = Arc::new(AtomicBool::new(true));
-        let (beats, beats_on) = (out.downgrade(), Arc::clone(&beating));
+        let heartbeats_on = Arc::new(AtomicBool::new(true));
+        let (weak_out, enabled) = (out.downgrade(), Arc::clone(&heartbeats_on));
         thread::spawn(move || {
             runtime().block_on(async move {
                 tokio::spawn(async move {
-                    while let Some(out) = beats.upgrade() {
-                        if beats_on.load(Ordering::SeqCst) {
+                    while let Some(out) = weak_out.upgrade() {
+                        if enabled.load(Ordering::SeqCst) {
                             drop(out.send(to_side::Frame::Beat(Beat::default()).into()));
                         }
                         drop(out);
@@ -173,25 +173,25 @@
             origin,
             out,
             frames,
-            beating,
+            heartbeats_on,
         }
     }
 
-    /// Stops the heartbeats, as if the connection had gone silent.
-    pub fn fall_silent(&self) {
-        self.beating.store(false, Ordering::SeqCst);
+    /// Stops the heartbeats, as if the connection had failed silently.
+    pub fn stop_heartbeats(&self) {
+        self.heartbeats_on.store(false, Ordering::SeqCst);
     }
 
     pub fn send(&self, frame: to_side::Frame) {
         drop(self.out.send(frame.into()));
     }
 
-    /// Asks for `GET /PATH` as attempt `seq`.
+    /// Starts `GET` of a path as attempt `seq`.
     pub fn get(&self, seq: u64, path: &str) {
         self.send(to_side::Frame::Start(self.start(seq, "GET", path)));
     }
 
-    /// Asks for `POST /PATH` as attempt `seq`, at most once.
+    /// Starts `POST` of a path as attempt `seq`, which may run only once.
     pub fn post_once(&self, seq: u64, path: &str) {
         let mut start = self.start(seq, "POST", path);
         start.once = true;
@@ -231,16 +231,16 @@
         self.send(to_side::Frame::Seal(Seal { id }));
     }
 
-    /// The next frame or status.
+    /// Returns the next frame or status; none if the stream ended or on timeout.
     pub fn next_result(&self) -> Option<Result<Frame, Status>> {
-        self.frames.recv_timeout(PATIENCE).ok()
+        self.frames.recv_timeout(TEST_TIMEOUT).ok()
     }
 
-    /// The next frame that is no heartbeat.
+    /// Returns the next frame that is not a heartbeat.
     pub fn next(&self) -> Frame {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            assert!(Instant::now() < until, "only heartbeats come");
+            assert!(Instant::now() < deadline, "only heartbeats were received");
             match self.next_result().expect("a frame").expect("no status") {
                 Frame::Beat(_) => {}
                 frame => return frame,
@@ -248,22 +248,22 @@
         }
     }
 
-    /// The next heartbeat.
-    pub fn next_beat(&self) -> Beat {
+    /// Returns the next heartbeat.
+    pub fn next_heartbeat(&self) -> Beat {
         loop {
-            if let Frame::Beat(beat) = self.next_result().unwrap().unwrap() {
-                return beat;
+            if let Frame::Beat(heartbeat) = self.next_result().unwrap().unwrap() {
+                return heartbeat;
             }
         }
     }
 
-    /// Reads one answer to its end, acknowledging as it comes.
+    /// Reads one complete answer and acknowledges its chunks.
     pub fn answer(&self, seq: u64) -> Answer {
         self.answer_from(seq, 0)
     }
 
-    /// Reads the rest of an answer whose first bytes have arrived.
-    pub fn answer_from(&self, seq: u64, from: u64) -> Answer {
+    /// Reads the rest of an answer from `offset` on.
+    pub fn answer_from(&self, seq: u64, offset: u64) -> Answer {
         let mut answer = Answer {
             status: 0,
             body: Vec::new(),
@@ -274,12 +274,12 @@
                 Frame::Head(head) => answer.status = head.status,
                 Frame::Chunk(chunk) => {
                     assert_eq!(chunk.id, self.id(seq));
-                    assert_eq!(chunk.offset, from + answer.body.len() as u64);
+                    assert_eq!(chunk.offset, offset + answer.body.len() as u64);
                     answer.body.extend(chunk.data);
-                    self.ack(seq, from + answer.body.len() as u64, false);
+                    self.ack(seq, offset + answer.body.len() as u64, false);
                 }
                 Frame::End(end) => {
-                    assert_eq!(end.length, from + answer.body.len() as u64);
+                    assert_eq!(end.length, offset + answer.body.len() as u64);
                     self.ack(seq, end.length, true);
                     let runs = end.runs.into_iter();
                     answer.runs = runs.map(|run| (run.version, run.first)).collect();
@@ -290,7 +290,8 @@
         }
     }
 
-    /// The problem of the refusal that comes next.
+    /// Skips the answer's head and chunks and returns the problem code of the next
+    /// refusal.
     pub fn refusal(&self) -> String {
         loop {
             match self.next() {
@@ -316,48 +317,48 @@
     pub runs: Vec<(String, u64)>,
 }
 
-/// An endpoint whose answers are written byte by byte by a closure.
+/// An endpoint whose answers are written by a closure.
 pub struct Endpoint {
     pub address: SocketAddr,
-    log: Arc<Mutex<Vec<String>>>,
+    paths: Arc<Mutex<Vec<String>>>,
 }
 
 impl Endpoint {
-    /// Starts it; `script` gets the path and writes the answer.
+    /// Starts the endpoint; `script` gets the path and writes the answer.
     pub fn start(script: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let log = Arc::new(Mutex::new(Vec::new()));
-        let (script, calls) = (Arc::new(script), Arc::clone(&log));
+        let paths = Arc::new(Mutex::new(Vec::new()));
+        let (script, calls) = (Arc::new(script), Arc::clone(&paths));
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (script, calls) = (Arc::clone(&script), Arc::clone(&calls));
                 thread::spawn(move || serve(stream.unwrap(), &*script, &calls));
             }
         });
-        Self { address, log }
+        Self { address, paths }
     }
 
-    /// How often a path was asked for.
+    /// Returns how many calls were made to a path.
     pub fn count(&self, path: &str) -> usize {
-        let log = self.log.lock().unwrap();
-        log.iter().filter(|called| *called == path).count()
+        let paths = self.paths.lock().unwrap();
+        paths.iter().filter(|called| *called == path).count()
     }
 
-    /// Waits until a path has been asked for.
-    pub fn await_call(&self, path: &str) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until a path was called.
+    pub fn wait_for_call(&self, path: &str) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while self.count(path) == 0 {
-            assert!(Instant::now() < until, "{path} was not called");
+            assert!(Instant::now() < deadline, "{path} was not called");
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-fn serve(mut stream: TcpStream, script: &dyn Fn(&str, &mut TcpStream), log: &Mutex<Vec<String>>) {
+fn serve(mut stream: TcpStream, script: &dyn Fn(&str, &mut TcpStream), paths: &Mutex<Vec<String>>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(path) = read_request(&mut reader) {
-        log.lock().unwrap().push(path.clone());
+        paths.lock().unwrap().push(path.clone());
         script(&path, &mut stream);
     }
 }
@@ -383,29 +384,29 @@
     Some(path)
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 pub fn answer(stream: &mut TcpStream, body: &str) {
     let length = body.len();
-    // One write: the second of two would wait 40 ms for a delayed acknowledgement.
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
-    drop(stream.write_all(whole.as_bytes()));
+    // A single write, since a second one would wait for a delayed acknowledgement.
+    let message = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
+    drop(stream.write_all(message.as_bytes()));
 }
 
-/// Writes the head of an answer of events.
-pub fn events(stream: &mut TcpStream) {
+/// Writes the status line and headers of an event stream.
+pub fn write_events_head(stream: &mut TcpStream) {
     let head =
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     drop(stream.write_all(head.as_bytes()));
 }
 
-/// Writes one event as one chunk; returns false if the reader has gone.
-pub fn event(stream: &mut TcpStream, data: &str) -> bool {
+/// Writes one event as one chunk. Returns false if the connection is closed.
+pub fn write_event(stream: &mut TcpStream, data: &str) -> bool {
     let event = format!("data: {data}\n\n");
     let chunk = format!("{:x}\r\n{event}\r\n", event.len());
     stream.write_all(chunk.as_bytes()).is_ok()
 }
 
 /// Writes the end of a chunked answer.
-pub fn end_events(stream: &mut TcpStream) {
+pub fn write_events_end(stream: &mut TcpStream) {
     drop(stream.write_all(b"0\r\n\r\n"));
 }
