--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -59,7 +59,7 @@
     /// Says whether it waits for the attempt of another request of its key.
     pub(super) fn is_guest(&self) -> bool {
         let keyed = self.keyed.as_ref();
-        keyed.is_some_and(|keyed| keyed.holder.is_guest())
+        keyed.is_some_and(|keyed| keyed.request.follows_other())
     }
 }
 
@@ -132,11 +132,11 @@
         let alone = self.crashes.verdict(now, row) != Verdict::Clear;
         let mut call = Call::new(id, service, request.class, row.deadline)
             .repeat(row.repeat)
-            .alone(alone);
+            .no_hedge(alone);
         if let Some(prompt) = request.prompt {
             call = call.tokens(prompt.tokens).prefix(prompt.prefix);
         }
-        self.router.arrive(now, call);
+        self.router.submit(now, call);
     }
 
     /// Gives up the calls whose callers wait no longer.
@@ -172,7 +172,7 @@
         if !kind.answer().not_run || !may_have_run {
             return kind;
         }
-        if row.repeat == Repeat::Free {
+        if row.repeat == Repeat::Idempotent {
             return match kind {
                 ErrorKind::Expired => ErrorKind::TimedOut,
                 _ => ErrorKind::EndpointBroken,
--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -11,7 +11,7 @@
     tables::Tables,
     trace::Decision,
 };
-use hibiscusroad::{ErrorKind, Repeat, RequestId, claim::Fate, route::Outcome};
+use hibiscusroad::{ErrorKind, Repeat, RequestId, claim::ReportedState, route::Outcome};
 use hibiscusroad_wire::{Ack, Chunk, End, Refused, Standing, State, to_side::Frame};
 use std::{mem, sync::atomic::Ordering, time::Instant};
 
@@ -42,7 +42,7 @@
         });
         attempt.asked = false;
         let (call, endpoint) = (attempt.call, attempt.endpoint);
-        self.router.progress(now, call, endpoint, 0);
+        self.router.record_progress(now, call, endpoint, 0);
     }
 
     /// Takes in bytes of an answer.
@@ -75,7 +75,7 @@
         attempt.pieces += 1;
         let (call, endpoint, pieces) = (attempt.call, attempt.endpoint, attempt.pieces);
         // An engine sends a token a piece, so pieces count tokens well enough.
-        self.router.progress(now, call, endpoint, pieces);
+        self.router.record_progress(now, call, endpoint, pieces);
         self.acknowledge(id);
         let Some(row) = self.calls.get(&call) else {
             return;
@@ -175,7 +175,7 @@
             None => Part::Whole(head, body),
             Some(winner) if winner == id => Part::End,
             // Another attempt's answer is on its way to the caller.
-            Some(_) => return self.abandon(id, Repeat::Free),
+            Some(_) => return self.abandon(id, Repeat::Idempotent),
         };
         if self.pass(now, call, part) {
             self.end_attempt(now, id, Outcome::Answered);
@@ -218,7 +218,7 @@
                     attempt.phase = Phase::Sent;
                     let call = attempt.call;
                     self.attach(now, id);
-                    self.fate(now, call, Fate::Kept);
+                    self.fate(now, call, ReportedState::Readable);
                 }
             }
             State::Lost | State::Unspecified => self.lose(now, id),
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -99,7 +99,7 @@
             ("endpoint", json!(host.endpoint)),
             ("service", json!(host.service)),
             ("host", json!(host.name)),
-            ("place", json!(host.place)),
+            ("place", json!(host.data_centre)),
             ("address", json!(host.address.to_string())),
             ("state", json!(UNKNOWN)),
             ("age_ms", age(now, self.listed.unwrap_or(now))),
@@ -136,7 +136,7 @@
         let document = self.config.newest();
         let rows = document.services.iter().map(|(name, service)| {
             let key = self.router.service(name);
-            let waiting = |class| key.map_or(0, |key| self.router.waiting(key, class));
+            let waiting = |class| key.map_or(0, |key| self.router.queued(key, class));
             row([
                 ("service", json!(name)),
                 ("kind", json!(service.kind)),
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -22,11 +22,11 @@
 };
 use hibiscusroad::{
     clock::millis,
-    rollout::{Item, batch::Break, engines::EngineKey},
+    rollout::{Item, batch::Interruption, engines::EngineKey},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
-    event::{Event, Events},
+    event::{Event, EventDecoder},
     header,
 };
 use http_body_util::BodyExt;
@@ -119,14 +119,14 @@
             Err(error) => {
                 log::error!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
                     error = error.to_string().as_str(); "An item can't be sent.");
-                Err(Break::Never)
+                Err(Interruption::Never)
             }
         };
         let pace = run.pace.filter(|_| run.events > PACE_EVENTS);
         if let Some(pace) = pace {
             self.engines
                 .borrow_mut()
-                .paced(Instant::now(), seat.key, pace);
+                .record_pace(Instant::now(), seat.key, pace);
         }
         if let Err(cause) = ended {
             log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
@@ -134,7 +134,7 @@
                 fingerprint = subject.map(|it| it.fingerprint().to_string()),
                 events = run.events, pace_us = micros(run.pace), took_ms = millis(start.elapsed()),
                 waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-                room_ms = millis(lacked.room); "A run of an item broke off.");
+                room_ms = millis(lacked.capacity); "A run of an item broke off.");
             self.broke(owned, n, seat.key, before, cause);
             return;
         }
@@ -142,15 +142,15 @@
             endpoint = endpoint.id.as_str(), before:? = before, events = run.events,
             pace_us = micros(run.pace), hint:? = item.hint, took_ms = millis(start.elapsed()),
             waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-            room_ms = millis(lacked.room), group = item.group.as_str();
+            room_ms = millis(lacked.capacity), group = item.group.as_str();
             "The text of an item is whole.");
         let meters = &self.line.meters;
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(seat);
-        let events = owned.batch.borrow().last(n).unwrap_or(0);
-        self.engines.borrow_mut().whole(events, item.hint);
-        let whole = owned.batch.borrow_mut().generated(Instant::now(), n);
+        let events = owned.batch.borrow().last_event(n).unwrap_or(0);
+        self.engines.borrow_mut().record_text(events, item.hint);
+        let whole = owned.batch.borrow_mut().complete_text(Instant::now(), n);
         if whole {
             self.score(owned, n).await;
         } else {
@@ -169,7 +169,7 @@
         let deadline = owned.expires.unwrap_or(start + LONGEST);
         let ended = match request(item, owned, LOWEST, deadline, None, None) {
             Ok(request) => run.generate(&request, &endpoint).await,
-            Err(_unsendable) => Err(Break::Never),
+            Err(_unsendable) => Err(Interruption::Never),
         };
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
             endpoint = endpoint.id.as_str(), events = run.events, ended:? = ended,
@@ -261,9 +261,11 @@
     fn grown(&self) -> Option<u64> {
         if self.draft {
             let drafts = self.owned.drafts.borrow();
-            return drafts.get(&self.n).and_then(|draft| draft.text.last());
+            return drafts
+                .get(&self.n)
+                .and_then(|draft| draft.text.last_event());
         }
-        self.owned.batch.borrow().last(self.n)
+        self.owned.batch.borrow().last_event(self.n)
     }
 
     /// Adds an event to the text that grows; `false` if it doesn't follow.
@@ -271,37 +273,44 @@
         if self.draft {
             let mut drafts = self.owned.drafts.borrow_mut();
             let draft = drafts.get_mut(&self.n);
-            return draft
-                .is_some_and(|draft| draft.text.extend(event.number, &event.data, self.version));
+            return draft.is_some_and(|draft| {
+                draft
+                    .text
+                    .append_event(event.number, &event.data, self.version)
+            });
         }
         let mut batch = self.owned.batch.borrow_mut();
-        batch.extend(self.n, event.number, &event.data, self.version)
+        batch.append_event(self.n, event.number, &event.data, self.version)
     }
 
-    async fn generate(&mut self, request: &Request, endpoint: &Endpoint) -> Result<(), Break> {
+    async fn generate(
+        &mut self,
+        request: &Request,
+        endpoint: &Endpoint,
+    ) -> Result<(), Interruption> {
         let head = &request.head;
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
-        let mut flight = crashes.watch(&request.subject, target.life());
+        let mut flight = crashes.track(&request.subject, target.life());
         let sent = attempt::request(head, &target, whole(request.body.clone()));
         let channels = &self.batches.line.channels;
-        let sending = channels.send_noting(target.address, sent, || flight.sent());
+        let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
         let sent = self.queue(sending, head.id.as_str()).await?;
         let (response, channel) = sent.map_err(|fault| {
-            flight.faulted(&fault);
+            flight.record_fault(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
                 endpoint = endpoint.id.as_str(),
                 fingerprint:% = request.subject.fingerprint(), error = fault.to_string().as_str();
                 "An engine did not answer.");
-            Break::Lost
+            Interruption::Lost
         })?;
         if let Err(cause) = self.accept(head, &response) {
-            flight.dismissed();
+            flight.mark_survived();
             return Err(cause);
         }
         let keep = attempt::kept(response.headers());
         self.read(response.into_body(), &mut flight).await?;
-        flight.answered();
+        flight.mark_answered();
         channels.give_back(channel, keep);
         Ok(())
     }
@@ -313,10 +322,10 @@
     /// one in ten waited for more than 0.6 s and some for 3 s, while others had room.
     /// A run that waits for longer than a first event takes has met a full engine;
     /// it leaves as soon as another one has room.
-    async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Break> {
+    async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Interruption> {
         let mut sent = pin!(sent);
         let start = Instant::now();
-        let usual = self.batches.engines.borrow().usual(self.service);
+        let usual = self.batches.engines.borrow().median_pace(self.service);
         let mut wait = Duration::from_secs_f64(usual.unwrap_or(PACE) * QUEUED).max(LEAST_QUEUED);
         loop {
             if let Ok(answer) = timeout(wait, &mut sent).await {
@@ -324,48 +333,55 @@
             }
             let now = Instant::now();
             if now.saturating_duration_since(start) > HEAD {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().full(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_queueing(now, self.key);
             if self.elsewhere(now).is_some() {
                 log::debug!(target: BATCHES, item = id,
                     waited_ms = millis(start.elapsed()); "An item leaves an engine's queue.");
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = STALL_LOOK;
         }
     }
 
     /// Understands the head of an engine's answer.
-    fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
+    fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Interruption> {
         let headers = response.headers();
-        let told = text(headers, header::LOAD).and_then(header::load);
+        let told = text(headers, header::LOAD).and_then(header::parse_load);
         let mut engines = self.batches.engines.borrow_mut();
         if let Some((running, queued, _)) = told {
-            engines.told(Instant::now(), self.key, running + queued);
+            engines.record_load(Instant::now(), self.key, running + queued);
         }
         let echo = text(headers, header::REQUEST);
         if echo.is_some_and(|echo| echo != head.id) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         let status = response.status().as_u16();
         match status {
             200..=299 if echo.is_some() && headers.contains_key(header::SIGNATURE) => {}
-            _ if headers.contains_key(header::NOT_RUN) => return Err(Break::NotRun),
-            421 => return Err(Break::NotRun),
-            422 => return Err(Break::Never),
-            500 => return Err(Break::Failed),
-            _ => return Err(Break::Lost),
+            _ if headers.contains_key(header::NOT_RUN) => return Err(Interruption::NotRun),
+            421 => return Err(Interruption::NotRun),
+            422 => return Err(Interruption::Never),
+            500 => return Err(Interruption::Failed),
+            _ => return Err(Interruption::Lost),
         }
-        self.version = text(headers, header::WEIGHTS).and_then(|v| v.trim().parse().ok());
+        self.version = text(headers, header::WEIGHT_VERSIONS).and_then(|v| v.trim().parse().ok());
         if let Some((model, version)) = self.owned.submission.model.as_deref().zip(self.version) {
-            engines.weights(self.key, model, version);
+            engines.record_version(self.key, model, version);
         }
         Ok(())
     }
 
-    async fn read(&mut self, mut body: Incoming, flight: &mut InFlight) -> Result<(), Break> {
-        let mut events = Events::new();
+    async fn read(
+        &mut self,
+        mut body: Incoming,
+        flight: &mut InFlight,
+    ) -> Result<(), Interruption> {
+        let mut events = EventDecoder::new();
         self.heard = Instant::now();
         loop {
             let Some(frame) = self.frame(&mut body, flight).await? else {
@@ -379,14 +395,14 @@
                 match events.next_event() {
                     Ok(Some(event)) => self.take(&event)?,
                     Ok(None) => break,
-                    Err(_garbled) => return Err(Break::Lost),
+                    Err(_garbled) => return Err(Interruption::Lost),
                 }
             }
         }
-        if events.is_between() && self.grown().is_some() {
+        if events.is_at_boundary() && self.grown().is_some() {
             Ok(())
         } else {
-            Err(Break::Lost)
+            Err(Interruption::Lost)
         }
     }
 
@@ -395,8 +411,8 @@
         &mut self,
         body: &mut Incoming,
         flight: &mut InFlight,
-    ) -> Result<Option<Frame<Bytes>>, Break> {
-        let usual = self.batches.engines.borrow().usual(self.service);
+    ) -> Result<Option<Frame<Bytes>>, Interruption> {
+        let usual = self.batches.engines.borrow().median_pace(self.service);
         let stall = Duration::from_secs_f64(usual.unwrap_or(PACE) * STALL).max(LEAST_STALL);
         let mut wait = stall;
         loop {
@@ -407,18 +423,21 @@
                     return Ok(Some(frame));
                 }
                 Ok(Some(Err(error))) => {
-                    flight.broke(&error);
-                    return Err(Break::Lost);
+                    flight.record_break(&error);
+                    return Err(Interruption::Lost);
                 }
                 Err(_elapsed) => {}
             }
             let now = Instant::now();
             if now.saturating_duration_since(self.heard) > GAP {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().stalled(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_stall(now, self.key);
             if self.elsewhere(now).is_some() {
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = STALL_LOOK;
         }
@@ -435,22 +454,22 @@
     }
 
     /// Adds an event to the text; one that doesn't follow the last ends the run.
-    fn take(&mut self, event: &Event) -> Result<(), Break> {
+    fn take(&mut self, event: &Event) -> Result<(), Interruption> {
         if let Some(version) = event.version {
             self.version = Some(version);
             if let Some(model) = self.owned.submission.model.as_deref() {
                 let mut engines = self.batches.engines.borrow_mut();
-                engines.weights(self.key, model, version);
+                engines.record_version(self.key, model, version);
             }
         }
         if !self.grow(event) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         self.count()
     }
 
     /// Measures the pace, and cuts a run that is slow if another engine isn't.
-    fn count(&mut self) -> Result<(), Break> {
+    fn count(&mut self) -> Result<(), Interruption> {
         let now = Instant::now();
         let gap = now.saturating_duration_since(self.last).as_secs_f64();
         self.last = now;
@@ -465,14 +484,17 @@
             return Ok(());
         }
         let pace = self.pace.unwrap_or(gap);
-        self.batches.engines.borrow_mut().paced(now, self.key, pace);
+        self.batches
+            .engines
+            .borrow_mut()
+            .record_pace(now, self.key, pace);
         let Some(other) = self.elsewhere(now) else {
             return Ok(());
         };
         let events = self.grown().unwrap_or(0);
         let engines = self.batches.engines.borrow();
-        if engines.is_better(self.service, pace, events, other) {
-            return Err(Break::Moved);
+        if engines.is_worth_moving(self.service, pace, events, other) {
+            return Err(Interruption::Moved);
         }
         Ok(())
     }
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -10,7 +10,7 @@
     rollout::row,
     table::{Change, Commit, Row},
 };
-use hibiscusroad_platform::{batch, table::MOST_ENTRIES};
+use hibiscusroad_platform::{batch, table::MAX_ENTRIES};
 use std::{
     rc::Rc,
     time::{Duration, Instant},
@@ -34,7 +34,7 @@
         loop {
             let ready = Self::next_write(&owned);
             if ready.is_empty() {
-                if owned.batch.borrow().complete() {
+                if owned.batch.borrow().is_complete() {
                     return;
                 }
                 owned.ready.notified().await;
@@ -55,11 +55,11 @@
         let ready = owned
             .batch
             .borrow()
-            .ready(&owned.submission, MOST_ENTRIES / 2 - 1);
+            .ready_results(&owned.submission, MAX_ENTRIES / 2 - 1);
         let mut bytes = 0;
         let mut kept = Vec::new();
         for (n, result) in ready {
-            let value = batch::result(&result);
+            let value = batch::encode_result(&result);
             bytes += value.len();
             if bytes > WRITE && !kept.is_empty() {
                 break;
@@ -107,7 +107,10 @@
             results = kept.len(), took_ms = millis(start.elapsed()),
             items = items.join(" ").as_str(); "Results are listed.");
         self.line.meters.results.inc_by(kept.len() as u64);
-        owned.batch.borrow_mut().list(kept.iter().map(|(n, _)| *n));
+        owned
+            .batch
+            .borrow_mut()
+            .mark_listed(kept.iter().map(|(n, _)| *n));
         owned
             .listed
             .borrow_mut()
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -4,14 +4,14 @@
 //! rows while there are batches of others; [`hibiscusroad::rollout::presence`] decides who is gone.
 
 use super::{Batches, HeadRow, Owned};
-use crate::{gateway::peers::presence, logs::BATCHES, platform::Backoff};
+use crate::{gateway::peers::decode_presence, logs::BATCHES, platform::Backoff};
 use futures_util::future::join3;
 use hibiscusroad::{
     clock::millis,
     rollout::{
         Submission,
         batch::Batch,
-        presence::{Loss, RENEWAL, Sign},
+        presence::{HEARTBEAT_INTERVAL, Heartbeat, Loss},
         row::{self, Head, Presence},
         text::{Piece, Text},
     },
@@ -82,7 +82,7 @@
             }
             let presence = self.presence();
             let value = serde_json::to_vec(&presence).unwrap_or_default();
-            let change = Change::new().put(row::entry(&self.directory.name), value);
+            let change = Change::new().put(row::process(&self.directory.name), value);
             let done = self.store.transact(&change).await;
             if !matches!(done, Commit::Done { .. }) {
                 sleep(backoff.next_wait(&mut rand::rng())).await;
@@ -90,7 +90,7 @@
             }
             backoff.reset();
             loop {
-                sleep(RENEWAL).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 // The first answer of the store tells its clock.
                 if self.is_seen_to_live() || presence.offset.is_none() {
                     break;
@@ -110,7 +110,7 @@
 
     fn presence(&self) -> Presence {
         Presence {
-            life: self.life.clone(),
+            incarnation: self.life.clone(),
             peer: self.directory.address,
             renewed: millis(self.store.now().unwrap_or_default()),
             memory: self.memory,
@@ -142,14 +142,14 @@
             match self.look().await {
                 Ok(()) => {
                     for (id, row) in foreign {
-                        let why = self.seen.borrow().lost(&row.head.owner, row.since);
+                        let why = self.seen.borrow().loss(&row.head.owner, row.since);
                         if let Some(why) = why {
                             self.take_over(&id, &row, why).await;
                         }
                     }
                 }
                 Err(error) => {
-                    self.seen.borrow_mut().blind();
+                    self.seen.borrow_mut().clear();
                     log::debug!(target: BATCHES, error = error.as_str();
                         "Owners of batches could not be looked at.");
                 }
@@ -166,7 +166,10 @@
             let foreign = self.foreign();
             let owners = foreign.iter().map(|(_, row)| row.head.owner.as_str());
             let owners = owners.chain([WEIGHTS_DUTY]);
-            let pause = self.seen.borrow().pause(&self.directory.name, owners);
+            let pause = self
+                .seen
+                .borrow()
+                .poll_interval(&self.directory.name, owners);
             let next = looked + pause;
             if Instant::now() >= next {
                 return;
@@ -181,7 +184,7 @@
     fn foreign(&self) -> Vec<(String, HeadRow)> {
         let heads = self.heads.borrow();
         let now = millis(self.store.now().unwrap_or_default());
-        let open = |row: &HeadRow| !row.head.ended && now < row.head.until;
+        let open = |row: &HeadRow| !row.head.ended && now < row.head.runs_until;
         let open = heads.iter().filter(|(_, row)| open(row));
         let foreign = open.filter(|(_, row)| row.head.owner != self.life);
         foreign.map(|(id, row)| (id.clone(), row.clone())).collect()
@@ -192,10 +195,10 @@
         let page = self.store.read_whole(&Range::part(row::ENTRIES, "")).await;
         let page = page.map_err(|failure| failure.to_string())?;
         let now = Instant::now();
-        self.directory.hear(&self.store, &page.rows);
+        self.directory.update(&self.store, &page.rows);
         let signs = page.rows.iter().filter_map(sign).collect();
         let latency = now.saturating_duration_since(start);
-        self.seen.borrow_mut().seen(now, latency, signs);
+        self.seen.borrow_mut().record_poll(now, latency, signs);
         self.looked.notify_waiters();
         Ok(())
     }
@@ -264,7 +267,7 @@
     }
 
     async fn load(&self, id: &str) -> Result<Loaded, String> {
-        let name = row::object(id);
+        let name = row::submission_object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
             self.kept(id, 0),
@@ -273,7 +276,7 @@
         .await;
         let object = object.map_err(|failure| failure.to_string())?;
         let object = object.ok_or("its submission is not there")?;
-        let submission = batch::submission(&object).map_err(|error| error.to_string())?;
+        let submission = batch::decode_submission(&object).map_err(|error| error.to_string())?;
         Ok(Loaded {
             results: results.map_err(|failure| failure.to_string())?,
             pieces: pieces.map_err(|failure| failure.to_string())?,
@@ -296,24 +299,24 @@
         let now = Instant::now();
         let catalog = self.known.catalog();
         let route = catalog.and_then(|c| c.find(&head.host, &head.path).cloned());
-        let attempts = route.as_ref().map_or(1, |route| route.attempts);
-        let single = route.as_ref().is_some_and(|route| route.single);
+        let attempts = route.as_ref().map_or(1, |route| route.max_attempts);
+        let single = route.as_ref().is_some_and(|route| route.single_version);
         let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
         for result in &results {
-            match batch::result_item(result) {
-                Ok(item) => batch.restore(&item),
+            match batch::decode_item_id(result) {
+                Ok(item) => batch.restore_result(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str(); "A kept result is broken."),
             }
         }
         let mut kept = Vec::new();
         for (row, item, piece) in pieces {
-            batch.resume(&item, piece);
+            batch.restore_piece(&item, piece);
             kept.push(row);
         }
         for (item, text) in carried {
-            let (last, versions) = (text.last(), text.versions().to_vec());
-            if batch.carry(&item, text) {
+            let (last, versions) = (text.last_event(), text.versions().to_vec());
+            if batch.carry_over(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
                     versions:? = versions; "A text is carried over.");
             }
@@ -328,7 +331,7 @@
             submission,
             priority: head.priority,
             due: accepted + route.as_ref().and_then(|r| r.due).unwrap_or_default(),
-            expires: route.and_then(|r| r.ttl).map(|ttl| accepted + ttl),
+            expires: route.and_then(|r| r.item_ttl).map(|ttl| accepted + ttl),
             version: Cell::new(version),
             batch: RefCell::new(batch),
             listed: RefCell::new(results),
@@ -374,7 +377,7 @@
             self.keep_once(&owned).await;
             self.hand_on(&owned.id).await;
         }
-        let change = Change::new().remove(row::entry(&self.directory.name));
+        let change = Change::new().remove(row::process(&self.directory.name));
         let done = self.store.transact(&change).await;
         log::info!(target: BATCHES, done = matches!(done, Commit::Done { .. });
             "All batches are given back.");
@@ -384,7 +387,7 @@
 impl Batches {
     fn heir(&self) -> Option<String> {
         let seen = self.seen.borrow();
-        seen.heir(&self.directory.name).map(str::to_owned)
+        seen.successor(&self.directory.name).map(str::to_owned)
     }
 
     /// Makes another process the owner of a batch.
@@ -415,11 +418,15 @@
     }
 }
 
-fn sign(row: &Row) -> Option<Sign> {
-    let Presence { life, memory, .. } = presence(row)?;
-    Some(Sign {
+fn sign(row: &Row) -> Option<Heartbeat> {
+    let Presence {
+        incarnation: life,
+        memory,
+        ..
+    } = decode_presence(row)?;
+    Some(Heartbeat {
         name: row.id.key.clone(),
-        life,
+        incarnation: life,
         version: row.version,
         memory,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -13,7 +13,7 @@
     rollout::row::{self, PIECES, RESULTS},
     table::{Change, Commit, Range, RowId},
 };
-use hibiscusroad_platform::table::MOST_ENTRIES;
+use hibiscusroad_platform::table::MAX_ENTRIES;
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
@@ -55,7 +55,7 @@
         let heads = self.heads.borrow();
         let due = heads.iter().filter(|(_, row)| {
             let age = row.head.age(now);
-            let open = !row.head.ended && now < Duration::from_millis(row.head.until);
+            let open = !row.head.ended && now < Duration::from_millis(row.head.runs_until);
             age > self.keep + SPARE && !open
         });
         due.map(|(id, row)| (id.clone(), row.clone())).collect()
@@ -81,7 +81,7 @@
                 }
             }
         }
-        self.store.drop_object(&row::object(id)).await?;
+        self.store.drop_object(&row::submission_object(id)).await?;
         let change = Change::new()
             .expect(row::head(id), row.version)
             .remove(row::head(id));
@@ -95,11 +95,11 @@
         let from = format!("{id}/");
         // The slash behind the batch is followed by a zero in byte order.
         let end = format!("{id}0");
-        let limit = MOST_ENTRIES / 2;
+        let limit = MAX_ENTRIES / 2;
         let page = self
             .store
             .read(&Range {
-                from: Some(&from),
+                start: Some(&from),
                 end: Some(&end),
                 limit: Some(limit),
                 ..Range::part(table, &part)
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -9,8 +9,8 @@
     Class, ErrorKind, Incarnation, RequestId,
     catalog::{Catalog, Route},
     clock::millis,
-    quarantine::Life,
-    roster::{Endpoint, News},
+    quarantine::EndpointIncarnation,
+    roster::{Endpoint, EndpointChange},
     route::{
         Call, EndpointKey, EndpointSpec, LoadReport, Outcome, Router, ServiceKey, ServiceSpec, Step,
     },
@@ -44,15 +44,15 @@
         Self {
             id: endpoint.id.as_str().into(),
             address: endpoint.address,
-            born: endpoint.born,
+            born: endpoint.started_ms,
         }
     }
 
     /// Names this life of it.
-    pub(super) fn life(&self) -> Life {
-        Life {
+    pub(super) fn life(&self) -> EndpointIncarnation {
+        EndpointIncarnation {
             endpoint: self.id.to_string(),
-            born: self.born,
+            started_ms: self.born,
         }
     }
 }
@@ -110,12 +110,12 @@
     ///
     /// Endpoints that become known together are taken in together. A process that starts
     /// before a thousand of them was busy for seconds with each one's place among all.
-    pub(super) fn roster(&self, news: &[News]) {
+    pub(super) fn roster(&self, news: &[EndpointChange]) {
         let now = Instant::now();
         let mut rest = news;
         while let Some(first) = rest.first() {
-            let seen = rest.iter().map_while(News::seen).count();
-            if let News::Gone(id) = first {
+            let seen = rest.iter().map_while(EndpointChange::updated).count();
+            if let EndpointChange::Removed(id) = first {
                 if let Some(key) = self.keys.borrow_mut().remove(id) {
                     self.router.borrow_mut().remove_endpoint(now, key);
                 }
@@ -124,7 +124,7 @@
             }
             let (together, after) = rest.split_at(seen);
             self.add_unknown(now, together);
-            for endpoint in together.iter().filter_map(News::seen) {
+            for endpoint in together.iter().filter_map(EndpointChange::updated) {
                 self.seen(now, endpoint);
             }
             rest = after;
@@ -133,9 +133,9 @@
     }
 
     /// Adds the endpoints that the router doesn't know, by services.
-    fn add_unknown(&self, now: Instant, news: &[News]) {
+    fn add_unknown(&self, now: Instant, news: &[EndpointChange]) {
         let mut services: BTreeMap<&str, BTreeMap<&str, &Endpoint>> = BTreeMap::new();
-        let unknown = news.iter().filter_map(News::seen);
+        let unknown = news.iter().filter_map(EndpointChange::updated);
         for endpoint in unknown.filter(|e| !self.keys.borrow().contains_key(&e.id)) {
             let service = services.entry(&endpoint.service).or_default();
             service.insert(&endpoint.id, endpoint);
@@ -144,7 +144,7 @@
             let service = self.service(now, name);
             let specs = endpoints
                 .values()
-                .map(|e| EndpointSpec::new(&e.id, &e.place).limit(e.slots));
+                .map(|e| EndpointSpec::new(&e.id, &e.data_centre).limit(e.slots));
             let keys = self.router.borrow_mut().add_endpoints(now, service, specs);
             let ids = endpoints.keys().map(|id| (*id).to_owned());
             self.keys.borrow_mut().extend(ids.zip(keys));
@@ -158,7 +158,7 @@
         self.targets.borrow_mut().insert(key, Target::of(endpoint));
         self.router
             .borrow_mut()
-            .set_open(now, key, !endpoint.leaving);
+            .set_accepting(now, key, !endpoint.leaving);
     }
 
     fn service(&self, now: Instant, name: &str) -> ServiceKey {
@@ -185,7 +185,7 @@
         let (sender, steps) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let call = shape(Call::new(id, key, class, deadline));
-        self.router.borrow_mut().arrive(now, call);
+        self.router.borrow_mut().submit(now, call);
         self.flush();
         Ticket {
             calls: Rc::clone(self),
@@ -205,7 +205,7 @@
         };
         self.router
             .borrow_mut()
-            .report(Instant::now(), endpoint, report);
+            .record_load(Instant::now(), endpoint, report);
         self.flush();
     }
 
@@ -254,12 +254,15 @@
         let refused = Step::Refuse {
             id: self.id,
             kind: ErrorKind::Internal,
-            after: Duration::ZERO,
+            retry_after: Duration::ZERO,
         };
         let step = self.steps.recv().await.unwrap_or(refused);
-        if let Step::Refuse { kind, after, .. } = step {
+        if let Step::Refuse {
+            kind, retry_after, ..
+        } = step
+        {
             self.over = true;
-            log::debug!(target: CALLS, after_ms = millis(after); "The router refuses: {kind}.");
+            log::debug!(target: CALLS, after_ms = millis(retry_after); "The router refuses: {kind}.");
         }
         step
     }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -77,7 +77,7 @@
 /// Runs a request until it is answered or refused.
 pub(super) async fn ended(line: &Line, mut request: Forward) -> Ended {
     let repeat = match request.kind {
-        Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Free,
+        Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
     };
     let alone = match line.crashes.verdict(&request.subject) {
@@ -89,8 +89,11 @@
     let tries = u8::try_from(request.attempts).unwrap_or(u8::MAX);
     let deadline = request.head.deadline;
     let shape = |call: hibiscusroad::route::Call| {
-        let call = call.repeat(repeat).tries(tries).tokens(request.tokens);
-        call.alone(alone)
+        let call = call
+            .repeat(repeat)
+            .max_attempts(tries)
+            .tokens(request.tokens);
+        call.no_hedge(alone)
     };
     let mut ticket = line
         .calls
@@ -123,10 +126,10 @@
                     begun += 1;
                 }
                 Step::Cancel { endpoint, .. } => running.retain(|(key, _)| *key != endpoint),
-                Step::Refuse { kind, after, .. } => {
+                Step::Refuse { kind, retry_after, .. } => {
                     return match told {
                         Some(answer) => Ended::Answer(Box::new(answer), None),
-                        None => Ended::Refused(kind, after),
+                        None => Ended::Refused(kind, retry_after),
                     };
                 }
             },
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -4,21 +4,21 @@
 //! carried out, and one that may have been. It never repeats a call that may
 //! have been carried out, since only the caller knows whether that is safe. One
 //! that surely wasn't, because the store turned this process away, goes to a
-//! peer at once ([`hibiscusroad::reach`]).
+//! peer at once ([`hibiscusroad::store_path`]).
 
 use super::{
     failure::Failure,
     http::{Channels, Fault, encode},
     meters::Meters,
-    peers::{Peers, Uncarried},
+    peers::{Peers, RelayError},
 };
 use crate::logs::STORE;
 use hibiscusroad::{
     clock::millis,
-    patience::Patience,
-    reach::{Carried, Reach, Way},
-    steady::Steady,
+    clock_estimate::ClockEstimate,
+    store_path::{RelayOutcome, StorePath, StorePaths},
     table::{Change, Changes, Commit, Page, Range, Row, RowId},
+    timeout::AdaptiveTimeout,
 };
 use hibiscusroad_platform::{request::Request, table as wire};
 use http_body_util::BodyExt;
@@ -54,19 +54,19 @@
 pub(super) struct Store {
     channels: Channels,
     peers: Peers,
-    reach: RefCell<Reach>,
+    reach: RefCell<StorePaths>,
     /// How many peers are known.
     peer_count: Cell<usize>,
     /// The straight way began to fail.
     turned: Notify,
     address: Cell<SocketAddr>,
     /// The store's clock.
-    clock: Cell<Steady>,
+    clock: Cell<ClockEstimate>,
     /// Since when no call was answered.
     away: Cell<Option<Instant>>,
-    reads: Cell<Patience>,
-    writes: Cell<Patience>,
-    objects: Cell<Patience>,
+    reads: Cell<AdaptiveTimeout>,
+    writes: Cell<AdaptiveTimeout>,
+    objects: Cell<AdaptiveTimeout>,
     meters: Rc<Meters>,
     watchers: RefCell<Vec<Box<dyn Fn()>>>,
 }
@@ -76,15 +76,15 @@
         Self {
             channels: Channels::new(),
             peers: Peers::new(),
-            reach: RefCell::new(Reach::new()),
+            reach: RefCell::new(StorePaths::new()),
             peer_count: Cell::new(0),
             turned: Notify::new(),
             address: Cell::new(address),
-            clock: Cell::new(Steady::new()),
+            clock: Cell::new(ClockEstimate::new()),
             away: Cell::new(None),
-            reads: Cell::new(Patience::new(READ.0, READ.1)),
-            writes: Cell::new(Patience::new(WRITE.0, WRITE.1)),
-            objects: Cell::new(Patience::new(OBJECT.0, OBJECT.1)),
+            reads: Cell::new(AdaptiveTimeout::new(READ.0, READ.1)),
+            writes: Cell::new(AdaptiveTimeout::new(WRITE.0, WRITE.1)),
+            objects: Cell::new(AdaptiveTimeout::new(OBJECT.0, OBJECT.1)),
             meters,
             watchers: RefCell::default(),
         }
@@ -126,8 +126,8 @@
 
     /// Reads a range of rows.
     pub(super) async fn read(&self, range: &Range<'_>) -> Result<Page, Failure> {
-        let (status, body) = self.paced(wire::read(range), &self.reads).await?;
-        let page = wire::page(status, &body, range)?;
+        let (status, body) = self.paced(wire::read_request(range), &self.reads).await?;
+        let page = wire::decode_page(status, &body, range)?;
         self.tell(page.now);
         Ok(page)
     }
@@ -137,7 +137,7 @@
         // The successor of a key is the key with a zero byte behind it.
         let end = format!("{}\0", id.key);
         let range = Range {
-            from: Some(&id.key),
+            start: Some(&id.key),
             end: Some(&end),
             limit: Some(1),
             ..Range::part(&id.table, &id.part)
@@ -160,7 +160,7 @@
             let from = format!("{}\0", last.id.key);
             let page = self
                 .read(&Range {
-                    from: Some(&from),
+                    start: Some(&from),
                     ..*range
                 })
                 .await?;
@@ -177,7 +177,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<Option<Changes>, Failure> {
-        let request = wire::feed(table, after, wait);
+        let request = wire::feed_request(table, after, wait);
         // A wait on a way that turned out to be dead would go on for seconds,
         // and news be missed that a peer could bring.
         let (status, body) = tokio::select! {
@@ -186,7 +186,7 @@
                 return Err(Failure::Lost("the straight way fails".to_owned()));
             }
         };
-        let changes = wire::changes(status, &body, table)?;
+        let changes = wire::decode_changes(status, &body, table)?;
         if let Some(changes) = &changes {
             self.tell(changes.now);
         }
@@ -195,8 +195,11 @@
 
     /// Carries out a transaction, or finds out that its outcome is unknown.
     pub(super) async fn transact(&self, change: &Change) -> Commit {
-        let answer = match self.paced(wire::transact(change), &self.writes).await {
-            Ok((status, body)) => wire::commit(status, &body).map_err(Failure::Odd),
+        let answer = match self
+            .paced(wire::transaction_request(change), &self.writes)
+            .await
+        {
+            Ok((status, body)) => wire::decode_commit(status, &body).map_err(Failure::Odd),
             Err(failure) => Err(failure),
         };
         match answer {
@@ -221,7 +224,7 @@
     /// Keeps an object; one that exists under this name is the same.
     pub(super) async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), Failure> {
         match self
-            .paced(wire::put_object(name, body), &self.objects)
+            .paced(wire::put_object_request(name, body), &self.objects)
             .await?
         {
             (200..=299 | 412, _) => Ok(()),
@@ -231,7 +234,10 @@
 
     /// Reads an object; `None` if there is none.
     pub(super) async fn get_object(&self, name: &str) -> Result<Option<Bytes>, Failure> {
-        match self.paced(wire::get_object(name), &self.objects).await? {
+        match self
+            .paced(wire::get_object_request(name), &self.objects)
+            .await?
+        {
             (200, body) => Ok(Some(body)),
             (404, _) => Ok(None),
             (status, _) => Err(Failure::Refused(format!("status {status}"))),
@@ -240,7 +246,7 @@
 
     /// Removes an object.
     pub(super) async fn drop_object(&self, name: &str) -> Result<(), Failure> {
-        self.paced(wire::drop_object(name), &self.objects)
+        self.paced(wire::delete_object_request(name), &self.objects)
             .await
             .map(|_| ())
     }
@@ -249,17 +255,17 @@
     async fn paced(
         &self,
         request: Request,
-        patience: &Cell<Patience>,
+        timeout: &Cell<AdaptiveTimeout>,
     ) -> Result<(u16, Bytes), Failure> {
         let start = Instant::now();
-        let answer = self.call(request, patience.get().limit()).await;
-        let mut next = patience.get();
+        let answer = self.call(request, timeout.get().current()).await;
+        let mut next = timeout.get();
         match &answer {
-            Ok(_) => next.answered(start.elapsed()),
-            Err(Failure::Lost(_)) => next.expired(),
+            Ok(_) => next.record_answer(start.elapsed()),
+            Err(Failure::Lost(_)) => next.record_timeout(),
             Err(_) => {}
         }
-        patience.set(next);
+        timeout.set(next);
         answer
     }
 
@@ -283,7 +289,7 @@
     /// Sends a call on its way, and on another if it was surely not carried out.
     async fn send(&self, request: &Request, limit: Duration) -> Result<(u16, Bytes), Failure> {
         let mut refusal = None;
-        if !self.reach.borrow().is_away() {
+        if !self.reach.borrow().is_direct_failing() {
             let answer = self.straight(request, limit).await;
             if !is_turned_away(&answer) {
                 return answer;
@@ -291,8 +297,8 @@
             refusal = Some(answer);
         }
         for _ in 0..PEERS {
-            let way = self.reach.borrow().way(Instant::now(), rand::random());
-            let Way::Peer(peer) = way else {
+            let way = self.reach.borrow().choose(Instant::now(), rand::random());
+            let StorePath::Peer(peer) = way else {
                 break;
             };
             let answer = self.by_peer(peer, request, limit).await;
@@ -314,8 +320,8 @@
         let now = Instant::now();
         let mut reach = self.reach.borrow_mut();
         let changed = match &answer {
-            Ok((429, _)) => reach.busy(now),
-            _ => reach.straight(now, answered),
+            Ok((429, _)) => reach.record_rate_limit(now),
+            _ => reach.record_direct(now, answered),
         };
         drop(reach);
         if changed && answered {
@@ -337,20 +343,20 @@
         request: &Request,
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
-        let answer = self.peers.carry(peer, request, limit).await;
+        let answer = self.peers.relay(peer, request, limit).await;
         if let Err(error) = &answer {
             log::info!(target: STORE, peer = peer.to_string().as_str(),
                 error = error.to_string().as_str(); "A peer did not carry a call.");
         }
         let (outcome, carried) = match &answer {
-            Ok(answer) if is_refusal(answer) => ("refused", Carried::Away),
-            Ok(_) => ("answered", Carried::Answered),
-            Err(Uncarried::Away(_)) => ("refused", Carried::Away),
-            Err(Uncarried::Unreached(_)) => ("refused", Carried::Silent),
-            Err(Uncarried::Lost(_)) => ("lost", Carried::Silent),
+            Ok(answer) if is_refusal(answer) => ("refused", RelayOutcome::Unreachable),
+            Ok(_) => ("answered", RelayOutcome::Answered),
+            Err(RelayError::Refused(_)) => ("refused", RelayOutcome::Unreachable),
+            Err(RelayError::PeerUnreachable(_)) => ("refused", RelayOutcome::NoAnswer),
+            Err(RelayError::Unknown(_)) => ("lost", RelayOutcome::NoAnswer),
         };
         let now = Instant::now();
-        self.reach.borrow_mut().carried(now, peer, carried);
+        self.reach.borrow_mut().record_relayed(now, peer, carried);
         self.meters.detours.with_label_values(&[outcome]).inc();
         answer.map_err(Failure::from)
     }
@@ -361,7 +367,7 @@
         request: &Request,
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
-        if self.reach.borrow().is_away() {
+        if self.reach.borrow().is_direct_failing() {
             return Err(Failure::Refused("turned away, too".to_owned()));
         }
         self.straight(request, limit).await
@@ -373,7 +379,7 @@
             let now = Instant::now();
             let (away, pause) = {
                 let reach = self.reach.borrow();
-                (reach.is_away(), reach.probe_pause(now))
+                (reach.is_direct_failing(), reach.probe_delay(now))
             };
             if !away {
                 self.turned.notified().await;
@@ -385,8 +391,8 @@
                 limit: Some(1),
                 ..Range::part(PROBED, "")
             };
-            let limit = self.reads.get().limit();
-            let answer = self.straight(&wire::read(&range), limit).await;
+            let limit = self.reads.get().current();
+            let answer = self.straight(&wire::read_request(&range), limit).await;
             if let Err(failure) = answer {
                 log::debug!(target: STORE, error = failure.to_string().as_str();
                     "The straight way still fails.");
@@ -415,7 +421,7 @@
     /// Takes in the store's clock as an answer tells it.
     fn tell(&self, now: Duration) {
         let mut clock = self.clock.get();
-        clock.tell(Instant::now(), now);
+        clock.record_sample(Instant::now(), now);
         self.clock.set(clock);
     }
 
--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -12,7 +12,7 @@
 use flume::Sender;
 use hibiscusroad::{
     ErrorKind, Repeat, RequestId,
-    gate::{Ask, Head, Header, Run},
+    gate::{Head, Header, StartRequest, VersionRun},
 };
 use std::{
     io::{self, Read},
@@ -83,10 +83,14 @@
 ///
 /// Returns why the answer is not complete. A kind that says "not run" is returned
 /// only if nothing was sent.
-pub fn send_request(context: CallContext<'_>, ask: Ask, http: Http) -> Result<Vec<Run>, ErrorKind> {
+pub fn send_request(
+    context: CallContext<'_>,
+    ask: StartRequest,
+    http: Http,
+) -> Result<Vec<VersionRun>, ErrorKind> {
     let remaining = ask.deadline.saturating_duration_since(Instant::now());
     let timeout = match ask.repeat {
-        Repeat::Free => remaining,
+        Repeat::Idempotent => remaining,
         Repeat::Once => remaining.max(MIN_ONCE_TIMEOUT),
     };
     let is_head = http.method == "HEAD";
@@ -229,7 +233,7 @@
     }
 
     /// Returns the weight versions if the answer is complete.
-    fn finish(self, has_framing: bool) -> Result<Vec<Run>, ErrorKind> {
+    fn finish(self, has_framing: bool) -> Result<Vec<VersionRun>, ErrorKind> {
         match self.scanner {
             Some(scanner) if scanner.is_done() => Ok(scanner.into_runs()),
             None if has_framing => Ok(sse::document_runs(&self.body)),
--- a/hibiscusroad-daemon/src/side/link.rs
+++ b/hibiscusroad-daemon/src/side/link.rs
@@ -2,7 +2,7 @@
 
 use crate::side::{LOG, event::Event, request::Inbound, wire};
 use flume::Sender;
-use hibiscusroad::gate::{LINK_SILENCE, LinkKey};
+use hibiscusroad::gate::{LINK_TIMEOUT, LinkKey};
 use hibiscusroad_wire::{
     ToEntry, ToSide, VERSION,
     link_server::{Link, LinkServer},
@@ -34,7 +34,7 @@
 /// How long a stream may be silent until the task that reads it ends. The gate
 /// closes the stream earlier; this ends the task of a connection that was lost
 /// without being closed.
-const READ_TIMEOUT: Duration = LINK_SILENCE.saturating_mul(2);
+const READ_TIMEOUT: Duration = LINK_TIMEOUT.saturating_mul(2);
 
 /// How long queued frames may take to be sent when the sidecar stops.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
--- a/hibiscusroad-daemon/src/side/orders.rs
+++ b/hibiscusroad-daemon/src/side/orders.rs
@@ -19,8 +19,8 @@
     /// Starts an order, or refuses it if its fencing token is not admitted.
     pub(super) fn start_order(&mut self, now: Instant, link: LinkKey, order: Order) {
         let seq = order.seq;
-        let admitted = self.gate.order(link, &order.duty, order.fence);
-        if admitted == Err(OrderRefusal::Unlearned) {
+        let admitted = self.gate.admit_order(link, &order.duty, order.fence);
+        if admitted == Err(OrderRefusal::TokenUnknown) {
             self.read_lease(&order.duty);
         }
         let started = admitted
@@ -63,7 +63,7 @@
             problem: problem.unwrap_or_default().to_owned(),
             status: status.into(),
             body,
-            fence: self.gate.fence(),
+            fence: self.gate.highest_token(),
         };
         self.queue_frame(now, link, Frame::OrderDone(done).into());
     }
@@ -92,7 +92,7 @@
     pub(super) fn record_token(&mut self, duty: &str, token: Option<u64>) {
         self.lease_reads.remove(duty);
         match token {
-            Some(token) => self.gate.learn(duty, token),
+            Some(token) => self.gate.record_token(duty, token),
             None => log::warn!(target: LOG, "The lease row of {duty} can't be read."),
         }
     }
--- a/hibiscusroad-daemon/src/side/polls.rs
+++ b/hibiscusroad-daemon/src/side/polls.rs
@@ -1,7 +1,7 @@
 //! Threads that poll the endpoint's load and the host list.
 
 use crate::{
-    platform::{HostList, State},
+    platform::{HostList, HostState},
     settings::{Settings, Side},
     side::{event::Event, request::EndpointLoad},
 };
@@ -86,7 +86,7 @@
         let mut own_rows = hosts.iter().filter(|host| {
             host.role == "side" && host.service == service && host.endpoint == endpoint
         });
-        let leaving = own_rows.any(|host| host.state == State::Leaving);
+        let leaving = own_rows.any(|host| host.state == HostState::Leaving);
         // If the channel is full, the result is dropped; the next poll replaces it.
         drop(events.try_send(Event::HostList { leaving }));
         let rows = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
--- a/hibiscusroad-daemon/src/side/pool.rs
+++ b/hibiscusroad-daemon/src/side/pool.rs
@@ -208,7 +208,7 @@
 /// have run" although it never arrived.
 fn agent_for(request: &Request, shared: &Agent) -> Agent {
     match request.ask.repeat {
-        Repeat::Free => shared.clone(),
+        Repeat::Idempotent => shared.clone(),
         Repeat::Once => call::new_agent(),
     }
 }
--- a/hibiscusroad-daemon/src/side/report.rs
+++ b/hibiscusroad-daemon/src/side/report.rs
@@ -47,7 +47,7 @@
         let identity = Identity {
             side: setup.settings.name.clone(),
             host: setup.settings.host.clone(),
-            data_centre: setup.settings.place.clone(),
+            data_centre: setup.settings.data_centre.clone(),
             service: setup.side.service.clone(),
             endpoint: setup.side.endpoint.clone(),
             incarnation: setup.incarnation.0,
@@ -74,7 +74,7 @@
             incarnation: self.identity.incarnation,
             service: self.identity.service.clone(),
             place: self.identity.data_centre.clone(),
-            limit: gate.load().limit,
+            limit: gate.load().max_running,
             config_version: self.config_version(),
         }
     }
@@ -86,8 +86,8 @@
             seq: self.heartbeats,
             config_version: self.config_version(),
             load: Some(self.load_at(now, gate)),
-            leaving: gate.is_leaving(),
-            fence: gate.fence(),
+            leaving: gate.is_draining(),
+            fence: gate.highest_token(),
             unreachable: self.unreachable,
         }
     }
@@ -103,14 +103,14 @@
         let Some(age) = age.filter(|age| *age < LOAD_TTL) else {
             return Load {
                 running: gate_load.running,
-                limit: gate_load.limit,
+                limit: gate_load.max_running,
                 ..Load::default()
             };
         };
         // Requests above the endpoint's own limit would queue inside it.
         let limit = match self.load.limit {
-            0 => gate_load.limit,
-            reported => reported.min(gate_load.limit),
+            0 => gate_load.max_running,
+            reported => reported.min(gate_load.max_running),
         };
         Load {
             running: self.load.running,
--- a/hibiscusroad-daemon/src/side/request.rs
+++ b/hibiscusroad-daemon/src/side/request.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     RequestId,
-    gate::{Ask, Header},
+    gate::{Header, StartRequest},
 };
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The attempt, its deadline and whether it may run more than once.
-    pub ask: Ask,
+    pub ask: StartRequest,
     /// The HTTP request.
     pub http: Http,
 }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -15,7 +15,7 @@
 };
 use hibiscusroad::{
     ErrorKind, RequestId,
-    gate::{Admission, Gate, GateSpec, LinkKey, Run, Step},
+    gate::{Admission, Gate, GateLimits, LinkKey, Step, VersionRun},
 };
 use hibiscusroad_wire::{ToEntry, to_entry::Frame};
 use slotmap::SecondaryMap;
@@ -76,7 +76,7 @@
         after!(HEARTBEAT_INTERVAL, [cx], on_heartbeat());
         let side = &setup.side;
         Some(Self {
-            gate: Gate::new(GateSpec::new(side.limit, side.buffer)),
+            gate: Gate::new(GateLimits::new(side.limit, side.buffer)),
             links: SecondaryMap::new(),
             pool: Pool::new(side, setup.events.clone()),
             report: Report::new(&setup),
@@ -97,7 +97,7 @@
             Event::Open { hello, out, reply } => self.open(now, hello, out, reply),
             Event::Frame(link, frame) => self.handle_frame(now, link, frame),
             Event::Lost(link) => self.remove_link(now, link),
-            Event::Head(id, head) => self.gate.head(id, head),
+            Event::Head(id, head) => self.gate.receive_head(id, head),
             Event::Bytes(id, data) => self.buffer_bytes(now, id, data),
             Event::Ended {
                 worker,
@@ -124,7 +124,7 @@
     pub fn settle(&mut self, cx: CX![], now: Instant) {
         self.gate.tick(now);
         self.execute_steps(now);
-        if let Some(due) = self.gate.next_due() {
+        if let Some(due) = self.gate.next_tick() {
             timer_min!(&mut self.timer, due, [cx], wake());
         }
         let Some(stop_deadline) = self.stop_deadline else {
@@ -165,7 +165,7 @@
     }
 
     fn open(&mut self, now: Instant, hello: Hello, out: Outbound, reply: oneshot::Sender<LinkKey>) {
-        let link = self.gate.open(now, hello.incarnation, hello.epoch);
+        let link = self.gate.open_link(now, hello.incarnation, hello.epoch);
         log::info!(target: LOG, "Stream {} of entry {} is open.", hello.epoch, hello.entry);
         let row = Link {
             out,
@@ -189,11 +189,11 @@
         if let Some(row) = self.links.remove(link) {
             log::info!(target: LOG, "A stream of entry {} is lost.", row.entry);
         }
-        self.gate.lost(now, link);
+        self.gate.remove_link(now, link);
     }
 
     fn handle_frame(&mut self, now: Instant, link: LinkKey, frame: Inbound) {
-        if !self.gate.heard(now, link) {
+        if !self.gate.receive_frame(now, link) {
             return;
         }
         match frame {
@@ -201,7 +201,7 @@
             Inbound::Attach(id, offset) => self.gate.attach(now, link, id, offset),
             Inbound::Ack(id, offset, done) => self.gate.ack(now, link, id, offset, done),
             Inbound::Cancel(id) => self.gate.cancel(now, link, id),
-            Inbound::Seal(id) => self.gate.ask(now, link, id),
+            Inbound::Seal(id) => self.gate.seal_and_report(now, link, id),
             Inbound::Beat(version, quiescent) => {
                 if let Some(row) = self.links.get_mut(link) {
                     row.quiescent = quiescent;
@@ -230,7 +230,7 @@
     }
 
     fn buffer_bytes(&mut self, now: Instant, id: RequestId, data: Arc<[u8]>) {
-        self.gate.bytes(id, data);
+        self.gate.receive_bytes(id, data);
         // A pause must take effect before the worker may read the next chunk.
         self.execute_steps(now);
         if let Some(throttle) = self.pool.throttle(id) {
@@ -243,7 +243,7 @@
         now: Instant,
         worker: WorkerKey,
         id: RequestId,
-        outcome: Result<Vec<Run>, ErrorKind>,
+        outcome: Result<Vec<VersionRun>, ErrorKind>,
     ) {
         self.pool.finish_call(now, worker, id);
         match outcome {
@@ -280,7 +280,7 @@
         }
         if self.report.update_config(version, document) {
             log::info!(target: LOG, "Configuration {version} is in force.");
-            self.gate.set_limit(self.report.max_running());
+            self.gate.set_max_running(self.report.max_running());
             self.update_admission(now);
         }
     }
@@ -316,10 +316,10 @@
     /// Sets whether the gate accepts new work, and sends heartbeats that say so.
     fn update_admission(&mut self, now: Instant) {
         let leaving = self.report.is_leaving();
-        if leaving != self.gate.is_leaving() {
+        if leaving != self.gate.is_draining() {
             log::info!(target: LOG, "The sidecar accepts new work: {}.", !leaving);
         }
-        self.gate.set_leaving(leaving);
+        self.gate.set_draining(leaving);
         self.send_heartbeats(now);
     }
 
--- a/hibiscusroad-daemon/src/side/sse.rs
+++ b/hibiscusroad-daemon/src/side/sse.rs
@@ -4,7 +4,7 @@
 //! produced which token, and whether the stream is complete: an engine that
 //! crashes closes its connection just as one that has finished does.
 
-use hibiscusroad::gate::Run;
+use hibiscusroad::gate::VersionRun;
 use serde::Deserialize;
 
 /// Maximum length of a line that is parsed, in bytes. It bounds the memory that an
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Scanner {
     line: Vec<u8>,
-    runs: Vec<Run>,
+    runs: Vec<VersionRun>,
     tokens: u64,
     done: bool,
 }
@@ -60,7 +60,7 @@
 
     /// Returns the weight versions, each with the index of its first token.
     #[must_use]
-    pub fn into_runs(self) -> Vec<Run> {
+    pub fn into_runs(self) -> Vec<VersionRun> {
         self.runs
     }
 
@@ -87,24 +87,30 @@
         if event.choices.iter().all(|choice| choice.text.is_empty()) {
             return;
         }
-        let first = event.offset.unwrap_or(self.tokens);
-        self.tokens = first + 1;
+        let first_token = event.offset.unwrap_or(self.tokens);
+        self.tokens = first_token + 1;
         let Some(version) = event.system_fingerprint else {
             return;
         };
         if self.runs.last().is_none_or(|run| run.version != version) {
-            self.runs.push(Run { version, first });
+            self.runs.push(VersionRun {
+                version,
+                first_token,
+            });
         }
     }
 }
 
 /// Returns the weight version of an answer that is a single JSON document.
 #[must_use]
-pub fn document_runs(body: &[u8]) -> Vec<Run> {
+pub fn document_runs(body: &[u8]) -> Vec<VersionRun> {
     let answer = serde_json::from_slice::<Completion>(body).ok();
     let version = answer.and_then(|answer| answer.system_fingerprint);
     version
-        .map(|version| Run { version, first: 0 })
+        .map(|version| VersionRun {
+            version,
+            first_token: 0,
+        })
         .into_iter()
         .collect()
 }
--- a/src/claim/holder.rs
+++ b/src/claim/request.rs
@@ -1,22 +1,22 @@
 //! The state machine of one request with an idempotency key.
 
 use crate::{
-    claim::{Claim, StoredClaim, Verdict},
+    claim::{Claim, ClaimOutcome, StoredClaim},
     error::ErrorKind,
     id::RequestId,
 };
 
 /// What is known of an attempt that another request's claim names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum ReportedState {
     /// It never started, and never will.
     Sealed,
     /// It is running, or its complete answer is retained.
-    Kept,
+    Readable,
     /// It started, and there is no complete answer.
     Lost,
     /// The incarnation of the sidecar that knew it has ended.
-    Gone,
+    SidecarGone,
 }
 
 /// The next action of the entry.
@@ -29,11 +29,11 @@
     Run(Claim),
     /// Ask the sidecar that another's claim names to seal its attempt, or to
     /// report its state.
-    Ask(Claim),
+    QuerySidecar(Claim),
     /// Forward the answer to the attempt that another's claim names.
     Follow(Claim),
-    /// Choose an endpoint for a new attempt.
-    Place,
+    /// Select an endpoint for a new attempt.
+    SelectEndpoint,
     /// Answer the caller with this error.
     Refuse(ErrorKind),
 }
@@ -48,21 +48,21 @@
     /// Its attempt was sent.
     Running(Claim),
     /// The sidecar is being asked for the state of another's attempt.
-    Asking(StoredClaim, Claim),
+    Querying(StoredClaim, Claim),
     /// The answer to another's attempt is being forwarded.
     Following,
 }
 
 /// One request with an idempotency key, at one entry.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct KeyedRequest {
     fingerprint: u64,
     phase: Phase,
     /// The row that may be replaced, because its attempt never runs.
     replaceable: Option<Vec<u8>>,
 }
 
-impl Holder {
+impl KeyedRequest {
     /// Creates the state of a request with this fingerprint.
     #[must_use]
     pub const fn new(fingerprint: u64) -> Self {
@@ -76,7 +76,7 @@
     /// Returns the content of a row that may be removed: its attempt never runs,
     /// and this request does not replace it.
     #[must_use]
-    pub fn stale(self) -> Option<Vec<u8>> {
+    pub fn into_stale_row(self) -> Option<Vec<u8>> {
         match self.phase {
             Phase::Idle => self.replaceable,
             _ => None,
@@ -84,14 +84,14 @@
     }
 
     /// Starts the claim of a new attempt for which an endpoint was selected.
-    pub fn place(&mut self, claim: Claim) -> Action {
+    pub fn start_claim(&mut self, claim: Claim) -> Action {
         self.phase = Phase::Writing(claim.clone());
         Action::Write(claim, self.replaceable.clone())
     }
 
     /// Discards the claim that is being written, because its endpoint is no
     /// longer available.
-    pub fn displace(&mut self) {
+    pub fn discard_claim(&mut self) {
         if let Phase::Writing(_) = self.phase {
             self.phase = Phase::Idle;
         }
@@ -101,7 +101,12 @@
     /// since 1970.
     ///
     /// Returns none if the claim was discarded or replaced by another one.
-    pub fn written(&mut self, attempt: RequestId, verdict: Verdict, now: u64) -> Option<Action> {
+    pub fn apply_outcome(
+        &mut self,
+        attempt: RequestId,
+        outcome: ClaimOutcome,
+        now: u64,
+    ) -> Option<Action> {
         let Phase::Writing(own) = &self.phase else {
             return None;
         };
@@ -109,20 +114,20 @@
             return None;
         }
         let own = own.clone();
-        Some(match verdict {
-            Verdict::Won => {
+        Some(match outcome {
+            ClaimOutcome::Won => {
                 self.phase = Phase::Running(own.clone());
                 Action::Run(own)
             }
-            Verdict::Free => {
+            ClaimOutcome::Free => {
                 self.replaceable = None;
                 Action::Write(own, None)
             }
-            Verdict::Down => {
+            ClaimOutcome::Down => {
                 self.phase = Phase::Idle;
                 Action::Refuse(ErrorKind::StoreDown)
             }
-            Verdict::Held(stored) => self.resolve_conflict(own, stored, now),
+            ClaimOutcome::Held(stored) => self.resolve_conflict(own, stored, now),
         })
     }
 
@@ -137,32 +142,32 @@
             self.replaceable = Some(stored.bytes.clone());
             return Action::Write(own, Some(stored.bytes));
         }
-        if claim.body != self.fingerprint {
+        if claim.fingerprint != self.fingerprint {
             self.phase = Phase::Idle;
             return Action::Refuse(ErrorKind::KeyReused);
         }
-        self.phase = Phase::Asking(stored, claim.clone());
-        Action::Ask(claim)
+        self.phase = Phase::Querying(stored, claim.clone());
+        Action::QuerySidecar(claim)
     }
 
     /// Handles the state of the attempt that the sidecar was asked for; returns
     /// none if it was not asked.
-    pub fn fate(&mut self, fate: Fate) -> Option<Action> {
-        let Phase::Asking(stored, claim) = &self.phase else {
+    pub fn apply_state(&mut self, state: ReportedState) -> Option<Action> {
+        let Phase::Querying(stored, claim) = &self.phase else {
             return None;
         };
         let (bytes, claim) = (stored.bytes.clone(), claim.clone());
-        Some(match fate {
-            Fate::Sealed => {
+        Some(match state {
+            ReportedState::Sealed => {
                 self.replaceable = Some(bytes);
                 self.phase = Phase::Idle;
-                Action::Place
+                Action::SelectEndpoint
             }
-            Fate::Kept => {
+            ReportedState::Readable => {
                 self.phase = Phase::Following;
                 Action::Follow(claim)
             }
-            Fate::Lost | Fate::Gone => {
+            ReportedState::Lost | ReportedState::SidecarGone => {
                 self.phase = Phase::Idle;
                 Action::Refuse(ErrorKind::OutcomeUnknown)
             }
@@ -171,7 +176,7 @@
 
     /// Handles that the request's own attempt never runs, so that its row may be
     /// replaced.
-    pub fn not_run(&mut self) {
+    pub fn mark_not_run(&mut self) {
         if let Phase::Running(own) = &self.phase {
             self.replaceable = Some(own.encode());
             self.phase = Phase::Idle;
@@ -180,7 +185,7 @@
 
     /// Returns whether another's attempt is being asked for or followed.
     #[must_use]
-    pub const fn is_guest(&self) -> bool {
-        matches!(self.phase, Phase::Asking(..) | Phase::Following)
+    pub const fn follows_other(&self) -> bool {
+        matches!(self.phase, Phase::Querying(..) | Phase::Following)
     }
 }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -27,7 +27,7 @@
     pub fn is_drained(&self, endpoint: &str, host: &str, data_centre: &str) -> bool {
         self.drains.endpoints.contains(endpoint)
             || self.drains.hosts.contains(host)
-            || self.drains.places.contains(data_centre)
+            || self.drains.data_centres.contains(data_centre)
     }
 }
 
@@ -41,8 +41,8 @@
     #[serde(default)]
     pub hosts: BTreeSet<String>,
     /// All endpoints in these data centres.
-    #[serde(default)]
-    pub places: BTreeSet<String>,
+    #[serde(default, rename = "places")]
+    pub data_centres: BTreeSet<String>,
 }
 
 /// One service.
@@ -87,10 +87,10 @@
     fn default() -> Self {
         let spec = ServiceSpec::new();
         Self {
-            depth: spec.depth,
-            floor_interactive: spec.floors[Class::Interactive.index()],
-            floor_partner: spec.floors[Class::Partner.index()],
-            floor_rollout: spec.floors[Class::Rollout.index()],
+            depth: spec.max_queued,
+            floor_interactive: spec.min_shares[Class::Interactive.index()],
+            floor_partner: spec.min_shares[Class::Partner.index()],
+            floor_rollout: spec.min_shares[Class::Rollout.index()],
             deadline_ms: 10_000,
             limit: 64,
         }
@@ -111,6 +111,8 @@
     /// Returns the settings for the router.
     #[must_use]
     pub const fn spec(&self) -> ServiceSpec {
-        ServiceSpec::new().depth(self.depth).floors(self.floors())
+        ServiceSpec::new()
+            .max_queued(self.depth)
+            .min_shares(self.floors())
     }
 }
--- a/src/gate/endpoint.rs
+++ b/src/gate/endpoint.rs
@@ -2,14 +2,14 @@
 
 use crate::{
     error::ErrorKind,
-    gate::{Frame, Gate, GateLoad, Head, LINK_SILENCE, Run, attempt::Attempt},
+    gate::{Frame, Gate, GateLoad, Head, LINK_TIMEOUT, VersionRun, attempt::Attempt},
     id::RequestId,
 };
 use std::{sync::Arc, time::Instant};
 
 impl Gate {
     /// Handles the status and headers of the endpoint's answer.
-    pub fn head(&mut self, id: RequestId, head: Head) {
+    pub fn receive_head(&mut self, id: RequestId, head: Head) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -18,7 +18,7 @@
     }
 
     /// Handles bytes of the endpoint's answer.
-    pub fn bytes(&mut self, id: RequestId, data: Arc<[u8]>) {
+    pub fn receive_bytes(&mut self, id: RequestId, data: Arc<[u8]>) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -34,7 +34,7 @@
     }
 
     /// Handles the end of the endpoint's answer.
-    pub fn finish(&mut self, now: Instant, id: RequestId, runs: Vec<Run>) {
+    pub fn finish(&mut self, now: Instant, id: RequestId, runs: Vec<VersionRun>) {
         self.open_calls.remove(&id);
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -59,24 +59,24 @@
     }
 
     /// Sets the number of requests that the endpoint runs at once.
-    pub fn set_limit(&mut self, limit: u32) {
-        self.spec.max_running = limit;
+    pub fn set_max_running(&mut self, max_running: u32) {
+        self.limits.max_running = max_running;
     }
 
     /// Sets whether new work is refused; attempts in flight continue.
-    pub fn set_leaving(&mut self, leaving: bool) {
-        self.draining = leaving;
+    pub fn set_draining(&mut self, draining: bool) {
+        self.draining = draining;
     }
 
     /// Returns whether new work is refused.
     #[must_use]
-    pub const fn is_leaving(&self) -> bool {
+    pub const fn is_draining(&self) -> bool {
         self.draining
     }
 
     /// Returns whether nothing is in flight and no entry waits for an answer.
     ///
-    /// A linked entry that doesn't acknowledge counts as served [`LINK_SILENCE`]
+    /// A linked entry that doesn't acknowledge counts as served [`LINK_TIMEOUT`]
     /// after the answer was complete: a link that does not deliver would have
     /// been closed by then.
     #[must_use]
@@ -84,7 +84,7 @@
         let is_served = |attempt: &Attempt| {
             let linked = attempt.readers.iter().all(|reader| reader.link.is_some());
             attempt.readers.is_empty()
-                || (attempt.done && linked && attempt.retained_since + LINK_SILENCE <= now)
+                || (attempt.done && linked && attempt.retained_since + LINK_TIMEOUT <= now)
         };
         self.open_calls.is_empty() && self.attempts.values().all(is_served)
     }
@@ -94,8 +94,8 @@
     pub fn load(&self) -> GateLoad {
         GateLoad {
             running: u32::try_from(self.open_calls.len()).unwrap_or(u32::MAX),
-            limit: self.spec.max_running,
-            held: self.buffered,
+            max_running: self.limits.max_running,
+            buffered: self.buffered,
             tombstones: self.tombstones.len(),
             attempts: self.attempts.len() + self.retained.len(),
         }
--- a/src/quarantine/open.rs
+++ b/src/quarantine/unresolved.rs
@@ -1,6 +1,6 @@
 //! Failed attempts whose endpoint may or may not have ended.
 
-use super::{Fingerprint, Life, UNRESOLVED_TTL};
+use super::{EndpointIncarnation, Fingerprint, UNRESOLVED_TTL};
 use std::{
     collections::{HashMap, VecDeque},
     time::Instant,
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct Attempt {
     request: Fingerprint,
-    incarnation: Life,
+    incarnation: EndpointIncarnation,
     /// The path of the request.
     path: String,
     ended_at: Instant,
@@ -22,13 +22,13 @@
 ///
 /// If the endpoint ended, its entry expires or it refuses connections later.
 #[derive(Debug, Default)]
-pub struct OpenAttempts {
+pub struct UnresolvedAttempts {
     attempts: VecDeque<Attempt>,
     /// Incarnations that ended, and when their end was detected.
-    ended: HashMap<Life, Instant>,
+    ended: HashMap<EndpointIncarnation, Instant>,
 }
 
-impl OpenAttempts {
+impl UnresolvedAttempts {
     /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
@@ -48,7 +48,7 @@
         &mut self,
         now: Instant,
         request: Fingerprint,
-        incarnation: Life,
+        incarnation: EndpointIncarnation,
         path: String,
     ) -> bool {
         self.expire(now);
@@ -69,7 +69,11 @@
 
     /// Records that an incarnation has ended; removes its attempts and returns their requests
     /// and paths.
-    pub fn ended(&mut self, now: Instant, incarnation: &Life) -> Vec<(Fingerprint, String)> {
+    pub fn record_end(
+        &mut self,
+        now: Instant,
+        incarnation: &EndpointIncarnation,
+    ) -> Vec<(Fingerprint, String)> {
         self.expire(now);
         self.ended.insert(incarnation.clone(), now);
         let affected = self
@@ -85,7 +89,7 @@
     }
 
     /// Removes the attempts of a request that was answered.
-    pub fn forget(&mut self, request: Fingerprint) {
+    pub fn remove_request(&mut self, request: Fingerprint) {
         self.attempts.retain(|attempt| attempt.request != request);
     }
 
--- a/src/rollout/wave.rs
+++ b/src/rollout/load_plan.rs
@@ -33,28 +33,28 @@
 
 /// An engine, as the holder of the duty sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Loader {
+pub struct EngineStatus {
     /// The ID of the engine.
     pub id: String,
     /// The versions that it has, by model.
     pub weights: HashMap<String, u64>,
     /// Whether an order is in progress there.
-    pub busy: bool,
+    pub loading: bool,
     /// Whether it must not be ordered for now, although no order is in progress.
-    pub barred: bool,
+    pub blocked: bool,
     /// Whether it is much slower than its peers.
     pub slow: bool,
     /// Number of requests known to run there.
-    pub load: u32,
+    pub running_requests: u32,
 }
 
 /// What the steps of a model need.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Goal {
+pub struct ModelGoal {
     /// The model.
     pub model: String,
     /// The newest version that was announced.
-    pub named: u64,
+    pub newest: u64,
     /// Number of versions by which its steps may lag.
     pub lag: u64,
     /// Its share of the work, in any unit.
@@ -65,7 +65,7 @@
 
 /// A load to order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Load {
+pub struct WeightLoad {
     /// The engine.
     pub endpoint: String,
     /// The model.
@@ -74,16 +74,22 @@
     pub version: u64,
 }
 
-/// Chooses the loads to order now, limiting the loads in progress to `at_once`.
+/// Chooses the loads to order now, limiting the loads in progress to `max_loads`.
 #[must_use]
-pub fn plan(engines: &[Loader], goals: &[Goal], at_once: usize) -> Vec<Load> {
-    let busy = engines.iter().filter(|engine| engine.busy).count();
+pub fn plan(engines: &[EngineStatus], goals: &[ModelGoal], max_loads: usize) -> Vec<WeightLoad> {
+    let busy = engines.iter().filter(|engine| engine.loading).count();
     let mut candidates = Vec::new();
     for (goal, mut assigned) in goals.iter().zip(assign(engines, goals)) {
         let version = |idx: &usize| engines[*idx].weights.get(&goal.model).copied().unwrap_or(0);
-        let oldest = goal.named.saturating_sub(goal.lag);
+        let oldest = goal.newest.saturating_sub(goal.lag);
         // The least loaded engines go first, because the fewest runs are held up there.
-        assigned.sort_by_key(|idx| (version(idx), engines[*idx].load, engines[*idx].id.clone()));
+        assigned.sort_by_key(|idx| {
+            (
+                version(idx),
+                engines[*idx].running_requests,
+                engines[*idx].id.clone(),
+            )
+        });
         let newer = assigned.iter().filter(|idx| version(idx) > oldest).count();
         // Half of the engines should stay usable after the next version.
         let mut missing = assigned.len().div_ceil(2).saturating_sub(newer);
@@ -91,14 +97,14 @@
         let mut usable = assigned.iter().filter(|idx| version(idx) >= oldest).count();
         for idx in assigned {
             let stale = version(&idx) < oldest;
-            if version(&idx) >= goal.named || !(stale || missing > 0) {
+            if version(&idx) >= goal.newest || !(stale || missing > 0) {
                 continue;
             }
             missing = missing.saturating_sub(1);
             candidates.push(Candidate {
                 stale,
                 usable_share: if stale { usable as f64 / quota } else { 0.0 },
-                versions_behind: goal.named - version(&idx),
+                versions_behind: goal.newest - version(&idx),
                 engine: idx,
                 goal,
             });
@@ -108,15 +114,15 @@
     candidates.sort_by(Candidate::cmp_urgency);
     let mut chosen = HashSet::new();
     let can_load =
-        |load: &Candidate<'_>| !engines[load.engine].busy && !engines[load.engine].barred;
+        |load: &Candidate<'_>| !engines[load.engine].loading && !engines[load.engine].blocked;
     let loads = candidates.into_iter().filter(can_load);
     loads
         .filter(|load| chosen.insert(load.engine))
-        .take(at_once.saturating_sub(busy))
-        .map(|load| Load {
+        .take(max_loads.saturating_sub(busy))
+        .map(|load| WeightLoad {
             endpoint: engines[load.engine].id.clone(),
             model: load.goal.model.clone(),
-            version: load.goal.named,
+            version: load.goal.newest,
         })
         .collect()
 }
@@ -129,7 +135,7 @@
     usable_share: f64,
     versions_behind: u64,
     engine: usize,
-    goal: &'a Goal,
+    goal: &'a ModelGoal,
 }
 
 impl Candidate<'_> {
@@ -145,7 +151,7 @@
 
 /// Assigns engines to models, preferring those with the newest weights, so that engines
 /// stay with their models whichever process decides.
-fn assign(engines: &[Loader], goals: &[Goal]) -> Vec<Vec<usize>> {
+fn assign(engines: &[EngineStatus], goals: &[ModelGoal]) -> Vec<Vec<usize>> {
     let healthy = engines.iter().filter(|engine| !engine.slow).count();
     let mut quotas = quotas(healthy, goals);
     let mut pairs = Vec::new();
@@ -153,7 +159,7 @@
         for (idx, engine) in engines.iter().enumerate().filter(|(_, e)| !e.slow) {
             let version = engine.weights.get(&goal.model).copied().unwrap_or(0);
             let tie_breaker = xxh3_64_with_seed(engine.id.as_bytes(), model as u64);
-            pairs.push((goal.named.saturating_sub(version), tie_breaker, model, idx));
+            pairs.push((goal.newest.saturating_sub(version), tie_breaker, model, idx));
         }
     }
     pairs.sort_unstable();
@@ -170,7 +176,7 @@
 }
 
 /// Divides `count` engines among models in proportion to their work.
-fn quotas(count: usize, goals: &[Goal]) -> Vec<usize> {
+fn quotas(count: usize, goals: &[ModelGoal]) -> Vec<usize> {
     let total: f64 = goals.iter().map(|goal| goal.work.max(1.0)).sum();
     let mut quotas = vec![MIN_ENGINES.min(count / goals.len().max(1)); goals.len()];
     let given: usize = quotas.iter().sum();
@@ -191,28 +197,28 @@
 /// The number from which on loads slow each other down differs between deployments and
 /// is not configured. One more load is tried as long as the last increase paid off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Pace {
+pub struct LoadConcurrency {
     /// Average seconds per load, by the number of concurrent loads.
     seconds: HashMap<usize, f64>,
 }
 
-impl Pace {
+impl LoadConcurrency {
     /// Creates a state without samples.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records the duration of a load that ran while `at_once` loads were in progress.
-    pub fn loaded(&mut self, at_once: usize, duration: Duration) {
+    /// Records the duration of a load that ran while `concurrent` loads were in progress.
+    pub fn record_load(&mut self, concurrent: usize, duration: Duration) {
         let seconds = duration.as_secs_f64().max(0.001);
-        let mean = self.seconds.entry(at_once).or_insert(seconds);
+        let mean = self.seconds.entry(concurrent).or_insert(seconds);
         *mean += (seconds - *mean) * SAMPLE_WEIGHT;
     }
 
     /// Returns how many loads to run at once on this number of engines.
     #[must_use]
-    pub fn at_once(&self, engines: usize) -> usize {
+    pub fn max_loads(&self, engines: usize) -> usize {
         let rate = |loads: usize| {
             self.seconds
                 .get(&loads)
--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -15,19 +15,19 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Time between two renewals of a row, and between two polls of a watcher.
-pub const RENEWAL: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// An owner whose row is unchanged for this time is taken to be dead: it has missed
 /// three renewals.
-pub const SILENCE: Duration = Duration::from_millis(800);
-/// Number of store latencies added to [`SILENCE`]. A slow store delays the renewal by
-/// two (a write takes longer than a read) and the poll by one or two.
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of store latencies added to [`HEARTBEAT_TIMEOUT`]. A slow store delays the
+/// renewal by two (a write takes longer than a read) and the poll by one or two.
 const TIMEOUT_LATENCIES: u32 = 4;
-/// Number of processes, drawn by hash, that poll for an owner at every [`RENEWAL`].
-/// Others poll less often. When a third of all hosts fail at once, one owner in 700
-/// loses all of its watchers and is noticed by the others.
+/// Number of processes, drawn by hash, that poll for an owner at every
+/// [`HEARTBEAT_INTERVAL`]. The others poll less often and notice an owner whose watchers
+/// fail with it.
 const WATCHERS: u32 = 6;
 /// Range over which the takeover delays of processes are spread, in milliseconds. The
-/// first takeover takes some 10 ms to be written and to reach the others.
+/// other processes need time to learn of the first takeover.
 const TAKEOVER_SPREAD_MS: u64 = 150;
 /// Additional takeover delay of processes with less than half the memory of the largest.
 const SMALL_HOST_DELAY: Duration = Duration::from_millis(TAKEOVER_SPREAD_MS);
@@ -47,11 +47,11 @@
 
 /// The row of a process, as read by a poll.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sign {
+pub struct Heartbeat {
     /// The name of the process.
     pub name: String,
     /// The incarnation of the process.
-    pub life: String,
+    pub incarnation: String,
     /// The version of the row.
     pub version: u64,
     /// Megabytes that the process may use.
@@ -60,16 +60,16 @@
 
 #[derive(Debug)]
 struct Observation {
-    life: String,
+    incarnation: String,
     version: u64,
     memory: u32,
     /// When this version was first seen.
     since: Instant,
 }
 
-/// The rows of all processes, as one process has seen them.
+/// Detects lost owners from the rows of all processes that one process polls.
 #[derive(Debug, Default)]
-pub struct Presences {
+pub struct FailureDetector {
     processes: HashMap<String, Observation>,
     /// The latency of the store at the last poll.
     latency: Duration,
@@ -77,7 +77,7 @@
     last_poll: Option<Instant>,
 }
 
-impl Presences {
+impl FailureDetector {
     /// Creates the view of a process that has not polled yet.
     #[must_use]
     pub fn new() -> Self {
@@ -91,29 +91,32 @@
     }
 
     /// Records a poll that the store answered at `now`, after `latency`.
-    pub fn seen(&mut self, now: Instant, latency: Duration, signs: Vec<Sign>) {
+    pub fn record_poll(&mut self, now: Instant, latency: Duration, heartbeats: Vec<Heartbeat>) {
         self.latency = latency;
         self.last_poll = Some(now);
-        let present: HashSet<&str> = signs.iter().map(|sign| sign.name.as_str()).collect();
+        let present: HashSet<&str> = heartbeats
+            .iter()
+            .map(|heartbeat| heartbeat.name.as_str())
+            .collect();
         self.processes
             .retain(|name, _| present.contains(name.as_str()));
-        for sign in signs {
-            let known = self.processes.get(&sign.name);
-            if known.is_none_or(|process| process.version != sign.version) {
+        for heartbeat in heartbeats {
+            let known = self.processes.get(&heartbeat.name);
+            if known.is_none_or(|process| process.version != heartbeat.version) {
                 let process = Observation {
-                    life: sign.life,
-                    version: sign.version,
-                    memory: sign.memory,
+                    incarnation: heartbeat.incarnation,
+                    version: heartbeat.version,
+                    memory: heartbeat.memory,
                     since: now,
                 };
-                self.processes.insert(sign.name, process);
+                self.processes.insert(heartbeat.name, process);
             }
         }
     }
 
     /// Clears the view after a failed poll: time without polls must not count as an
     /// owner's silence.
-    pub fn blind(&mut self) {
+    pub fn clear(&mut self) {
         self.processes.clear();
         self.last_poll = None;
     }
@@ -126,13 +129,17 @@
     /// owner would be noticed seconds late. So each owner has a few watchers that poll
     /// often, and the other processes together poll as often as those.
     #[must_use]
-    pub fn pause<'a>(&self, name: &str, owners: impl IntoIterator<Item = &'a str>) -> Duration {
+    pub fn poll_interval<'a>(
+        &self,
+        name: &str,
+        owners: impl IntoIterator<Item = &'a str>,
+    ) -> Duration {
         let mut owners = owners.into_iter();
         if owners.any(|owner| self.is_watcher(name, owner)) {
-            return RENEWAL;
+            return HEARTBEAT_INTERVAL;
         }
         let count = u32::try_from(self.processes.len()).unwrap_or(u32::MAX);
-        RENEWAL * count.div_ceil(WATCHERS).max(1)
+        HEARTBEAT_INTERVAL * count.div_ceil(WATCHERS).max(1)
     }
 
     /// Returns whether a process is one of the watchers of an owner.
@@ -152,10 +159,11 @@
     /// engines. Processes that own nothing renew no rows; if there are only such, one of
     /// them is chosen nevertheless. Should it be gone, the batches are taken over.
     #[must_use]
-    pub fn heir(&self, name: &str) -> Option<&str> {
+    pub fn successor(&self, name: &str) -> Option<&str> {
         let last_poll = self.last_poll?;
-        let is_alive =
-            |process: &Observation| last_poll.saturating_duration_since(process.since) < SILENCE;
+        let is_alive = |process: &Observation| {
+            last_poll.saturating_duration_since(process.since) < HEARTBEAT_TIMEOUT
+        };
         let others = self
             .processes
             .iter()
@@ -165,7 +173,7 @@
             let score = xxh3_64_with_seed(other.as_bytes(), seed);
             (is_alive(process), process.memory, score)
         });
-        chosen.map(|(_, process)| process.life.as_str())
+        chosen.map(|(_, process)| process.incarnation.as_str())
     }
 
     /// Returns how long the process `name` with `memory` MB waits before it takes over
@@ -193,16 +201,16 @@
     /// this process has known of it since `since`. Polls from before then are about
     /// another owner, and time after the last poll doesn't count as silence.
     #[must_use]
-    pub fn lost(&self, owner: &str, since: Instant) -> Option<Loss> {
+    pub fn loss(&self, owner: &str, since: Instant) -> Option<Loss> {
         let (name, _) = owner.rsplit_once('/')?;
         let last_poll = self.last_poll.filter(|last_poll| *last_poll >= since)?;
         let Some(process) = self.processes.get(name) else {
             return (last_poll - since > FIRST_ROW_TIMEOUT).then_some(Loss::NoRow);
         };
-        if process.life != owner {
+        if process.incarnation != owner {
             return Some(Loss::LivesAnew);
         }
         let unchanged = last_poll.saturating_duration_since(process.since.max(since));
-        (unchanged > SILENCE + self.latency * TIMEOUT_LATENCIES).then_some(Loss::Silent)
+        (unchanged > HEARTBEAT_TIMEOUT + self.latency * TIMEOUT_LATENCIES).then_some(Loss::Silent)
     }
 }
--- a/src/route/endpoint.rs
+++ b/src/route/endpoint.rs
@@ -1,76 +1,91 @@
-//! The state of endpoints: room, tiers, ejection and return.
+//! State of endpoints: load, tiers, ejection and readmission.
 
 use crate::route::{
     EndpointKey, ServiceKey,
-    drain::secs,
     health::{self, Phase},
+    retry_after::seconds,
     router::Router,
     spec::Call,
-    table::{Attempt, CallKey, Counted, Due, EndpointRow, FAR},
+    table::{Attempt, CallKey, Counted, EndpointRow, REMOTE_TIER, Timer},
 };
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A report that is older says nothing of a queue.
-pub(super) const FRESH: Duration = Duration::from_secs(1);
-/// What others run there is believed less with age, by this time constant.
-const FADE: f64 = 1.0;
-/// Free cache memory is believed as long: a batch turns over in that time.
-const CACHE_FRESH: Duration = Duration::from_secs(2);
-/// Near endpoints that an entry uses first. Few links and warm caches; 360
-/// entries with 24 each put about 14 entries on each of 600 endpoints.
-const SUBSET: usize = 24;
-/// Share of a service that may be ejected for being slow, silent or failing.
-/// Beyond it the fault is more likely the load's or this entry's own.
-const EJECTED: f64 = 0.5;
-/// A service whose calls may not be repeated has none to try an endpoint with;
-/// after this pause it is let back with a limit of one.
-const READY: Duration = Duration::from_secs(10);
+/// Pause before a silent endpoint that could not be ejected is checked again.
+pub(super) const SILENCE_RECHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time constant by which the reported load of other entries decays.
+const OTHERS_LOAD_DECAY_SECS: f64 = 1.0;
+/// Age up to which reported free cache memory is used.
+const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
+/// Endpoints in the entry's data centre that it uses first. Fewer streams and
+/// warmer caches, at the price of less choice.
+const SUBSET_SIZE: usize = 24;
+/// Share of a service's endpoints that may be ejected on suspicion. If more look
+/// bad, the load or this entry is the likelier cause.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+/// Time after which an endpoint is readmitted without a trial, because a service
+/// may have no repeatable calls to try it with.
+const TRIAL_WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl EndpointRow {
-    /// Says whether its cache memory holds so many tokens more.
-    pub(super) fn holds(&self, now: Instant, tokens: u32) -> bool {
+    /// Returns whether its cache memory has room for `tokens` more.
+    pub(super) fn has_cache_for(&self, now: Instant, tokens: u32) -> bool {
         let tokens = u64::from(tokens);
-        let mine = self.spec.tokens == 0 || self.tokens + tokens <= self.spec.tokens;
-        // An endpoint with nothing of ours always takes one.
-        let alone = self.running == 0;
-        let told = self.seen.is_none_or(|seen| {
-            seen.report.cache_free == 0
-                || now.saturating_duration_since(seen.at) > CACHE_FRESH
-                || seen.sent + tokens <= seen.report.cache_free
+        let fits_capacity =
+            self.spec.cache_tokens == 0 || self.tokens + tokens <= self.spec.cache_tokens;
+        // An endpoint without calls of this entry always takes one.
+        let unused = self.running == 0;
+        let fits_report = self.last_report.is_none_or(|last_report| {
+            last_report.report.cache_free == 0
+                || now.saturating_duration_since(last_report.valid_at) > CACHE_REPORT_TTL
+                || last_report.tokens_sent + tokens <= last_report.report.cache_free
         });
-        alone || (mine && told)
+        unused || (fits_capacity && fits_report)
     }
 
-    /// Returns its load for comparison: lower is better.
+    /// Returns its load relative to its limit and speed; lower is better.
     pub(super) fn score(&self, now: Instant) -> f64 {
-        let running = f64::from(self.running) + self.others(now) + 1.0;
-        running * self.health.factor() / f64::from(self.limit.get().max(1))
+        let running = f64::from(self.running) + self.others_load(now) + 1.0;
+        running * self.health.latency_ratio() / f64::from(self.limit.get().max(1))
     }
 
-    pub(super) fn others(&self, now: Instant) -> f64 {
-        let Some(seen) = self.seen else {
+    /// Returns the calls of other entries there, decayed with the report's age.
+    pub(super) fn others_load(&self, now: Instant) -> f64 {
+        let Some(last_report) = self.last_report else {
             return 0.0;
         };
-        let all = seen.report.running.saturating_add(seen.report.queued);
-        let age = now.saturating_duration_since(seen.at).as_secs_f64();
-        f64::from(all.saturating_sub(seen.own)) * (-age / FADE).exp()
+        let all = last_report
+            .report
+            .running
+            .saturating_add(last_report.report.queued);
+        let age = now
+            .saturating_duration_since(last_report.valid_at)
+            .as_secs_f64();
+        f64::from(all.saturating_sub(last_report.own_running))
+            * (-age / OTHERS_LOAD_DECAY_SECS).exp()
     }
 
-    pub(super) fn take(&mut self, now: Instant, key: CallKey, call: &Call, work: f64, trial: bool) {
+    pub(super) fn add_attempt(
+        &mut self,
+        now: Instant,
+        key: CallKey,
+        call: &Call,
+        work: f64,
+        trial: bool,
+    ) {
         self.running += 1;
         self.tokens += u64::from(call.tokens);
-        self.placed.add(now, work);
+        self.recent_work.add(now, work);
         self.attempts.insert((now, key));
-        if let Some(seen) = &mut self.seen {
-            seen.sent += u64::from(call.tokens);
+        if let Some(last_report) = &mut self.last_report {
+            last_report.tokens_sent += u64::from(call.tokens);
         }
         if trial {
             self.health.phase = Phase::Trial;
         }
     }
 
-    pub(super) fn give(&mut self, key: CallKey, attempt: &Attempt, call: &Call) {
+    pub(super) fn remove_attempt(&mut self, key: CallKey, attempt: &Attempt, call: &Call) {
         self.running -= 1;
         self.tokens -= u64::from(call.tokens);
         self.attempts.remove(&(attempt.start, key));
@@ -78,77 +93,81 @@
 }
 
 impl Router {
-    /// Brings the pools and sums in line with an endpoint's row.
+    /// Updates the pools and sums after a change of an endpoint's row.
     pub(super) fn refresh(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        let lanes = if row.usable() { row.limit.get() } else { 0 };
-        let cool = row.limit.cooling(now).is_some();
-        let free = if cool {
+        let capacity = if row.is_usable() { row.limit.get() } else { 0 };
+        let backing_off = row.limit.backoff_until(now).is_some();
+        let free_slots = if backing_off {
             0
         } else {
-            lanes.saturating_sub(row.running)
+            capacity.saturating_sub(row.running)
+        };
+        let before = row.counted;
+        row.counted = Counted {
+            capacity,
+            free_slots,
         };
-        let was = row.counted;
-        row.counted = Counted { lanes, free };
         let service = &mut self.services[row.service];
-        service.lanes = service.lanes + lanes - was.lanes;
-        service.free = service.free + free - was.free;
-        let near = u32::from(row.tier != FAR);
-        match (was.lanes > 0, lanes > 0) {
+        service.capacity = service.capacity + capacity - before.capacity;
+        service.free_slots = service.free_slots + free_slots - before.free_slots;
+        let local = u32::from(row.tier != REMOTE_TIER);
+        match (before.capacity > 0, capacity > 0) {
             (false, true) => {
                 service.usable += 1;
-                service.near += near;
+                service.usable_local += local;
             }
             (true, false) => {
                 service.usable -= 1;
-                service.near -= near;
+                service.usable_local -= local;
             }
             _ => {}
         }
         let pool = &mut service.pools[row.tier];
-        match (row.slot, free > 0) {
+        match (row.pool_index, free_slots > 0) {
             (None, true) => {
-                row.slot = Some(pool.len());
+                row.pool_index = Some(pool.len());
                 pool.push(key);
             }
-            (Some(slot), false) => {
-                row.slot = None;
-                pool.swap_remove(slot);
-                if let Some(moved) = pool.get(slot).copied() {
-                    self.endpoints[moved].slot = Some(slot);
+            (Some(pool_index), false) => {
+                row.pool_index = None;
+                pool.swap_remove(pool_index);
+                if let Some(moved) = pool.get(pool_index).copied() {
+                    self.endpoints[moved].pool_index = Some(pool_index);
                 }
             }
             _ => {}
         }
     }
 
-    /// Takes an endpoint out of all sums, whatever its state.
-    fn retire(&mut self, now: Instant, key: EndpointKey) {
+    /// Removes an endpoint from all sums and pools.
+    fn remove_from_sums(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        let open = row.open;
-        row.open = false;
+        let accepting = row.accepting;
+        row.accepting = false;
         self.refresh(now, key);
-        self.endpoints[key].open = open;
+        self.endpoints[key].accepting = accepting;
     }
 
-    /// Sorts a service's endpoints into tiers. The subset is the nearest by a
-    /// hash of entry and name: another endpoint more or less changes only one.
+    /// Assigns a service's endpoints to tiers. The subset is chosen by rendezvous
+    /// hashing, so that adding or removing an endpoint changes one member of it.
     pub(super) fn set_tiers(&mut self, now: Instant, service: ServiceKey) {
         let keys = self.services[service].endpoints.clone();
         let rank = |key: &EndpointKey| {
             let name = &self.endpoints[*key].spec.name;
             xxh3_64_with_seed(name.as_bytes(), self.seed)
         };
-        let near = |key: &EndpointKey| self.endpoints[*key].spec.place == self.place;
-        let (mut home, away): (Vec<_>, Vec<_>) = keys.into_iter().partition(near);
-        if home.len() > SUBSET {
-            home.sort_by_cached_key(rank);
+        let is_local =
+            |key: &EndpointKey| self.endpoints[*key].spec.data_centre == self.data_centre;
+        let (mut local, remote): (Vec<_>, Vec<_>) = keys.into_iter().partition(is_local);
+        if local.len() > SUBSET_SIZE {
+            local.sort_by_cached_key(rank);
         }
-        let home = home.into_iter().enumerate();
-        let tiers = home.map(|(index, key)| (key, usize::from(index >= SUBSET)));
-        for (key, tier) in tiers.chain(away.into_iter().map(|key| (key, FAR))) {
+        let local = local.into_iter().enumerate();
+        let tiers = local.map(|(index, key)| (key, usize::from(index >= SUBSET_SIZE)));
+        for (key, tier) in tiers.chain(remote.into_iter().map(|key| (key, REMOTE_TIER))) {
             if self.endpoints[key].tier != tier {
-                self.retire(now, key);
+                self.remove_from_sums(now, key);
                 self.endpoints[key].tier = tier;
             }
             self.refresh(now, key);
@@ -156,134 +175,137 @@
     }
 
     pub(super) fn drop_endpoint(&mut self, now: Instant, key: EndpointKey) {
-        self.retire(now, key);
+        self.remove_from_sums(now, key);
         let Some(row) = self.endpoints.remove(key) else {
             return;
         };
         let service = &mut self.services[row.service];
         service.endpoints.retain(|other| *other != key);
-        service.ready.retain(|other| *other != key);
+        service.awaiting_trial.retain(|other| *other != key);
         service.ring.remove(key);
-        if row.health.fit() {
-            row.health.leave(&mut service.peers);
+        if row.health.is_healthy() {
+            row.health.leave_peers(&mut service.peers);
         } else {
-            service.out -= 1;
+            service.ejected -= 1;
         }
-        if let Some(due) = row.due {
-            self.timers.remove(&(due, Due::Endpoint(key)));
+        if let Some(timer_at) = row.timer_at {
+            self.timers.remove(&(timer_at, Timer::Endpoint(key)));
         }
     }
 
-    /// Stops sending to an endpoint for a while; `sure` goes beyond the share
-    /// of a service that may be ejected on suspicion.
-    pub(super) fn eject(&mut self, now: Instant, key: EndpointKey, sure: bool) {
+    /// Ejects an endpoint for a while. Unless `certain`, only while the share of
+    /// ejected endpoints allows it.
+    pub(super) fn eject(&mut self, now: Instant, key: EndpointKey, certain: bool) {
         let Some(row) = self.endpoints.get_mut(key) else {
             return;
         };
-        // What was on its way when it was ejected must not lengthen the pause.
-        if matches!(row.health.phase, Phase::Out(_)) {
+        // Outcomes of calls that were in flight at the ejection don't extend it.
+        if matches!(row.health.phase, Phase::Ejected(_)) {
             return;
         }
         let service = &mut self.services[row.service];
-        let fit = row.health.fit();
-        let most = service.endpoints.len() as f64 * EJECTED;
-        if fit && !sure && (f64::from(service.out) + 1.0 > most || service.usable < 2) {
+        let healthy = row.health.is_healthy();
+        let max_ejected = service.endpoints.len() as f64 * MAX_EJECTED_SHARE;
+        if healthy
+            && !certain
+            && (f64::from(service.ejected) + 1.0 > max_ejected || service.usable < 2)
+        {
             return;
         }
-        if fit {
-            row.health.leave(&mut service.peers);
-            service.out += 1;
+        if healthy {
+            row.health.leave_peers(&mut service.peers);
+            service.ejected += 1;
         }
-        service.ready.retain(|other| *other != key);
+        service.awaiting_trial.retain(|other| *other != key);
         let until = row.health.eject(now);
         row.limit.restart();
-        let name = row.service;
+        let service_key = row.service;
         self.refresh(now, key);
-        self.set_endpoint_due(key, until);
-        if fit {
-            self.trim(now, name);
+        self.set_endpoint_timer(key, until);
+        if healthy {
+            self.refuse_unanswerable(now, service_key);
         }
     }
 
     pub(super) fn readmit(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        if !row.health.fit() {
+        if !row.health.is_healthy() {
             row.health.readmit();
             let service = &mut self.services[row.service];
-            service.out -= 1;
-            service.ready.retain(|other| *other != key);
+            service.ejected -= 1;
+            service.awaiting_trial.retain(|other| *other != key);
         }
         self.refresh(now, key);
     }
 
-    /// Sets the timer that looks for silence or for the end of a pause.
-    pub(super) fn watch(&mut self, now: Instant, key: EndpointKey) {
+    /// Sets the timer for the end of a backoff or the next check for silence.
+    pub(super) fn schedule_check(&mut self, now: Instant, key: EndpointKey) {
         let row = &self.endpoints[key];
-        if let Some(until) = row.limit.cooling(now) {
-            self.set_endpoint_due(key, until);
-        } else if row.due.is_none()
-            && let Some(at) = self.silent_at(key)
+        if let Some(until) = row.limit.backoff_until(now) {
+            self.set_endpoint_timer(key, until);
+        } else if row.timer_at.is_none()
+            && let Some(at) = self.silence_deadline(key)
         {
-            self.set_endpoint_due(key, at.max(now));
+            self.set_endpoint_timer(key, at.max(now));
         }
     }
 
-    /// Says when the endpoint will have been silent for too long.
-    fn silent_at(&self, key: EndpointKey) -> Option<Instant> {
+    /// Returns when the endpoint will have been silent for too long.
+    fn silence_deadline(&self, key: EndpointKey) -> Option<Instant> {
         let row = &self.endpoints[key];
         let (start, call) = row.attempts.first()?;
-        let since = row.health.life.map_or(*start, |life| life.max(*start));
-        let estimate = self.expect(&self.calls[*call].call);
-        Some(since + secs(health::silence(estimate.map(|e| e.p99))))
+        let since = row.health.last_activity.map_or(*start, |at| at.max(*start));
+        let estimate = self.estimate(&self.calls[*call].call);
+        Some(since + seconds(health::silence_limit(estimate.map(|e| e.p99))))
     }
 
-    fn set_endpoint_due(&mut self, key: EndpointKey, at: Instant) {
+    fn set_endpoint_timer(&mut self, key: EndpointKey, at: Instant) {
         let row = &mut self.endpoints[key];
-        if let Some(due) = row.due {
-            if due <= at && row.health.fit() {
+        if let Some(timer_at) = row.timer_at {
+            if timer_at <= at && row.health.is_healthy() {
                 return;
             }
-            self.timers.remove(&(due, Due::Endpoint(key)));
+            self.timers.remove(&(timer_at, Timer::Endpoint(key)));
         }
-        row.due = Some(at);
-        self.timers.insert((at, Due::Endpoint(key)));
+        row.timer_at = Some(at);
+        self.timers.insert((at, Timer::Endpoint(key)));
     }
 
-    pub(super) fn endpoint_due(&mut self, now: Instant, key: EndpointKey) {
+    pub(super) fn handle_endpoint_timer(&mut self, now: Instant, key: EndpointKey) {
         let row = &mut self.endpoints[key];
-        row.due = None;
+        row.timer_at = None;
         let service = row.service;
         match row.health.phase {
-            Phase::Out(until) if until <= now => {
-                row.health.phase = Phase::Ready;
-                if row.open {
-                    self.services[service].ready.push(key);
+            Phase::Ejected(until) if until <= now => {
+                row.health.phase = Phase::AwaitingTrial;
+                if row.accepting {
+                    self.services[service].awaiting_trial.push(key);
                 }
-                self.set_endpoint_due(key, now + READY);
+                self.set_endpoint_timer(key, now + TRIAL_WAIT_TIMEOUT);
             }
-            Phase::Out(until) => self.set_endpoint_due(key, until),
-            Phase::Ready => self.readmit(now, key),
-            Phase::Fit | Phase::Trial => self.check_silence(now, key),
+            Phase::Ejected(until) => self.set_endpoint_timer(key, until),
+            Phase::AwaitingTrial => self.readmit(now, key),
+            Phase::Healthy | Phase::Trial => self.check_silence(now, key),
         }
-        self.pump(now, service);
+        self.dispatch(now, service);
     }
 
     fn check_silence(&mut self, now: Instant, key: EndpointKey) {
         self.refresh(now, key);
-        let Some(at) = self.silent_at(key) else {
+        let Some(at) = self.silence_deadline(key) else {
             return;
         };
         if at > now {
-            self.set_endpoint_due(key, at);
+            self.set_endpoint_timer(key, at);
             return;
         }
-        let trial = !self.endpoints[key].health.fit();
+        let trial = !self.endpoints[key].health.is_healthy();
         self.eject(now, key, trial);
-        if self.endpoints[key].health.fit() {
-            // Too many are out already; look again rather than at once.
-            self.set_endpoint_due(key, now + FRESH);
+        if self.endpoints[key].health.is_healthy() {
+            // Too many endpoints are ejected already.
+            self.set_endpoint_timer(key, now + SILENCE_RECHECK_INTERVAL);
         } else {
-            self.move_all(now, key);
+            self.rerun_calls(now, key);
         }
     }
 }
--- a/src/train/generate.rs
+++ b/src/train/generate.rs
@@ -1,8 +1,8 @@
 //! Generations: start, progress, end and failure.
 
 use crate::train::{
-    GenKey,
-    event::{Prefix, Step},
+    GenerationKey,
+    event::{Action, Prefix},
     journal::Change,
     row::{Record, Slot, Span},
     run::Run,
@@ -18,7 +18,7 @@
 
     /// Returns the oldest version that the next batch may contain.
     pub(crate) fn min_version(&self) -> u64 {
-        self.head().version.saturating_sub(self.spec.bound)
+        self.head().version.saturating_sub(self.spec.max_staleness)
     }
 
     /// Starts waiting samples in the order of prompts, up to the run's share of the
@@ -57,7 +57,7 @@
         slot: Slot,
         base: Text,
         is_hedge: bool,
-    ) -> GenKey {
+    ) -> GenerationKey {
         let urgent = is_hedge || self.is_urgent(slot.group);
         let prefix = base.source.map(|generation| Prefix {
             generation,
@@ -75,7 +75,7 @@
             reports: None,
             finished: false,
         });
-        self.steps.push_back(Step::Start {
+        self.actions.push_back(Action::Start {
             generation,
             slot,
             urgent,
@@ -89,7 +89,7 @@
     pub(crate) fn handle_progress(
         &mut self,
         now: Instant,
-        key: GenKey,
+        key: GenerationKey,
         tokens: u32,
         spans: &[Span],
     ) {
@@ -115,7 +115,7 @@
             self.promote_hedge(key);
         } else if self.is_hedge(slot, key) {
             self.remove_hedge(slot, key);
-            self.steps.push_back(Step::Cancel(key));
+            self.actions.push_back(Action::Cancel(key));
         } else {
             self.restart_sample(slot);
         }
@@ -123,23 +123,23 @@
 
     /// Discards a generation whose tokens have no known version. The sample continues
     /// from the text before it.
-    fn discard_generation(&mut self, key: GenKey) {
+    fn discard_generation(&mut self, key: GenerationKey) {
         if let Some(generation) = self.generations.get_mut(key) {
             let new_tokens = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(new_tokens);
             generation.text = generation.base.clone();
         }
-        self.steps.push_back(Step::Cancel(key));
+        self.actions.push_back(Action::Cancel(key));
         self.handle_failed(key);
     }
 
-    fn is_hedge(&mut self, slot: Slot, key: GenKey) -> bool {
+    fn is_hedge(&mut self, slot: Slot, key: GenerationKey) -> bool {
         let phase = self.sample_mut(slot).map(|sample| &sample.phase);
         matches!(phase, Some(Phase::Running { hedge: Some(hedge), .. }) if *hedge == key)
     }
 
     /// Removes a hedge; the original generation continues.
-    pub(crate) fn remove_hedge(&mut self, slot: Slot, key: GenKey) {
+    pub(crate) fn remove_hedge(&mut self, slot: Slot, key: GenerationKey) {
         self.remove_generation(key);
         if let Some(sample) = self.sample_mut(slot)
             && let Phase::Running { hedge, .. } = &mut sample.phase
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(crate) fn handle_finished(&mut self, now: Instant, key: GenKey) {
+    pub(crate) fn handle_finished(&mut self, now: Instant, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -173,14 +173,14 @@
             generation.finished = true;
         }
         self.set_phase(slot, Phase::Scoring(key));
-        self.steps.push_back(Step::Score {
+        self.actions.push_back(Action::Score {
             generation: key,
             slot,
         });
     }
 
     /// Handles a failed generation. The sample continues from its text.
-    pub(crate) fn handle_failed(&mut self, key: GenKey) {
+    pub(crate) fn handle_failed(&mut self, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(crate) fn handle_score(&mut self, key: GenKey, score: f64) {
+    pub(crate) fn handle_score(&mut self, key: GenerationKey, score: f64) {
         if !score.is_finite() {
             self.retry_score(key);
             return;
@@ -232,13 +232,13 @@
         self.set_phase(slot, Phase::Writing(record));
     }
 
-    pub(crate) fn retry_score(&mut self, key: GenKey) {
+    pub(crate) fn retry_score(&mut self, key: GenerationKey) {
         let Some(generation) = self.generations.get(key) else {
             return;
         };
         let slot = generation.slot;
         if self.sample_mut(slot).map(|s| &s.phase) == Some(&Phase::Scoring(key)) {
-            self.steps.push_back(Step::Score {
+            self.actions.push_back(Action::Score {
                 generation: key,
                 slot,
             });
@@ -251,7 +251,7 @@
             return;
         };
         let dropped = std::mem::take(sample);
-        self.steps.push_back(Step::Release(slot));
+        self.actions.push_back(Action::DiscardTexts(slot));
         let tokens = match dropped.phase {
             Phase::Waiting => dropped.prefix.tokens,
             Phase::Running { main, hedge } => {
@@ -260,7 +260,7 @@
                 }
                 let tokens = self.generations.get(main).map_or(0, |g| g.text.tokens);
                 self.generations.remove(main);
-                self.steps.push_back(Step::Cancel(main));
+                self.actions.push_back(Action::Cancel(main));
                 tokens
             }
             Phase::Scoring(key) => self.generations.remove(key).map_or(0, |g| g.text.tokens),
@@ -272,13 +272,13 @@
     }
 
     /// Cancels a generation; its tokens beyond its base are wasted.
-    pub(crate) fn cancel(&mut self, key: GenKey) {
+    pub(crate) fn cancel(&mut self, key: GenerationKey) {
         self.remove_generation(key);
-        self.steps.push_back(Step::Cancel(key));
+        self.actions.push_back(Action::Cancel(key));
     }
 
     /// Removes a generation; its tokens beyond its base are wasted.
-    pub(crate) fn remove_generation(&mut self, key: GenKey) {
+    pub(crate) fn remove_generation(&mut self, key: GenerationKey) {
         if let Some(generation) = self.generations.remove(key) {
             let new_tokens = generation.text.tokens - generation.base.tokens;
             self.counts.wasted += u64::from(new_tokens);
--- a/src/usage/report.rs
+++ b/src/usage/report.rs
@@ -4,12 +4,12 @@
     Window, Windows,
     tally::{key_prefix, parse_window},
 };
-use crate::{clock::millis, rollout::turns::Turns, table::RowId};
+use crate::{clock::millis, rollout::order_records::OrderRecords, table::RowId};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
 /// The table of reports.
-pub const REPORTS: &str = "reports";
+pub const REPORTS_TABLE: &str = "reports";
 
 /// Time to send a report before it is late: two attempts at a slow platform.
 const SEND_MARGIN: Duration = Duration::from_secs(2);
@@ -23,38 +23,40 @@
 const MAX_REPORT_DELAY: Duration = Duration::from_mins(1);
 /// How long reports and counts stay in the store, for inspection.
 const RETENTION: Duration = Duration::from_mins(2);
-/// The one key of all windows in [`Turns`]: calls of two holders must not overlap, even
+/// The one key of all windows in [`OrderRecords`]: calls of two holders must not overlap, even
 /// for different windows.
-const TURNS_KEY: &str = "usage";
+const ORDERS_KEY: &str = "usage";
 
 /// The timing of reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Terms {
+pub struct ReportTiming {
     /// The windows to report.
     pub windows: Windows,
     /// How long after its end the report of a window is due.
-    pub late: Duration,
+    pub deadline: Duration,
     /// The least time between calls of two holders.
-    pub apart: Duration,
+    pub call_gap: Duration,
 }
 
 /// A report in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct StoredReport {
     /// The exact body to send.
     pub body: String,
     /// The process that last wrote the row before it sent the report.
     pub holder: String,
     /// The store's steady clock at that write, in milliseconds.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub written_at: u64,
     /// Whether the report was accepted or given up.
-    pub sent: bool,
+    #[serde(rename = "sent")]
+    pub closed: bool,
 }
 
 /// Returns the row id of a window's report.
 #[must_use]
-pub fn report(window: Window) -> RowId {
-    RowId::new(REPORTS, "", &key_prefix(window))
+pub fn report_row(window: Window) -> RowId {
+    RowId::new(REPORTS_TABLE, "", &key_prefix(window))
 }
 
 /// The next action of a holder.
@@ -73,8 +75,8 @@
 /// The reports in the store, as known to the holder of the duty.
 #[derive(Clone, Debug)]
 pub struct Reports {
-    terms: Terms,
-    stored: BTreeMap<Window, Kept>,
+    timing: ReportTiming,
+    stored: BTreeMap<Window, StoredReport>,
     /// The first window to report if no report is stored.
     first_window: Window,
 }
@@ -83,17 +85,17 @@
     /// Creates the state of a new holder without any stored report, at the time of day
     /// `now`.
     #[must_use]
-    pub fn new(terms: Terms, now: Duration) -> Self {
+    pub fn new(timing: ReportTiming, now: Duration) -> Self {
         Self {
-            terms,
+            timing,
             stored: BTreeMap::new(),
             // Counts of this time may not be in the store yet.
-            first_window: terms.windows.at(now.saturating_sub(COLLECTION_DELAY)),
+            first_window: timing.windows.at(now.saturating_sub(COLLECTION_DELAY)),
         }
     }
 
     /// Adds a report that was read from the store, by the key of its row.
-    pub fn read(&mut self, key: &str, kept: Kept) {
+    pub fn load(&mut self, key: &str, kept: StoredReport) {
         if let Some(window) = parse_window(key) {
             self.stored.insert(window, kept);
         }
@@ -101,29 +103,29 @@
 
     /// Reports from the window of the first count in the store on, given by the key of its
     /// row. Requests are counted before any process has held the duty.
-    pub fn begin_with(&mut self, key: &str) {
+    pub fn start_from(&mut self, key: &str) {
         self.first_window =
             parse_window(key).map_or(self.first_window, |window| window.min(self.first_window));
     }
 
     /// Records a report that this process has written, and removes those past retention.
-    pub fn note(&mut self, window: Window, kept: Kept) {
+    pub fn record(&mut self, window: Window, kept: StoredReport) {
         self.stored.insert(window, kept);
-        let oldest = self.outlived(window);
+        let oldest = self.first_retained(window);
         self.stored.retain(|stored, _| *stored >= oldest);
     }
 
     /// Returns the report of a window.
     #[must_use]
-    pub fn get(&self, window: Window) -> Option<&Kept> {
+    pub fn get(&self, window: Window) -> Option<&StoredReport> {
         self.stored.get(&window)
     }
 
     /// Returns the first window that is still retained when this one is reported.
     #[must_use]
-    pub fn outlived(&self, window: Window) -> Window {
-        let end = self.terms.windows.end(window);
-        self.terms.windows.at(end.saturating_sub(RETENTION))
+    pub fn first_retained(&self, window: Window) -> Window {
+        let end = self.timing.windows.end(window);
+        self.timing.windows.at(end.saturating_sub(RETENTION))
     }
 
     /// Returns the time on the store's clock until which `holder` must not call, if another
@@ -133,24 +135,28 @@
     /// calls must not interleave with those of its successor at the platform, so the
     /// successor waits until none of them can arrive any more.
     #[must_use]
-    pub fn barred(&self, holder: &str) -> Option<Duration> {
-        let mut turns = Turns::new();
+    pub fn blocked_until(&self, holder: &str) -> Option<Duration> {
+        let mut records = OrderRecords::new();
         let others = self
             .stored
             .values()
             .filter(|report| report.holder != holder);
-        let last = others.max_by_key(|report| report.at)?;
-        turns.note(TURNS_KEY, &last.holder, Duration::from_millis(last.at));
-        turns.barred(TURNS_KEY, holder, self.terms.apart)
+        let last = others.max_by_key(|report| report.written_at)?;
+        records.record(
+            ORDERS_KEY,
+            &last.holder,
+            Duration::from_millis(last.written_at),
+        );
+        records.blocked_until(ORDERS_KEY, holder, self.timing.call_gap)
     }
 
     /// Returns the next action at the time of day `now`. `store_back` is when the store
     /// became available again after its last outage.
     #[must_use]
-    pub fn next(&self, now: Duration, store_back: Option<Duration>) -> Step {
-        let mut open = self.stored.iter().filter(|(_, report)| !report.sent);
+    pub fn next_step(&self, now: Duration, store_back: Option<Duration>) -> Step {
+        let mut open = self.stored.iter().filter(|(_, report)| !report.closed);
         if let Some((window, _)) = open.next() {
-            let delay = now.saturating_sub(self.terms.windows.end(*window));
+            let delay = now.saturating_sub(self.timing.windows.end(*window));
             return if delay > MAX_REPORT_DELAY {
                 Step::GiveUp(*window)
             } else {
@@ -160,7 +166,7 @@
         let last = self.stored.last_key_value();
         let next = last.map_or(self.first_window, |(window, _)| window.next());
         // Skips windows that became too late while no process held the duty.
-        let oldest = self.terms.windows.at(now.saturating_sub(MAX_REPORT_DELAY));
+        let oldest = self.timing.windows.at(now.saturating_sub(MAX_REPORT_DELAY));
         let next = next.max(oldest);
         let due = self.due(next, store_back);
         if due <= now {
@@ -172,24 +178,24 @@
 
     /// Returns the time of day at which the report of a window is made.
     fn due(&self, window: Window, store_back: Option<Duration>) -> Duration {
-        let end = self.terms.windows.end(window);
+        let end = self.timing.windows.end(window);
         let collected = end + COLLECTION_DELAY;
         let complete =
             store_back.map_or(collected, |back| collected.max(back + STORE_RECOVERY_DELAY));
         // Doesn't wait for counts that are written later: the report would be late.
-        complete.min(end + self.terms.late.saturating_sub(SEND_MARGIN))
+        complete.min(end + self.timing.deadline.saturating_sub(SEND_MARGIN))
     }
 }
 
-impl Kept {
+impl StoredReport {
     /// Creates a report that `holder` is about to send, at the store's time `now`.
     #[must_use]
     pub fn new(body: String, holder: &str, now: Duration) -> Self {
         Self {
             body,
             holder: holder.to_owned(),
-            at: millis(now),
-            sent: false,
+            written_at: millis(now),
+            closed: false,
         }
     }
 }
--- a/tests/gate_cases.rs
+++ b/tests/gate_cases.rs
@@ -6,7 +6,9 @@
 use self::gate_world::{EntryFrame, MAX_CHUNK_BYTES, Op, World};
 use hibiscusroad::{
     ErrorKind, Incarnation, Repeat, RequestId,
-    gate::{Admission, Ask, Frame, Gate, GateSpec, LinkKey, OrderRefusal, Standing, Step},
+    gate::{
+        Admission, AttemptState, Frame, Gate, GateLimits, LinkKey, OrderRefusal, StartRequest, Step,
+    },
 };
 use std::time::{Duration, Instant};
 
@@ -26,10 +28,10 @@
     }
 }
 
-fn start_request(now: Instant, seq: u64, repeat: Repeat) -> Ask {
+fn start_request(now: Instant, seq: u64, repeat: Repeat) -> StartRequest {
     let id = RequestId { origin: ENTRY, seq };
     let deadline = now + Duration::from_secs(9);
-    Ask {
+    StartRequest {
         id,
         deadline,
         repeat,
@@ -38,8 +40,8 @@
 
 /// Opens a link and delivers its first frame.
 fn open_link(gate: &mut Gate, now: Instant, entry: Incarnation, epoch: u64) -> LinkKey {
-    let link = gate.open(now, entry, epoch);
-    assert!(gate.heard(now, link));
+    let link = gate.open_link(now, entry, epoch);
+    assert!(gate.receive_frame(now, link));
     link
 }
 
@@ -111,12 +113,12 @@
 #[test]
 fn start_received_before_a_pause_is_refused() {
     let mut now = Instant::now();
-    let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
+    let mut gate = Gate::new(GateLimits::new(4, 1 << 20));
     let link = open_link(&mut gate, now, ENTRY, 1);
     now += Duration::from_secs(20);
-    assert!(!gate.heard(now, link));
+    assert!(!gate.receive_frame(now, link));
     assert_eq!(take_steps(&mut gate), [Step::Close { link, entry: ENTRY }]);
-    let late = gate.start(now, link, start_request(now, 1, Repeat::Free));
+    let late = gate.start(now, link, start_request(now, 1, Repeat::Idempotent));
     assert_eq!(late, Admission::Refused(ErrorKind::EndpointDown));
 }
 
@@ -127,9 +129,9 @@
     let now = Instant::now();
     let mut gate = Gate::new(gate_world::LIMITS);
     let old = open_link(&mut gate, now, ENTRY, 1);
-    let unused = gate.open(now, ENTRY, 2);
-    gate.lost(now, unused);
-    let call = start_request(now, 1, Repeat::Free);
+    let unused = gate.open_link(now, ENTRY, 2);
+    gate.remove_link(now, unused);
+    let call = start_request(now, 1, Repeat::Idempotent);
     assert_eq!(gate.start(now, old, call), Admission::Run);
 }
 
@@ -143,29 +145,29 @@
     for seq in 0..3 {
         retain_answer(&mut gate, now, link, seq);
     }
-    let new = start_request(now, 9, Repeat::Free);
+    let new = start_request(now, 9, Repeat::Idempotent);
     assert_eq!(gate.start(now, link, new), Admission::Run);
     take_steps(&mut gate);
-    gate.bytes(new.id, vec![0; 64].into());
+    gate.receive_bytes(new.id, vec![0; 64].into());
     let sent = take_steps(&mut gate);
     assert!(matches!(*sent, [Step::Send { .. }]), "{sent:?}");
     assert_eq!(
         gate.seal(now, start_request(now, 0, Repeat::Once).id),
-        Standing::Lost
+        AttemptState::Lost
     );
     assert_eq!(
         gate.seal(now, start_request(now, 2, Repeat::Once).id),
-        Standing::Done
+        AttemptState::Done
     );
 }
 
 fn retain_answer(gate: &mut Gate, now: Instant, link: LinkKey, seq: u64) {
     let now = now + Duration::from_millis(seq);
-    let ask = start_request(now, seq, Repeat::Once);
-    assert_eq!(gate.start(now, link, ask), Admission::Run);
-    gate.bytes(ask.id, vec![0; 80].into());
-    gate.finish(now, ask.id, Vec::new());
-    gate.ack(now, link, ask.id, 80, true);
+    let request = start_request(now, seq, Repeat::Once);
+    assert_eq!(gate.start(now, link, request), Admission::Run);
+    gate.receive_bytes(request.id, vec![0; 80].into());
+    gate.finish(now, request.id, Vec::new());
+    gate.ack(now, link, request.id, 80, true);
 }
 
 /// A request that may run only once, repeated through another entry, must be
@@ -176,10 +178,10 @@
     let mut gate = Gate::new(gate_world::LIMITS);
     let link = open_link(&mut gate, now, ENTRY, 1);
     retain_answer(&mut gate, now, link, 1);
-    gate.lost(now, link);
+    gate.remove_link(now, link);
     let other = open_link(&mut gate, now, Incarnation(2), 1);
     let id = start_request(now, 1, Repeat::Once).id;
-    assert_eq!(gate.seal(now, id), Standing::Done);
+    assert_eq!(gate.seal(now, id), AttemptState::Done);
     take_steps(&mut gate);
     gate.attach(now, other, id, 0);
     let sent = take_steps(&mut gate);
@@ -202,23 +204,35 @@
     let now = Instant::now();
     let mut gate = Gate::new(gate_world::LIMITS);
     let old = open_link(&mut gate, now, ENTRY, 1);
-    assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Unlearned));
-    gate.learn("rollout", 8);
-    assert_eq!(gate.order(old, "rollout", 7), Err(OrderRefusal::Fenced(8)));
-    assert_eq!(gate.order(old, "rollout", 8), Ok(()));
-    assert_eq!(gate.order(old, "rollout", 9), Ok(()));
-    assert_eq!(gate.order(old, "rollout", 8), Err(OrderRefusal::Fenced(9)));
-    assert_eq!(gate.order(old, "other", 1), Err(OrderRefusal::Unlearned));
-    let new = gate.open(now, ENTRY, 2);
-    assert_eq!(gate.order(old, "rollout", 9), Ok(()));
-    gate.heard(now, new);
     assert_eq!(
-        gate.order(old, "rollout", 9),
+        gate.admit_order(old, "rollout", 7),
+        Err(OrderRefusal::TokenUnknown)
+    );
+    gate.record_token("rollout", 8);
+    assert_eq!(
+        gate.admit_order(old, "rollout", 7),
+        Err(OrderRefusal::Fenced(8))
+    );
+    assert_eq!(gate.admit_order(old, "rollout", 8), Ok(()));
+    assert_eq!(gate.admit_order(old, "rollout", 9), Ok(()));
+    assert_eq!(
+        gate.admit_order(old, "rollout", 8),
+        Err(OrderRefusal::Fenced(9))
+    );
+    assert_eq!(
+        gate.admit_order(old, "other", 1),
+        Err(OrderRefusal::TokenUnknown)
+    );
+    let new = gate.open_link(now, ENTRY, 2);
+    assert_eq!(gate.admit_order(old, "rollout", 9), Ok(()));
+    gate.receive_frame(now, new);
+    assert_eq!(
+        gate.admit_order(old, "rollout", 9),
         Err(OrderRefusal::SupersededLink)
     );
-    assert_eq!(gate.order(new, "rollout", 9), Ok(()));
+    assert_eq!(gate.admit_order(new, "rollout", 9), Ok(()));
     for refusal in [
-        OrderRefusal::Unlearned,
+        OrderRefusal::TokenUnknown,
         OrderRefusal::Fenced(1),
         OrderRefusal::SupersededLink,
     ] {
@@ -231,19 +245,19 @@
 #[test]
 fn slow_reader_pauses_only_its_own_answer() {
     let now = Instant::now();
-    let mut gate = Gate::new(GateSpec::new(4, 1 << 20));
+    let mut gate = Gate::new(GateLimits::new(4, 1 << 20));
     let (slow, fast) = (
         open_link(&mut gate, now, ENTRY, 1),
         open_link(&mut gate, now, Incarnation(2), 1),
     );
-    let first = start_request(now, 1, Repeat::Free);
+    let first = start_request(now, 1, Repeat::Idempotent);
     let mut second = first;
     second.id.origin = Incarnation(2);
     assert_eq!(gate.start(now, slow, first), Admission::Run);
     assert_eq!(gate.start(now, fast, second), Admission::Run);
     for _ in 0..=(256 << 10) / MAX_CHUNK_BYTES {
-        gate.bytes(first.id, vec![0; 64].into());
-        gate.bytes(second.id, vec![0; 64].into());
+        gate.receive_bytes(first.id, vec![0; 64].into());
+        gate.receive_bytes(second.id, vec![0; 64].into());
         gate.ack(now, fast, second.id, u64::MAX, false);
     }
     let paused = take_steps(&mut gate);
--- a/tests/lease_race.rs
+++ b/tests/lease_race.rs
@@ -4,7 +4,7 @@
 //! time; its messages are delayed or get no answer, and it may be paused for up
 //! to 20 s without noticing.
 
-use hibiscusroad::lease::{Lease, Next, Row, Terms};
+use hibiscusroad::lease::{Lease, LeaseRow, LeaseTimes, NextAction};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -13,11 +13,11 @@
 
 #[derive(Default)]
 struct Table {
-    row: Option<(u64, Row)>,
+    row: Option<(u64, LeaseRow)>,
 }
 
 impl Table {
-    fn write(&mut self, version: u64, row: Row) -> Option<u64> {
+    fn write(&mut self, version: u64, row: LeaseRow) -> Option<u64> {
         let current = self.row.as_ref().map_or(0, |(version, _)| *version);
         if current != version {
             return None;
@@ -32,11 +32,11 @@
 struct Message {
     arrives_at: u32,
     answered_at: Option<u32>,
-    write: Option<(u64, Row)>,
+    write: Option<(u64, LeaseRow)>,
 }
 
 enum Answer {
-    Read(Option<(u64, Row)>),
+    Read(Option<(u64, LeaseRow)>),
     Written(Option<u64>),
 }
 
@@ -91,7 +91,7 @@
 impl World {
     fn new() -> Self {
         let candidate = |n| Candidate {
-            lease: Lease::new(&format!("entry-{n}"), Terms::new()),
+            lease: Lease::new(&format!("entry-{n}"), LeaseTimes::new()),
             pause_steps: 0,
             answer: None,
             times_out_at: 0,
@@ -113,8 +113,8 @@
 
     fn holders(&self) -> Vec<u64> {
         let now = self.now();
-        let fences = self.candidates.iter().map(|c| c.lease.fence(now));
-        fences.flatten().collect()
+        let tokens = self.candidates.iter().map(|c| c.lease.fencing_token(now));
+        tokens.flatten().collect()
     }
 
     fn advance(&mut self, faults: &[StepFaults]) {
@@ -155,22 +155,22 @@
                 let (_, answer) = candidate.answer.take().unwrap();
                 candidate.is_waiting = false;
                 match answer {
-                    Answer::Read(row) => candidate.lease.seen(now, row),
-                    Answer::Written(Some(version)) => candidate.lease.written(version),
-                    Answer::Written(None) => candidate.lease.beaten(),
+                    Answer::Read(row) => candidate.lease.record_read(now, row),
+                    Answer::Written(Some(version)) => candidate.lease.record_write(version),
+                    Answer::Written(None) => candidate.lease.record_conflict(),
                 }
             } else if step >= candidate.times_out_at {
                 candidate.is_waiting = false;
                 if candidate.is_writing {
-                    candidate.lease.lost(now);
+                    candidate.lease.record_failure(now);
                 }
             }
             return;
         }
-        let write = match candidate.lease.next(now) {
-            Next::Sleep(_) => return,
-            Next::Read => None,
-            Next::Write { version, row } => Some((version, row)),
+        let write = match candidate.lease.next_action(now) {
+            NextAction::Sleep(_) => return,
+            NextAction::Read => None,
+            NextAction::Write { version, row } => Some((version, row)),
         };
         candidate.is_waiting = true;
         candidate.is_writing = write.is_some();
@@ -200,14 +200,14 @@
     #[test]
     fn duty_has_at_most_one_holder(steps in prop::collection::vec(prop::collection::vec(step_faults(), CANDIDATES), 600)) {
         let mut world = World::new();
-        let mut fence = 0;
+        let mut fencing_token = 0;
         for faults in &steps {
             world.advance(faults);
             let holders = world.holders();
             prop_assert!(holders.len() <= 1, "{:?} hold at step {}", holders, world.step);
-            let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fence);
-            prop_assert!(seen >= fence, "the fencing token decreased");
-            fence = seen;
+            let seen = world.table.row.as_ref().map_or(0, |(_, row)| row.fencing_token);
+            prop_assert!(seen >= fencing_token, "the fencing token decreased");
+            fencing_token = seen;
         }
         let no_faults = [StepFaults { request_delay: 0, answer_delay: 0, answer_lost: false, pause_steps: 0 }; CANDIDATES];
         let max_steps = 200 + 60 + 2 * 60 + 20;
@@ -225,35 +225,35 @@
 fn repeated_first_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut first = Lease::new("entry-0", Terms::new());
-    let mut second = Lease::new("entry-1", Terms::new());
+    let mut first = Lease::new("entry-0", LeaseTimes::new());
+    let mut second = Lease::new("entry-1", LeaseTimes::new());
 
-    first.seen(at(0), None);
-    let Next::Write { version: 0, row } = first.next(at(0)) else {
+    first.record_read(at(0), None);
+    let NextAction::Write { version: 0, row } = first.next_action(at(0)) else {
         panic!("the row is free");
     };
-    first.lost(at(1500));
-    assert_eq!(first.next(at(2000)), Next::Read);
-    first.seen(at(2000), None);
-    second.seen(at(2100), Some((1, row.clone())));
+    first.record_failure(at(1500));
+    assert_eq!(first.next_action(at(2000)), NextAction::Read);
+    first.record_read(at(2000), None);
+    second.record_read(at(2100), Some((1, row.clone())));
 
     assert!(matches!(
-        first.next(at(7000)),
-        Next::Write { version: 0, .. }
+        first.next_action(at(7000)),
+        NextAction::Write { version: 0, .. }
     ));
-    first.beaten();
-    assert_eq!(first.next(at(7010)), Next::Read);
-    first.seen(at(7020), Some((1, row.clone())));
-    assert_eq!(first.fence(at(7020)), None);
+    first.record_conflict();
+    assert_eq!(first.next_action(at(7010)), NextAction::Read);
+    first.record_read(at(7020), Some((1, row.clone())));
+    assert_eq!(first.fencing_token(at(7020)), None);
 
-    second.seen(at(8050), Some((1, row)));
-    let Next::Write { version: 1, row } = second.next(at(8110)) else {
+    second.record_read(at(8050), Some((1, row)));
+    let NextAction::Write { version: 1, row } = second.next_action(at(8110)) else {
         panic!("the lease has expired");
     };
-    second.written(2);
-    assert_eq!(row.fence, 2);
-    assert_eq!(second.fence(at(8120)), Some(2));
-    assert_eq!(first.fence(at(8120)), None);
+    second.record_write(2);
+    assert_eq!(row.fencing_token, 2);
+    assert_eq!(second.fencing_token(at(8120)), Some(2));
+    assert_eq!(first.fencing_token(at(8120)), None);
 }
 
 // The same for the takeover of a dead holder's row, whose version the process
@@ -262,39 +262,39 @@
 fn repeated_takeover_write_holds_from_its_first_sending() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let dead = Row {
+    let dead = LeaseRow {
         holder: "entry-9".to_owned(),
-        fence: 4,
+        fencing_token: 4,
         renewals: 7,
     };
-    let mut first = Lease::new("entry-0", Terms::new());
-    let mut second = Lease::new("entry-1", Terms::new());
+    let mut first = Lease::new("entry-0", LeaseTimes::new());
+    let mut second = Lease::new("entry-1", LeaseTimes::new());
 
-    first.seen(at(0), Some((5, dead.clone())));
-    first.seen(at(5900), Some((5, dead.clone())));
-    let Next::Write { version: 5, row } = first.next(at(6000)) else {
+    first.record_read(at(0), Some((5, dead.clone())));
+    first.record_read(at(5900), Some((5, dead.clone())));
+    let NextAction::Write { version: 5, row } = first.next_action(at(6000)) else {
         panic!("the lease has expired");
     };
-    first.lost(at(7500));
+    first.record_failure(at(7500));
     for ms in [8000, 9900, 11_900, 13_900] {
-        first.seen(at(ms), Some((5, dead.clone())));
+        first.record_read(at(ms), Some((5, dead.clone())));
     }
-    second.seen(at(14_000), Some((6, row.clone())));
+    second.record_read(at(14_000), Some((6, row.clone())));
 
     assert!(matches!(
-        first.next(at(15_500)),
-        Next::Write { version: 5, .. }
+        first.next_action(at(15_500)),
+        NextAction::Write { version: 5, .. }
     ));
-    first.beaten();
-    first.seen(at(15_510), Some((6, row.clone())));
-    second.seen(at(19_900), Some((6, row)));
-    let Next::Write { version: 6, row } = second.next(at(20_000)) else {
+    first.record_conflict();
+    first.record_read(at(15_510), Some((6, row.clone())));
+    second.record_read(at(19_900), Some((6, row)));
+    let NextAction::Write { version: 6, row } = second.next_action(at(20_000)) else {
         panic!("the lease has expired");
     };
-    second.written(7);
-    assert_eq!(row.fence, 6);
-    assert_eq!(second.fence(at(20_010)), Some(6));
-    assert_eq!(first.fence(at(20_010)), None);
+    second.record_write(7);
+    assert_eq!(row.fencing_token, 6);
+    assert_eq!(second.fencing_token(at(20_010)), Some(6));
+    assert_eq!(first.fencing_token(at(20_010)), None);
 }
 
 // After an outage longer than the lease, the previous holder must not wait for its
@@ -303,30 +303,30 @@
 fn holder_reacquires_its_own_row_after_an_outage() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut holder = Lease::new("a/1", Terms::new().span(Duration::from_secs(3)));
-    assert_eq!(holder.next(start), Next::Read);
-    holder.seen(start, None);
-    let Next::Write { row, .. } = holder.next(start) else {
+    let mut holder = Lease::new("a/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
+    assert_eq!(holder.next_action(start), NextAction::Read);
+    holder.record_read(start, None);
+    let NextAction::Write { row, .. } = holder.next_action(start) else {
         panic!("a free duty is claimed");
     };
-    holder.written(7);
-    assert_eq!(holder.fence(at(100)), Some(1));
-    holder.lost(at(9_000));
-    assert_eq!(holder.fence(at(9_000)), None);
-    assert_eq!(holder.next(at(9_000)), Next::Read);
-    holder.seen(at(9_010), Some((7, row.clone())));
-    let Next::Write {
+    holder.record_write(7);
+    assert_eq!(holder.fencing_token(at(100)), Some(1));
+    holder.record_failure(at(9_000));
+    assert_eq!(holder.fencing_token(at(9_000)), None);
+    assert_eq!(holder.next_action(at(9_000)), NextAction::Read);
+    holder.record_read(at(9_010), Some((7, row.clone())));
+    let NextAction::Write {
         version,
         row: again,
-    } = holder.next(at(9_010))
+    } = holder.next_action(at(9_010))
     else {
         panic!("its own row is claimed");
     };
-    assert_eq!((version, again.fence), (7, 2));
-    let mut other = Lease::new("b/1", Terms::new().span(Duration::from_secs(3)));
-    assert_eq!(other.next(at(9_010)), Next::Read);
-    other.seen(at(9_010), Some((7, row)));
-    assert!(matches!(other.next(at(9_010)), Next::Sleep(_)));
+    assert_eq!((version, again.fencing_token), (7, 2));
+    let mut other = Lease::new("b/1", LeaseTimes::new().with_ttl(Duration::from_secs(3)));
+    assert_eq!(other.next_action(at(9_010)), NextAction::Read);
+    other.record_read(at(9_010), Some((7, row)));
+    assert!(matches!(other.next_action(at(9_010)), NextAction::Sleep(_)));
 }
 
 /// Two live processes that suspect each other, and the table between them.
@@ -338,7 +338,7 @@
 
 impl Contenders {
     fn new() -> Self {
-        let lease = |name| Lease::new(name, Terms::new());
+        let lease = |name| Lease::new(name, LeaseTimes::new());
         Self {
             now: Instant::now(),
             table: Table::default(),
@@ -350,31 +350,34 @@
     /// write is lost.
     fn act(&mut self, n: usize, answered: bool) {
         let lease = &mut self.leases[n];
-        match lease.next(self.now) {
-            Next::Sleep(_) => {}
-            Next::Read => lease.seen(self.now, self.table.row.clone()),
-            Next::Write { version, row } => match self.table.write(version, row) {
-                _ if !answered => lease.lost(self.now),
-                Some(version) => lease.written(version),
-                None => lease.beaten(),
+        match lease.next_action(self.now) {
+            NextAction::Sleep(_) => {}
+            NextAction::Read => lease.record_read(self.now, self.table.row.clone()),
+            NextAction::Write { version, row } => match self.table.write(version, row) {
+                _ if !answered => lease.record_failure(self.now),
+                Some(version) => lease.record_write(version),
+                None => lease.record_conflict(),
             },
         }
     }
 
     /// Lets both processes run for `duration`; returns how often the holder changed.
     fn advance(&mut self, duration: Duration) -> u64 {
-        let initial_fence = self.fence();
+        let initial_token = self.fencing_token();
         let end = self.now + duration;
         while self.now < end {
             self.now += STEP_DURATION;
             self.act(0, true);
             self.act(1, true);
         }
-        self.fence() - initial_fence
+        self.fencing_token() - initial_token
     }
 
-    fn fence(&self) -> u64 {
-        self.table.row.as_ref().map_or(0, |(_, row)| row.fence)
+    fn fencing_token(&self) -> u64 {
+        self.table
+            .row
+            .as_ref()
+            .map_or(0, |(_, row)| row.fencing_token)
     }
 }
 
@@ -384,11 +387,12 @@
 fn suspicion_ends_with_its_holding() {
     let mut contenders = Contenders::new();
     contenders.advance(Duration::from_secs(4));
-    let holder =
-        |contenders: &Contenders| usize::from(contenders.leases[1].fence(contenders.now).is_some());
+    let holder = |contenders: &Contenders| {
+        usize::from(contenders.leases[1].fencing_token(contenders.now).is_some())
+    };
     for suspicions in 1..=2 {
         let (old, new) = (holder(&contenders), 1 - holder(&contenders));
-        let held = contenders.leases[new].other().unwrap();
+        let held = contenders.leases[new].other_holding().unwrap();
         assert_eq!(held.holder, ["a/1", "b/1"][old]);
         contenders.leases[new].suspect(held);
         let changes = contenders.advance(Duration::from_secs(10));
@@ -405,12 +409,12 @@
     let mut contenders = Contenders::new();
     contenders.advance(Duration::from_secs(4));
     for n in [1, 0, 1] {
-        let before = contenders.fence();
-        let held = contenders.leases[n].other().unwrap();
+        let before = contenders.fencing_token();
+        let held = contenders.leases[n].other_holding().unwrap();
         contenders.leases[n].suspect(held);
         contenders.act(n, false);
         contenders.advance(Duration::from_secs(10));
-        assert_eq!(contenders.fence(), before + 1);
+        assert_eq!(contenders.fencing_token(), before + 1);
     }
     assert_eq!(contenders.advance(Duration::from_mins(1)), 0);
 }
--- a/tests/quarantine_load.rs
+++ b/tests/quarantine_load.rs
@@ -2,7 +2,8 @@
 //! are retried: how many endpoints end, and which requests are refused.
 
 use hibiscusroad::quarantine::{
-    AMBIGUITY_MARGIN, Crash, Fingerprint, Identity, KEEP, LIMIT, Ledger, Life, Verdict,
+    AMBIGUITY_MARGIN, CRASH_LIMIT, CRASH_TTL, Crash, EndpointIncarnation, Fingerprint, Identity,
+    Ledger, Verdict,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -86,7 +87,7 @@
         let mut world = Self {
             run_ms,
             rng: Pcg64::seed_from_u64(seed),
-            ledger: Ledger::new(LIMIT, KEEP),
+            ledger: Ledger::new(CRASH_LIMIT, CRASH_TTL),
             policy,
             up_at: [0; ENDPOINTS],
             restarts: [0; ENDPOINTS],
@@ -154,7 +155,7 @@
                 }
             }
             Phase::Running(_, end) if end <= now && run.request != CAUSE => {
-                self.ledger.forget(fingerprint(run.request));
+                self.ledger.remove_request(fingerprint(run.request));
                 self.totals.answered += 1;
                 return self.add_neighbour(now);
             }
@@ -175,9 +176,9 @@
             return;
         }
         self.totals.crashes += 1;
-        let incarnation = Life {
+        let incarnation = EndpointIncarnation {
             endpoint: format!("e{endpoint}"),
-            born: Some(self.restarts[endpoint] as u64),
+            started_ms: Some(self.restarts[endpoint] as u64),
         };
         for run in &mut self.runs {
             let Phase::Running(running_at, _) = run.phase else {
@@ -187,7 +188,7 @@
                 run.phase = Phase::Waiting(now + START_DELAY_MS);
                 self.ledger.add(Crash {
                     request: fingerprint(run.request),
-                    life: incarnation.clone(),
+                    incarnation: incarnation.clone(),
                     at: std::time::Duration::from_millis(now),
                     path: String::new(),
                 });
@@ -204,7 +205,7 @@
 }
 
 fn allow_by_count(ledger: &Ledger, request: Fingerprint) -> bool {
-    ledger.crashes_of(request).count() < LIMIT
+    ledger.crashes_of(request).count() < CRASH_LIMIT
 }
 
 fn allow_all(_ledger: &Ledger, _request: Fingerprint) -> bool {
@@ -229,7 +230,7 @@
     for run_ms in [SHORT_RUN_MS, LONG_RUN_MS] {
         let attributed = simulate_all(&run_ms, allow_by_verdict);
         // Calls with the cause may be in flight when the limit is reached.
-        let max_crashes = LIMIT + AMBIGUITY_MARGIN + 2;
+        let max_crashes = CRASH_LIMIT + AMBIGUITY_MARGIN + 2;
         assert!(
             attributed.crashes <= usize::try_from(SEEDS).unwrap() * max_crashes,
             "{attributed:?}"
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -3,17 +3,17 @@
 use hibiscusroad::{
     catalog::{Catalog, Kind, Limits, Route, Share},
     rollout::{row, text::Piece},
-    roster::{Endpoint, News, REREGISTRATION_GRACE, Roster},
+    roster::{Endpoint, EndpointChange, REREGISTRATION_GRACE, Roster},
 };
 use std::time::{Duration, Instant};
 
 fn endpoint(id: &str) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
-        born: None,
+        started_ms: None,
         service: "desk".to_owned(),
         address: "127.0.0.1:80".parse().unwrap(),
-        place: "senec".to_owned(),
+        data_centre: "senec".to_owned(),
         slots: 6,
         leaving: false,
         cold: false,
@@ -21,17 +21,17 @@
     }
 }
 
-fn gone(id: &str) -> News {
-    News::Gone(id.to_owned())
+fn removed(id: &str) -> EndpointChange {
+    EndpointChange::Removed(id.to_owned())
 }
 
 #[test]
 fn removed_endpoint_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
-    assert_eq!(roster.set(endpoint("a")).len(), 1);
-    assert!(roster.set(endpoint("a")).is_empty(), "nothing changed");
-    assert_eq!(roster.remove(now, "a"), Some(gone("a")));
+    assert_eq!(roster.update(endpoint("a")).len(), 1);
+    assert!(roster.update(endpoint("a")).is_empty(), "nothing changed");
+    assert_eq!(roster.remove(now, "a"), Some(removed("a")));
     assert_eq!(roster.remove(now, "a"), None);
 }
 
@@ -41,14 +41,14 @@
     let now = Instant::now();
     let mut roster = Roster::new();
     roster.replace(now, vec![endpoint("a"), endpoint("b")]);
-    roster.store_back(now);
+    roster.record_recovery(now);
     assert!(roster.replace(now, Vec::new()).is_empty());
     assert_eq!(roster.iter().count(), 2);
     let later = now + Duration::from_secs(1);
-    assert!(roster.set(endpoint("a")).is_empty());
-    assert!(roster.tick(later).is_empty());
+    assert!(roster.update(endpoint("a")).is_empty());
+    assert!(roster.expire(later).is_empty());
     assert_eq!(roster.next_due(), Some(now + REREGISTRATION_GRACE));
-    assert_eq!(roster.tick(now + REREGISTRATION_GRACE), [gone("b")]);
+    assert_eq!(roster.expire(now + REREGISTRATION_GRACE), [removed("b")]);
     assert!(roster.get("a").is_some());
 }
 
@@ -56,11 +56,11 @@
 fn endpoint_removed_after_the_grace_period_is_dropped_at_once() {
     let now = Instant::now();
     let mut roster = Roster::new();
-    roster.set(endpoint("a"));
-    roster.store_back(now);
+    roster.update(endpoint("a"));
+    roster.record_recovery(now);
     assert_eq!(
         roster.remove(now + REREGISTRATION_GRACE, "a"),
-        Some(gone("a"))
+        Some(removed("a"))
     );
 }
 
@@ -72,13 +72,13 @@
         prefix: prefix.to_owned(),
         kind: Kind::Idempotent,
         timeout: None,
-        target: None,
+        target_latency: None,
         priority: 0,
         shares: Vec::new(),
-        attempts: 1,
+        max_attempts: 1,
         due: None,
-        ttl: None,
-        single: false,
+        item_ttl: None,
+        single_version: false,
         public: false,
     };
     let routes = vec![
@@ -107,13 +107,13 @@
         prefix: String::new(),
         kind: Kind::Once,
         timeout: None,
-        target: None,
+        target_latency: None,
         priority: 0,
         shares: vec![share("a", 90.0), share("b", 0.0), share("c", 10.0)],
-        attempts: 1,
+        max_attempts: 1,
         due: None,
-        ttl: None,
-        single: false,
+        item_ttl: None,
+        single_version: false,
         public: false,
     };
     let count = |name: &str| {
@@ -147,25 +147,28 @@
     assert!(keys.is_sorted(), "{keys:?}");
     assert!(
         keys.iter()
-            .all(|key| row::piece_item("b", key) == Some(("item/1", "")))
+            .all(|key| row::parse_piece_key("b", key) == Some(("item/1", "")))
     );
     assert!(row::buckets().any(|bucket| bucket == row::bucket("b")));
 }
 
 // Guards against attributing the state of a crashed engine to its next incarnation.
 #[test]
-fn restarted_endpoint_is_reported_as_gone_and_new() {
+fn restarted_endpoint_is_reported_as_removed_and_updated() {
     let mut roster = Roster::new();
-    let incarnation = |born: u64| Endpoint {
-        born: Some(born),
+    let incarnation = |started_ms: u64| Endpoint {
+        started_ms: Some(started_ms),
         ..endpoint("a")
     };
-    assert_eq!(roster.set(incarnation(7)), [News::Seen(incarnation(7))]);
-    let gone = News::Gone("a".to_owned());
     assert_eq!(
-        roster.set(incarnation(9)),
-        [gone, News::Seen(incarnation(9))]
+        roster.update(incarnation(7)),
+        [EndpointChange::Updated(incarnation(7))]
     );
-    assert!(roster.set(incarnation(7)).is_empty());
+    let removed = EndpointChange::Removed("a".to_owned());
+    assert_eq!(
+        roster.update(incarnation(9)),
+        [removed, EndpointChange::Updated(incarnation(9))]
+    );
+    assert!(roster.update(incarnation(7)).is_empty());
     assert_eq!(roster.get("a"), Some(&incarnation(9)));
 }
--- a/tests/train_world/mod.rs
+++ b/tests/train_world/mod.rs
@@ -7,8 +7,8 @@
 use hibiscusroad::{
     ErrorKind,
     train::{
-        Answer, Batch, Counts, Event, GenKey, Head, Prefix, Record, Row, RowName, Run, Slot, Span,
-        Spec, Step, Ticket, Write,
+        Action, Answer, Batch, Counts, Event, GenerationKey, Head, Prefix, Record, Row, RowName,
+        Run, Slot, Span, Spec, Ticket, Write,
     },
 };
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,11 @@
     time::{Duration, Instant},
 };
 
-pub const SPEC: Spec = Spec::new().size(2).groups(2).bound(2).hedge_share(0.3);
+pub const SPEC: Spec = Spec::new()
+    .group_size(2)
+    .step_groups(2)
+    .max_staleness(2)
+    .hedge_share(0.3);
 const TICK: Duration = Duration::from_millis(500);
 const OWNER: u64 = 7;
 const ENGINE_COUNT: usize = 3;
@@ -35,7 +39,7 @@
 
 impl Table {
     fn commit(&mut self, write: &Write) -> bool {
-        if write.expect != self.version {
+        if write.expected_version != self.version {
             return false;
         }
         if let Some(head) = &self.head {
@@ -67,7 +71,7 @@
     // bound.
     fn check_deletion(&self, name: &RowName, head: &Head) {
         if let Some(Row::Sample(record)) = self.rows.get(name) {
-            let is_stale = record.oldest().unwrap() + SPEC.bound < head.version;
+            let is_stale = record.oldest_version().unwrap() + SPEC.max_staleness < head.version;
             assert!(
                 is_stale || head.is_delivered(record.slot.group),
                 "a sample was lost"
@@ -93,7 +97,7 @@
 
 struct Job {
     holder: usize,
-    key: GenKey,
+    key: GenerationKey,
     engine: usize,
     /// The version that generated each token of the sample.
     token_versions: Vec<u64>,
@@ -109,7 +113,7 @@
     /// The tick at which the call in flight times out.
     call_deadline: Option<u32>,
     inbox: Vec<(u32, Event)>,
-    scoring: Vec<GenKey>,
+    scoring: Vec<GenerationKey>,
     alive: bool,
 }
 
@@ -134,8 +138,8 @@
     messages: Vec<Message>,
     jobs: Vec<Job>,
     /// The token versions of ended jobs, by holder and generation.
-    ended_jobs: BTreeMap<(usize, GenKey), Vec<u64>>,
-    /// The token versions of stored samples, by fencing number and serial number.
+    ended_jobs: BTreeMap<(usize, GenerationKey), Vec<u64>>,
+    /// The token versions of stored samples, by fencing token and serial number.
     stored_samples: BTreeMap<(u64, u64), Vec<u64>>,
     /// The version of each engine.
     engines: Vec<u64>,
@@ -200,7 +204,7 @@
     fn take_over(&mut self) {
         let fence = self.holders.len() as u64 + 1;
         let mut run = Run::new(SPEC, OWNER, 0, fence);
-        run.handle(self.now(), Event::Share(12));
+        run.handle(self.now(), Event::LimitChanged(12));
         self.holders.push(Holder {
             run,
             fence,
@@ -335,7 +339,7 @@
                         self.check_written(&write);
                         Event::Committed
                     } else {
-                        Event::Lost
+                        Event::CallFailed
                     }
                 }
             };
@@ -382,7 +386,7 @@
         {
             // The call times out; its answer is lost.
             holder.call_deadline = None;
-            holder.inbox.push((self.tick, Event::Lost));
+            holder.inbox.push((self.tick, Event::CallFailed));
         }
         let (now, tick) = (self.now(), self.tick);
         let holder = &mut self.holders[n];
@@ -392,11 +396,11 @@
         holder.inbox = later;
         for (_, event) in due {
             self.holders[n].run.handle(now, event);
-            self.run_steps(n);
+            self.run_actions(n);
         }
         for key in std::mem::take(&mut self.holders[n].scoring) {
             let event = if self.chance(0.1) {
-                Event::ScoreLost(key)
+                Event::ScoreFailed(key)
             } else {
                 Event::Scored {
                     generation: key,
@@ -406,24 +410,24 @@
             self.send_event(n, event);
         }
         self.holders[n].run.handle(now, Event::Tick);
-        self.run_steps(n);
+        self.run_actions(n);
     }
 
-    fn run_steps(&mut self, n: usize) {
-        while let Some(step) = self.holders[n].run.next_step() {
-            match step {
-                Step::ReadHead => self.send_call(n, Call::ReadHead),
-                Step::ReadRows => self.send_call(n, Call::ReadRows),
-                Step::Write(write) => self.send_call(n, Call::Write(write)),
-                Step::Start {
+    fn run_actions(&mut self, n: usize) {
+        while let Some(action) = self.holders[n].run.next_action() {
+            match action {
+                Action::ReadHead => self.send_call(n, Call::ReadHead),
+                Action::ReadRows => self.send_call(n, Call::ReadRows),
+                Action::Write(write) => self.send_call(n, Call::Write(write)),
+                Action::Start {
                     generation, prefix, ..
                 } => {
                     self.start_job(n, generation, prefix);
                 }
-                Step::Raise(_) | Step::Release(_) => {}
-                Step::Cancel(key) => self.cancel_job(n, key),
-                Step::Score { generation, .. } => self.store_sample(n, generation),
-                Step::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
+                Action::Prioritize(_) | Action::DiscardTexts(_) => {}
+                Action::Cancel(key) => self.cancel_job(n, key),
+                Action::Score { generation, .. } => self.store_sample(n, generation),
+                Action::Answer(ticket, answer) => self.handle_answer(ticket, &answer),
             }
         }
     }
@@ -457,7 +461,7 @@
         });
     }
 
-    fn start_job(&mut self, n: usize, key: GenKey, prefix: Option<Prefix>) {
+    fn start_job(&mut self, n: usize, key: GenerationKey, prefix: Option<Prefix>) {
         let mut token_versions =
             prefix.map_or_else(Vec::new, |p| self.token_versions(n, p.generation));
         let prefix_len = prefix.map_or(0, |p| usize::try_from(p.tokens).unwrap());
@@ -481,7 +485,7 @@
         });
     }
 
-    fn token_versions(&self, n: usize, key: GenKey) -> Vec<u64> {
+    fn token_versions(&self, n: usize, key: GenerationKey) -> Vec<u64> {
         let job = self
             .jobs
             .iter()
@@ -490,7 +494,7 @@
         job.map_or_else(ended_job, |job| job.token_versions.clone())
     }
 
-    fn cancel_job(&mut self, n: usize, key: GenKey) {
+    fn cancel_job(&mut self, n: usize, key: GenerationKey) {
         let position = self
             .jobs
             .iter()
@@ -502,7 +506,7 @@
     }
 
     /// Stores a finished sample and starts its scoring.
-    fn store_sample(&mut self, n: usize, key: GenKey) {
+    fn store_sample(&mut self, n: usize, key: GenerationKey) {
         let token_versions = self.ended_jobs[&(n, key)].clone();
         let serial = self.holders[n].run.serial_of(key).unwrap();
         self.stored_samples
@@ -570,7 +574,7 @@
         }
         match answer {
             Answer::Batch(_) => self.trainer.has_batch = true,
-            Answer::Noted if self.trainer.has_batch => {
+            Answer::Recorded if self.trainer.has_batch => {
                 self.trainer.cursor += 1;
                 self.trainer.max_cursor = self.trainer.max_cursor.max(self.trainer.cursor);
                 self.trainer.has_batch = false;
@@ -596,15 +600,15 @@
         for record in &batch.records {
             let earlier_cursor = self.trainer.delivered.insert(record.slot, batch.cursor);
             assert_eq!(earlier_cursor, None, "a sample is in two batches");
-            let oldest = record.oldest().unwrap();
+            let oldest = record.oldest_version().unwrap();
             assert!(
-                oldest + SPEC.bound >= self.trainer.version,
+                oldest + SPEC.max_staleness >= self.trainer.version,
                 "a sample exceeds the staleness bound"
             );
         }
         assert_eq!(
             batch.records.len(),
-            usize::try_from(SPEC.size * SPEC.groups).unwrap()
+            usize::try_from(SPEC.group_size * SPEC.step_groups).unwrap()
         );
         self.trainer.batches.insert(batch.cursor, batch.clone());
     }
