--- a/hibiscusroad-daemon/src/side/event.rs
+++ b/hibiscusroad-daemon/src/side/event.rs
@@ -16,18 +16,18 @@
 /// An event for the actor.
 #[derive(Debug)]
 pub enum Event {
-    /// An entry opened a link.
+    /// An entry opened a stream.
     Open {
         /// The entry's Hello.
         hello: Hello,
         /// Queue of frames to it.
         out: Outbound,
-        /// Receives the key of the link.
+        /// Receives the key of the stream.
         reply: oneshot::Sender<LinkKey>,
     },
-    /// A frame arrived on a link.
+    /// A frame arrived on a stream.
     Frame(LinkKey, Inbound),
-    /// A link was lost.
+    /// A stream was lost.
     Lost(LinkKey),
     /// The endpoint sent the status and headers of an answer.
     Head(RequestId, Head),
@@ -46,7 +46,7 @@
     OrderEnded {
         /// The worker.
         worker: WorkerKey,
-        /// The link on which it arrived.
+        /// The stream on which it arrived.
         link: LinkKey,
         /// The entry's sequence number of it.
         seq: u64,
--- a/hibiscusroad-daemon/src/side/request.rs
+++ b/hibiscusroad-daemon/src/side/request.rs
@@ -69,14 +69,14 @@
     Order(Box<Order>),
 }
 
-/// An entry's description of itself when it opens a link.
+/// An entry's description of itself when it opens a stream.
 #[derive(Clone, Debug)]
 pub struct Hello {
     /// The entry's name.
     pub entry: String,
     /// The entry's incarnation.
     pub incarnation: hibiscusroad::Incarnation,
-    /// Sequence number of the link in this incarnation.
+    /// Sequence number of the stream in this incarnation.
     pub epoch: u64,
     /// Version of the entry's configuration.
     pub config_version: u64,
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -24,7 +24,7 @@
     HelloOrder,
 }
 
-/// Reads the first frame of a link.
+/// Reads the first frame of a stream.
 ///
 /// # Errors
 ///
