--- a/hibiscusroad-daemon/src/side/call.rs
+++ b/hibiscusroad-daemon/src/side/call.rs
@@ -85,11 +85,11 @@
 /// only if nothing was sent.
 pub fn send_request(
     context: CallContext<'_>,
-    ask: StartRequest,
+    attempt: StartRequest,
     http: Http,
 ) -> Result<Vec<VersionRun>, ErrorKind> {
-    let remaining = ask.deadline.saturating_duration_since(Instant::now());
-    let timeout = match ask.repeat {
+    let remaining = attempt.deadline.saturating_duration_since(Instant::now());
+    let timeout = match attempt.repeat {
         Repeat::Idempotent => remaining,
         Repeat::Once => remaining.max(MIN_ONCE_TIMEOUT),
     };
@@ -102,8 +102,8 @@
         status: parts.status.as_u16(),
         headers: end_to_end(&parts.headers),
     };
-    send_event(context.events, Event::Head(ask.id, head))?;
-    let mut reader = AnswerReader::new(context, ask.id, is_stream);
+    send_event(context.events, Event::Head(attempt.id, head))?;
+    let mut reader = AnswerReader::new(context, attempt.id, is_stream);
     reader.forward(body)?;
     reader.finish(has_framing)
 }
--- a/hibiscusroad-daemon/src/side/pool.rs
+++ b/hibiscusroad-daemon/src/side/pool.rs
@@ -79,7 +79,7 @@
     ///
     /// Returns a kind that says "not run" if no worker is available.
     pub fn start_call(&mut self, now: Instant, request: Box<Request>) -> Result<(), ErrorKind> {
-        let id = request.ask.id;
+        let id = request.attempt.id;
         let throttle = Arc::new(Throttle::default());
         self.assign(now, Job::Call(request, Arc::clone(&throttle)))?;
         self.throttles.insert(id, throttle);
@@ -207,7 +207,7 @@
 /// reused one just as the request is sent, and the call would then count as "may
 /// have run" although it never arrived.
 fn agent_for(request: &Request, shared: &Agent) -> Agent {
-    match request.ask.repeat {
+    match request.attempt.repeat {
         Repeat::Idempotent => shared.clone(),
         Repeat::Once => call::new_agent(),
     }
@@ -218,10 +218,10 @@
     match job {
         Job::Call(request, _) => Event::Ended {
             worker,
-            id: request.ask.id,
+            id: request.attempt.id,
             outcome: catch_panic(|| {
                 if context.throttle.attach_agent(context.agent) {
-                    call::send_request(context, request.ask, request.http)
+                    call::send_request(context, request.attempt, request.http)
                 } else {
                     Err(ErrorKind::OutcomeUnknown)
                 }
--- a/hibiscusroad-daemon/src/side/request.rs
+++ b/hibiscusroad-daemon/src/side/request.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The attempt, its deadline and whether it may run more than once.
-    pub ask: StartRequest,
+    pub attempt: StartRequest,
     /// The HTTP request.
     pub http: Http,
 }
--- a/hibiscusroad-daemon/src/side/role.rs
+++ b/hibiscusroad-daemon/src/side/role.rs
@@ -214,8 +214,8 @@
     }
 
     fn start_call(&mut self, now: Instant, link: LinkKey, request: Box<Request>) {
-        let id = request.ask.id;
-        match self.gate.start(now, link, request.ask) {
+        let id = request.attempt.id;
+        match self.gate.start(now, link, request.attempt) {
             Admission::Run => {
                 if let Err(kind) = self.pool.start_call(now, request) {
                     self.gate.fail(now, id, kind);
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -78,7 +78,7 @@
         value: header.value,
     });
     Ok(Request {
-        ask: StartRequest {
+        attempt: StartRequest {
             id: id(start.id)?,
             deadline: now + remaining,
             repeat,
