--- a/hibiscusroad-daemon/src/entry/attempt.rs
+++ b/hibiscusroad-daemon/src/entry/attempt.rs
@@ -10,15 +10,15 @@
 
 /// How long an attempt that may be repeated waits for its side to come back
 /// before it counts as failed.
-pub(super) const PATIENCE: Duration = Duration::from_millis(300);
+pub(super) const RECONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The same for one of whose answer its caller has a part. A connection that was
 /// cut or fell silent is back within a second, a side that died never is: a
 /// stream stood still for its caller's whole deadline of 5 s.
-pub(super) const BEGUN_PATIENCE: Duration = Duration::from_secs(2);
+pub(super) const COMMITTED_RECONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often an attempt is asked for again without a new byte.
-const MOST_REPEATS: u32 = 3;
+const MAX_ATTACHES: u32 = 3;
 
 /// Where an attempt stands, seen from here.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,17 +41,17 @@
     pub(super) repeat: Repeat,
     pub(super) phase: Phase,
     /// Whether the side has said anything of it.
-    pub(super) heard: bool,
+    pub(super) frame_received: bool,
     /// Whether the connection to its side stands.
     pub(super) reachable: bool,
     pub(super) head: Option<Head>,
     pub(super) body: Vec<u8>,
     pub(super) assembly: Assembly,
     pub(super) acked: u64,
-    pub(super) pieces: u64,
+    pub(super) chunks: u64,
     /// Whether the answer was asked for and none of it has come since.
-    pub(super) asked: bool,
-    pub(super) repeats: u32,
+    pub(super) attach_pending: bool,
+    pub(super) attaches: u32,
 }
 
 pub(super) const fn wire_id(id: RequestId) -> Id {
@@ -61,7 +61,7 @@
     }
 }
 
-pub(super) fn own_id(id: Option<Id>) -> Option<RequestId> {
+pub(super) fn request_id(id: Option<Id>) -> Option<RequestId> {
     id.map(|id| RequestId {
         origin: Incarnation(id.origin),
         seq: id.seq,
@@ -70,13 +70,13 @@
 
 impl Tables {
     /// Sends a call to an endpoint, as a new attempt.
-    pub(super) fn start(&mut self, now: Instant, call: RequestId, endpoint: EndpointKey) {
+    pub(super) fn start_attempt(&mut self, now: Instant, call: RequestId, endpoint: EndpointKey) {
         let Some(row) = self.calls.get(&call) else {
             // The caller has its final answer already.
             self.router.cancel(now, call);
             return;
         };
-        if row.repeat == Repeat::Once && (row.ran || !row.attempts.is_empty()) {
+        if row.repeat == Repeat::Once && (row.may_have_run || !row.attempts.is_empty()) {
             // The router knows this rule too; a second run must not hang on
             // one check alone.
             log::error!(target: "calls", "A second run of {call} was stopped.");
@@ -136,7 +136,7 @@
             return;
         };
         row.attempts.push(id);
-        row.tries += 1;
+        row.attempt_count += 1;
         let attempt = Attempt {
             call,
             side,
@@ -144,15 +144,15 @@
             incarnation,
             repeat: row.repeat,
             phase: Phase::Sent,
-            heard: false,
+            frame_received: false,
             reachable: true,
             head: None,
             body: Vec::new(),
             assembly: Assembly::default(),
             acked: 0,
-            pieces: 0,
-            asked: false,
-            repeats: 0,
+            chunks: 0,
+            attach_pending: false,
+            attaches: 0,
         };
         self.attempts.insert(id, attempt);
         self.sides[side].attempts.insert(id);
@@ -165,7 +165,7 @@
     fn start_frame(&self, now: Instant, call: RequestId, id: RequestId) -> Start {
         let row = &self.calls[&call];
         let request = &row.request;
-        let left = row.deadline.saturating_duration_since(now).as_millis();
+        let remaining = row.deadline.saturating_duration_since(now).as_millis();
         let prompt = request.prompt.unwrap_or_default();
         Start {
             id: Some(wire_id(id)),
@@ -173,7 +173,7 @@
             path: request.path.clone(),
             headers: request.headers.clone(),
             body: request.body.clone(),
-            remaining_ms: u32::try_from(left).unwrap_or(u32::MAX),
+            remaining_ms: u32::try_from(remaining).unwrap_or(u32::MAX),
             class: request.class as u32,
             once: row.repeat == Repeat::Once,
             key: request.key.clone().unwrap_or_default(),
@@ -183,7 +183,7 @@
     }
 
     /// Ends what the router no longer wants at one endpoint.
-    pub(super) fn cancel(&mut self, call: RequestId, endpoint: EndpointKey) {
+    pub(super) fn cancel_attempt(&mut self, call: RequestId, endpoint: EndpointKey) {
         let Some(row) = self.calls.get_mut(&call) else {
             return;
         };
@@ -197,7 +197,7 @@
             let id = row.attempts.swap_remove(found);
             self.abandon(id, repeat);
         }
-        self.displace(call);
+        self.release_endpoint(call);
     }
 
     /// Forgets an attempt whose answer nobody waits for.
@@ -213,19 +213,19 @@
         }
         if repeat == Repeat::Idempotent {
             let id = Some(wire_id(id));
-            self.tell(attempt.side, Frame::Cancel(Cancel { id }));
+            self.send_frame(attempt.side, Frame::Cancel(Cancel { id }));
         }
     }
 
     /// Queues a frame for a side. A connection that takes no more is given up;
     /// what the frame was to say is said again on the next one.
-    pub(super) fn tell(&mut self, key: SideKey, frame: Frame) {
+    pub(super) fn send_frame(&mut self, key: SideKey, frame: Frame) {
         let Some(side) = self.sides.get_mut(key) else {
             return;
         };
         if side.link.as_ref().is_some_and(|link| !link.send(frame)) {
             log::warn!(target: "link", "The link to {} takes nothing any more.", side.name);
-            side.stuck = true;
+            side.queue_full = true;
         }
     }
 
@@ -234,9 +234,9 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.repeats += 1;
-        attempt.asked = true;
-        if attempt.repeats > MOST_REPEATS {
+        attempt.attaches += 1;
+        attempt.attach_pending = true;
+        if attempt.attaches > MAX_ATTACHES {
             return self.end_attempt(now, id, Outcome::Failed(ErrorKind::AnswerShort));
         }
         // Without the head, the beginning is needed too.
@@ -245,7 +245,7 @@
             None => 0,
         };
         let (side, id) = (attempt.side, Some(wire_id(id)));
-        self.tell(side, Frame::Attach(Attach { id, offset }));
+        self.send_frame(side, Frame::Attach(Attach { id, offset }));
     }
 
     /// Takes an attempt up again over a new connection.
@@ -254,18 +254,18 @@
             return;
         };
         attempt.reachable = true;
-        attempt.repeats = 0;
-        if attempt.heard {
+        attempt.attaches = 0;
+        if attempt.frame_received {
             attempt.phase = Phase::Sent;
             return self.attach(now, id);
         }
         attempt.phase = Phase::Sealing;
         let (side, id) = (attempt.side, Some(wire_id(id)));
-        self.tell(side, Frame::Seal(Seal { id }));
+        self.send_frame(side, Frame::Seal(Seal { id }));
     }
 
     /// Ends an attempt that nobody can say any more of.
-    pub(super) fn lose(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn fail_lost(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
@@ -281,8 +281,8 @@
     /// While the side is asked how an attempt stands, pieces of it may still
     /// come for an earlier call of this entry. They are sent again from the
     /// beginning once the side has said that there is an answer.
-    pub(super) fn find_open(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
-        let (id, attempt) = self.find(id)?;
+    pub(super) fn find_sent(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
+        let (id, attempt) = self.find_attempt(id)?;
         (attempt.phase == Phase::Sent).then_some((id, attempt))
     }
 
@@ -290,10 +290,10 @@
     ///
     /// Frames of attempts that ended, or of another life of this entry, find
     /// none and are dropped.
-    pub(super) fn find(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
-        let id = own_id(id)?;
+    pub(super) fn find_attempt(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
+        let id = request_id(id)?;
         let attempt = self.attempts.get_mut(&id)?;
-        attempt.heard = true;
+        attempt.frame_received = true;
         Some((id, attempt))
     }
 }
--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -7,7 +7,7 @@
 
 use crate::entry::{
     attempt::Attempt,
-    claim::{Keyed, keyed_not_run},
+    claim::{Keyed, mark_not_run},
     event::{Arrival, Head, Inbound, Part},
     tables::Tables,
     trace::Decision,
@@ -26,11 +26,11 @@
 /// The earliest and latest time to come back after a refusal that the entry
 /// itself decides. Callers that were refused in one moment shall not all come
 /// back in another.
-const COME_BACK: std::ops::RangeInclusive<u64> = 1..=3;
+const RETRY_AFTER_SECONDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 /// Draws when a caller is to come back.
-pub(super) fn come_back() -> Duration {
-    Duration::from_secs(rand::random_range(COME_BACK))
+pub(super) fn random_retry_after() -> Duration {
+    Duration::from_secs(rand::random_range(RETRY_AFTER_SECONDS))
 }
 
 /// One request of a caller.
@@ -42,7 +42,7 @@
     pub(super) deadline: Instant,
     pub(super) reply: Sender<Part>,
     /// Bytes of the answer that the caller has taken.
-    pub(super) taken: Arc<AtomicU64>,
+    pub(super) delivered: Arc<AtomicU64>,
     /// Its claim, if it carries an idempotency key and may not run twice.
     pub(super) keyed: Option<Keyed>,
     /// Attempts that have not ended.
@@ -50,14 +50,14 @@
     /// The attempt whose answer the caller has begun to get.
     pub(super) winner: Option<RequestId>,
     /// Attempts that were sent.
-    pub(super) tries: u32,
+    pub(super) attempt_count: u32,
     /// Whether an attempt that ended may have run.
-    pub(super) ran: bool,
+    pub(super) may_have_run: bool,
 }
 
 impl CallRow {
     /// Says whether it waits for the attempt of another request of its key.
-    pub(super) fn is_guest(&self) -> bool {
+    pub(super) fn follows_other(&self) -> bool {
         let keyed = self.keyed.as_ref();
         keyed.is_some_and(|keyed| keyed.request.follows_other())
     }
@@ -65,43 +65,45 @@
 
 impl Tables {
     /// Returns how long the callers of a service wait who don't say.
-    fn wait(&self, service: &str) -> Duration {
+    fn service_timeout(&self, service: &str) -> Duration {
         let document = self.config.newest();
         let service = document.services.get(service);
-        service.map_or(self.patience, |s| Duration::from_millis(s.rule.deadline_ms))
+        service.map_or(self.default_timeout, |s| {
+            Duration::from_millis(s.rule.deadline_ms)
+        })
     }
 
     /// Takes in a request.
-    pub(super) fn arrive(&mut self, now: Instant, arrival: Arrival) {
+    pub(super) fn accept_call(&mut self, now: Instant, arrival: Arrival) {
         let Arrival {
             id,
             request,
             arrived,
-            wait,
+            timeout,
             reply,
-            taken,
+            delivered,
         } = arrival;
         if self.known(&request.service).is_none() {
             let kind = self.unknown_service();
             self.count_unknown(kind);
-            let _ = reply.try_send(Part::Fail(kind, come_back()));
+            let _ = reply.try_send(Part::Fail(kind, random_retry_after()));
             return;
         }
         self.count_request(&request);
         let repeat = self.repeat(&request);
-        let deadline = arrived + wait.unwrap_or_else(|| self.wait(&request.service));
+        let deadline = arrived + timeout.unwrap_or_else(|| self.service_timeout(&request.service));
         let mut row = CallRow {
             request,
             repeat,
             arrived: now,
             deadline,
             reply,
-            taken,
+            delivered,
             keyed: None,
             attempts: Vec::new(),
             winner: None,
-            tries: 0,
-            ran: false,
+            attempt_count: 0,
+            may_have_run: false,
         };
         if repeat == Repeat::Once {
             row.keyed = Keyed::new(&row);
@@ -110,7 +112,7 @@
         self.calls.insert(id, row);
         self.deadlines.insert((deadline, id));
         self.trace(now, id, Decision::Arrived);
-        if key.is_none_or(|key| self.line_up(id, &key)) {
+        if key.is_none_or(|key| self.enqueue_keyed(id, &key)) {
             self.admit(now, id);
         }
     }
@@ -122,17 +124,17 @@
         };
         let request = &row.request;
         let Some(service) = self.known(&request.service) else {
-            return self.refuse(now, id, ErrorKind::UnknownService, come_back());
+            return self.refuse(now, id, ErrorKind::UnknownService, random_retry_after());
         };
         if self.refuse_quarantined(now, id) {
             return;
         }
         let row = &self.calls[&id];
         let request = &row.request;
-        let alone = self.crashes.verdict(now, row) != Verdict::Clear;
+        let quarantined = self.crashes.verdict(now, row) != Verdict::Clear;
         let mut call = Call::new(id, service, request.class, row.deadline)
             .repeat(row.repeat)
-            .no_hedge(alone);
+            .no_hedge(quarantined);
         if let Some(prompt) = request.prompt {
             call = call.tokens(prompt.tokens).prefix(prompt.prefix);
         }
@@ -150,7 +152,7 @@
             } else {
                 ErrorKind::Expired
             };
-            self.refuse(now, id, kind, come_back());
+            self.refuse(now, id, kind, random_retry_after());
         }
     }
 
@@ -159,7 +161,7 @@
         let Some(row) = self.calls.get(&id) else {
             return;
         };
-        let kind = self.truth(row, kind);
+        let kind = self.correct_not_run(row, kind);
         self.count_refused(&row.request, kind);
         let _ = row.reply.try_send(Part::Fail(kind, after));
         self.trace_refused(now, id, kind, after);
@@ -167,8 +169,8 @@
     }
 
     /// Replaces "not run" by what is known if an attempt may have run.
-    fn truth(&self, row: &CallRow, kind: ErrorKind) -> ErrorKind {
-        let may_have_run = row.ran || !row.attempts.is_empty();
+    fn correct_not_run(&self, row: &CallRow, kind: ErrorKind) -> ErrorKind {
+        let may_have_run = row.may_have_run || !row.attempts.is_empty();
         if !kind.answer().not_run || !may_have_run {
             return kind;
         }
@@ -178,15 +180,16 @@
                 _ => ErrorKind::EndpointBroken,
             };
         }
-        let cut_off = |id: &RequestId| self.attempts.get(id).is_none_or(|a| !a.reachable);
-        if kind == ErrorKind::Expired && !row.ran && !row.attempts.iter().any(cut_off) {
+        let unreachable = |id: &RequestId| self.attempts.get(id).is_none_or(|a| !a.reachable);
+        if kind == ErrorKind::Expired && !row.may_have_run && !row.attempts.iter().any(unreachable)
+        {
             return ErrorKind::TimedOut;
         }
         ErrorKind::OutcomeUnknown
     }
 
     /// Forgets a call whose caller has gone.
-    pub(super) fn left(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn caller_gone(&mut self, now: Instant, id: RequestId) {
         if let Some(row) = self.calls.get(&id) {
             self.count_left(row);
             self.trace(now, id, Decision::Left);
@@ -210,12 +213,12 @@
             self.abandon(attempt, row.repeat);
         }
         if let Some(keyed) = row.keyed {
-            self.leave_line(now, id, keyed);
+            self.dequeue_keyed(now, id, keyed);
         }
     }
 
     /// Hands a part of an answer to its caller; false if that is not possible.
-    pub(super) fn pass(&mut self, now: Instant, call: RequestId, part: Part) -> bool {
+    pub(super) fn send_part(&mut self, now: Instant, call: RequestId, part: Part) -> bool {
         let Some(row) = self.calls.get(&call) else {
             return false;
         };
@@ -223,11 +226,11 @@
             Ok(()) => true,
             Err(TrySendError::Full(_)) => {
                 log::info!(target: "callers", "The caller of {call} is too slow; it is cut off.");
-                self.left(now, call);
+                self.caller_gone(now, call);
                 false
             }
             Err(TrySendError::Disconnected(_)) => {
-                self.left(now, call);
+                self.caller_gone(now, call);
                 false
             }
         }
@@ -251,7 +254,7 @@
         for other in others.into_iter().filter(|other| *other != attempt) {
             self.abandon(other, repeat);
         }
-        self.pass(now, call, Part::Head(head))
+        self.send_part(now, call, Part::Head(head))
     }
 
     /// Ends an attempt and tells the router.
@@ -263,24 +266,24 @@
             side.attempts.remove(&id);
         }
         self.trace_ended(now, attempt.call, attempt.side, outcome);
-        self.note_crash(now, &attempt, outcome);
-        let broken = self.note_end(&attempt, id, outcome);
+        self.record_crash(now, &attempt, outcome);
+        let broken_kind = self.record_end(&attempt, id, outcome);
         let row = self.calls.get_mut(&attempt.call);
-        if row.as_ref().is_some_and(|row| row.is_guest()) {
-            return self.end_guest(now, &attempt, outcome);
+        if row.as_ref().is_some_and(|row| row.follows_other()) {
+            return self.end_followed(now, &attempt, outcome);
         }
         if let Outcome::NotRun(_) = outcome {
-            keyed_not_run(row);
+            mark_not_run(row);
         }
         self.router
             .finish(now, attempt.call, attempt.endpoint, outcome);
-        if let Some(kind) = broken {
+        if let Some(kind) = broken_kind {
             // Its caller has bytes of this attempt, so no other can go on.
-            self.refuse(now, attempt.call, kind, come_back());
+            self.refuse(now, attempt.call, kind, random_retry_after());
         }
     }
 
-    fn note_end(
+    fn record_end(
         &mut self,
         attempt: &Attempt,
         id: RequestId,
@@ -292,7 +295,7 @@
             Outcome::Answered => None,
             Outcome::NotRun(kind) => (row.winner == Some(id)).then_some(kind),
             Outcome::Failed(kind) => {
-                row.ran = true;
+                row.may_have_run = true;
                 (row.winner == Some(id)).then_some(kind)
             }
         }
--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -8,7 +8,7 @@
 use crate::{
     entry::{
         attempt::{Attempt, Phase, wire_id},
-        call::{CallRow, come_back},
+        call::{CallRow, random_retry_after},
         claims::Write,
         side::{Listing, SideKey},
         tables::Tables,
@@ -32,46 +32,46 @@
     pub(super) row: String,
     pub(super) request: KeyedRequest,
     /// The endpoint that the router chose.
-    slot: Option<(EndpointKey, SideKey)>,
+    selected: Option<(EndpointKey, SideKey)>,
 }
 
 impl Keyed {
     pub(super) fn new(row: &CallRow) -> Option<Self> {
         let request = &row.request;
         let key = request.key.as_ref()?;
-        let print = fingerprint(&request.method, &request.path, &request.body);
+        let digest = fingerprint(&request.method, &request.path, &request.body);
         Some(Self {
             row: row_key(&request.service, key),
-            request: KeyedRequest::new(print),
-            slot: None,
+            request: KeyedRequest::new(digest),
+            selected: None,
         })
     }
 }
 
 impl Tables {
     /// Puts a call in the row of its key; says whether it is its turn.
-    pub(super) fn line_up(&mut self, call: RequestId, key: &str) -> bool {
-        let line = self.keys.entry(key.to_owned()).or_default();
-        line.push_back(call);
-        line.len() == 1
+    pub(super) fn enqueue_keyed(&mut self, call: RequestId, key: &str) -> bool {
+        let queue = self.keys.entry(key.to_owned()).or_default();
+        queue.push_back(call);
+        queue.len() == 1
     }
 
     /// Says whether a call waits for another of its key.
     pub(super) fn waits_for_key(&self, call: RequestId) -> bool {
         let keyed = self.calls.get(&call).and_then(|row| row.keyed.as_ref());
-        let line = keyed.and_then(|keyed| self.keys.get(&keyed.row));
-        line.is_some_and(|line| line.front() != Some(&call))
+        let queue = keyed.and_then(|keyed| self.keys.get(&keyed.row));
+        queue.is_some_and(|queue| queue.front() != Some(&call))
     }
 
     /// Ends a call's claim and lets the next call of its key go on.
-    pub(super) fn leave_line(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
-        let Some(line) = self.keys.get_mut(&keyed.row) else {
+    pub(super) fn dequeue_keyed(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
+        let Some(queue) = self.keys.get_mut(&keyed.row) else {
             return;
         };
-        let first = line.front() == Some(&call);
-        line.retain(|other| *other != call);
-        let next = line.front().copied().filter(|_| first);
-        if line.is_empty() {
+        let is_first = queue.front() == Some(&call);
+        queue.retain(|other| *other != call);
+        let next = queue.front().copied().filter(|_| is_first);
+        if queue.is_empty() {
             self.keys.remove(&keyed.row);
         }
         if let Some(bytes) = keyed.request.into_stale_row() {
@@ -107,22 +107,22 @@
         let Some(keyed) = &mut row.keyed else {
             return;
         };
-        keyed.slot = Some((endpoint, key));
+        keyed.selected = Some((endpoint, key));
         let action = keyed.request.start_claim(claim);
-        self.act(now, call, action);
+        self.perform(now, call, action);
     }
 
     /// Notes that the router no longer wants a call at its endpoint.
-    pub(super) fn displace(&mut self, call: RequestId) {
+    pub(super) fn release_endpoint(&mut self, call: RequestId) {
         let row = self.calls.get_mut(&call);
         if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
-            keyed.slot = None;
+            keyed.selected = None;
             keyed.request.discard_claim();
         }
     }
 
     /// Takes in what became of the claim of `attempt`.
-    pub(super) fn claimed(
+    pub(super) fn apply_claim_outcome(
         &mut self,
         now: Instant,
         call: RequestId,
@@ -134,28 +134,33 @@
         let keyed = row.and_then(|row| row.keyed.as_mut());
         let action = keyed.and_then(|k| k.request.apply_outcome(attempt, outcome, wall_ms()));
         if let Some(action) = action {
-            self.act(now, call, action);
+            self.perform(now, call, action);
         }
     }
 
     /// Takes in what the side says of the attempt that a call asked for.
-    pub(super) fn fate(&mut self, now: Instant, call: RequestId, state: ReportedState) {
+    pub(super) fn apply_reported_state(
+        &mut self,
+        now: Instant,
+        call: RequestId,
+        state: ReportedState,
+    ) {
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
         if let Some(action) = keyed.and_then(|keyed| keyed.request.apply_state(state)) {
-            self.act(now, call, action);
+            self.perform(now, call, action);
         }
     }
 
-    fn act(&mut self, now: Instant, call: RequestId, action: Action) {
+    fn perform(&mut self, now: Instant, call: RequestId, action: Action) {
         match action {
             Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
-            Action::QuerySidecar(claim) => self.ask(now, call, &claim),
+            Action::QuerySidecar(claim) => self.query_sidecar(now, call, &claim),
             // The frame that said so asks for the answer.
             Action::Follow(_) => {}
             Action::SelectEndpoint => self.admit(now, call),
-            Action::Refuse(kind) => self.refuse(now, call, kind, come_back()),
+            Action::Refuse(kind) => self.refuse(now, call, kind, random_retry_after()),
         }
     }
 
@@ -181,7 +186,7 @@
             .try_send(Write::Claim(call, claim_write))
             .is_err()
         {
-            self.refuse(now, call, ErrorKind::HandoverFull, come_back());
+            self.refuse(now, call, ErrorKind::HandoverFull, random_retry_after());
         }
     }
 
@@ -192,13 +197,13 @@
         let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) else {
             return;
         };
-        let Some((endpoint, key)) = keyed.slot.take() else {
+        let Some((endpoint, key)) = keyed.selected.take() else {
             return;
         };
         let side = self.sides.get(key);
-        let there = side.is_some_and(|s| s.incarnation == claim.incarnation && s.takes_work());
-        if !there || !self.send_start(now, call, claim.attempt, key) {
-            keyed_not_run(self.calls.get_mut(&call));
+        let reachable = side.is_some_and(|s| s.incarnation == claim.incarnation && s.takes_work());
+        if !reachable || !self.send_start(now, call, claim.attempt, key) {
+            mark_not_run(self.calls.get_mut(&call));
             let outcome = Outcome::NotRun(ErrorKind::EndpointDown);
             return self.router.finish(now, call, endpoint, outcome);
         }
@@ -206,7 +211,7 @@
     }
 
     /// Asks the side that another's claim names how its attempt stands.
-    fn ask(&mut self, now: Instant, call: RequestId, claim: &Claim) {
+    fn query_sidecar(&mut self, now: Instant, call: RequestId, claim: &Claim) {
         // The router placed the call, but it won't run there.
         self.router.cancel(now, call);
         self.steps(now);
@@ -216,13 +221,13 @@
         let service = row.request.service.clone();
         let key = self
             .side(&service, &claim.endpoint)
-            .or_else(|| self.add_guest(now, &service, claim));
+            .or_else(|| self.add_query_only(now, &service, claim));
         let Some(key) = key else {
-            return self.fate(now, call, ReportedState::SidecarGone);
+            return self.apply_reported_state(now, call, ReportedState::SidecarGone);
         };
         let side = &self.sides[key];
         if side.link.is_some() && side.incarnation != claim.incarnation {
-            return self.fate(now, call, ReportedState::SidecarGone);
+            return self.apply_reported_state(now, call, ReportedState::SidecarGone);
         }
         let linked = side.link.is_some();
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
@@ -232,12 +237,12 @@
         }
         if linked {
             let id = Some(wire_id(claim.attempt));
-            self.tell(key, Frame::Seal(Seal { id }));
+            self.send_frame(key, Frame::Seal(Seal { id }));
         }
     }
 
     /// Adds a side that this entry sends no work to, only to ask it.
-    fn add_guest(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
+    fn add_query_only(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
             data_centre: String::new(),
@@ -249,22 +254,24 @@
         };
         self.add_side(now, &host);
         let key = self.side(service, &claim.endpoint)?;
-        self.sides[key].listing = Listing::Guest;
+        self.sides[key].listing = Listing::QueryOnly;
         Some(key)
     }
 
     /// Ends another's attempt that a call asked for or followed.
-    pub(super) fn end_guest(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
+    pub(super) fn end_followed(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {}
-            Outcome::NotRun(_) => self.fate(now, attempt.call, ReportedState::Sealed),
-            Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, come_back()),
+            Outcome::NotRun(_) => {
+                self.apply_reported_state(now, attempt.call, ReportedState::Sealed)
+            }
+            Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, random_retry_after()),
         }
     }
 }
 
 /// Notes that a call's own attempt surely never runs.
-pub(super) fn keyed_not_run(row: Option<&mut CallRow>) {
+pub(super) fn mark_not_run(row: Option<&mut CallRow>) {
     if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
         keyed.request.mark_not_run();
     }
--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -20,27 +20,27 @@
 
 /// Threads that write. One could gather all, but a slow write would then hold
 /// up every other claim.
-const WRITERS: usize = 2;
+const WRITER_THREADS: usize = 2;
 
 /// Claims that may wait for a writer.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// How often a claim is written before the table counts as down. Twice finds
 /// the own row after one lost answer.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 
 /// How long that may take, so that a table which says nothing at all costs a
 /// caller one time limit and not three.
-const PATIENCE: Duration = Duration::from_secs(1);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long the table counts as down after that without being asked again. A
 /// caller who comes in this time gets its refusal at once instead of waiting
 /// for the same silence.
-const DOWN: Duration = Duration::from_millis(500);
+const DOWN_PERIOD: Duration = Duration::from_millis(500);
 
 /// Waits between two tries.
-const FIRST_WAIT: Duration = Duration::from_millis(5);
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 /// What is to be written.
 #[derive(Debug)]
@@ -57,14 +57,14 @@
 ///
 /// Returns the system's error if there is no thread to be had.
 pub fn start(table: &Table, events: &Sender<Event>) -> io::Result<Sender<Write>> {
-    let (sender, queue) = flume::bounded(QUEUE);
-    for _ in 0..WRITERS {
+    let (sender, queue) = flume::bounded(QUEUE_CAPACITY);
+    for _ in 0..WRITER_THREADS {
         let writer = Writer {
             table: table.clone(),
             events: events.clone(),
             queue: queue.clone(),
-            left: Vec::new(),
-            down: None,
+            deferred: Vec::new(),
+            down_until: None,
         };
         thread::Builder::new()
             .name("claims".to_owned())
@@ -78,21 +78,21 @@
     events: Sender<Event>,
     queue: Receiver<Write>,
     /// What did not fit into the last batch.
-    left: Vec<Write>,
+    deferred: Vec<Write>,
     /// Until when the table counts as down.
-    down: Option<Instant>,
+    down_until: Option<Instant>,
 }
 
 impl Writer {
     fn run(mut self) {
-        while let Some(writes) = self.gather() {
+        while let Some(writes) = self.collect_batch() {
             self.write(writes);
         }
     }
 
     /// Waits for a write, and a moment for others.
-    fn gather(&mut self) -> Option<Vec<Write>> {
-        let mut writes = mem::take(&mut self.left);
+    fn collect_batch(&mut self) -> Option<Vec<Write>> {
+        let mut writes = mem::take(&mut self.deferred);
         if writes.is_empty() {
             writes.push(self.queue.recv().ok()?);
         }
@@ -115,44 +115,44 @@
                     let attempt = write.claim.attempt;
                     match batch.add(*write) {
                         None => calls.push((attempt, call)),
-                        Some(write) => self.left.push(Write::Claim(call, Box::new(write))),
+                        Some(write) => self.deferred.push(Write::Claim(call, Box::new(write))),
                     }
                 }
                 Write::Release(key, bytes) => self.release(key, bytes),
             }
         }
-        self.settle(batch, &calls);
+        self.commit_batch(batch, &calls);
     }
 
     /// Writes a batch until each claim in it is decided.
-    fn settle(&mut self, mut batch: Batch, calls: &[(RequestId, RequestId)]) {
+    fn commit_batch(&mut self, mut batch: Batch, calls: &[(RequestId, RequestId)]) {
         let start = Instant::now();
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let mut tries = 0;
         while !batch.writes().is_empty() {
             tries += 1;
-            let late = tries > TRIES || start.elapsed() > PATIENCE;
-            let answer = self.say(&batch, late);
+            let timed_out = tries > MAX_TRIES || start.elapsed() > RETRY_TIMEOUT;
+            let answer = self.transact(&batch, timed_out);
             if answer != TableAnswer::Unknown {
                 tries = 0;
             }
-            let unsure = answer == TableAnswer::Unknown;
+            let unknown = answer == TableAnswer::Unknown;
             for (write, outcome) in batch.apply(answer) {
-                self.tell(&write, outcome, calls);
+                self.report_outcome(&write, outcome, calls);
             }
-            if unsure {
+            if unknown {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
             }
         }
     }
 
-    fn say(&mut self, batch: &Batch, late: bool) -> TableAnswer {
-        if self.down.is_some_and(|until| Instant::now() < until) {
+    fn transact(&mut self, batch: &Batch, timed_out: bool) -> TableAnswer {
+        if self.down_until.is_some_and(|until| Instant::now() < until) {
             return TableAnswer::Down;
         }
-        if late {
+        if timed_out {
             log::warn!(target: "calls", "The table gives no answer; claims are refused.");
-            self.down = Some(Instant::now() + DOWN);
+            self.down_until = Some(Instant::now() + DOWN_PERIOD);
             return TableAnswer::Down;
         }
         match self.table.transact(&transaction(batch)) {
@@ -171,7 +171,12 @@
         }
     }
 
-    fn tell(&self, write: &ClaimWrite, outcome: ClaimOutcome, calls: &[(RequestId, RequestId)]) {
+    fn report_outcome(
+        &self,
+        write: &ClaimWrite,
+        outcome: ClaimOutcome,
+        calls: &[(RequestId, RequestId)],
+    ) {
         let attempt = write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
--- a/hibiscusroad-daemon/src/entry/event.rs
+++ b/hibiscusroad-daemon/src/entry/event.rs
@@ -94,11 +94,11 @@
     /// When it came.
     pub arrived: Instant,
     /// How long the caller waits, if it said so.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Where the answer goes.
     pub reply: Sender<Part>,
     /// Bytes of the answer that the caller has taken.
-    pub taken: Arc<AtomicU64>,
+    pub delivered: Arc<AtomicU64>,
 }
 
 /// Status and headers of an answer.
@@ -140,9 +140,9 @@
     /// A request came in.
     Arrive(Box<Arrival>),
     /// A caller took a good part of its answer.
-    Taken(RequestId),
+    Delivered(RequestId),
     /// A caller went away.
-    Left(RequestId),
+    CallerGone(RequestId),
     /// News from a link: its side, its epoch, and what happened.
     Link(SideKey, u64, LinkEvent),
     /// The host list was fetched.
--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -19,15 +19,15 @@
 ///
 /// While it is held back, a failure still becomes a clear problem, or another
 /// attempt; afterwards only a broken connection. Larger than common answers.
-const HELD_BACK: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Bytes between two acknowledgements of a long answer.
-pub(super) const ACK_EVERY: u64 = 64 << 10;
+pub(super) const ACK_INTERVAL_BYTES: u64 = 64 << 10;
 
 impl Tables {
     /// Takes in the head of an answer.
-    pub(super) fn head(&mut self, now: Instant, head: hibiscusroad_wire::Head) {
-        let Some((_, attempt)) = self.find_open(head.id) else {
+    pub(super) fn handle_head(&mut self, now: Instant, head: hibiscusroad_wire::Head) {
+        let Some((_, attempt)) = self.find_sent(head.id) else {
             return;
         };
         if attempt.head.is_some() {
@@ -40,48 +40,48 @@
             status: u16::try_from(head.status).unwrap_or(502),
             headers: head.headers,
         });
-        attempt.asked = false;
+        attempt.attach_pending = false;
         let (call, endpoint) = (attempt.call, attempt.endpoint);
         self.router.record_progress(now, call, endpoint, 0);
     }
 
     /// Takes in bytes of an answer.
-    pub(super) fn chunk(&mut self, now: Instant, chunk: Chunk) {
-        let Some((id, attempt)) = self.find_open(chunk.id) else {
+    pub(super) fn handle_chunk(&mut self, now: Instant, chunk: Chunk) {
+        let Some((id, attempt)) = self.find_sent(chunk.id) else {
             return;
         };
         // What was asked for follows on the same connection, in order; pieces
         // that come before it are left out and not asked for again.
-        let asked = attempt.asked;
+        let attach_pending = attempt.attach_pending;
         if attempt.head.is_none() {
-            if !asked {
+            if !attach_pending {
                 self.attach(now, id);
             }
             return;
         }
         match attempt.assembly.chunk(chunk.offset, chunk.data) {
-            Taken::Gap if !asked => self.attach(now, id),
+            Taken::Gap if !attach_pending => self.attach(now, id),
             Taken::Old | Taken::Gap => {}
-            Taken::New(data) => self.bytes(now, id, data),
+            Taken::New(data) => self.append(now, id, data),
         }
     }
 
-    fn bytes(&mut self, now: Instant, id: RequestId, data: Vec<u8>) {
+    fn append(&mut self, now: Instant, id: RequestId, data: Vec<u8>) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.repeats = 0;
-        attempt.asked = false;
-        attempt.pieces += 1;
-        let (call, endpoint, pieces) = (attempt.call, attempt.endpoint, attempt.pieces);
+        attempt.attaches = 0;
+        attempt.attach_pending = false;
+        attempt.chunks += 1;
+        let (call, endpoint, chunks) = (attempt.call, attempt.endpoint, attempt.chunks);
         // An engine sends a token a piece, so pieces count tokens well enough.
-        self.router.record_progress(now, call, endpoint, pieces);
+        self.router.record_progress(now, call, endpoint, chunks);
         self.acknowledge(id);
         let Some(row) = self.calls.get(&call) else {
             return;
         };
         if row.winner == Some(id) {
-            self.pass(now, call, Part::Data(data));
+            self.send_part(now, call, Part::Data(data));
             return;
         }
         let winner = row.winner;
@@ -89,12 +89,13 @@
             return;
         };
         attempt.body.extend(data);
-        let begins = attempt.body.len() > HELD_BACK || attempt.head.as_ref().is_some_and(is_stream);
-        if winner.is_none() && begins {
+        let commits =
+            attempt.body.len() > MAX_BUFFERED_BYTES || attempt.head.as_ref().is_some_and(is_stream);
+        if winner.is_none() && commits {
             let body = mem::take(&mut attempt.body);
             let head = attempt.head.clone().unwrap_or_default();
             if self.commit(now, id, head) {
-                self.pass(now, call, Part::Data(body));
+                self.send_part(now, call, Part::Data(body));
             }
         }
     }
@@ -111,16 +112,16 @@
             return;
         };
         let row = self.calls.get(&attempt.call);
-        let taken = row.filter(|row| row.winner == Some(id));
-        let taken = taken.map_or(u64::MAX, |row| row.taken.load(Ordering::Relaxed));
-        let offset = attempt.assembly.offset().min(taken);
-        if offset.saturating_sub(attempt.acked) < ACK_EVERY {
+        let committed = row.filter(|row| row.winner == Some(id));
+        let delivered = committed.map_or(u64::MAX, |row| row.delivered.load(Ordering::Relaxed));
+        let offset = attempt.assembly.offset().min(delivered);
+        if offset.saturating_sub(attempt.acked) < ACK_INTERVAL_BYTES {
             return;
         }
         attempt.acked = offset;
         let (side, id) = (attempt.side, Some(wire_id(id)));
         let done = false;
-        self.tell(side, Frame::Ack(Ack { id, offset, done }));
+        self.send_frame(side, Frame::Ack(Ack { id, offset, done }));
     }
 
     /// Acknowledges what a caller has taken of its answer.
@@ -141,13 +142,13 @@
     }
 
     /// Takes in the declared end of an answer.
-    pub(super) fn end(&mut self, now: Instant, end: &End) {
-        let Some((id, attempt)) = self.find_open(end.id) else {
+    pub(super) fn handle_end(&mut self, now: Instant, end: &End) {
+        let Some((id, attempt)) = self.find_sent(end.id) else {
             return;
         };
         let ending = attempt.assembly.end(end.length);
         match ending {
-            Ending::Whole if attempt.head.is_some() => self.whole(now, id),
+            Ending::Whole if attempt.head.is_some() => self.complete(now, id),
             Ending::Whole | Ending::Missing => self.attach(now, id),
             Ending::Excess => {
                 let outcome = Outcome::Failed(ErrorKind::EndpointBroken);
@@ -156,7 +157,7 @@
         }
     }
 
-    fn whole(&mut self, now: Instant, id: RequestId) {
+    fn complete(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -169,7 +170,7 @@
             offset,
             done: true,
         };
-        self.tell(side, Frame::Ack(ack));
+        self.send_frame(side, Frame::Ack(ack));
         let winner = self.calls.get(&call).and_then(|row| row.winner);
         let part = match winner {
             None => Part::Whole(head, body),
@@ -177,7 +178,7 @@
             // Another attempt's answer is on its way to the caller.
             Some(_) => return self.abandon(id, Repeat::Idempotent),
         };
-        if self.pass(now, call, part) {
+        if self.send_part(now, call, part) {
             self.end_attempt(now, id, Outcome::Answered);
             self.steps(now);
             if let Some(row) = self.calls.get(&call) {
@@ -189,8 +190,8 @@
     }
 
     /// Takes in the final word on an attempt that gave no answer.
-    pub(super) fn refused(&mut self, now: Instant, refused: &Refused) {
-        let Some((id, _)) = self.find(refused.id) else {
+    pub(super) fn handle_refused(&mut self, now: Instant, refused: &Refused) {
+        let Some((id, _)) = self.find_attempt(refused.id) else {
             return;
         };
         let kind = ErrorKind::from_problem(&refused.problem).unwrap_or(ErrorKind::EndpointBroken);
@@ -203,8 +204,8 @@
     }
 
     /// Takes in how an attempt stands, after it was asked for.
-    pub(super) fn standing(&mut self, now: Instant, standing: Standing) {
-        let Some((id, attempt)) = self.find(standing.id) else {
+    pub(super) fn handle_standing(&mut self, now: Instant, standing: Standing) {
+        let Some((id, attempt)) = self.find_attempt(standing.id) else {
             return;
         };
         let state = State::try_from(standing.state).unwrap_or(State::Unspecified);
@@ -218,10 +219,10 @@
                     attempt.phase = Phase::Sent;
                     let call = attempt.call;
                     self.attach(now, id);
-                    self.fate(now, call, ReportedState::Readable);
+                    self.apply_reported_state(now, call, ReportedState::Readable);
                 }
             }
-            State::Lost | State::Unspecified => self.lose(now, id),
+            State::Lost | State::Unspecified => self.fail_lost(now, id),
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/front/worker.rs
+++ b/hibiscusroad-daemon/src/entry/front/worker.rs
@@ -1,9 +1,9 @@
 //! Threads that each see one request through.
 
 use crate::entry::{
-    call::come_back,
+    call::random_retry_after,
     event::{Arrival, Event, Head, Inbound, Part},
-    frames::ACK_EVERY,
+    frames::ACK_INTERVAL_BYTES,
     front::{
         Guard, Job, Refusal, Shared,
         answer::{self, Pieces, Target},
@@ -64,7 +64,7 @@
     job.guard.0.count_refused(kind);
     let target = target(&job);
     let (mut out, _guard) = split(job);
-    if let Err(e) = answer::problem(&mut *out, target, kind, come_back()) {
+    if let Err(e) = answer::problem(&mut *out, target, kind, random_retry_after()) {
         log::debug!(target: "callers", "A refusal was not taken: {e}.");
     }
 }
@@ -95,7 +95,7 @@
     let length = job.request.body_length().unwrap_or_default();
     let interim = tiny_http::Response::empty(INTERIM);
     let mut stream = job.request.upgrade("none", interim);
-    if let Err(e) = answer::problem(&mut *stream, target, kind, come_back()) {
+    if let Err(e) = answer::problem(&mut *stream, target, kind, random_retry_after()) {
         log::debug!(target: "callers", "A refusal was not taken: {e}.");
     }
     drop(job.guard);
@@ -116,17 +116,17 @@
     (job.request.into_writer(), job.guard)
 }
 
-fn serve(job: Job, shared: &Shared, inbound: Inbound, wait: Option<Duration>) {
+fn serve(job: Job, shared: &Shared, inbound: Inbound, timeout: Option<Duration>) {
     let (reply, parts) = flume::bounded(PARTS);
-    let taken = Arc::new(AtomicU64::new(0));
+    let delivered = Arc::new(AtomicU64::new(0));
     let id = job.id;
     let arrival = Arrival {
         id,
         request: inbound,
         arrived: job.arrived,
-        wait,
+        timeout,
         reply,
-        taken: Arc::clone(&taken),
+        delivered: Arc::clone(&delivered),
     };
     if shared
         .events
@@ -136,12 +136,12 @@
         return refuse(job, ErrorKind::HandoverFull);
     }
     // Only the tables know how long the service's callers wait who don't say.
-    let deadline = job.arrived + wait.unwrap_or(request::LONGEST_WAIT);
+    let deadline = job.arrived + timeout.unwrap_or(request::LONGEST_WAIT);
     let answer = Answer {
         id,
         shared,
         parts,
-        taken,
+        delivered,
         limit: deadline + GRACE,
     };
     let chunks = target(&job).chunks;
@@ -156,7 +156,7 @@
     };
     if let Err(e) = written {
         log::debug!(target: "callers", "The caller of {id} left: {e}.");
-        answer.left();
+        answer.report_caller_gone();
     }
 }
 
@@ -172,7 +172,7 @@
     id: RequestId,
     shared: &'a Shared,
     parts: Receiver<Part>,
-    taken: Arc<AtomicU64>,
+    delivered: Arc<AtomicU64>,
     limit: Instant,
 }
 
@@ -181,10 +181,10 @@
         use flume::RecvTimeoutError::{Disconnected, Timeout};
         match self.parts.recv_deadline(self.limit) {
             Ok(part) => part,
-            Err(Disconnected) => Part::Fail(ErrorKind::Internal, come_back()),
+            Err(Disconnected) => Part::Fail(ErrorKind::Internal, random_retry_after()),
             Err(Timeout) => {
-                self.left();
-                Part::Fail(ErrorKind::TimedOut, come_back())
+                self.report_caller_gone();
+                Part::Fail(ErrorKind::TimedOut, random_retry_after())
             }
         }
     }
@@ -194,7 +194,7 @@
             Part::Whole(head, body) => First::Whole(head, body),
             Part::Head(head) => First::Pieces(head),
             Part::Fail(kind, after) => First::Fail(kind, after),
-            Part::Data(_) | Part::End => First::Fail(ErrorKind::Internal, come_back()),
+            Part::Data(_) | Part::End => First::Fail(ErrorKind::Internal, random_retry_after()),
         }
     }
 
@@ -212,14 +212,14 @@
                     self.took(data.len());
                     body.extend(data);
                     if body.len() > MOST_WHOLE {
-                        self.left();
-                        return First::Fail(ErrorKind::AnswerShort, come_back());
+                        self.report_caller_gone();
+                        return First::Fail(ErrorKind::AnswerShort, random_retry_after());
                     }
                 }
                 Part::End => return First::Whole(head, body),
                 Part::Fail(kind, after) => return First::Fail(kind, after),
                 Part::Whole(..) | Part::Head(_) => {
-                    return First::Fail(ErrorKind::Internal, come_back());
+                    return First::Fail(ErrorKind::Internal, random_retry_after());
                 }
             }
         }
@@ -256,16 +256,16 @@
     /// Tells the tables that the caller took bytes, each time that they can
     /// acknowledge some.
     fn took(&self, bytes: usize) {
-        let before = self.taken.fetch_add(bytes as u64, Ordering::Relaxed);
-        if before / ACK_EVERY != (before + bytes as u64) / ACK_EVERY {
+        let before = self.delivered.fetch_add(bytes as u64, Ordering::Relaxed);
+        if before / ACK_INTERVAL_BYTES != (before + bytes as u64) / ACK_INTERVAL_BYTES {
             // If there is no room, the tables look by themselves soon.
-            let _ = self.shared.events.try_send(Event::Taken(self.id));
+            let _ = self.shared.events.try_send(Event::Delivered(self.id));
         }
     }
 
     /// Tells the tables that nobody waits for the answer any more.
-    fn left(&self) {
-        let event = Event::Left(self.id);
+    fn report_caller_gone(&self) {
+        let event = Event::CallerGone(self.id);
         if self.shared.events.send_timeout(event, LEFT_LIMIT).is_err() {
             log::warn!(target: "callers", "The tables don't hear that {} left.", self.id);
         }
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -72,7 +72,7 @@
     fn take_hosts(&mut self, now: Instant, hosts: &[Host]) {
         for side in self.sides.values_mut() {
             if side.listing == Listing::Listed {
-                side.listing = Listing::Absent;
+                side.listing = Listing::Unlisted;
             }
         }
         let mut services: BTreeMap<&str, Vec<&Host>> = BTreeMap::new();
@@ -93,7 +93,7 @@
                 data_centre: &host.data_centre,
             })
             .collect();
-        for i in choose(&self.name, &self.place, &candidates, self.subset) {
+        for i in choose(&self.name, &self.data_centre, &candidates, self.subset) {
             let host = hosts[i];
             match self.side(&host.service, &host.endpoint) {
                 Some(key) => self.listed(now, key, host),
@@ -117,9 +117,9 @@
             // Its host was replaced. While a link stands, the list is behind.
             side.address = host.address;
             side.opening = None;
-            side.retry = now;
+            side.next_connect = now;
         }
-        self.set_open(now, key);
+        self.update_accepting(now, key);
     }
 
     pub(super) fn add_side(&mut self, now: Instant, host: &Host) {
@@ -132,14 +132,14 @@
         side.leaving.listed = host.state == HostState::Leaving;
         let key = self.sides.insert(side);
         self.endpoints.insert(endpoint, key);
-        self.set_open(now, key);
+        self.update_accepting(now, key);
     }
 
     /// Forgets a side that is gone.
     pub(super) fn remove_side(&mut self, now: Instant, key: SideKey) {
         let attempts: Vec<_> = self.sides[key].attempts.iter().copied().collect();
         for id in attempts {
-            self.lose(now, id);
+            self.fail_lost(now, id);
         }
         if let Some(side) = self.sides.remove(key) {
             log::info!(target: "hosts", "{} is gone.", side.name);
--- a/hibiscusroad-daemon/src/entry/link.rs
+++ b/hibiscusroad-daemon/src/entry/link.rs
@@ -27,23 +27,23 @@
 ///
 /// A side takes at most some hundred attempts at once, each a Start and a few
 /// Acks: a queue this long means that the connection takes nothing any more.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Bytes that a side may send ahead on one connection.
-const WINDOW: u32 = 4 << 20;
+const RECEIVE_WINDOW_BYTES: u32 = 4 << 20;
 
 /// The largest frame, which is a Start with the largest body and its headers.
-const LARGEST_FRAME: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// One open or opening connection. It ends when this is dropped.
 #[derive(Debug)]
 pub struct Link {
     /// Its place in the row of connections to this side.
     pub epoch: u64,
-    out: mpsc::Sender<ToSide>,
+    outgoing: mpsc::Sender<ToSide>,
     task: AbortHandle,
 }
 
@@ -53,7 +53,7 @@
     /// Returns false if the connection takes no more; the frame was not sent.
     #[must_use]
     pub fn send(&self, frame: Frame) -> bool {
-        self.out.try_send(ToSide::from(frame)).is_ok()
+        self.outgoing.try_send(ToSide::from(frame)).is_ok()
     }
 }
 
@@ -88,10 +88,10 @@
     /// Opens a connection; `hello` is the first frame on it.
     #[must_use]
     pub fn dial(&self, side: SideKey, epoch: u64, address: SocketAddr, hello: Frame) -> Link {
-        let (out, frames) = mpsc::channel(QUEUE);
+        let (outgoing, frames) = mpsc::channel(QUEUE_CAPACITY);
         let events = self.events.clone();
         // The queue is new, so there is room.
-        let _ = out.try_send(ToSide::from(hello));
+        let _ = outgoing.try_send(ToSide::from(hello));
         let task = self.handle.spawn(async move {
             let reason = serve(side, epoch, address, frames, &events).await;
             let down = LinkEvent::Down(reason);
@@ -99,7 +99,7 @@
         });
         Link {
             epoch,
-            out,
+            outgoing,
             task: task.abort_handle(),
         }
     }
@@ -115,31 +115,31 @@
 ) -> String {
     let endpoint = match Endpoint::from_shared(format!("http://{address}")) {
         Ok(endpoint) => endpoint,
-        Err(e) => return why("bad address", &e),
+        Err(e) => return describe_error("bad address", &e),
     };
     let endpoint = endpoint
-        .connect_timeout(CONNECT)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .initial_connection_window_size(WINDOW)
-        .initial_stream_window_size(WINDOW);
+        .initial_connection_window_size(RECEIVE_WINDOW_BYTES)
+        .initial_stream_window_size(RECEIVE_WINDOW_BYTES);
     let channel = match endpoint.connect().await {
         Ok(channel) => channel,
-        Err(e) => return why("can't connect", &e),
+        Err(e) => return describe_error("can't connect", &e),
     };
     let mut client = LinkClient::new(channel)
-        .max_decoding_message_size(LARGEST_FRAME)
-        .max_encoding_message_size(LARGEST_FRAME);
+        .max_decoding_message_size(MAX_FRAME_BYTES)
+        .max_encoding_message_size(MAX_FRAME_BYTES);
     let opening = client.open(ReceiverStream::new(frames));
-    let mut frames = match time::timeout(CONNECT, opening).await {
+    let mut frames = match time::timeout(CONNECT_TIMEOUT, opening).await {
         Ok(Ok(response)) => response.into_inner(),
-        Ok(Err(e)) => return why("refused", &e),
-        Err(e) => return why("no answer", &e),
+        Ok(Err(e)) => return describe_error("refused", &e),
+        Err(e) => return describe_error("no answer", &e),
     };
     loop {
         let frame = match frames.message().await {
             Ok(Some(message)) => message.frame,
             Ok(None) => return "closed by the side".to_owned(),
-            Err(e) => return why("broken", &e),
+            Err(e) => return describe_error("broken", &e),
         };
         // A frame that this build doesn't know is left out; the versions in
         // Hello and Welcome say whether the two can talk at all.
@@ -151,6 +151,6 @@
     }
 }
 
-fn why(what: &str, error: &impl Display) -> String {
+fn describe_error(what: &str, error: &impl Display) -> String {
     format!("{what}: {error}")
 }
--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     entry::{
-        attempt::{BEGUN_PATIENCE, PATIENCE},
+        attempt::{COMMITTED_RECONNECT_TIMEOUT, RECONNECT_TIMEOUT},
         side::{Listing, SideKey},
         tables::Tables,
     },
@@ -26,56 +26,62 @@
 use std::time::{Duration, Instant};
 
 /// Time between two heartbeats.
-const BEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Silence after which a connection is suspected: three heartbeats missed, and
 /// some time for a busy side.
-const SUSPECT: Duration = Duration::from_millis(700);
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Silence after which a connection is given up even if no other opens.
-const GIVE_UP: Duration = Duration::from_millis(1500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a side may take to welcome a new connection.
-const WELCOME: Duration = Duration::from_secs(1);
+const WELCOME_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A turn later than this means that this process stood still. The silence of
 /// that time says nothing about the sides.
-const STOOD_STILL: Duration = Duration::from_millis(300);
+const STALL_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// The wait before a side with another version of the frames is tried again.
 /// It changes only by a new build.
-const OTHER_VERSION: Duration = Duration::from_secs(5);
+const VERSION_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// How long a side that the host list no longer names is kept without a
 /// connection.
-const FORGET: Duration = Duration::from_secs(5);
+const UNLISTED_TTL: Duration = Duration::from_secs(5);
 
 impl Tables {
     /// Takes in a frame from a side.
-    pub(super) fn frame(&mut self, now: Instant, key: SideKey, epoch: u64, frame: to_entry::Frame) {
+    pub(super) fn handle_frame(
+        &mut self,
+        now: Instant,
+        key: SideKey,
+        epoch: u64,
+        frame: to_entry::Frame,
+    ) {
         use to_entry::Frame;
         let Some(side) = self.sides.get_mut(key) else {
             return;
         };
         if side.opening.as_ref().is_some_and(|(l, _)| l.epoch == epoch) {
             if let Frame::Welcome(welcome) = frame {
-                self.welcome(now, key, &welcome);
+                self.handle_welcome(now, key, &welcome);
             }
             return;
         }
         if side.link.as_ref().is_none_or(|link| link.epoch != epoch) {
             return;
         }
-        side.heard = now;
-        self.unsuspect(now, key);
+        side.last_received = now;
+        self.clear_suspect(now, key);
         match frame {
-            Frame::Head(head) => self.head(now, head),
-            Frame::Chunk(chunk) => self.chunk(now, chunk),
-            Frame::End(end) => self.end(now, &end),
-            Frame::Refused(refused) => self.refused(now, &refused),
-            Frame::Standing(standing) => self.standing(now, standing),
-            Frame::Beat(beat) => self.beat(now, key, &beat),
-            Frame::Config(config) => self.newer_config(now, &config),
+            Frame::Head(head) => self.handle_head(now, head),
+            Frame::Chunk(chunk) => self.handle_chunk(now, chunk),
+            Frame::End(end) => self.handle_end(now, &end),
+            Frame::Refused(refused) => self.handle_refused(now, &refused),
+            Frame::Standing(standing) => self.handle_standing(now, standing),
+            Frame::Beat(beat) => self.handle_heartbeat(now, key, &beat),
+            Frame::Config(config) => self.handle_config(now, &config),
             Frame::Welcome(_) | Frame::OrderDone(_) => {}
         }
     }
@@ -94,11 +100,11 @@
             if reason.contains(ErrorKind::WireVersion.answer().problem) {
                 log::error!(target: "link", "No link to {}: {reason}.", side.name);
                 side.opening = None;
-                side.retry = now + OTHER_VERSION;
+                side.next_connect = now + VERSION_RETRY_DELAY;
                 return;
             }
             log::debug!(target: "link", "No link to {}: {reason}.", side.name);
-            self.opening_failed(now, key);
+            self.schedule_reconnect(now, key);
         }
     }
 
@@ -108,64 +114,65 @@
         self.ticked = now;
         let keys: Vec<SideKey> = self.sides.keys().collect();
         for key in keys {
-            if gap > STOOD_STILL {
-                self.sides[key].heard += gap;
+            if gap > STALL_THRESHOLD {
+                self.sides[key].last_received += gap;
             }
-            self.send_beat(now, key);
-            self.watch(now, key);
-            self.connect(now, key);
-            self.impatience(now, key);
+            self.send_due_heartbeat(now, key);
+            self.check_silence(now, key);
+            self.ensure_connection(now, key);
+            self.expire_unlinked(now, key);
         }
     }
 
     /// Tells the router whether an endpoint takes new work.
-    pub(super) fn set_open(&mut self, now: Instant, key: SideKey) {
+    pub(super) fn update_accepting(&mut self, now: Instant, key: SideKey) {
         let document = self.config.newest();
         let Some(side) = self.sides.get_mut(key) else {
             return;
         };
-        side.leaving.drained = document.is_drained(&side.name, &side.host, &side.place);
+        side.leaving.drained = document.is_drained(&side.name, &side.host, &side.data_centre);
         let (endpoint, open) = (side.endpoint, side.takes_work());
         self.router.set_accepting(now, endpoint, open);
     }
 
-    fn welcome(&mut self, now: Instant, key: SideKey, welcome: &Welcome) {
+    fn handle_welcome(&mut self, now: Instant, key: SideKey, welcome: &Welcome) {
         let side = &mut self.sides[key];
         if welcome.version != VERSION {
             let (name, other) = (&side.name, welcome.version);
             log::error!(target: "link", "{name} speaks version {other} of the frames, not {VERSION}.");
             side.opening = None;
-            side.retry = now + OTHER_VERSION;
+            side.next_connect = now + VERSION_RETRY_DELAY;
             return;
         }
         if welcome.service != side.service {
             let (name, other) = (&side.name, &welcome.service);
             log::warn!(target: "link", "At the address of {name} is a side of {other}.");
-            return self.opening_failed(now, key);
+            return self.schedule_reconnect(now, key);
         }
         log::info!(target: "link", "{} is linked, epoch {}.", side.name, side.epoch);
         side.link = side.opening.take().map(|(link, _)| link);
-        side.heard = now;
-        side.lost = None;
-        side.stuck = false;
+        side.last_received = now;
+        side.unlinked_since = None;
+        side.queue_full = false;
         side.suspect = false;
         side.backoff.reset();
         side.incarnation = welcome.incarnation;
         self.resume_all(now, key);
         self.offer_config(key, welcome.config_version);
-        self.set_open(now, key);
+        self.update_accepting(now, key);
     }
 
     /// Takes up again what was in flight, over a new connection.
     fn resume_all(&mut self, now: Instant, key: SideKey) {
         let incarnation = self.sides[key].incarnation;
         for id in self.in_flight(key) {
-            let same = self.attempts.get(&id).map(|a| a.incarnation) == Some(incarnation);
-            if same {
+            let same_incarnation =
+                self.attempts.get(&id).map(|a| a.incarnation) == Some(incarnation);
+            if same_incarnation {
                 self.resume(now, id);
             } else {
                 // The side that ran it is gone, and with it all that it knew.
-                self.lose(now, id);
+                self.fail_lost(now, id);
             }
         }
     }
@@ -174,16 +181,16 @@
         self.sides[key].attempts.iter().copied().collect()
     }
 
-    fn beat(&mut self, now: Instant, key: SideKey, beat: &Beat) {
+    fn handle_heartbeat(&mut self, now: Instant, key: SideKey, beat: &Beat) {
         let side = &mut self.sides[key];
         let endpoint = side.endpoint;
         side.unreachable = beat.unreachable;
-        if side.leaving.told != beat.leaving {
-            side.leaving.told = beat.leaving;
-            self.set_open(now, key);
+        if side.leaving.reported != beat.leaving {
+            side.leaving.reported = beat.leaving;
+            self.update_accepting(now, key);
             // The side waits for this echo before it ends: frames of a link come
             // in order, so no Start can follow it.
-            self.tell_beat(now, key);
+            self.send_heartbeat(now, key);
         }
         if let Some(load) = &beat.load {
             let report = LoadReport {
@@ -202,9 +209,9 @@
     }
 
     /// Sends the configuration to a side that has an older one.
-    pub(super) fn offer_config(&mut self, key: SideKey, theirs: u64) {
-        self.sides[key].config = theirs;
-        if theirs >= self.config.version() {
+    pub(super) fn offer_config(&mut self, key: SideKey, known_version: u64) {
+        self.sides[key].config = known_version;
+        if known_version >= self.config.version() {
             return;
         }
         let document = self.config.newest();
@@ -215,10 +222,10 @@
             version: document.version,
             document: bytes,
         };
-        self.tell(key, Frame::Config(config));
+        self.send_frame(key, Frame::Config(config));
     }
 
-    fn newer_config(&mut self, now: Instant, config: &Config) {
+    fn handle_config(&mut self, now: Instant, config: &Config) {
         match serde_json::from_slice::<Document>(&config.document) {
             Ok(document) if document.version == config.version => self.adopt(now, document),
             Ok(_) => log::warn!(target: "config", "A side sent a document of another version."),
@@ -226,67 +233,67 @@
         }
     }
 
-    fn send_beat(&mut self, now: Instant, key: SideKey) {
+    fn send_due_heartbeat(&mut self, now: Instant, key: SideKey) {
         let side = &self.sides[key];
-        if side.link.is_some() && now >= side.beaten + BEAT {
-            self.tell_beat(now, key);
+        if side.link.is_some() && now >= side.last_heartbeat + HEARTBEAT_INTERVAL {
+            self.send_heartbeat(now, key);
         }
     }
 
-    fn tell_beat(&mut self, now: Instant, key: SideKey) {
+    fn send_heartbeat(&mut self, now: Instant, key: SideKey) {
         let config_version = self.config.version();
         let side = &mut self.sides[key];
-        side.beaten = now;
-        side.beats += 1;
+        side.last_heartbeat = now;
+        side.heartbeats += 1;
         let beat = Beat {
-            seq: side.beats,
+            seq: side.heartbeats,
             config_version,
-            leaving: side.leaving.told,
+            leaving: side.leaving.reported,
             ..Beat::default()
         };
-        self.tell(key, Frame::Beat(beat));
+        self.send_frame(key, Frame::Beat(beat));
     }
 
     /// Looks for silence on the connection in use.
-    fn watch(&mut self, now: Instant, key: SideKey) {
+    fn check_silence(&mut self, now: Instant, key: SideKey) {
         let side = &mut self.sides[key];
         if side.link.is_none() {
             return;
         }
-        let silence = now.saturating_duration_since(side.heard);
-        if side.stuck || silence > GIVE_UP {
+        let silence = now.saturating_duration_since(side.last_received);
+        if side.queue_full || silence > SILENCE_TIMEOUT {
             log::warn!(target: "link", "The link to {} is given up.", side.name);
             return self.lose_link(now, key);
         }
-        if silence > SUSPECT && !side.suspect {
+        if silence > SUSPECT_TIMEOUT && !side.suspect {
             log::warn!(target: "link", "{} is silent; another link is opened.", side.name);
             side.suspect = true;
-            side.retry = now;
-            self.set_open(now, key);
+            side.next_connect = now;
+            self.update_accepting(now, key);
         }
     }
 
-    fn unsuspect(&mut self, now: Instant, key: SideKey) {
+    fn clear_suspect(&mut self, now: Instant, key: SideKey) {
         let side = &mut self.sides[key];
         if side.suspect {
             // Another connection may be opening; it will replace this one.
             side.suspect = false;
-            self.set_open(now, key);
+            self.update_accepting(now, key);
         }
     }
 
     /// Opens a connection where one is needed.
-    fn connect(&mut self, now: Instant, key: SideKey) {
+    fn ensure_connection(&mut self, now: Instant, key: SideKey) {
         let side = &mut self.sides[key];
         if let Some((_, since)) = &side.opening {
-            if now > *since + WELCOME {
+            if now > *since + WELCOME_TIMEOUT {
                 log::debug!(target: "link", "{} gave no welcome in time.", side.name);
-                self.opening_failed(now, key);
+                self.schedule_reconnect(now, key);
             }
             return;
         }
         let needed = side.link.is_none() || side.suspect;
-        if !needed || now < side.retry {
+        if !needed || now < side.next_connect {
             return;
         }
         side.epoch += 1;
@@ -303,27 +310,27 @@
         side.opening = Some((link, now));
     }
 
-    fn opening_failed(&mut self, now: Instant, key: SideKey) {
+    fn schedule_reconnect(&mut self, now: Instant, key: SideKey) {
         let side = &mut self.sides[key];
         side.opening = None;
-        side.retry = now + side.backoff.next_wait(&mut rand::rng());
+        side.next_connect = now + side.backoff.next_wait(&mut rand::rng());
     }
 
     fn lose_link(&mut self, now: Instant, key: SideKey) {
         self.metrics.count(metrics::LINKS_LOST, &[]);
         let side = &mut self.sides[key];
         side.link = None;
-        side.stuck = false;
+        side.queue_full = false;
         side.suspect = false;
-        side.lost = Some(now);
-        side.retry = now;
+        side.unlinked_since = Some(now);
+        side.next_connect = now;
         for id in self.in_flight(key) {
             if let Some(attempt) = self.attempts.get_mut(&id) {
                 attempt.reachable = false;
             }
         }
-        self.set_open(now, key);
-        self.connect(now, key);
+        self.update_accepting(now, key);
+        self.ensure_connection(now, key);
     }
 
     /// Gives up attempts that may be repeated, and sides that are gone.
@@ -333,36 +340,39 @@
     /// longer, as the side may only have lost its connection, and then sees its
     /// answer broken off and can ask anew. One whose request may not run twice
     /// waits until its deadline, because only that side knows what became of it.
-    fn impatience(&mut self, now: Instant, key: SideKey) {
+    fn expire_unlinked(&mut self, now: Instant, key: SideKey) {
         let side = &self.sides[key];
-        if side.listing == Listing::Guest && side.attempts.is_empty() {
+        if side.listing == Listing::QueryOnly && side.attempts.is_empty() {
             return self.remove_side(now, key);
         }
-        let Some(lost) = side.lost else {
+        let Some(since) = side.unlinked_since else {
             return;
         };
-        let away = now.saturating_duration_since(lost);
-        let absent = side.listing == Listing::Absent;
-        if absent && away > FORGET && side.attempts.is_empty() {
+        let elapsed = now.saturating_duration_since(since);
+        let unlisted = side.listing == Listing::Unlisted;
+        if unlisted && elapsed > UNLISTED_TTL && side.attempts.is_empty() {
             return self.remove_side(now, key);
         }
         for id in self.in_flight(key) {
-            if self.patience(id).is_some_and(|patience| away >= patience) {
-                self.lose(now, id);
+            if self
+                .reconnect_timeout(id)
+                .is_some_and(|timeout| elapsed >= timeout)
+            {
+                self.fail_lost(now, id);
             }
         }
     }
 
     /// Returns how long an attempt waits for its side; without end if it may
     /// not run twice.
-    fn patience(&self, id: RequestId) -> Option<Duration> {
+    fn reconnect_timeout(&self, id: RequestId) -> Option<Duration> {
         let attempt = self.attempts.get(&id)?;
         let row = self.calls.get(&attempt.call);
-        let begun = row.is_some_and(|row| row.winner == Some(id));
+        let committed = row.is_some_and(|row| row.winner == Some(id));
         match attempt.repeat {
             Repeat::Once => None,
-            Repeat::Idempotent if begun => Some(BEGUN_PATIENCE),
-            Repeat::Idempotent => Some(PATIENCE),
+            Repeat::Idempotent if committed => Some(COMMITTED_RECONNECT_TIMEOUT),
+            Repeat::Idempotent => Some(RECONNECT_TIMEOUT),
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -44,7 +44,7 @@
     pub(super) fn count_attempt(&self, row: &CallRow) {
         let [service, _] = tags(&row.request);
         self.metrics.count(metrics::ATTEMPTS, &[service]);
-        if row.tries > 1 {
+        if row.attempt_count > 1 {
             self.metrics.count(metrics::RETRIES, &[service]);
         }
     }
--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -90,7 +90,7 @@
 
 impl Tables {
     /// Takes in how an attempt ended.
-    pub(super) fn note_crash(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
+    pub(super) fn record_crash(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         let Some(row) = self.calls.get(&attempt.call) else {
             return;
         };
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -61,7 +61,7 @@
 
     fn endpoint_rows(&self, now: Instant) -> Vec<Row> {
         let sides = self.sides.values();
-        let known = sides.filter(|side| side.listing != Listing::Guest);
+        let known = sides.filter(|side| side.listing != Listing::QueryOnly);
         let mut rows: Vec<Row> = known.map(|side| self.endpoint_row(now, side)).collect();
         let hosts = self.hosts.iter().filter(|host| host.role == "side");
         let others = hosts.filter(|host| !self.has_side(host));
@@ -71,7 +71,7 @@
 
     fn has_side(&self, host: &Host) -> bool {
         let key = self.side(&host.service, &host.endpoint);
-        key.is_some_and(|key| self.sides[key].listing != Listing::Guest)
+        key.is_some_and(|key| self.sides[key].listing != Listing::QueryOnly)
     }
 
     fn endpoint_row(&self, now: Instant, side: &Side) -> Row {
@@ -79,7 +79,7 @@
             ("endpoint", json!(side.name)),
             ("service", json!(side.service)),
             ("host", json!(side.host)),
-            ("place", json!(side.place)),
+            ("place", json!(side.data_centre)),
             ("address", json!(side.address.to_string())),
             ("state", json!(state(side))),
             ("running", json!(side.report.running)),
@@ -88,7 +88,7 @@
             ("mine", json!(side.attempts.len())),
             ("weights", json!(side.weights)),
             ("config", json!(side.config)),
-            ("age_ms", age(now, side.heard)),
+            ("age_ms", age(now, side.last_received)),
             ("source", json!(self.name)),
         ])
     }
@@ -157,7 +157,7 @@
         let linked = self.sides.values().filter(|side| side.link.is_some());
         row([
             ("entry", json!(self.name)),
-            ("place", json!(self.place)),
+            ("place", json!(self.data_centre)),
             ("config", json!(self.config.version())),
             ("links", json!(linked.count())),
             ("sides", json!(self.sides.len())),
@@ -190,7 +190,7 @@
         "silent"
     } else if leaving.drained {
         "drained"
-    } else if leaving.listed || leaving.told {
+    } else if leaving.listed || leaving.reported {
         "leaving"
     } else if side.unreachable {
         "unreachable"
--- a/hibiscusroad-daemon/src/entry/side.rs
+++ b/hibiscusroad-daemon/src/entry/side.rs
@@ -15,11 +15,11 @@
 };
 
 /// The first wait after a connection that failed.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The longest wait: a side that came back gets work within this time, and one
 /// that stays away costs each entry a try now and then.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 slotmap::new_key_type! {
     /// Names a side in the tables.
@@ -36,7 +36,7 @@
     /// Its host.
     pub host: String,
     /// The place of its host.
-    pub place: String,
+    pub data_centre: String,
     /// Where it takes links.
     pub address: SocketAddr,
     /// Its endpoint in the router.
@@ -50,21 +50,21 @@
     /// The side's life at the last Welcome; 0 before the first.
     pub incarnation: u64,
     /// When something was last heard on the connection in use.
-    pub heard: Instant,
+    pub last_received: Instant,
     /// When the last heartbeat was sent.
-    pub beaten: Instant,
+    pub last_heartbeat: Instant,
     /// Heartbeats sent.
-    pub beats: u64,
+    pub heartbeats: u64,
     /// When the next connection may be opened.
-    pub retry: Instant,
+    pub next_connect: Instant,
     /// The waits between connections that fail.
     pub backoff: Backoff,
     /// Whether the connection in use takes no more frames.
-    pub stuck: bool,
+    pub queue_full: bool,
     /// Whether the connection in use has been silent for too long.
     pub suspect: bool,
     /// Since when there is no connection in use.
-    pub lost: Option<Instant>,
+    pub unlinked_since: Option<Instant>,
     /// Whether the host list or its heartbeat says that it is leaving.
     pub leaving: Leaving,
     /// Whether it says that nothing listens at its endpoint's address.
@@ -87,9 +87,9 @@
     /// The last host list names it, and this entry's subset has it.
     Listed,
     /// An earlier one did.
-    Absent,
+    Unlisted,
     /// It was only added to be asked about a claim.
-    Guest,
+    QueryOnly,
 }
 
 /// Who says that a side is leaving.
@@ -98,7 +98,7 @@
     /// The host list does.
     pub listed: bool,
     /// The side itself does.
-    pub told: bool,
+    pub reported: bool,
     /// The configuration drains it.
     pub drained: bool,
 }
@@ -111,21 +111,21 @@
             name: host.endpoint.clone(),
             service: host.service.clone(),
             host: host.name.clone(),
-            place: host.data_centre.clone(),
+            data_centre: host.data_centre.clone(),
             address: host.address,
             endpoint,
             epoch: 0,
             link: None,
             opening: None,
             incarnation: 0,
-            heard: now,
-            beaten: now,
-            beats: 0,
-            retry: now,
-            backoff: Backoff::new(FIRST_WAIT, LONGEST_WAIT),
-            stuck: false,
+            last_received: now,
+            last_heartbeat: now,
+            heartbeats: 0,
+            next_connect: now,
+            backoff: Backoff::new(MIN_BACKOFF, MAX_BACKOFF),
+            queue_full: false,
             suspect: false,
-            lost: Some(now),
+            unlinked_since: Some(now),
             leaving: Leaving::default(),
             unreachable: false,
             config: 0,
@@ -139,7 +139,7 @@
     /// Says whether new work may be sent to it.
     #[must_use]
     pub const fn takes_work(&self) -> bool {
-        let leaving = self.leaving.listed || self.leaving.told || self.leaving.drained;
+        let leaving = self.leaving.listed || self.leaving.reported || self.leaving.drained;
         self.link.is_some() && !self.suspect && !leaving
     }
 }
--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Tables {
     pub(super) name: String,
-    pub(super) place: String,
+    pub(super) data_centre: String,
     pub(super) subset: usize,
     pub(super) ids: Arc<Ids>,
     pub(super) dialer: Dialer,
@@ -61,7 +61,7 @@
     /// Calls of each key, in their turn.
     pub(super) keys: HashMap<String, VecDeque<RequestId>>,
     /// How long callers wait who don't say, of a service without a rule.
-    pub(super) patience: Duration,
+    pub(super) default_timeout: Duration,
     pub(super) deadlines: BTreeSet<(Instant, RequestId)>,
     stopping: bool,
 }
@@ -80,7 +80,7 @@
         let seed = ids.origin().0;
         Self {
             name: settings.name.clone(),
-            place: settings.data_centre.clone(),
+            data_centre: settings.data_centre.clone(),
             subset: part.subset,
             ids,
             dialer,
@@ -99,7 +99,7 @@
             trace: Trace::default(),
             writes,
             keys: HashMap::new(),
-            patience: Duration::from_millis(part.deadline_ms),
+            default_timeout: Duration::from_millis(part.deadline_ms),
             deadlines: BTreeSet::new(),
             stopping: false,
         }
@@ -108,18 +108,18 @@
     /// Takes in one event.
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Arrive(arrival) => self.arrive(now, *arrival),
-            Event::Taken(id) => self.acknowledge_call(id),
-            Event::Left(id) => self.left(now, id),
+            Event::Arrive(arrival) => self.accept_call(now, *arrival),
+            Event::Delivered(id) => self.acknowledge_call(id),
+            Event::CallerGone(id) => self.caller_gone(now, id),
             Event::Link(side, epoch, LinkEvent::Frame(frame)) => {
-                self.frame(now, side, epoch, frame);
+                self.handle_frame(now, side, epoch, frame);
             }
             Event::Link(side, epoch, LinkEvent::Down(reason)) => {
                 self.link_down(now, side, epoch, &reason);
             }
             Event::Hosts(hosts) => self.hosts(now, hosts),
             Event::Claimed(call, attempt, verdict) => {
-                self.claimed(now, call, attempt, *verdict);
+                self.apply_claim_outcome(now, call, attempt, *verdict);
             }
             Event::Config(document) => self.adopt(now, *document),
             Event::Ask(subject, reply) => {
@@ -183,7 +183,7 @@
         }
         let keys: Vec<SideKey> = self.sides.keys().collect();
         for key in keys {
-            self.set_open(now, key);
+            self.update_accepting(now, key);
             // Not left to the next heartbeat: news is to be everywhere at once.
             self.offer_config(key, self.sides[key].config);
         }
@@ -193,8 +193,8 @@
     pub(super) fn steps(&mut self, now: Instant) {
         while let Some(step) = self.router.next_step() {
             match step {
-                Step::Start { id, endpoint, .. } => self.start(now, id, endpoint),
-                Step::Cancel { id, endpoint } => self.cancel(id, endpoint),
+                Step::Start { id, endpoint, .. } => self.start_attempt(now, id, endpoint),
+                Step::Cancel { id, endpoint } => self.cancel_attempt(id, endpoint),
                 Step::Refuse {
                     id,
                     kind,
