--- a/hibiscusroad-daemon/src/entry/attempt.rs
+++ b/hibiscusroad-daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending them, taking them up again, and giving them up.
+//! Attempts: starting, resuming, cancelling and failing them.
 
 use crate::entry::{assembly::Assembly, event::Head, side::SideKey, tables::Tables};
 use hibiscusroad::{
@@ -8,25 +8,25 @@
 use hibiscusroad_wire::{Attach, Cancel, Id, Seal, Start, to_side::Frame};
 use std::time::{Duration, Instant};
 
-/// How long an attempt that may be repeated waits for its side to come back
-/// before it counts as failed.
+/// How long an idempotent attempt waits for its sidecar to reconnect before it
+/// fails.
 pub(super) const RECONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The same for one of whose answer its caller has a part. A connection that was
-/// cut or fell silent is back within a second, a side that died never is: a
-/// stream stood still for its caller's whole deadline of 5 s.
+/// The same for an attempt whose answer is partly delivered. Long enough for a
+/// broken connection to be replaced; a sidecar that exited never reconnects, and
+/// the caller should not wait for it until the deadline.
 pub(super) const COMMITTED_RECONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often an attempt is asked for again without a new byte.
+/// Attach frames sent in a row without a new byte before the attempt fails.
 const MAX_ATTACHES: u32 = 3;
 
-/// Where an attempt stands, seen from here.
+/// The state of an attempt at this entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// The side has it, or the frame is on its way.
+    /// The Start frame was sent.
     Sent,
-    /// The connection broke before the side said anything of it, and the side
-    /// was asked to seal it or say how it stands.
+    /// The connection broke before the sidecar sent any frame about the attempt;
+    /// the sidecar was asked to seal it or report its state.
     Sealing,
 }
 
@@ -36,20 +36,20 @@
     pub(super) call: RequestId,
     pub(super) side: SideKey,
     pub(super) endpoint: EndpointKey,
-    /// The life of the side that it was sent to.
+    /// The incarnation of the sidecar that it was sent to.
     pub(super) incarnation: u64,
     pub(super) repeat: Repeat,
     pub(super) phase: Phase,
-    /// Whether the side has said anything of it.
+    /// Whether the sidecar has sent any frame about it.
     pub(super) frame_received: bool,
-    /// Whether the connection to its side stands.
+    /// Whether its sidecar is connected.
     pub(super) reachable: bool,
     pub(super) head: Option<Head>,
     pub(super) body: Vec<u8>,
     pub(super) assembly: Assembly,
     pub(super) acked: u64,
     pub(super) chunks: u64,
-    /// Whether the answer was asked for and none of it has come since.
+    /// Whether an Attach was sent and no part of the answer has arrived since.
     pub(super) attach_pending: bool,
     pub(super) attaches: u32,
 }
@@ -69,23 +69,23 @@
 }
 
 impl Tables {
-    /// Sends a call to an endpoint, as a new attempt.
+    /// Starts a new attempt of a call at an endpoint.
     pub(super) fn start_attempt(&mut self, now: Instant, call: RequestId, endpoint: EndpointKey) {
         let Some(row) = self.calls.get(&call) else {
-            // The caller has its final answer already.
+            // The call is already closed.
             self.router.cancel(now, call);
             return;
         };
         if row.repeat == Repeat::Once && (row.may_have_run || !row.attempts.is_empty()) {
-            // The router knows this rule too; a second run must not hang on
-            // one check alone.
-            log::error!(target: "calls", "A second run of {call} was stopped.");
+            // The router enforces this rule too; this is a second safeguard
+            // against running a non-idempotent request twice.
+            log::error!(target: "calls", "A second run of {call} was prevented.");
             self.router.cancel(now, call);
             return;
         }
         if row.winner.is_some() {
-            // Its caller has part of an answer, and no other can replace it. The
-            // router forgets this attempt along with the call.
+            // Part of an answer is delivered, so no other attempt can replace it.
+            // The router drops this attempt when the call closes.
             return;
         }
         if self.refuse_quarantined(now, call) {
@@ -111,7 +111,7 @@
         self.insert_attempt(call, id, key, incarnation);
     }
 
-    /// Sends a Start; false if it was surely not sent.
+    /// Sends a Start frame. Returns false if it was certainly not sent.
     pub(super) fn send_start(
         &self,
         now: Instant,
@@ -124,7 +124,7 @@
         link.is_some_and(|link| link.send(frame))
     }
 
-    /// Notes an attempt of a call at this life of a side.
+    /// Records an attempt of a call at this incarnation of a sidecar.
     pub(super) fn insert_attempt(
         &mut self,
         call: RequestId,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Ends what the router no longer wants at one endpoint.
+    /// Cancels the attempt of a call at one endpoint, on behalf of the router.
     pub(super) fn cancel_attempt(&mut self, call: RequestId, endpoint: EndpointKey) {
         let Some(row) = self.calls.get_mut(&call) else {
             return;
@@ -200,10 +200,10 @@
         self.release_endpoint(call);
     }
 
-    /// Forgets an attempt whose answer nobody waits for.
+    /// Removes an attempt whose answer is no longer needed.
     ///
-    /// One that may not run twice goes on: its caller may come back for it, and
-    /// to break it off halfway would leave half of its effect.
+    /// A non-idempotent attempt is not cancelled at the sidecar: its caller may
+    /// retry under the same key, and cancelling could leave a partial effect.
     pub(super) fn abandon(&mut self, id: RequestId, repeat: Repeat) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -217,19 +217,19 @@
         }
     }
 
-    /// Queues a frame for a side. A connection that takes no more is given up;
-    /// what the frame was to say is said again on the next one.
+    /// Queues a frame for a sidecar. If the queue is full, the connection is
+    /// dropped later and the attempts are resumed over the next one.
     pub(super) fn send_frame(&mut self, key: SideKey, frame: Frame) {
         let Some(side) = self.sides.get_mut(key) else {
             return;
         };
         if side.link.as_ref().is_some_and(|link| !link.send(frame)) {
-            log::warn!(target: "link", "The link to {} takes nothing any more.", side.name);
+            log::warn!(target: "link", "The send queue of the link to {} is full.", side.name);
             side.queue_full = true;
         }
     }
 
-    /// Asks for an attempt's answer from the last good offset on.
+    /// Requests an attempt's answer from the last contiguous offset.
     pub(super) fn attach(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -239,7 +239,7 @@
         if attempt.attaches > MAX_ATTACHES {
             return self.end_attempt(now, id, Outcome::Failed(ErrorKind::AnswerShort));
         }
-        // Without the head, the beginning is needed too.
+        // Without the head, the answer is needed from its start.
         let offset = match attempt.head {
             Some(_) => attempt.assembly.offset(),
             None => 0,
@@ -248,7 +248,7 @@
         self.send_frame(side, Frame::Attach(Attach { id, offset }));
     }
 
-    /// Takes an attempt up again over a new connection.
+    /// Resumes an attempt over a new connection.
     pub(super) fn resume(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -264,7 +264,7 @@
         self.send_frame(side, Frame::Seal(Seal { id }));
     }
 
-    /// Ends an attempt that nobody can say any more of.
+    /// Fails an attempt whose outcome can no longer be learned.
     pub(super) fn fail_lost(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -276,20 +276,20 @@
         self.end_attempt(now, id, Outcome::Failed(kind));
     }
 
-    /// Finds the attempt that a piece of an answer is for.
+    /// Finds the attempt that a part of an answer belongs to.
     ///
-    /// While the side is asked how an attempt stands, pieces of it may still
-    /// come for an earlier call of this entry. They are sent again from the
-    /// beginning once the side has said that there is an answer.
+    /// While the sidecar is queried for the attempt's state, parts may still
+    /// arrive for an earlier call of this entry. They are ignored: the answer is
+    /// requested from its start once the sidecar reports that there is one.
     pub(super) fn find_sent(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
         let (id, attempt) = self.find_attempt(id)?;
         (attempt.phase == Phase::Sent).then_some((id, attempt))
     }
 
-    /// Finds the attempt that a frame is for, and notes the sign of life.
+    /// Finds the attempt that a frame belongs to and records that one arrived.
     ///
-    /// Frames of attempts that ended, or of another life of this entry, find
-    /// none and are dropped.
+    /// Returns `None` for attempts that ended or belong to another incarnation of
+    /// this entry; their frames are dropped.
     pub(super) fn find_attempt(&mut self, id: Option<Id>) -> Option<(RequestId, &mut Attempt)> {
         let id = request_id(id)?;
         let attempt = self.attempts.get_mut(&id)?;
