--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -1,9 +1,8 @@
-//! Calls: what callers asked for, from arrival to the final answer.
+//! Calls: callers' requests from arrival to the final answer.
 //!
-//! The router's verdict is checked once more before it goes out: it may say
-//! "not run" only if no attempt of this call can have started. That is known
-//! here alone, since it depends on what became of frames. The check costs one
-//! field a call.
+//! A refusal of the router is checked before it is sent: it may say "not run"
+//! only if no attempt of the call can have started. Only these tables know that,
+//! because it depends on which frames were sent.
 
 use crate::entry::{
     attempt::Attempt,
@@ -23,17 +22,16 @@
     time::{Duration, Instant},
 };
 
-/// The earliest and latest time to come back after a refusal that the entry
-/// itself decides. Callers that were refused in one moment shall not all come
-/// back in another.
+/// Range of the retry delay, in seconds, for refusals that the entry decides.
+/// Drawn at random so that callers refused together don't retry together.
 const RETRY_AFTER_SECONDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// Draws when a caller is to come back.
+/// Draws a random retry delay for a refused caller.
 pub(super) fn random_retry_after() -> Duration {
     Duration::from_secs(rand::random_range(RETRY_AFTER_SECONDS))
 }
 
-/// One request of a caller.
+/// A caller's request in flight.
 #[derive(Debug)]
 pub(super) struct CallRow {
     pub(super) request: Inbound,
@@ -41,22 +39,22 @@
     pub(super) arrived: Instant,
     pub(super) deadline: Instant,
     pub(super) reply: Sender<Part>,
-    /// Bytes of the answer that the caller has taken.
+    /// Bytes of the answer that were delivered to the caller.
     pub(super) delivered: Arc<AtomicU64>,
-    /// Its claim, if it carries an idempotency key and may not run twice.
+    /// Its claim, if it isn't idempotent and carries an idempotency key.
     pub(super) keyed: Option<Keyed>,
-    /// Attempts that have not ended.
+    /// Attempts in flight.
     pub(super) attempts: Vec<RequestId>,
-    /// The attempt whose answer the caller has begun to get.
+    /// The attempt whose answer is being delivered to the caller.
     pub(super) winner: Option<RequestId>,
-    /// Attempts that were sent.
+    /// Attempts sent so far.
     pub(super) attempt_count: u32,
     /// Whether an attempt that ended may have run.
     pub(super) may_have_run: bool,
 }
 
 impl CallRow {
-    /// Says whether it waits for the attempt of another request of its key.
+    /// Returns whether it follows the attempt of another request under its key.
     pub(super) fn follows_other(&self) -> bool {
         let keyed = self.keyed.as_ref();
         keyed.is_some_and(|keyed| keyed.request.follows_other())
@@ -64,7 +62,7 @@
 }
 
 impl Tables {
-    /// Returns how long the callers of a service wait who don't say.
+    /// Returns the timeout of a service's calls that set none themselves.
     fn service_timeout(&self, service: &str) -> Duration {
         let document = self.config.newest();
         let service = document.services.get(service);
@@ -73,7 +71,7 @@
         })
     }
 
-    /// Takes in a request.
+    /// Accepts a new request.
     pub(super) fn accept_call(&mut self, now: Instant, arrival: Arrival) {
         let Arrival {
             id,
@@ -117,7 +115,7 @@
         }
     }
 
-    /// Hands a call to the router.
+    /// Submits a call to the router.
     pub(super) fn admit(&mut self, now: Instant, id: RequestId) {
         let Some(row) = self.calls.get(&id) else {
             return;
@@ -141,7 +139,7 @@
         self.router.submit(now, call);
     }
 
-    /// Gives up the calls whose callers wait no longer.
+    /// Refuses the calls whose deadline has passed.
     pub(super) fn expire(&mut self, now: Instant) {
         while self.deadlines.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, id)) = self.deadlines.pop_first() else {
@@ -156,7 +154,7 @@
         }
     }
 
-    /// Gives a caller its final answer, which is none.
+    /// Refuses a call; this is its final answer.
     pub(super) fn refuse(&mut self, now: Instant, id: RequestId, kind: ErrorKind, after: Duration) {
         let Some(row) = self.calls.get(&id) else {
             return;
@@ -168,7 +166,7 @@
         self.drop_call(now, id);
     }
 
-    /// Replaces "not run" by what is known if an attempt may have run.
+    /// Replaces a "not run" kind of error if an attempt may have run.
     fn correct_not_run(&self, row: &CallRow, kind: ErrorKind) -> ErrorKind {
         let may_have_run = row.may_have_run || !row.attempts.is_empty();
         if !kind.answer().not_run || !may_have_run {
@@ -188,7 +186,7 @@
         ErrorKind::OutcomeUnknown
     }
 
-    /// Forgets a call whose caller has gone.
+    /// Drops a call whose caller disconnected.
     pub(super) fn caller_gone(&mut self, now: Instant, id: RequestId) {
         if let Some(row) = self.calls.get(&id) {
             self.count_left(row);
@@ -197,13 +195,13 @@
         self.drop_call(now, id);
     }
 
-    /// Forgets a call; what runs of it is cancelled if it may be.
+    /// Removes a call and cancels its idempotent attempts.
     pub(super) fn drop_call(&mut self, now: Instant, id: RequestId) {
         self.router.cancel(now, id);
         self.close_call(now, id);
     }
 
-    /// Forgets a call that has its final answer.
+    /// Removes a call that has its final answer.
     pub(super) fn close_call(&mut self, now: Instant, id: RequestId) {
         let Some(row) = self.calls.remove(&id) else {
             return;
@@ -217,7 +215,8 @@
         }
     }
 
-    /// Hands a part of an answer to its caller; false if that is not possible.
+    /// Sends a part of an answer to its caller. Returns false and drops the call if
+    /// the caller is too slow or gone.
     pub(super) fn send_part(&mut self, now: Instant, call: RequestId, part: Part) -> bool {
         let Some(row) = self.calls.get(&call) else {
             return false;
@@ -225,7 +224,7 @@
         match row.reply.try_send(part) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => {
-                log::info!(target: "callers", "The caller of {call} is too slow; it is cut off.");
+                log::info!(target: "callers", "The caller of {call} is too slow; its call is dropped.");
                 self.caller_gone(now, call);
                 false
             }
@@ -236,7 +235,8 @@
         }
     }
 
-    /// Begins to pass an answer on; from now on no other attempt can replace it.
+    /// Starts delivering an attempt's answer; no other attempt can replace it
+    /// afterwards.
     pub(super) fn commit(&mut self, now: Instant, attempt: RequestId, head: Head) -> bool {
         let Some(call) = self.attempts.get(&attempt).map(|a| a.call) else {
             return false;
@@ -249,7 +249,7 @@
             self.router.commit(now, call, endpoint);
         }
         let repeat = row.repeat;
-        // What else runs of it can't be of use any more.
+        // The other attempts are no longer needed.
         let others = std::mem::replace(&mut row.attempts, vec![attempt]);
         for other in others.into_iter().filter(|other| *other != attempt) {
             self.abandon(other, repeat);
@@ -257,7 +257,7 @@
         self.send_part(now, call, Part::Head(head))
     }
 
-    /// Ends an attempt and tells the router.
+    /// Ends an attempt and reports its outcome to the router.
     pub(super) fn end_attempt(&mut self, now: Instant, id: RequestId, outcome: Outcome) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -278,7 +278,7 @@
         self.router
             .finish(now, attempt.call, attempt.endpoint, outcome);
         if let Some(kind) = broken_kind {
-            // Its caller has bytes of this attempt, so no other can go on.
+            // Part of this attempt's answer is delivered; no other can replace it.
             self.refuse(now, attempt.call, kind, random_retry_after());
         }
     }
