--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -1,9 +1,9 @@
-//! Calls that carry an idempotency key, on their way to a single run.
+//! Calls with an idempotency key, which run at most once.
 //!
-//! What has to happen is decided by [`KeyedRequest`]; this carries it out. Calls of
-//! one key at this entry take turns: a side has one viewer of an attempt an
-//! entry, and a repeat that waits for the first needs no write at all. When its
-//! turn comes it finds the first one's row and gets its answer from the side.
+//! [`KeyedRequest`] decides each step and this module performs it. Calls with the
+//! same key are queued at this entry: a sidecar sends an attempt's answer to one
+//! call of an entry at a time. A queued call writes nothing while it waits; it
+//! then finds the claim of the first one and reads its answer from the sidecar.
 
 use crate::{
     entry::{
@@ -25,13 +25,13 @@
 use hibiscusroad_wire::{Seal, to_side::Frame};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A call's claim.
+/// The claim state of a call.
 #[derive(Debug)]
 pub(super) struct Keyed {
-    /// The key of its row.
+    /// The key of its row in the platform's table.
     pub(super) row: String,
     pub(super) request: KeyedRequest,
-    /// The endpoint that the router chose.
+    /// The endpoint that the router selected.
     selected: Option<(EndpointKey, SideKey)>,
 }
 
@@ -49,21 +49,21 @@
 }
 
 impl Tables {
-    /// Puts a call in the row of its key; says whether it is its turn.
+    /// Queues a call under its key. Returns whether it is first in the queue.
     pub(super) fn enqueue_keyed(&mut self, call: RequestId, key: &str) -> bool {
         let queue = self.keys.entry(key.to_owned()).or_default();
         queue.push_back(call);
         queue.len() == 1
     }
 
-    /// Says whether a call waits for another of its key.
+    /// Returns whether a call waits for an earlier call with its key.
     pub(super) fn waits_for_key(&self, call: RequestId) -> bool {
         let keyed = self.calls.get(&call).and_then(|row| row.keyed.as_ref());
         let queue = keyed.and_then(|keyed| self.keys.get(&keyed.row));
         queue.is_some_and(|queue| queue.front() != Some(&call))
     }
 
-    /// Ends a call's claim and lets the next call of its key go on.
+    /// Removes a closed call from its key's queue and admits the next one.
     pub(super) fn dequeue_keyed(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
         let Some(queue) = self.keys.get_mut(&keyed.row) else {
             return;
@@ -75,7 +75,7 @@
             self.keys.remove(&keyed.row);
         }
         if let Some(bytes) = keyed.request.into_stale_row() {
-            // Best done, not needed: see the writer.
+            // Best effort; see `Writer::release`.
             let _ = self.writes.try_send(Write::Release(keyed.row, bytes));
         }
         if let Some(next) = next {
@@ -112,7 +112,7 @@
         self.perform(now, call, action);
     }
 
-    /// Notes that the router no longer wants a call at its endpoint.
+    /// Drops the selected endpoint of a call that the router cancelled there.
     pub(super) fn release_endpoint(&mut self, call: RequestId) {
         let row = self.calls.get_mut(&call);
         if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes in what became of the claim of `attempt`.
+    /// Applies the outcome of the claim of `attempt`.
     pub(super) fn apply_claim_outcome(
         &mut self,
         now: Instant,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes in what the side says of the attempt that a call asked for.
+    /// Applies the state that a sidecar reports of the attempt that a call queries.
     pub(super) fn apply_reported_state(
         &mut self,
         now: Instant,
@@ -157,7 +157,7 @@
             Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
             Action::QuerySidecar(claim) => self.query_sidecar(now, call, &claim),
-            // The frame that said so asks for the answer.
+            // The answer was requested when the state was received.
             Action::Follow(_) => {}
             Action::SelectEndpoint => self.admit(now, call),
             Action::Refuse(kind) => self.refuse(now, call, kind, random_retry_after()),
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Sends the attempt that a claim was won for, to the life of the side that
-    /// the claim names and to no other.
+    /// Starts the attempt of a claim that was won, only at the incarnation of the
+    /// sidecar that the claim names.
     fn run_claim(&mut self, now: Instant, call: RequestId, claim: &Claim) {
         let row = self.calls.get_mut(&call);
         let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) else {
@@ -210,9 +210,9 @@
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
     }
 
-    /// Asks the side that another's claim names how its attempt stands.
+    /// Queries the sidecar named by another request's claim for its attempt's state.
     fn query_sidecar(&mut self, now: Instant, call: RequestId, claim: &Claim) {
-        // The router placed the call, but it won't run there.
+        // The router placed the call, but it follows the existing attempt instead.
         self.router.cancel(now, call);
         self.steps(now);
         let Some(row) = self.calls.get(&call) else {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Adds a side that this entry sends no work to, only to ask it.
+    /// Adds a sidecar that is only queried and gets no new work.
     fn add_query_only(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
@@ -258,7 +258,7 @@
         Some(key)
     }
 
-    /// Ends another's attempt that a call asked for or followed.
+    /// Ends another request's attempt that a call queried or followed.
     pub(super) fn end_followed(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {}
@@ -270,15 +270,15 @@
     }
 }
 
-/// Notes that a call's own attempt surely never runs.
+/// Records that the attempt of a call's own claim never runs.
 pub(super) fn mark_not_run(row: Option<&mut CallRow>) {
     if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
         keyed.request.mark_not_run();
     }
 }
 
-/// Milliseconds since 1970. Claims are compared over a day, so that a clock
-/// which is off by seconds does no harm.
+/// Returns the milliseconds since 1970. Claims are compared over a day, so a
+/// clock skew of seconds doesn't matter.
 fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
