--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -1,8 +1,7 @@
-//! Writes claims to the platform's table, many at a time.
+//! Writes claims to the platform's table in batches.
 //!
-//! The threads here wait for the table, so that the thread that owns the tables
-//! of the entry never does. What a batch means is decided in
-//! [`hibiscusroad::claim`].
+//! The writer threads block on the table so that the thread that owns the entry's
+//! state never does. [`hibiscusroad::claim`] decides the outcome of a batch.
 
 use crate::{
     entry::event::Event,
@@ -18,44 +17,43 @@
     time::{Duration, Instant},
 };
 
-/// Threads that write. One could gather all, but a slow write would then hold
-/// up every other claim.
+/// Writer threads. More than one, so that a slow write doesn't block every other
+/// claim.
 const WRITER_THREADS: usize = 2;
 
-/// Claims that may wait for a writer.
+/// Writes that may wait for a writer thread.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// How often a claim is written before the table counts as down. Twice finds
-/// the own row after one lost answer.
+/// Tries of a batch in a row without an answer before the table counts as down.
+/// A second try finds the entry's own row if the first answer was lost.
 const MAX_TRIES: u32 = 3;
 
-/// How long that may take, so that a table which says nothing at all costs a
-/// caller one time limit and not three.
+/// Time after which a batch isn't retried, so that an unresponsive table costs a
+/// caller one timeout rather than one per try.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the table counts as down after that without being asked again. A
-/// caller who comes in this time gets its refusal at once instead of waiting
-/// for the same silence.
+/// How long the table then counts as down. Claims are refused at once in this
+/// time instead of waiting for another timeout.
 const DOWN_PERIOD: Duration = Duration::from_millis(500);
 
-/// Waits between two tries.
+/// Bounds of the backoff between two tries.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// What is to be written.
+/// A write to the platform's table.
 #[derive(Debug)]
 pub enum Write {
-    /// A claim, for this call.
+    /// Write a claim of this call.
     Claim(RequestId, Box<ClaimWrite>),
-    /// The row of this key is to be removed if it has this content.
+    /// Remove the row of this key if it has this content.
     Release(String, Vec<u8>),
 }
 
-/// Starts the writers and returns the way to them.
+/// Starts the writer threads and returns their queue.
 ///
 /// # Errors
 ///
-/// Returns the system's error if there is no thread to be had.
+/// Returns the system's error if a thread can't be spawned.
 pub fn start(table: &Table, events: &Sender<Event>) -> io::Result<Sender<Write>> {
     let (sender, queue) = flume::bounded(QUEUE_CAPACITY);
     for _ in 0..WRITER_THREADS {
@@ -77,9 +75,9 @@
     table: Table,
     events: Sender<Event>,
     queue: Receiver<Write>,
-    /// What did not fit into the last batch.
+    /// Writes that did not fit into the last batch.
     deferred: Vec<Write>,
-    /// Until when the table counts as down.
+    /// The instant until which the table counts as down.
     down_until: Option<Instant>,
 }
 
@@ -90,7 +88,7 @@
         }
     }
 
-    /// Waits for a write, and a moment for others.
+    /// Waits for a write, then up to [`BATCH_DELAY`] for more.
     fn collect_batch(&mut self) -> Option<Vec<Write>> {
         let mut writes = mem::take(&mut self.deferred);
         if writes.is_empty() {
@@ -124,7 +122,7 @@
         self.commit_batch(batch, &calls);
     }
 
-    /// Writes a batch until each claim in it is decided.
+    /// Writes a batch until each of its claims has an outcome.
     fn commit_batch(&mut self, mut batch: Batch, calls: &[(RequestId, RequestId)]) {
         let start = Instant::now();
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
@@ -151,7 +149,7 @@
             return TableAnswer::Down;
         }
         if timed_out {
-            log::warn!(target: "calls", "The table gives no answer; claims are refused.");
+            log::warn!(target: "calls", "The table does not respond; claims are refused.");
             self.down_until = Some(Instant::now() + DOWN_PERIOD);
             return TableAnswer::Down;
         }
@@ -161,7 +159,7 @@
                 TableAnswer::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
             }
             Outcome::Unknown(fault) => {
-                log::debug!(target: "calls", "Not known whether claims were written: {fault}.");
+                log::debug!(target: "calls", "It is unknown whether claims were written: {fault}.");
                 TableAnswer::Unknown
             }
             Outcome::NotSent(fault) => {
@@ -181,13 +179,13 @@
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
             let event = Event::Claimed(*call, attempt, Box::new(outcome));
-            // The tables are gone only when the process ends.
+            // The receiver closes only when the process ends.
             let _ = self.events.send(event);
         }
     }
 
     /// Removes a row whose attempt never runs. If that fails, the next request
-    /// under the key has the side seal the attempt once more.
+    /// with the key has the sidecar seal the attempt again.
     fn release(&self, key: String, bytes: Vec<u8>) {
         let transaction = Transaction::new()
             .when(Condition::Value(key.clone(), bytes))
