--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -1,8 +1,8 @@
-//! Frames about attempts: the pieces of their answers.
+//! Handlers of the frames that carry attempts' answers and states.
 //!
-//! Each piece is for one attempt, by its id, and for one place in its answer,
-//! by its offset. A caller gets bytes of one attempt only: the first that is
-//! whole, or that is passed on in pieces.
+//! Each frame names its attempt, and each chunk its offset in the answer. A
+//! caller gets bytes of one attempt only: the first whose answer is complete or
+//! is forwarded as a stream.
 
 use crate::entry::{
     assembly::{Ending, Taken},
@@ -15,17 +15,18 @@
 use hibiscusroad_wire::{Ack, Chunk, End, Refused, Standing, State, to_side::Frame};
 use std::{mem, sync::atomic::Ordering, time::Instant};
 
-/// Bytes of an answer that are held back. A longer one is passed on in pieces.
+/// Bytes of an answer that are buffered before it is forwarded in chunks.
 ///
-/// While it is held back, a failure still becomes a clear problem, or another
-/// attempt; afterwards only a broken connection. Larger than common answers.
+/// While an answer is buffered, a failure can still be retried or reported as a
+/// problem; afterwards the caller only sees a broken connection. Larger than
+/// common answers.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Bytes between two acknowledgements of a long answer.
+/// Bytes between two acknowledgements of an answer.
 pub(super) const ACK_INTERVAL_BYTES: u64 = 64 << 10;
 
 impl Tables {
-    /// Takes in the head of an answer.
+    /// Handles the head of an answer.
     pub(super) fn handle_head(&mut self, now: Instant, head: hibiscusroad_wire::Head) {
         let Some((_, attempt)) = self.find_sent(head.id) else {
             return;
@@ -33,9 +34,8 @@
         if attempt.head.is_some() {
             return;
         }
-        // A stream isn't begun for its caller before its first bytes are there:
-        // an endpoint that dies between the two leaves the call free to go
-        // elsewhere, where its caller else sees an empty answer broken off.
+        // Nothing is sent to the caller before the first bytes of the body: if
+        // the endpoint fails until then, the call can still be retried elsewhere.
         attempt.head = Some(Head {
             status: u16::try_from(head.status).unwrap_or(502),
             headers: head.headers,
@@ -45,13 +45,13 @@
         self.router.record_progress(now, call, endpoint, 0);
     }
 
-    /// Takes in bytes of an answer.
+    /// Handles a chunk of an answer.
     pub(super) fn handle_chunk(&mut self, now: Instant, chunk: Chunk) {
         let Some((id, attempt)) = self.find_sent(chunk.id) else {
             return;
         };
-        // What was asked for follows on the same connection, in order; pieces
-        // that come before it are left out and not asked for again.
+        // The answer to an Attach follows on the same connection, in order;
+        // chunks that arrive before it are ignored and not requested again.
         let attach_pending = attempt.attach_pending;
         if attempt.head.is_none() {
             if !attach_pending {
@@ -74,7 +74,7 @@
         attempt.attach_pending = false;
         attempt.chunks += 1;
         let (call, endpoint, chunks) = (attempt.call, attempt.endpoint, attempt.chunks);
-        // An engine sends a token a piece, so pieces count tokens well enough.
+        // An engine sends one token in a chunk, so chunks approximate tokens.
         self.router.record_progress(now, call, endpoint, chunks);
         self.acknowledge(id);
         let Some(row) = self.calls.get(&call) else {
@@ -100,13 +100,12 @@
         }
     }
 
-    /// Acknowledges what came, so that the side reads on and can forget it. What
-    /// may be asked for again under its key the side keeps for that reason.
+    /// Acknowledges received bytes, so that the sidecar can drop them and read
+    /// more. It keeps answers that may be requested again under a key.
     ///
-    /// Of an answer that is being passed on, only what the caller has taken
-    /// counts: the side reads a few hundred kilobytes past that and no further.
-    /// Otherwise a large answer would pile up here as fast as the endpoint
-    /// writes, until its caller is cut off for being slow.
+    /// Of an answer that is being forwarded, only bytes delivered to the caller
+    /// are acknowledged. The sidecar limits how far it reads ahead of that, so a
+    /// large answer doesn't accumulate here until its caller counts as too slow.
     fn acknowledge(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -124,7 +123,7 @@
         self.send_frame(side, Frame::Ack(Ack { id, offset, done }));
     }
 
-    /// Acknowledges what a caller has taken of its answer.
+    /// Acknowledges the bytes that were delivered to a caller.
     pub(super) fn acknowledge_call(&mut self, call: RequestId) {
         let row = self.calls.get(&call);
         if let Some(winner) = row.and_then(|row| row.winner) {
@@ -132,8 +131,10 @@
         }
     }
 
-    /// Acknowledges what all callers have taken, for those whose word of it
-    /// found no room.
+    /// Acknowledges the bytes that were delivered to all callers. Covers those
+    /// whose [`Event::Delivered`] did not fit into the event queue.
+    ///
+    /// [`Event::Delivered`]: crate::entry::event::Event::Delivered
     pub(super) fn acknowledge_all(&mut self) {
         let winners = self.calls.values().filter_map(|row| row.winner);
         for winner in winners.collect::<Vec<RequestId>>() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes in the declared end of an answer.
+    /// Handles the declared end of an answer.
     pub(super) fn handle_end(&mut self, now: Instant, end: &End) {
         let Some((id, attempt)) = self.find_sent(end.id) else {
             return;
@@ -175,7 +176,7 @@
         let part = match winner {
             None => Part::Whole(head, body),
             Some(winner) if winner == id => Part::End,
-            // Another attempt's answer is on its way to the caller.
+            // Another attempt's answer is being delivered.
             Some(_) => return self.abandon(id, Repeat::Idempotent),
         };
         if self.send_part(now, call, part) {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Takes in the final word on an attempt that gave no answer.
+    /// Handles the refusal of an attempt, which ends it without an answer.
     pub(super) fn handle_refused(&mut self, now: Instant, refused: &Refused) {
         let Some((id, _)) = self.find_attempt(refused.id) else {
             return;
@@ -203,7 +204,7 @@
         self.end_attempt(now, id, outcome);
     }
 
-    /// Takes in how an attempt stands, after it was asked for.
+    /// Handles the state of an attempt, sent in response to a query.
     pub(super) fn handle_standing(&mut self, now: Instant, standing: Standing) {
         let Some((id, attempt)) = self.find_attempt(standing.id) else {
             return;
