--- a/hibiscusroad-daemon/src/entry/link.rs
+++ b/hibiscusroad-daemon/src/entry/link.rs
@@ -1,11 +1,10 @@
-//! The client's end of a link: one task a connection.
+//! The client end of the stream to a sidecar: one task per connection.
 //!
-//! The task holds no state of the protocol. It opens the stream, hands frames
-//! on in both directions and reports when the connection is gone; all decisions
-//! are taken where the tables are. Reading waits for the tables when they are
-//! behind, which stops the side's sending by HTTP/2's flow control. Writing
-//! never waits: the tables must not stand still for one side, so a full queue
-//! counts as a broken link.
+//! The task holds no protocol state. It opens the stream, forwards frames in both
+//! directions and reports when the connection ends; the tables make all
+//! decisions. Reading blocks while the tables are behind, which makes HTTP/2 flow
+//! control stop the sidecar's sending. Writing never blocks, because one sidecar
+//! must not stall the tables; a full queue counts as a broken connection.
 
 use crate::entry::{
     event::{Event, LinkEvent},
@@ -23,25 +22,25 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::Endpoint;
 
-/// Frames that may wait for one connection.
+/// Frames that may be queued for one connection.
 ///
-/// A side takes at most some hundred attempts at once, each a Start and a few
-/// Acks: a queue this long means that the connection takes nothing any more.
+/// A sidecar runs at most some hundred attempts at once, each with a Start and a
+/// few Acks, so a full queue means that the connection is stalled.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// How long a connection may take to open.
+/// Limit for connecting, and again for opening the stream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Bytes that a side may send ahead on one connection.
+/// HTTP/2 receive window of a connection, in bytes.
 const RECEIVE_WINDOW_BYTES: u32 = 4 << 20;
 
-/// The largest frame, which is a Start with the largest body and its headers.
+/// Size limit of a frame; the largest is a Start with a full-size body and headers.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// One open or opening connection. It ends when this is dropped.
+/// An open or opening connection, closed on drop.
 #[derive(Debug)]
 pub struct Link {
-    /// Its place in the row of connections to this side.
+    /// Its number among the connections to this sidecar.
     pub epoch: u64,
     outgoing: mpsc::Sender<ToSide>,
     task: AbortHandle,
@@ -50,7 +49,7 @@
 impl Link {
     /// Queues a frame.
     ///
-    /// Returns false if the connection takes no more; the frame was not sent.
+    /// Returns false if the queue is full or closed; the frame was not sent.
     #[must_use]
     pub fn send(&self, frame: Frame) -> bool {
         self.outgoing.try_send(ToSide::from(frame)).is_ok()
@@ -63,7 +62,7 @@
     }
 }
 
-/// Opens links on a runtime of its own.
+/// Opens connections on its own runtime.
 #[derive(Clone, Debug)]
 pub struct Dialer {
     handle: Handle,
@@ -71,11 +70,11 @@
 }
 
 impl Dialer {
-    /// Starts the thread that runs all links of this process.
+    /// Starts the thread that runs all connections of this process.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the thread or its runtime can't be made.
+    /// Returns the system's error if the thread or its runtime can't be created.
     pub fn start(events: Sender<Event>) -> io::Result<Self> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
@@ -90,7 +89,7 @@
     pub fn dial(&self, side: SideKey, epoch: u64, address: SocketAddr, hello: Frame) -> Link {
         let (outgoing, frames) = mpsc::channel(QUEUE_CAPACITY);
         let events = self.events.clone();
-        // The queue is new, so there is room.
+        // The queue is empty, so this can't fail.
         let _ = outgoing.try_send(ToSide::from(hello));
         let task = self.handle.spawn(async move {
             let reason = serve(side, epoch, address, frames, &events).await;
@@ -138,15 +137,15 @@
     loop {
         let frame = match frames.message().await {
             Ok(Some(message)) => message.frame,
-            Ok(None) => return "closed by the side".to_owned(),
+            Ok(None) => return "closed by the sidecar".to_owned(),
             Err(e) => return describe_error("broken", &e),
         };
-        // A frame that this build doesn't know is left out; the versions in
-        // Hello and Welcome say whether the two can talk at all.
+        // Frames unknown to this build are ignored; the versions in Hello and
+        // Welcome decide whether the two ends are compatible.
         let Some(frame) = frame else { continue };
         let event = Event::Link(side, epoch, LinkEvent::Frame(frame));
         if events.send_async(event).await.is_err() {
-            return "the process stops".to_owned();
+            return "the process is stopping".to_owned();
         }
     }
 }
