--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/ask.rs
@@ -6,8 +6,8 @@
 use crate::{
     entry::{
         config,
-        fan::Answers,
-        operators::{Desk, Row, Shown},
+        operators::{OperatorContext, Row, Shown},
+        peers::PeerAnswers,
         survey::Survey,
     },
     platform::leases,
@@ -35,20 +35,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Question<'a> {
     /// What answering needs of the entry.
-    pub desk: &'a Desk,
+    pub context: &'a OperatorContext,
     /// What the operator showed in the header `Authorization`.
     pub token: Option<&'a str>,
     /// Whether another entry passed it on.
-    pub alone: bool,
+    pub local_only: bool,
 }
 
 /// Why there is no answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
     /// Nothing of this name is known.
-    Unknown(String),
+    NotFound(String),
     /// The answer can't be had now.
-    Unable(String),
+    Unavailable(String),
 }
 
 /// Answers the question at `path`, below `/v1/`.
@@ -62,12 +62,12 @@
     }
     let subject = path.strip_prefix("show/").unwrap_or(path);
     match subject {
-        "audit" => question.trail(),
+        "audit" => question.audit(),
         "leases" => question.leases(),
         "endpoints" | "hosts" | "places" | "versions" | "services" => question.survey(subject),
-        "entries" | "callers" => question.everywhere(subject),
-        _ if SUBJECTS.contains(&subject) => question.own(subject),
-        _ => Err(Refusal::Unknown(format!(
+        "entries" | "callers" => question.query_all(subject),
+        _ if SUBJECTS.contains(&subject) => question.query_local(subject),
+        _ => Err(Refusal::NotFound(format!(
             "nothing to show; known are {}",
             SUBJECTS.join(", ")
         ))),
@@ -76,76 +76,86 @@
 
 impl Question<'_> {
     /// Asks the tables of this entry.
-    fn own(&self, subject: &str) -> Result<Shown, Refusal> {
-        let shown = (self.desk.ask)(subject);
-        shown.ok_or_else(|| Refusal::Unable("the entry is too busy to say".to_owned()))
+    fn query_local(&self, subject: &str) -> Result<Shown, Refusal> {
+        let shown = (self.context.query)(subject);
+        shown.ok_or_else(|| Refusal::Unavailable("the entry is too busy to say".to_owned()))
     }
 
     /// Asks other entries, unless one of them asks.
-    fn others(&self, own: &Shown, path: &str, enough: impl FnMut(&[Shown]) -> bool) -> Answers {
-        if self.alone {
-            return Answers::default();
+    fn query_peers(
+        &self,
+        local: &Shown,
+        path: &str,
+        enough: impl FnMut(&[Shown]) -> bool,
+    ) -> PeerAnswers {
+        if self.local_only {
+            return PeerAnswers::default();
         }
-        self.desk.fan.ask(&own.peers, path, self.token, enough)
+        self.context
+            .peers
+            .query(&local.peers, path, self.token, enough)
     }
 
     /// Puts the rows of all entries together.
-    fn everywhere(&self, subject: &str) -> Result<Shown, Refusal> {
-        let mut own = self.own(subject)?;
-        let answers = self.others(&own, &format!("show/{subject}"), |_| false);
-        own.lacks.extend(answers.lacks);
+    fn query_all(&self, subject: &str) -> Result<Shown, Refusal> {
+        let mut local = self.query_local(subject)?;
+        let answers = self.query_peers(&local, &format!("show/{subject}"), |_| false);
+        local.missing.extend(answers.missing);
         for shown in answers.shown {
-            own.rows.extend(shown.rows);
+            local.rows.extend(shown.rows);
         }
-        Ok(own)
+        Ok(local)
     }
 
     /// Asks other entries for the endpoints that this one has no link to.
     fn survey(&self, subject: &str) -> Result<Shown, Refusal> {
-        let mut own = self.own("endpoints")?;
-        if self.alone {
-            return Ok(own);
+        let mut local = self.query_local("endpoints")?;
+        if self.local_only {
+            return Ok(local);
         }
-        let mut survey = Survey::new(mem::take(&mut own.rows));
-        if !survey.is_whole() {
-            let answers = self.others(&own, "show/endpoints", |shown| {
+        let mut survey = Survey::new(mem::take(&mut local.rows));
+        if !survey.is_complete() {
+            let answers = self.query_peers(&local, "show/endpoints", |shown| {
                 for shown in shown {
                     survey.add(shown.rows.clone());
                 }
-                survey.is_whole()
+                survey.is_complete()
             });
-            if !survey.is_whole() {
-                own.lacks.extend(answers.lacks);
+            if !survey.is_complete() {
+                local.missing.extend(answers.missing);
             }
         }
-        own.lacks.extend(survey.lacks());
-        let name = &self.desk.name;
-        own.rows = match subject {
+        local.missing.extend(survey.stale_endpoints());
+        let name = &self.context.name;
+        local.rows = match subject {
             "hosts" => survey.groups("host", &["place"], name),
             "places" => survey.groups("place", &[], name),
             "versions" => survey.groups("weights", &[], name),
-            "services" => survey.count(self.own(subject)?.rows),
+            "services" => survey.count(self.query_local(subject)?.rows),
             _ => survey.into_rows(),
         };
-        Ok(own)
+        Ok(local)
     }
 
-    fn trail(&self) -> Result<Shown, Refusal> {
-        let lines = config::trail(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
-        let rows = lines.iter().map(|line| match serde_json::to_value(line) {
-            Ok(Value::Object(row)) => from_table(row),
-            _ => Row::new(),
-        });
+    fn audit(&self) -> Result<Shown, Refusal> {
+        let entries = config::read_audit(&self.context.table)
+            .map_err(|e| Refusal::Unavailable(e.to_string()))?;
+        let rows = entries
+            .iter()
+            .map(|entry| match serde_json::to_value(entry) {
+                Ok(Value::Object(row)) => from_table(row),
+                _ => Row::new(),
+            });
         Ok(Shown {
             rows: rows.collect(),
-            version: lines.last().map_or(0, |line| line.version),
+            version: entries.last().map_or(0, |entry| entry.version),
             ..Shown::default()
         })
     }
 
     fn leases(&self) -> Result<Shown, Refusal> {
-        let leases =
-            leases::read_all(&self.desk.table).map_err(|e| Refusal::Unable(e.to_string()))?;
+        let leases = leases::read_all(&self.context.table)
+            .map_err(|e| Refusal::Unavailable(e.to_string()))?;
         let rows = leases.into_iter().map(|(duty, lease)| {
             let mut row = Row::new();
             row.insert("duty".to_owned(), json!(duty));
@@ -156,7 +166,7 @@
         });
         Ok(Shown {
             rows: rows.collect(),
-            version: self.own("config")?.version,
+            version: self.query_local("config")?.version,
             ..Shown::default()
         })
     }
@@ -164,30 +174,30 @@
     /// Explains what became of a request, or of an endpoint, and why.
     fn explain(&self, what: &str) -> Result<Shown, Refusal> {
         let path = format!("explain/{what}");
-        let mut own = self.own(&path)?;
+        let mut local = self.query_local(&path)?;
         // One entry decides on a request; on an endpoint each decides alone.
-        let one = what.starts_with("request/");
-        if !one || own.rows.is_empty() {
-            let found = |shown: &[Shown]| one && shown.iter().any(|s| !s.rows.is_empty());
-            let answers = self.others(&own, &path, found);
+        let is_request = what.starts_with("request/");
+        if !is_request || local.rows.is_empty() {
+            let found = |shown: &[Shown]| is_request && shown.iter().any(|s| !s.rows.is_empty());
+            let answers = self.query_peers(&local, &path, found);
             let rows = answers.shown.into_iter().flat_map(|shown| shown.rows);
-            own.rows.extend(rows);
-            own.lacks = answers.lacks;
+            local.rows.extend(rows);
+            local.missing = answers.missing;
         }
-        if own.rows.is_empty() && !self.alone {
-            return Err(Refusal::Unknown(unknown(what, &own.lacks)));
+        if local.rows.is_empty() && !self.local_only {
+            return Err(Refusal::NotFound(not_found_detail(what, &local.missing)));
         }
-        Ok(own)
+        Ok(local)
     }
 }
 
-fn unknown(what: &str, lacks: &[String]) -> String {
+fn not_found_detail(what: &str, missing: &[String]) -> String {
     let what = what.replacen('/', " ", 1);
-    if lacks.is_empty() {
+    if missing.is_empty() {
         return format!("no entry knows {what}; of requests each keeps its last ones");
     }
-    let lacks = lacks.join(", ");
-    format!("no entry that answered knows {what}; {lacks} gave no answer")
+    let missing = missing.join(", ");
+    format!("no entry that answered knows {what}; {missing} gave no answer")
 }
 
 fn from_table(mut row: Row) -> Row {
--- a/hibiscusroad-daemon/src/entry/assembly.rs
+++ b/hibiscusroad-daemon/src/entry/assembly.rs
@@ -9,20 +9,20 @@
 
 /// What became of a chunk.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum ChunkOutcome {
     /// These bytes are new and follow the last ones.
     New(Vec<u8>),
     /// All of it was taken before.
-    Old,
+    Duplicate,
     /// Bytes before it are missing.
     Gap,
 }
 
 /// What became of the declared end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum EndOutcome {
     /// The answer is whole.
-    Whole,
+    Complete,
     /// Bytes are missing.
     Missing,
     /// More bytes came than were declared.
@@ -43,30 +43,30 @@
     }
 
     /// Judges a chunk that begins at `offset`.
-    pub fn chunk(&mut self, offset: u64, mut data: Vec<u8>) -> Taken {
-        let Some(known) = self.offset.checked_sub(offset) else {
-            return Taken::Gap;
+    pub fn chunk(&mut self, offset: u64, mut data: Vec<u8>) -> ChunkOutcome {
+        let Some(received) = self.offset.checked_sub(offset) else {
+            return ChunkOutcome::Gap;
         };
-        let Ok(known) = usize::try_from(known) else {
-            return Taken::Old;
+        let Ok(received) = usize::try_from(received) else {
+            return ChunkOutcome::Duplicate;
         };
-        if known >= data.len() {
-            return Taken::Old;
+        if received >= data.len() {
+            return ChunkOutcome::Duplicate;
         }
-        data.drain(..known);
+        data.drain(..received);
         self.offset += data.len() as u64;
-        Taken::New(data)
+        ChunkOutcome::New(data)
     }
 
     /// Judges an end that declares `length` bytes.
     #[must_use]
-    pub const fn end(&self, length: u64) -> Ending {
+    pub const fn end(&self, length: u64) -> EndOutcome {
         if length == self.offset {
-            Ending::Whole
+            EndOutcome::Complete
         } else if length > self.offset {
-            Ending::Missing
+            EndOutcome::Missing
         } else {
-            Ending::Excess
+            EndOutcome::Excess
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/call.rs
+++ b/hibiscusroad-daemon/src/entry/call.rs
@@ -81,14 +81,14 @@
             reply,
             delivered,
         } = arrival;
-        if self.known(&request.service).is_none() {
+        if self.find_service(&request.service).is_none() {
             let kind = self.unknown_service();
             self.count_unknown(kind);
             let _ = reply.try_send(Part::Fail(kind, random_retry_after()));
             return;
         }
         self.count_request(&request);
-        let repeat = self.repeat(&request);
+        let repeat = self.repeat_policy(&request);
         let deadline = arrived + timeout.unwrap_or_else(|| self.service_timeout(&request.service));
         let mut row = CallRow {
             request,
@@ -121,7 +121,7 @@
             return;
         };
         let request = &row.request;
-        let Some(service) = self.known(&request.service) else {
+        let Some(service) = self.find_service(&request.service) else {
             return self.refuse(now, id, ErrorKind::UnknownService, random_retry_after());
         };
         if self.refuse_quarantined(now, id) {
@@ -189,8 +189,8 @@
     /// Drops a call whose caller disconnected.
     pub(super) fn caller_gone(&mut self, now: Instant, id: RequestId) {
         if let Some(row) = self.calls.get(&id) {
-            self.count_left(row);
-            self.trace(now, id, Decision::Left);
+            self.count_caller_gone(row);
+            self.trace(now, id, Decision::CallerGone);
         }
         self.drop_call(now, id);
     }
--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -51,7 +51,7 @@
 impl Tables {
     /// Queues a call under its key. Returns whether it is first in the queue.
     pub(super) fn enqueue_keyed(&mut self, call: RequestId, key: &str) -> bool {
-        let queue = self.keys.entry(key.to_owned()).or_default();
+        let queue = self.key_queues.entry(key.to_owned()).or_default();
         queue.push_back(call);
         queue.len() == 1
     }
@@ -59,24 +59,24 @@
     /// Returns whether a call waits for an earlier call with its key.
     pub(super) fn waits_for_key(&self, call: RequestId) -> bool {
         let keyed = self.calls.get(&call).and_then(|row| row.keyed.as_ref());
-        let queue = keyed.and_then(|keyed| self.keys.get(&keyed.row));
+        let queue = keyed.and_then(|keyed| self.key_queues.get(&keyed.row));
         queue.is_some_and(|queue| queue.front() != Some(&call))
     }
 
     /// Removes a closed call from its key's queue and admits the next one.
     pub(super) fn dequeue_keyed(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
-        let Some(queue) = self.keys.get_mut(&keyed.row) else {
+        let Some(queue) = self.key_queues.get_mut(&keyed.row) else {
             return;
         };
         let is_first = queue.front() == Some(&call);
         queue.retain(|other| *other != call);
         let next = queue.front().copied().filter(|_| is_first);
         if queue.is_empty() {
-            self.keys.remove(&keyed.row);
+            self.key_queues.remove(&keyed.row);
         }
         if let Some(bytes) = keyed.request.into_stale_row() {
             // Best effort; see `Writer::release`.
-            let _ = self.writes.try_send(Write::Release(keyed.row, bytes));
+            let _ = self.claim_writes.try_send(Write::Release(keyed.row, bytes));
         }
         if let Some(next) = next {
             self.admit(now, next);
@@ -182,7 +182,7 @@
             expected,
         });
         if self
-            .writes
+            .claim_writes
             .try_send(Write::Claim(call, claim_write))
             .is_err()
         {
@@ -214,13 +214,13 @@
     fn query_sidecar(&mut self, now: Instant, call: RequestId, claim: &Claim) {
         // The router placed the call, but it follows the existing attempt instead.
         self.router.cancel(now, call);
-        self.steps(now);
+        self.apply_router_steps(now);
         let Some(row) = self.calls.get(&call) else {
             return;
         };
         let service = row.request.service.clone();
         let key = self
-            .side(&service, &claim.endpoint)
+            .find_side(&service, &claim.endpoint)
             .or_else(|| self.add_query_only(now, &service, claim));
         let Some(key) = key else {
             return self.apply_reported_state(now, call, ReportedState::SidecarGone);
@@ -253,7 +253,7 @@
             state: HostState::Leaving,
         };
         self.add_side(now, &host);
-        let key = self.side(service, &claim.endpoint)?;
+        let key = self.find_side(service, &claim.endpoint)?;
         self.sides[key].listing = Listing::QueryOnly;
         Some(key)
     }
--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -16,23 +16,23 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-const CURRENT: &str = "config/current";
-const COMMANDS: &str = "command/";
-const TRAIL: &str = "audit/";
+const DOCUMENT_KEY: &str = "config/current";
+const COMMAND_PREFIX: &str = "command/";
+const AUDIT_PREFIX: &str = "audit/";
 
 /// Time between two looks at the document's row.
 ///
 /// 360 entries then read 360 times a second, within the thousand that all may;
 /// the aim is a change in force everywhere within 2 s.
-pub const POLL: Duration = Duration::from_secs(1);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The longest wait between looks while the table is down, so that news spreads
 /// soon after it is back.
-const LONGEST_POLL: Duration = Duration::from_secs(5);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long an operator waits for a verdict. After that the outcome is unknown
 /// and the command may be repeated under its id.
-const PATIENCE: Duration = Duration::from_secs(5);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What became of a command, as far as this entry can tell.
 #[derive(Clone, Debug, PartialEq)]
@@ -55,11 +55,11 @@
     loop {
         match step(table, &command.id, &mut attempt) {
             Ok(reply) => return reply,
-            Err(fault) if start.elapsed() > PATIENCE => {
+            Err(error) if start.elapsed() > COMMIT_TIMEOUT => {
                 return if attempt.is_uncertain() {
-                    Reply::Unknown(fault)
+                    Reply::Unknown(error)
                 } else {
-                    Reply::Down(fault)
+                    Reply::Down(error)
                 };
             }
             Err(_) => thread::sleep(backoff.next_wait(&mut rng)),
@@ -71,7 +71,7 @@
 fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, PlatformError> {
     let rows = read(table, id)?;
     let plan = match attempt.next_step(&rows, now_ms()) {
-        NextStep::Answer(verdict) => return Ok(Reply::Decided(verdict, None)),
+        NextStep::Answer(outcome) => return Ok(Reply::Decided(outcome, None)),
         NextStep::Write(plan) => *plan,
         NextStep::Wait => {
             return Err(PlatformError::InvalidResponse(
@@ -81,42 +81,42 @@
     };
     match table.transact(&transaction(&plan)) {
         Outcome::Committed(_) => {
-            let verdict = CommandOutcome::Done(plan.next.version);
-            Ok(Reply::Decided(verdict, Some(Box::new(plan.next))))
+            let outcome = CommandOutcome::Done(plan.next.version);
+            Ok(Reply::Decided(outcome, Some(Box::new(plan.next))))
         }
         Outcome::Conflict(_) => Err(PlatformError::InvalidResponse(
             "another change came first".to_owned(),
         )),
-        Outcome::NotSent(fault) => Err(fault),
-        Outcome::Unknown(fault) => {
+        Outcome::NotSent(error) => Err(error),
+        Outcome::Unknown(error) => {
             attempt.record_lost_answer(plan);
-            Err(fault)
+            Err(error)
         }
     }
 }
 
 fn transaction(plan: &Plan) -> Transaction {
-    let command = format!("{COMMANDS}{}", plan.audit.command);
-    let trail = trail_key(plan.audit.version);
+    let command = format!("{COMMAND_PREFIX}{}", plan.audit.command);
+    let audit = audit_key(plan.audit.version);
     let version = plan.next.version.to_string();
     Transaction::new()
-        .when(Condition::Version(CURRENT.to_owned(), plan.base))
+        .when(Condition::Version(DOCUMENT_KEY.to_owned(), plan.base))
         .when(Condition::Version(command.clone(), 0))
-        .then(Op::Put(CURRENT.to_owned(), json(&plan.next)))
+        .then(Op::Put(DOCUMENT_KEY.to_owned(), json(&plan.next)))
         .then(Op::Put(command, version.into_bytes()))
-        .then(Op::Put(trail, json(&plan.audit)))
+        .then(Op::Put(audit, json(&plan.audit)))
 }
 
 /// The key of the line that tells of a version; keys sort as versions do.
-fn trail_key(version: u64) -> String {
-    format!("{TRAIL}{version:020}")
+fn audit_key(version: u64) -> String {
+    format!("{AUDIT_PREFIX}{version:020}")
 }
 
 fn read(table: &Table, command: &str) -> Result<Rows, PlatformError> {
-    let command = format!("{COMMANDS}{command}");
+    let command = format!("{COMMAND_PREFIX}{command}");
     let mut rows = Rows::default();
-    for row in table.read(&[CURRENT, &command])? {
-        if row.key == CURRENT {
+    for row in table.read(&[DOCUMENT_KEY, &command])? {
+        if row.key == DOCUMENT_KEY {
             rows.document = parse(&row)?;
         } else {
             rows.committed = Some(parse(&row)?);
@@ -130,8 +130,8 @@
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table gave no usable answer.
-pub fn trail(table: &Table) -> Result<Vec<Audit>, PlatformError> {
-    table.list(TRAIL, 0)?.iter().map(parse).collect()
+pub fn read_audit(table: &Table) -> Result<Vec<Audit>, PlatformError> {
+    table.list(AUDIT_PREFIX, 0)?.iter().map(parse).collect()
 }
 
 /// Reads the line of the audit trail that tells of one version.
@@ -139,9 +139,9 @@
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table gave no usable answer.
-pub fn line(table: &Table, version: u64) -> Result<Option<Audit>, PlatformError> {
+pub fn read_audit_entry(table: &Table, version: u64) -> Result<Option<Audit>, PlatformError> {
     table
-        .get(&trail_key(version))?
+        .get(&audit_key(version))?
         .as_ref()
         .map(parse)
         .transpose()
@@ -150,24 +150,24 @@
 /// Looks at the document's row for as long as `news` returns true.
 ///
 /// `news` gets every document that was written since the last look.
-pub fn watch(table: &Table, mut news: impl FnMut(Document) -> bool) {
+pub fn watch(table: &Table, mut on_document: impl FnMut(Document) -> bool) {
     let mut rng = Pcg64Mcg::from_os_rng();
-    let mut backoff = Backoff::new(POLL, LONGEST_POLL);
+    let mut backoff = Backoff::new(POLL_INTERVAL, MAX_POLL_INTERVAL);
     let mut revision = 0;
     loop {
-        let wait = match look(table, revision) {
+        let wait = match poll(table, revision) {
             Ok(found) => {
                 backoff.reset();
                 if let Some((at, document)) = found {
                     revision = at + 1;
-                    if !news(document) {
+                    if !on_document(document) {
                         return;
                     }
                 }
-                POLL
+                POLL_INTERVAL
             }
-            Err(fault) => {
-                log::debug!(target: "config", "No news from the table: {fault}.");
+            Err(error) => {
+                log::debug!(target: "config", "No news from the table: {error}.");
                 backoff.next_wait(&mut rng)
             }
         };
@@ -175,8 +175,8 @@
     }
 }
 
-fn look(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, PlatformError> {
-    let Some(row) = table.get_since(CURRENT, revision)? else {
+fn poll(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, PlatformError> {
+    let Some(row) = table.get_since(DOCUMENT_KEY, revision)? else {
         return Ok(None);
     };
     Ok(Some((row.revision, parse(&row)?)))
--- a/hibiscusroad-daemon/src/entry/event.rs
+++ b/hibiscusroad-daemon/src/entry/event.rs
@@ -152,7 +152,7 @@
     /// A configuration was read or accepted.
     Config(Box<Document>),
     /// An operator asks about a subject.
-    Ask(String, Sender<Shown>),
+    Query(String, Sender<Shown>),
     /// The process is to stop.
     Stop,
 }
--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -5,7 +5,7 @@
 //! is forwarded as a stream.
 
 use crate::entry::{
-    assembly::{Ending, Taken},
+    assembly::{ChunkOutcome, EndOutcome},
     attempt::{Phase, wire_id},
     event::{Head, Part},
     tables::Tables,
@@ -60,9 +60,9 @@
             return;
         }
         match attempt.assembly.chunk(chunk.offset, chunk.data) {
-            Taken::Gap if !attach_pending => self.attach(now, id),
-            Taken::Old | Taken::Gap => {}
-            Taken::New(data) => self.append(now, id, data),
+            ChunkOutcome::Gap if !attach_pending => self.attach(now, id),
+            ChunkOutcome::Duplicate | ChunkOutcome::Gap => {}
+            ChunkOutcome::New(data) => self.append(now, id, data),
         }
     }
 
@@ -147,11 +147,11 @@
         let Some((id, attempt)) = self.find_sent(end.id) else {
             return;
         };
-        let ending = attempt.assembly.end(end.length);
-        match ending {
-            Ending::Whole if attempt.head.is_some() => self.complete(now, id),
-            Ending::Whole | Ending::Missing => self.attach(now, id),
-            Ending::Excess => {
+        let outcome = attempt.assembly.end(end.length);
+        match outcome {
+            EndOutcome::Complete if attempt.head.is_some() => self.complete(now, id),
+            EndOutcome::Complete | EndOutcome::Missing => self.attach(now, id),
+            EndOutcome::Excess => {
                 let outcome = Outcome::Failed(ErrorKind::EndpointBroken);
                 self.end_attempt(now, id, outcome);
             }
@@ -181,7 +181,7 @@
         };
         if self.send_part(now, call, part) {
             self.end_attempt(now, id, Outcome::Answered);
-            self.steps(now);
+            self.apply_router_steps(now);
             if let Some(row) = self.calls.get(&call) {
                 self.count_answered(now, row);
                 self.trace(now, call, Decision::Answered);
--- a/hibiscusroad-daemon/src/entry/front/answer.rs
+++ b/hibiscusroad-daemon/src/entry/front/answer.rs
@@ -6,7 +6,7 @@
 //! close a connection at once, so a line that is no chunk is written instead.
 //! Every HTTP client reports it as a broken answer, and closes.
 
-use crate::entry::{event::Head, front::request::is_hop};
+use crate::entry::{event::Head, front::request::is_not_forwarded};
 use chunked_transfer::Encoder;
 use hibiscusroad::{ErrorKind, RequestId, Retry};
 use serde::Serialize;
@@ -18,13 +18,13 @@
 use tiny_http::{HTTPVersion, Method, Request, StatusCode};
 
 /// What stands where a chunk's size belongs when an answer breaks off.
-const NO_CHUNK: &[u8] = b"broken off\r\n";
+const INVALID_CHUNK_LINE: &[u8] = b"broken off\r\n";
 
 /// The largest chunk.
-const CHUNK: usize = 32 << 10;
+const MAX_CHUNK_BYTES: usize = 32 << 10;
 
 /// Statuses whose answers have no body (RFC 9110, 6.4.1).
-const BODILESS: [u16; 2] = [204, 304];
+const BODYLESS_STATUSES: [u16; 2] = [204, 304];
 
 /// A problem body (RFC 9457).
 #[derive(Debug, Serialize)]
@@ -42,7 +42,7 @@
     id: RequestId,
     /// Whether the caller understands chunks.
     pub chunks: bool,
-    bodiless: bool,
+    bodyless: bool,
     close: bool,
 }
 
@@ -52,7 +52,7 @@
         Self {
             id,
             chunks: *request.http_version() >= HTTPVersion(1, 1),
-            bodiless: *request.method() == Method::Head,
+            bodyless: *request.method() == Method::Head,
             close,
         }
     }
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Returns the system's error if the caller doesn't take it.
-pub fn problem(
+pub fn write_problem(
     out: &mut dyn Write,
     target: Target,
     kind: ErrorKind,
@@ -78,10 +78,10 @@
         request: target.id.to_string(),
     };
     let body = serde_json::to_vec(&problem)?;
-    let mut text = start(answer.status, target);
+    let mut text = start_head(answer.status, target);
     text.push_str("Content-Type: application/problem+json\r\n");
     if answer.retry == Retry::After {
-        line(&mut text, "Retry-After", &whole_seconds(after).to_string());
+        push_header(&mut text, "Retry-After", &ceil_seconds(after).to_string());
     }
     finish(out, text, target, answer.status, &body)
 }
@@ -91,17 +91,22 @@
 /// # Errors
 ///
 /// Returns the system's error if the caller doesn't take it.
-pub fn whole(out: &mut dyn Write, target: Target, head: &Head, body: &[u8]) -> io::Result<()> {
+pub fn write_whole(
+    out: &mut dyn Write,
+    target: Target,
+    head: &Head,
+    body: &[u8],
+) -> io::Result<()> {
     let text = head_text(head, target);
     finish(out, text, target, head.status, body)
 }
 
 /// An answer in pieces.
-pub struct Pieces {
-    encoder: Encoder<Gate>,
+pub struct ChunkedAnswer {
+    encoder: Encoder<ClosableWriter>,
 }
 
-impl Pieces {
+impl ChunkedAnswer {
     /// Writes the head of an answer in pieces.
     ///
     /// # Errors
@@ -109,12 +114,12 @@
     /// Returns the system's error if the caller doesn't take it.
     pub fn start(mut out: Box<dyn Write + Send>, target: Target, head: &Head) -> io::Result<Self> {
         let mut text = head_text(head, target);
-        line(&mut text, "Transfer-Encoding", "chunked");
+        push_header(&mut text, "Transfer-Encoding", "chunked");
         text.push_str("\r\n");
         out.write_all(text.as_bytes())?;
-        let gate = Gate { out, shut: false };
+        let writer = ClosableWriter { out, closed: false };
         Ok(Self {
-            encoder: Encoder::with_chunks_size(gate, CHUNK),
+            encoder: Encoder::with_chunks_size(writer, MAX_CHUNK_BYTES),
         })
     }
 
@@ -144,76 +149,76 @@
     }
 
     /// Ends an answer that stays incomplete.
-    pub fn break_off(mut self) {
+    pub fn abort(mut self) {
         let _ = self.encoder.flush();
-        let gate = self.encoder.get_mut();
-        let _ = gate.write_all(NO_CHUNK);
-        let _ = gate.flush();
-        gate.shut = true;
+        let writer = self.encoder.get_mut();
+        let _ = writer.write_all(INVALID_CHUNK_LINE);
+        let _ = writer.flush();
+        writer.closed = true;
     }
 }
 
 /// Lets nothing through once it is shut, not even the last chunk that the
 /// encoder writes when it is dropped.
-struct Gate {
+struct ClosableWriter {
     out: Box<dyn Write + Send>,
-    shut: bool,
+    closed: bool,
 }
 
-impl Write for Gate {
+impl Write for ClosableWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        if self.shut {
+        if self.closed {
             return Ok(buf.len());
         }
         let written = self.out.write(buf);
         // A caller that takes nothing any more would get the last chunk as the
         // next bytes, and with it an answer that looks whole.
-        self.shut = written.is_err();
+        self.closed = written.is_err();
         written
     }
 
     fn flush(&mut self) -> io::Result<()> {
         let flushed = self.out.flush();
-        self.shut |= flushed.is_err();
+        self.closed |= flushed.is_err();
         flushed
     }
 }
 
-impl Drop for Gate {
+impl Drop for ClosableWriter {
     /// The encoder writes the last chunk when it is dropped, just before this.
     /// Left in the server's buffer it would reach a caller who keeps the
     /// connection only when that is closed, seconds later.
     fn drop(&mut self) {
-        if !self.shut {
+        if !self.closed {
             let _ = self.out.flush();
         }
     }
 }
 
 /// Rounds up, so that nobody comes back too early.
-fn whole_seconds(after: Duration) -> u64 {
+fn ceil_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
 
-fn start(status: u16, target: Target) -> String {
+fn start_head(status: u16, target: Target) -> String {
     let reason = StatusCode(status).default_reason_phrase();
     let mut text = format!("HTTP/1.1 {status} {reason}\r\n");
-    line(&mut text, "Request-Id", &target.id.to_string());
+    push_header(&mut text, "Request-Id", &target.id.to_string());
     if target.close {
-        line(&mut text, "Connection", "close");
+        push_header(&mut text, "Connection", "close");
     }
     text
 }
 
 fn head_text(head: &Head, target: Target) -> String {
-    let mut text = start(head.status, target);
-    for header in head.headers.iter().filter(|h| !is_hop(&h.name)) {
-        line(&mut text, &header.name, &header.value);
+    let mut text = start_head(head.status, target);
+    for header in head.headers.iter().filter(|h| !is_not_forwarded(&h.name)) {
+        push_header(&mut text, &header.name, &header.value);
     }
     text
 }
 
-fn line(text: &mut String, name: &str, value: &str) {
+fn push_header(text: &mut String, name: &str, value: &str) {
     let _ = write!(text, "{name}: {value}\r\n");
 }
 
@@ -224,12 +229,12 @@
     status: u16,
     body: &[u8],
 ) -> io::Result<()> {
-    if !BODILESS.contains(&status) && !target.bodiless {
-        line(&mut text, "Content-Length", &body.len().to_string());
+    if !BODYLESS_STATUSES.contains(&status) && !target.bodyless {
+        push_header(&mut text, "Content-Length", &body.len().to_string());
     }
     text.push_str("\r\n");
     let mut bytes = text.into_bytes();
-    if !BODILESS.contains(&status) && !target.bodiless {
+    if !BODYLESS_STATUSES.contains(&status) && !target.bodyless {
         bytes.extend_from_slice(body);
     }
     out.write_all(&bytes)?;
--- a/hibiscusroad-daemon/src/entry/front/mod.rs
+++ b/hibiscusroad-daemon/src/entry/front/mod.rs
@@ -47,33 +47,33 @@
 ///
 /// Longer than the pauses of a phone on a bad network, short enough that 200
 /// new half-open connections a second hold no more than a thousand threads.
-pub const SILENCE: Duration = Duration::from_secs(5);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often accepting is woken; well within [`SILENCE`].
-const WAKE: Duration = Duration::from_secs(1);
+/// How often accepting is woken; well within [`IDLE_TIMEOUT`].
+const WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the connect of a wake may take.
-const WAKE_LIMIT: Duration = Duration::from_millis(500);
+const WAKE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connections that the system holds before they are accepted.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// The pause before accepting is started again, so that a process that is out
 /// of file descriptors doesn't spin.
-const RESTART_PAUSE: Duration = Duration::from_millis(50);
+const RESTART_DELAY: Duration = Duration::from_millis(50);
 
 /// How long an old server is kept without a request. No connection lives longer
-/// without one: the longest deadline, and then [`SILENCE`].
-const RETIRE: Duration = Duration::from_secs(620);
+/// without one: the longest deadline, and then [`IDLE_TIMEOUT`].
+const RETIRED_SERVER_TTL: Duration = Duration::from_secs(620);
 
 /// Threads that skip bodies of refused requests.
-const SKIPPERS: usize = 4;
+const SKIP_THREADS: usize = 4;
 
 /// Refused requests that may wait for their body to be skipped.
-const SKIP_QUEUE: usize = 256;
+const SKIP_QUEUE_CAPACITY: usize = 256;
 
 /// Bodies up to this length were read by the server along with the headers.
-const READ_ALREADY: usize = 1024;
+const PREREAD_BODY_BYTES: usize = 1024;
 
 /// What the threads of the front share.
 #[derive(Debug)]
@@ -81,7 +81,7 @@
     events: Sender<Event>,
     ids: Arc<Ids>,
     /// Bytes that a body may have.
-    largest: usize,
+    max_body: usize,
     listener: TcpListener,
     stopping: AtomicBool,
     closed: AtomicBool,
@@ -185,7 +185,7 @@
         let shared = Arc::new(Shared {
             events,
             ids,
-            largest: settings.body,
+            max_body: settings.body,
             listener,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
@@ -193,15 +193,17 @@
             metrics,
         });
         // No room at all: a job is taken only by a worker that waits for one.
-        let (jobs, free) = flume::bounded(0);
-        let (refusals, refused) = flume::bounded(SKIP_QUEUE);
+        let (jobs, job_queue) = flume::bounded(0);
+        let (refusals, refused) = flume::bounded(SKIP_QUEUE_CAPACITY);
         for _ in 0..settings.workers {
-            let (free, refusals) = (free.clone(), refusals.clone());
-            spawn("worker", move || worker::run(&free, &refusals))?;
+            let (job_queue, refusals) = (job_queue.clone(), refusals.clone());
+            spawn("worker", move || worker::run(&job_queue, &refusals))?;
         }
-        for _ in 0..SKIPPERS {
+        for _ in 0..SKIP_THREADS {
             let refused: Receiver<Refusal> = refused.clone();
-            spawn("skipper", move || refused.iter().for_each(worker::skip))?;
+            spawn("skipper", move || {
+                refused.iter().for_each(worker::refuse_and_skip)
+            })?;
         }
         let acceptor = Acceptor {
             shared: Arc::clone(&shared),
@@ -226,12 +228,12 @@
         Some(Protocol::TCP),
     )?;
     socket.set_reuse_address(true)?;
-    socket.set_read_timeout(Some(SILENCE))?;
-    socket.set_write_timeout(Some(SILENCE))?;
+    socket.set_read_timeout(Some(IDLE_TIMEOUT))?;
+    socket.set_write_timeout(Some(IDLE_TIMEOUT))?;
     // Answers are written whole, so waiting for more bytes only delays them.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -245,8 +247,8 @@
         });
     }
     loop {
-        thread::sleep(WAKE);
-        if let Err(e) = TcpStream::connect_timeout(&address, WAKE_LIMIT) {
+        thread::sleep(WAKE_INTERVAL);
+        if let Err(e) = TcpStream::connect_timeout(&address, WAKE_TIMEOUT) {
             log::debug!(target: "callers", "The wake of the listener failed: {e}.");
         }
     }
@@ -268,13 +270,13 @@
     }
 
     fn run(&self, server: &Server) {
-        let mut used = Instant::now();
+        let mut last_request = Instant::now();
         let mut retired = false;
-        while !retired || used.elapsed() < RETIRE {
-            match server.recv_timeout(WAKE) {
+        while !retired || last_request.elapsed() < RETIRED_SERVER_TTL {
+            match server.recv_timeout(WAKE_INTERVAL) {
                 Ok(Some(request)) => {
-                    used = Instant::now();
-                    self.hand(request, used);
+                    last_request = Instant::now();
+                    self.dispatch(request, last_request);
                 }
                 Ok(None) => {}
                 Err(e) => {
@@ -286,12 +288,12 @@
     }
 
     /// Starts another server on the same socket, however long that takes.
-    fn replace(&self, why: &io::Error) {
+    fn replace(&self, error: &io::Error) {
         if !self.shared.closed() {
-            log::warn!(target: "callers", "Accepting failed: {why}. Starting it again.");
+            log::warn!(target: "callers", "Accepting failed: {error}. Starting it again.");
         }
         while !self.shared.closed() {
-            thread::sleep(RESTART_PAUSE);
+            thread::sleep(RESTART_DELAY);
             match self.clone().spawn() {
                 Ok(()) => return,
                 Err(e) => log::warn!(target: "callers", "Accepting can't start yet: {e}."),
@@ -299,7 +301,7 @@
         }
     }
 
-    fn hand(&self, request: Request, arrived: Instant) {
+    fn dispatch(&self, request: Request, arrived: Instant) {
         let job = Job {
             request,
             id: self.shared.ids.next(),
@@ -320,11 +322,14 @@
     }
 
     fn refuse(&self, job: Job, kind: ErrorKind) {
-        let read = job.request.body_length().is_some_and(|n| n <= READ_ALREADY);
-        if read || !request::has_body(&job.request) {
+        let body_read = job
+            .request
+            .body_length()
+            .is_some_and(|n| n <= PREREAD_BODY_BYTES);
+        if body_read || !request::has_body(&job.request) {
             worker::refuse(job, kind);
         } else {
-            worker::leave(&self.refusals, Refusal { job, kind });
+            worker::queue_refusal(&self.refusals, Refusal { job, kind });
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/front/request.rs
+++ b/hibiscusroad-daemon/src/entry/front/request.rs
@@ -15,59 +15,62 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Header that names the time that the caller still waits.
-const DEADLINE: &str = "Deadline-Ms";
+const DEADLINE_HEADER: &str = "Deadline-Ms";
 
 /// Header that marks a request that its caller may send again.
-const KEY: &str = "Idempotency-Key";
+const KEY_HEADER: &str = "Idempotency-Key";
 
 /// Header that names the class of the caller.
-const CLASS: &str = "Request-Class";
+const CLASS_HEADER: &str = "Request-Class";
 
-/// The range of [`DEADLINE`], in milliseconds.
-const DEADLINES: std::ops::RangeInclusive<u64> = 1..=600_000;
+/// The range of [`DEADLINE_HEADER`], in milliseconds.
+const DEADLINE_MS_RANGE: std::ops::RangeInclusive<u64> = 1..=600_000;
 
 /// The longest time that a caller may wait, by its header or a service's rule.
-pub const LONGEST_WAIT: Duration = Duration::from_millis(*DEADLINES.end());
+pub const MAX_TIMEOUT: Duration = Duration::from_millis(*DEADLINE_MS_RANGE.end());
 
 /// The longest idempotency key.
-const LONGEST_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// The most headers, and the most bytes of them.
-const MOST_HEADERS: usize = 64;
-const MOST_HEADER_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// The longest target, and the longest service name in it.
-const LONGEST_TARGET: usize = 8 << 10;
-const LONGEST_SERVICE: usize = 64;
+const MAX_TARGET_BYTES: usize = 8 << 10;
+const MAX_SERVICE_BYTES: usize = 64;
 
 /// How long a body may take, however slowly it drips. Without this a caller who
 /// sends one byte every few seconds holds a worker for hours.
-const BODY_LIMIT: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Bytes of a prompt's beginning that are hashed to find an engine that has it
 /// in its cache.
-const PREFIX: usize = 512;
+const PREFIX_BYTES: usize = 512;
 
 /// Bytes of text to a token, as an estimate.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Tokens that a model call generates if it doesn't say.
-const DEFAULT_TOKENS: u32 = 16;
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
 /// Headers that the entry has read for itself.
-const READ: [&str; 2] = ["content-length", "deadline-ms"];
+const CONSUMED_HEADERS: [&str; 2] = ["content-length", "deadline-ms"];
 
 /// Says whether a header belongs to one connection, or is read here, and isn't
 /// passed on.
-pub fn is_hop(name: &str) -> bool {
-    is_hop_by_hop(name) || READ.iter().any(|read| name.eq_ignore_ascii_case(read))
+pub fn is_not_forwarded(name: &str) -> bool {
+    is_hop_by_hop(name)
+        || CONSUMED_HEADERS
+            .iter()
+            .any(|consumed| name.eq_ignore_ascii_case(consumed))
 }
 
 /// Says whether a body may follow the headers.
 pub fn has_body(request: &Request) -> bool {
-    all(request, "Content-Length").any(|v| v != "0")
-        || all(request, "Transfer-Encoding").next().is_some()
-        || all(request, "Connection").any(is_upgrade)
+    header_values(request, "Content-Length").any(|v| v != "0")
+        || header_values(request, "Transfer-Encoding").next().is_some()
+        || header_values(request, "Connection").any(is_upgrade)
 }
 
 /// Returns the time that the caller waits, if it says so.
@@ -76,14 +79,14 @@
 ///
 /// Returns [`ErrorKind::BadDeadline`] if the header is no number in its range.
 pub fn deadline(request: &Request) -> Result<Option<Duration>, ErrorKind> {
-    let Some(text) = one(request, DEADLINE, ErrorKind::BadDeadline)? else {
+    let Some(text) = single_header(request, DEADLINE_HEADER, ErrorKind::BadDeadline)? else {
         return Ok(None);
     };
     if !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(ErrorKind::BadDeadline);
     }
     match text.parse() {
-        Ok(ms) if DEADLINES.contains(&ms) => Ok(Some(Duration::from_millis(ms))),
+        Ok(ms) if DEADLINE_MS_RANGE.contains(&ms) => Ok(Some(Duration::from_millis(ms))),
         _ => Err(ErrorKind::BadDeadline),
     }
 }
@@ -93,15 +96,15 @@
 /// # Errors
 ///
 /// Returns the kind of what is wrong with it.
-pub fn read(request: &mut Request, largest: usize) -> Result<Inbound, ErrorKind> {
+pub fn read(request: &mut Request, max_body: usize) -> Result<Inbound, ErrorKind> {
     check_headers(request)?;
     let (service, path) = target(request.url())?;
     let idempotent = idempotent(request.method())?;
     let class = class(request)?;
     let key = key(request)?;
-    let headers = passed(request);
+    let headers = forwarded_headers(request);
     let method = request.method().as_str().to_owned();
-    let body = body(request, largest)?;
+    let body = body(request, max_body)?;
     let prompt = is_model_path(&path).then(|| prompt(&body)).flatten();
     Ok(Inbound {
         service,
@@ -126,14 +129,17 @@
 fn check_headers(request: &Request) -> Result<(), ErrorKind> {
     let headers = request.headers();
     let bytes = |h: &tiny_http::Header| h.field.as_str().as_str().len() + h.value.len();
-    if headers.len() > MOST_HEADERS
-        || headers.iter().map(bytes).sum::<usize>() > MOST_HEADER_BYTES
-        || request.url().len() > LONGEST_TARGET
+    if headers.len() > MAX_HEADERS
+        || headers.iter().map(bytes).sum::<usize>() > MAX_HEADER_BYTES
+        || request.url().len() > MAX_TARGET_BYTES
     {
         return Err(ErrorKind::HeadersTooLarge);
     }
-    let odd = |b: u8| b.is_ascii_control() && b != b'\t';
-    if headers.iter().any(|h| h.value.as_str().bytes().any(odd)) {
+    let is_control = |b: u8| b.is_ascii_control() && b != b'\t';
+    if headers
+        .iter()
+        .any(|h| h.value.as_str().bytes().any(is_control))
+    {
         return Err(ErrorKind::BadRequest);
     }
     check_framing(request)
@@ -142,12 +148,12 @@
 /// Refuses what two programs could read as bodies of different lengths
 /// (RFC 9112, 6.3): the rest of such a body would be taken for a request.
 fn check_framing(request: &Request) -> Result<(), ErrorKind> {
-    if all(request, "Connection").any(is_upgrade) {
+    if header_values(request, "Connection").any(is_upgrade) {
         return Err(ErrorKind::BadRequest);
     }
-    let mut codings = all(request, "Transfer-Encoding");
+    let mut codings = header_values(request, "Transfer-Encoding");
     let coding = codings.next();
-    let length = one(request, "Content-Length", ErrorKind::BadRequest)?;
+    let length = single_header(request, "Content-Length", ErrorKind::BadRequest)?;
     match (coding, length) {
         (Some(_), Some(_)) => Err(ErrorKind::BadRequest),
         (Some(coding), None) if !coding.eq_ignore_ascii_case("chunked") => {
@@ -166,8 +172,8 @@
     let rest = url.strip_prefix("/s/").ok_or(ErrorKind::UnknownPath)?;
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, path) = rest.split_at(end);
-    let known = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    if service.is_empty() || service.len() > LONGEST_SERVICE || !service.bytes().all(known) {
+    let valid = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    if service.is_empty() || service.len() > MAX_SERVICE_BYTES || !service.bytes().all(valid) {
         return Err(ErrorKind::UnknownService);
     }
     if url.bytes().any(|b| !b.is_ascii_graphic()) {
@@ -186,7 +192,7 @@
 }
 
 fn class(request: &Request) -> Result<Class, ErrorKind> {
-    match one(request, CLASS, ErrorKind::BadRequest)? {
+    match single_header(request, CLASS_HEADER, ErrorKind::BadRequest)? {
         None | Some("interactive") => Ok(Class::Interactive),
         Some("partner") => Ok(Class::Partner),
         Some("rollout") => Ok(Class::Rollout),
@@ -195,20 +201,20 @@
 }
 
 fn key(request: &Request) -> Result<Option<String>, ErrorKind> {
-    let Some(key) = one(request, KEY, ErrorKind::BadKey)? else {
+    let Some(key) = single_header(request, KEY_HEADER, ErrorKind::BadKey)? else {
         return Ok(None);
     };
     let printable = |b: u8| b.is_ascii_graphic() || b == b' ';
-    if key.is_empty() || key.len() > LONGEST_KEY || !key.bytes().all(printable) {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !key.bytes().all(printable) {
         return Err(ErrorKind::BadKey);
     }
     Ok(Some(key.to_owned()))
 }
 
-fn passed(request: &Request) -> Vec<Header> {
+fn forwarded_headers(request: &Request) -> Vec<Header> {
     let headers = request.headers().iter();
     headers
-        .filter(|h| !is_hop(h.field.as_str().as_str()))
+        .filter(|h| !is_not_forwarded(h.field.as_str().as_str()))
         .map(|h| Header {
             name: h.field.as_str().as_str().to_owned(),
             value: h.value.as_str().to_owned(),
@@ -216,9 +222,9 @@
         .collect()
 }
 
-fn body(request: &mut Request, largest: usize) -> Result<Vec<u8>, ErrorKind> {
+fn body(request: &mut Request, max_body: usize) -> Result<Vec<u8>, ErrorKind> {
     let length = request.body_length();
-    if length.is_some_and(|n| n > largest) {
+    if length.is_some_and(|n| n > max_body) {
         return Err(ErrorKind::BodyTooLarge);
     }
     let mut body = Vec::with_capacity(length.unwrap_or_default());
@@ -226,19 +232,19 @@
         return Ok(body);
     }
     let start = Instant::now();
-    let mut piece = [0; 16 << 10];
+    let mut buf = [0; 16 << 10];
     let reader = request.as_reader();
     loop {
-        let n = match reader.read(&mut piece) {
+        let n = match reader.read(&mut buf) {
             Ok(0) => break,
             Ok(n) => n,
             Err(_) => return Err(ErrorKind::BadBody),
         };
-        body.extend_from_slice(&piece[..n]);
-        if body.len() > largest {
+        body.extend_from_slice(&buf[..n]);
+        if body.len() > max_body {
             return Err(ErrorKind::BodyTooLarge);
         }
-        if start.elapsed() > BODY_LIMIT {
+        if start.elapsed() > BODY_TIMEOUT {
             return Err(ErrorKind::BadBody);
         }
     }
@@ -264,16 +270,16 @@
 fn prompt(body: &[u8]) -> Option<Prompt> {
     let call: ModelCall<'_> = serde_json::from_slice(body).ok()?;
     let text = call.prompt.as_bytes();
-    let read = u32::try_from(text.len() / TOKEN_BYTES).unwrap_or(u32::MAX);
-    let made = call.max_tokens.unwrap_or(DEFAULT_TOKENS);
+    let prompt_tokens = u32::try_from(text.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
+    let generated = call.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     Some(Prompt {
-        tokens: read.saturating_add(made),
-        prefix: xxh3_64(&text[..text.len().min(PREFIX)]),
+        tokens: prompt_tokens.saturating_add(generated),
+        prefix: xxh3_64(&text[..text.len().min(PREFIX_BYTES)]),
         stream: call.stream,
     })
 }
 
-fn all<'a>(request: &'a Request, name: &'static str) -> impl Iterator<Item = &'a str> {
+fn header_values<'a>(request: &'a Request, name: &'static str) -> impl Iterator<Item = &'a str> {
     let headers = request.headers().iter();
     headers
         .filter(move |h| h.field.equiv(name))
@@ -281,12 +287,12 @@
 }
 
 /// Returns the value of a header that may be given once.
-fn one<'a>(
+fn single_header<'a>(
     request: &'a Request,
     name: &'static str,
     kind: ErrorKind,
 ) -> Result<Option<&'a str>, ErrorKind> {
-    let mut values = all(request, name);
+    let mut values = header_values(request, name);
     let value = values.next();
     match values.next() {
         None => Ok(value),
--- a/hibiscusroad-daemon/src/entry/front/worker.rs
+++ b/hibiscusroad-daemon/src/entry/front/worker.rs
@@ -6,7 +6,7 @@
     frames::ACK_INTERVAL_BYTES,
     front::{
         Guard, Job, Refusal, Shared,
-        answer::{self, Pieces, Target},
+        answer::{self, ChunkedAnswer, Target},
         request,
     },
 };
@@ -24,35 +24,35 @@
 
 /// Parts of an answer that may wait for a slow caller. The tables drop a caller
 /// that is further behind.
-const PARTS: usize = 1024;
+const PART_QUEUE_CAPACITY: usize = 1024;
 
 /// How long past the deadline a worker waits for the tables' final word. They
 /// give it at the deadline; this is for the case that they stand still.
-const GRACE: Duration = Duration::from_millis(250);
+const DEADLINE_GRACE: Duration = Duration::from_millis(250);
 
 /// How long the news that a caller left may wait for room.
-const LEFT_LIMIT: Duration = Duration::from_secs(2);
+const CALLER_GONE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bytes of an answer that are gathered for a caller that doesn't know chunks.
-const MOST_WHOLE: usize = 16 << 20;
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
 /// Bytes of a body that are skipped to keep a connection usable.
-const MOST_SKIPPED: usize = 64 << 20;
+const MAX_SKIPPED_BYTES: usize = 64 << 20;
 
 /// The status that comes before an answer to a request whose body isn't read.
-const INTERIM: u16 = 100;
+const INTERIM_STATUS: u16 = 100;
 
 /// Serves requests until the front is gone.
 pub fn run(jobs: &Receiver<Job>, refusals: &Sender<Refusal>) {
     for mut job in jobs {
         let shared = Arc::clone(&job.guard.0);
         let read = request::deadline(&job.request)
-            .and_then(|wait| Ok((request::read(&mut job.request, shared.largest)?, wait)));
+            .and_then(|wait| Ok((request::read(&mut job.request, shared.max_body)?, wait)));
         match read {
             Ok((inbound, wait)) => serve(job, &shared, inbound, wait),
             // Only the server knows how much of the body was read.
             Err(kind) if request::has_body(&job.request) => {
-                leave(refusals, Refusal { job, kind });
+                queue_refusal(refusals, Refusal { job, kind });
             }
             Err(kind) => refuse(job, kind),
         }
@@ -64,7 +64,7 @@
     job.guard.0.count_refused(kind);
     let target = target(&job);
     let (mut out, _guard) = split(job);
-    if let Err(e) = answer::problem(&mut *out, target, kind, random_retry_after()) {
+    if let Err(e) = answer::write_problem(&mut *out, target, kind, random_retry_after()) {
         log::debug!(target: "callers", "A refusal was not taken: {e}.");
     }
 }
@@ -73,7 +73,7 @@
 ///
 /// When even these are all busy, skipping nothing and leaving the connection as
 /// it is costs its thread until the caller hangs up, but no worker.
-pub fn leave(refusals: &Sender<Refusal>, refusal: Refusal) {
+pub fn queue_refusal(refusals: &Sender<Refusal>, refusal: Refusal) {
     if let Err(e) = refusals.try_send(refusal) {
         abandon(e.into_inner().job);
     }
@@ -88,18 +88,18 @@
 /// A body that is declared longer than anybody sends is not skipped: the server
 /// would reserve memory for all of it, which ends the process if there is less.
 /// Its connection is left open and unused until the caller hangs up.
-pub fn skip(refusal: Refusal) {
+pub fn refuse_and_skip(refusal: Refusal) {
     let Refusal { job, kind } = refusal;
     job.guard.0.count_refused(kind);
     let target = target(&job);
     let length = job.request.body_length().unwrap_or_default();
-    let interim = tiny_http::Response::empty(INTERIM);
+    let interim = tiny_http::Response::empty(INTERIM_STATUS);
     let mut stream = job.request.upgrade("none", interim);
-    if let Err(e) = answer::problem(&mut *stream, target, kind, random_retry_after()) {
+    if let Err(e) = answer::write_problem(&mut *stream, target, kind, random_retry_after()) {
         log::debug!(target: "callers", "A refusal was not taken: {e}.");
     }
     drop(job.guard);
-    if length > MOST_SKIPPED {
+    if length > MAX_SKIPPED_BYTES {
         mem::forget(stream);
     }
 }
@@ -117,7 +117,7 @@
 }
 
 fn serve(job: Job, shared: &Shared, inbound: Inbound, timeout: Option<Duration>) {
-    let (reply, parts) = flume::bounded(PARTS);
+    let (reply, parts) = flume::bounded(PART_QUEUE_CAPACITY);
     let delivered = Arc::new(AtomicU64::new(0));
     let id = job.id;
     let arrival = Arrival {
@@ -136,23 +136,27 @@
         return refuse(job, ErrorKind::HandoverFull);
     }
     // Only the tables know how long the service's callers wait who don't say.
-    let deadline = job.arrived + timeout.unwrap_or(request::LONGEST_WAIT);
+    let deadline = job.arrived + timeout.unwrap_or(request::MAX_TIMEOUT);
     let answer = Answer {
         id,
         shared,
         parts,
         delivered,
-        limit: deadline + GRACE,
+        limit: deadline + DEADLINE_GRACE,
     };
     let chunks = target(&job).chunks;
-    let first = if chunks { answer.first() } else { answer.all() };
+    let first = if chunks {
+        answer.first()
+    } else {
+        answer.collect()
+    };
     // Only now is it known whether the process is stopping.
     let target = target(&job);
     let (mut out, _guard) = split(job);
     let written = match first {
-        First::Fail(kind, after) => answer::problem(&mut *out, target, kind, after),
-        First::Whole(head, body) => answer::whole(&mut *out, target, &head, &body),
-        First::Pieces(head) => answer.pieces(out, target, &head),
+        FirstPart::Fail(kind, after) => answer::write_problem(&mut *out, target, kind, after),
+        FirstPart::Whole(head, body) => answer::write_whole(&mut *out, target, &head, &body),
+        FirstPart::Chunked(head) => answer.stream(out, target, &head),
     };
     if let Err(e) = written {
         log::debug!(target: "callers", "The caller of {id} left: {e}.");
@@ -161,9 +165,9 @@
 }
 
 /// How an answer begins.
-enum First {
+enum FirstPart {
     Whole(Head, Vec<u8>),
-    Pieces(Head),
+    Chunked(Head),
     Fail(ErrorKind, Duration),
 }
 
@@ -189,57 +193,57 @@
         }
     }
 
-    fn first(&self) -> First {
+    fn first(&self) -> FirstPart {
         match self.next() {
-            Part::Whole(head, body) => First::Whole(head, body),
-            Part::Head(head) => First::Pieces(head),
-            Part::Fail(kind, after) => First::Fail(kind, after),
-            Part::Data(_) | Part::End => First::Fail(ErrorKind::Internal, random_retry_after()),
+            Part::Whole(head, body) => FirstPart::Whole(head, body),
+            Part::Head(head) => FirstPart::Chunked(head),
+            Part::Fail(kind, after) => FirstPart::Fail(kind, after),
+            Part::Data(_) | Part::End => FirstPart::Fail(ErrorKind::Internal, random_retry_after()),
         }
     }
 
     /// Waits for all of the answer, for a caller that doesn't know chunks: it
     /// could not see that an answer broke off.
-    fn all(&self) -> First {
+    fn collect(&self) -> FirstPart {
         let head = match self.first() {
-            First::Pieces(head) => head,
+            FirstPart::Chunked(head) => head,
             other => return other,
         };
         let mut body = Vec::new();
         loop {
             match self.next() {
                 Part::Data(data) => {
-                    self.took(data.len());
+                    self.record_delivered(data.len());
                     body.extend(data);
-                    if body.len() > MOST_WHOLE {
+                    if body.len() > MAX_BUFFERED_BYTES {
                         self.report_caller_gone();
-                        return First::Fail(ErrorKind::AnswerShort, random_retry_after());
+                        return FirstPart::Fail(ErrorKind::AnswerShort, random_retry_after());
                     }
                 }
-                Part::End => return First::Whole(head, body),
-                Part::Fail(kind, after) => return First::Fail(kind, after),
+                Part::End => return FirstPart::Whole(head, body),
+                Part::Fail(kind, after) => return FirstPart::Fail(kind, after),
                 Part::Whole(..) | Part::Head(_) => {
-                    return First::Fail(ErrorKind::Internal, random_retry_after());
+                    return FirstPart::Fail(ErrorKind::Internal, random_retry_after());
                 }
             }
         }
     }
 
-    fn pieces(&self, out: Box<dyn Write + Send>, target: Target, head: &Head) -> io::Result<()> {
-        let mut pieces = Pieces::start(out, target, head)?;
+    fn stream(&self, out: Box<dyn Write + Send>, target: Target, head: &Head) -> io::Result<()> {
+        let mut chunked = ChunkedAnswer::start(out, target, head)?;
         let mut part = self.next();
         loop {
             match part {
                 Part::Data(data) => {
-                    pieces.write(&data)?;
-                    self.took(data.len());
+                    chunked.write(&data)?;
+                    self.record_delivered(data.len());
                 }
                 Part::End => {
-                    pieces.end();
+                    chunked.end();
                     return Ok(());
                 }
                 Part::Fail(..) | Part::Whole(..) | Part::Head(_) => {
-                    pieces.break_off();
+                    chunked.abort();
                     return Ok(());
                 }
             }
@@ -247,7 +251,7 @@
                 part
             } else {
                 // Nothing more is there, so what is must not wait.
-                pieces.flush()?;
+                chunked.flush()?;
                 self.next()
             };
         }
@@ -255,7 +259,7 @@
 
     /// Tells the tables that the caller took bytes, each time that they can
     /// acknowledge some.
-    fn took(&self, bytes: usize) {
+    fn record_delivered(&self, bytes: usize) {
         let before = self.delivered.fetch_add(bytes as u64, Ordering::Relaxed);
         if before / ACK_INTERVAL_BYTES != (before + bytes as u64) / ACK_INTERVAL_BYTES {
             // If there is no room, the tables look by themselves soon.
@@ -266,7 +270,12 @@
     /// Tells the tables that nobody waits for the answer any more.
     fn report_caller_gone(&self) {
         let event = Event::CallerGone(self.id);
-        if self.shared.events.send_timeout(event, LEFT_LIMIT).is_err() {
+        if self
+            .shared
+            .events
+            .send_timeout(event, CALLER_GONE_TIMEOUT)
+            .is_err()
+        {
             log::warn!(target: "callers", "The tables don't hear that {} left.", self.id);
         }
     }
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -27,10 +27,10 @@
 };
 
 /// Time between two looks at the list.
-const POLL: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time between two looks while none has succeeded yet.
-const FIRST_POLL: Duration = Duration::from_millis(200);
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts the thread that polls the host list.
 ///
@@ -45,11 +45,11 @@
 }
 
 fn poll(list: &HostList, budget: &Budget, events: &Sender<Event>) {
-    let mut wait = FIRST_POLL;
+    let mut interval = INITIAL_POLL_INTERVAL;
     loop {
         match list.fetch() {
             Ok(hosts) => {
-                wait = POLL;
+                interval = POLL_INTERVAL;
                 budget.set_processes(hosts.iter().filter(|host| host.role == "entry").count());
                 if events.send(Event::Hosts(hosts)).is_err() {
                     return;
@@ -57,19 +57,19 @@
             }
             Err(e) => log::warn!(target: "hosts", "The host list can't be had: {e}."),
         }
-        thread::sleep(wait);
+        thread::sleep(interval);
     }
 }
 
 impl Tables {
     /// Takes in a host list.
-    pub(super) fn hosts(&mut self, now: Instant, hosts: Vec<Host>) {
-        self.take_hosts(now, &hosts);
+    pub(super) fn apply_hosts(&mut self, now: Instant, hosts: Vec<Host>) {
+        self.update_sides(now, &hosts);
         self.hosts = hosts;
-        self.listed = Some(now);
+        self.hosts_received = Some(now);
     }
 
-    fn take_hosts(&mut self, now: Instant, hosts: &[Host]) {
+    fn update_sides(&mut self, now: Instant, hosts: &[Host]) {
         for side in self.sides.values_mut() {
             if side.listing == Listing::Listed {
                 side.listing = Listing::Unlisted;
@@ -95,21 +95,21 @@
             .collect();
         for i in choose(&self.name, &self.data_centre, &candidates, self.subset) {
             let host = hosts[i];
-            match self.side(&host.service, &host.endpoint) {
-                Some(key) => self.listed(now, key, host),
+            match self.find_side(&host.service, &host.endpoint) {
+                Some(key) => self.update_listed(now, key, host),
                 None => self.add_side(now, host),
             }
         }
     }
 
-    pub(super) fn side(&self, service: &str, name: &str) -> Option<SideKey> {
+    pub(super) fn find_side(&self, service: &str, name: &str) -> Option<SideKey> {
         let mut sides = self.sides.iter();
         sides
             .find(|(_, side)| side.name == name && side.service == service)
             .map(|(key, _)| key)
     }
 
-    fn listed(&mut self, now: Instant, key: SideKey, host: &Host) {
+    fn update_listed(&mut self, now: Instant, key: SideKey, host: &Host) {
         let side = &mut self.sides[key];
         side.listing = Listing::Listed;
         side.leaving.listed = host.state == HostState::Leaving;
--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -106,8 +106,8 @@
 
     /// Updates all sidecars: heartbeats, silence, connections and timeouts.
     pub(super) fn tick_sides(&mut self, now: Instant) {
-        let gap = now.saturating_duration_since(self.ticked);
-        self.ticked = now;
+        let gap = now.saturating_duration_since(self.last_tick);
+        self.last_tick = now;
         let keys: Vec<SideKey> = self.sides.keys().collect();
         for key in keys {
             if gap > STALL_THRESHOLD {
@@ -223,7 +223,7 @@
 
     fn handle_config(&mut self, now: Instant, config: &Config) {
         match serde_json::from_slice::<Document>(&config.document) {
-            Ok(document) if document.version == config.version => self.adopt(now, document),
+            Ok(document) if document.version == config.version => self.apply_config(now, document),
             Ok(_) => {
                 log::warn!(target: "config", "A sidecar sent a document whose version differs from its frame.")
             }
--- a/hibiscusroad-daemon/src/entry/mod.rs
+++ b/hibiscusroad-daemon/src/entry/mod.rs
@@ -18,7 +18,6 @@
 mod claims;
 pub mod config;
 pub mod event;
-pub mod fan;
 mod frames;
 pub mod front;
 mod hosts;
@@ -26,6 +25,7 @@
 mod links;
 mod numbers;
 pub mod operators;
+pub mod peers;
 mod quarantine;
 mod show;
 pub mod side;
@@ -35,17 +35,17 @@
 
 use self::{
     event::{Event, Ids},
-    fan::Fan,
-    front::{Front, SILENCE, Shared},
+    front::{Front, IDLE_TIMEOUT, Shared},
     link::Dialer,
-    operators::Desk,
+    operators::OperatorContext,
+    peers::PeerClient,
     tables::{TICK, Tables},
 };
 use crate::{
     event_loop,
     metrics::Metrics,
     platform::{Budget, HostList, Table},
-    settings::{Entry as Part, Settings},
+    settings::{Entry as EntrySettings, Settings},
     stop::SignalHandler,
 };
 use flume::{Receiver, Sender};
@@ -59,23 +59,23 @@
     time::{Duration, Instant},
 };
 
-pub use self::assembly::{Assembly, Ending, Taken};
+pub use self::assembly::{Assembly, ChunkOutcome, EndOutcome};
 
 /// How long a stopping entry has to be without work before it closes its
 /// listener.
-const QUIET: Duration = Duration::from_millis(300);
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(300);
 
 /// How long it goes on after that. A connection that stands either brings a
 /// request in this time, which is refused and the connection closed with it, or
 /// is closed for its silence: no request is cut off by the end of the process.
-const LINGER: Duration = SILENCE.saturating_add(Duration::from_millis(200));
+const CLOSE_LINGER: Duration = IDLE_TIMEOUT.saturating_add(Duration::from_millis(200));
 
 /// How long the process stays for callers that its deadline cut off.
-const LAST_WORDS: Duration = Duration::from_millis(300);
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long the tables may take to answer an operator; they do it within a
 /// turn unless they are overrun.
-const ANSWER: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why an entry can't run.
 #[derive(Debug, thiserror::Error)]
@@ -114,21 +114,26 @@
 ///
 /// Returns an [`Error`] if it can't start.
 pub fn start(settings: &Settings) -> Result<Running, Error> {
-    let part = settings.entry.as_ref().ok_or(Error::NoSettings)?;
-    let (sender, events) = flume::bounded(part.handover);
+    let entry_settings = settings.entry.as_ref().ok_or(Error::NoSettings)?;
+    let (sender, events) = flume::bounded(entry_settings.handover);
     let ids = Arc::new(Ids::new(Incarnation::draw()));
     let metrics = Metrics::open(&settings.metrics)?;
-    let front = Front::start(part, metrics.clone(), Arc::clone(&ids), sender.clone())
-        .map_err(|e| Error::Callers(part.callers, e))?;
+    let front = Front::start(
+        entry_settings,
+        metrics.clone(),
+        Arc::clone(&ids),
+        sender.clone(),
+    )
+    .map_err(|e| Error::Callers(entry_settings.callers, e))?;
     let dialer = Dialer::start(sender.clone())?;
     let budget = Arc::new(Budget::new(Instant::now()));
     let list = HostList::new(&settings.platform.hosts).metrics(metrics.clone());
     hosts::watch(list, Arc::clone(&budget), sender.clone())?;
     let table = Table::new(&settings.platform.table, Arc::clone(&budget)).metrics(metrics.clone());
-    let writes = claims::start(&table, &sender)?;
+    let claim_writes = claims::start(&table, &sender)?;
     watch_config(table.clone(), sender.clone())?;
-    let operators = listen(settings, part, table, sender.clone())?;
-    let tables = Tables::new(settings, part, ids, dialer, writes, metrics);
+    let operators = listen_operators(settings, entry_settings, table, sender.clone())?;
+    let tables = Tables::new(settings, entry_settings, ids, dialer, claim_writes, metrics);
     let stopper = Stopper {
         events: sender,
         shared: Arc::clone(&front.shared),
@@ -159,31 +164,32 @@
     Ok(())
 }
 
-fn listen(
+fn listen_operators(
     settings: &Settings,
-    part: &Part,
+    entry_settings: &EntrySettings,
     table: Table,
     events: Sender<Event>,
 ) -> Result<SocketAddr, Error> {
-    let news = events.clone();
-    let desk = Desk {
+    let accepted = events.clone();
+    let context = OperatorContext {
         table,
-        tokens: part.tokens.clone(),
+        tokens: entry_settings.tokens.clone(),
         name: settings.name.clone(),
-        fan: Fan::new(),
-        ask: Box::new(move |subject| {
+        peers: PeerClient::new(),
+        query: Box::new(move |subject| {
             let (reply, shown) = flume::bounded(1);
             events
-                .try_send(Event::Ask(subject.to_owned(), reply))
+                .try_send(Event::Query(subject.to_owned(), reply))
                 .ok()?;
-            shown.recv_timeout(ANSWER).ok()
+            shown.recv_timeout(QUERY_TIMEOUT).ok()
         }),
-        news: Box::new(move |document| {
+        on_accepted: Box::new(move |document| {
             // The watch on the table brings it later if there is no room now.
-            let _ = news.try_send(Event::Config(Box::new(document)));
+            let _ = accepted.try_send(Event::Config(Box::new(document)));
         }),
     };
-    operators::listen(part.operators, desk).map_err(|e| Error::Operators(part.operators, e))
+    operators::listen(entry_settings.operators, context)
+        .map_err(|e| Error::Operators(entry_settings.operators, e))
 }
 
 /// An entry that runs on threads of its own.
@@ -220,7 +226,7 @@
             log::error!(target: "process", "The thread that owns the tables failed.");
         }
         // Whoever was cut off learns it from a worker, which needs a moment.
-        let limit = Instant::now() + LAST_WORDS;
+        let limit = Instant::now() + FINAL_ANSWER_TIMEOUT;
         while self.stopper.shared.busy() > 0 && Instant::now() < limit {
             thread::sleep(TICK);
         }
@@ -251,7 +257,7 @@
         s,
         events,
         |_, event| call!([entry], handle(event)),
-        |_, now| call!([entry], settle(now)),
+        |_, now| call!([entry], run_systems(now)),
     );
 }
 
@@ -259,8 +265,8 @@
 struct Entry {
     tables: Tables,
     shared: Arc<Shared>,
-    limit: Duration,
-    due: MinTimerKey,
+    stop_deadline: Duration,
+    wake_timer: MinTimerKey,
     stop: Option<Stop>,
 }
 
@@ -269,9 +275,9 @@
 struct Stop {
     deadline: Instant,
     /// When there was work last.
-    quiet: Instant,
+    last_busy: Instant,
     /// When the listener was closed.
-    closed: Option<Instant>,
+    closed_at: Option<Instant>,
 }
 
 impl Entry {
@@ -280,8 +286,8 @@
         Some(Self {
             tables,
             shared,
-            limit,
-            due: MinTimerKey::default(),
+            stop_deadline: limit,
+            wake_timer: MinTimerKey::default(),
             stop: None,
         })
     }
@@ -290,31 +296,31 @@
         self.tables.handle(Instant::now(), event);
     }
 
-    fn settle(&mut self, cx: CX![], now: Instant) {
+    fn run_systems(&mut self, cx: CX![], now: Instant) {
         self.tables.tick(now);
-        if self.tables.stopping() && self.stopped(now) {
+        if self.tables.stopping() && self.is_stopped(now) {
             stakker::stop!(cx);
             cx.shutdown(stakker::StopCause::Stopped);
             return;
         }
         let next = now + TICK;
         let due = self.tables.next_due().map_or(next, |due| due.min(next));
-        timer_min!(&mut self.due, due, [cx], wake());
+        timer_min!(&mut self.wake_timer, due, [cx], wake());
     }
 
     /// Ends the sleep of the loop, which then settles.
     #[expect(clippy::unused_self, reason = "stakker's form of a method")]
     fn wake(&mut self, _: CX![]) {}
 
-    fn stopped(&mut self, now: Instant) -> bool {
+    fn is_stopped(&mut self, now: Instant) -> bool {
         let stop = self.stop.get_or_insert(Stop {
-            deadline: now + self.limit,
-            quiet: now,
-            closed: None,
+            deadline: now + self.stop_deadline,
+            last_busy: now,
+            closed_at: None,
         });
         let open = self.tables.open_calls();
         if open > 0 || self.shared.busy() > 0 {
-            stop.quiet = now;
+            stop.last_busy = now;
         }
         if now >= stop.deadline {
             if open > 0 {
@@ -322,10 +328,10 @@
             }
             return true;
         }
-        if stop.closed.is_none() && now >= stop.quiet + QUIET {
-            stop.closed = Some(now);
+        if stop.closed_at.is_none() && now >= stop.last_busy + IDLE_BEFORE_CLOSE {
+            stop.closed_at = Some(now);
             self.shared.close();
         }
-        stop.closed.is_some_and(|at| now >= at + LINGER)
+        stop.closed_at.is_some_and(|at| now >= at + CLOSE_LINGER)
     }
 }
--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -17,8 +17,8 @@
     pub(super) fn count_answered(&self, now: Instant, row: &CallRow) {
         let tags = tags(&row.request);
         self.metrics.count(metrics::ANSWERED, &tags);
-        let took = now.saturating_duration_since(row.arrived);
-        self.metrics.time(metrics::LATENCY, took, &tags);
+        let latency = now.saturating_duration_since(row.arrived);
+        self.metrics.time(metrics::LATENCY, latency, &tags);
     }
 
     /// Counts a request that got a problem.
@@ -36,7 +36,7 @@
     }
 
     /// Counts a request whose caller has gone.
-    pub(super) fn count_left(&self, row: &CallRow) {
+    pub(super) fn count_caller_gone(&self, row: &CallRow) {
         self.metrics.count(metrics::LEFT, &tags(&row.request));
     }
 
@@ -61,11 +61,11 @@
     }
 
     /// Reports the gauges, once a second.
-    pub(super) fn report_numbers(&mut self, now: Instant) {
-        if !self.metrics.is_on() || now < self.reported + metrics::REPORT_INTERVAL {
+    pub(super) fn report_gauges(&mut self, now: Instant) {
+        if !self.metrics.is_on() || now < self.last_report + metrics::REPORT_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.last_report = now;
         let linked = self.sides.values().filter(|side| side.link.is_some());
         self.metrics
             .gauge(metrics::LINKS, linked.count() as u64, &[]);
--- a/hibiscusroad-daemon/src/entry/operators.rs
+++ b/hibiscusroad-daemon/src/entry/operators.rs
@@ -8,7 +8,7 @@
     entry::{
         ask::{self, Question, Refusal},
         config::{self, Reply},
-        fan::{Fan, ONLY_SELF},
+        peers::{LOCAL_ONLY_QUERY, PeerClient},
     },
     platform::Table,
     settings::Tokens,
@@ -25,10 +25,10 @@
 /// Threads that answer operators; few people ask at once, but each of their
 /// questions may wait seconds for the table or for other entries, which ask
 /// here meanwhile.
-const THREADS: usize = 8;
+const OPERATOR_THREADS: usize = 8;
 
 /// Bytes that a command may have.
-const LARGEST_COMMAND: u64 = 64 * 1024;
+const MAX_COMMAND_BYTES: u64 = 64 * 1024;
 
 /// One row of an answer.
 pub type Row = Map<String, Value>;
@@ -39,7 +39,7 @@
     /// The rows.
     pub rows: Vec<Row>,
     /// Whom the answer lacks.
-    pub lacks: Vec<String>,
+    pub missing: Vec<String>,
     /// The configuration version in force at the entry.
     pub version: u64,
     /// The other entries on the host list.
@@ -56,42 +56,42 @@
 }
 
 /// Asks the thread that owns the tables; none if it is too busy to say.
-pub type Ask = dyn Fn(&str) -> Option<Shown> + Send + Sync;
+pub type QueryFn = dyn Fn(&str) -> Option<Shown> + Send + Sync;
 
 /// Hands a document that was just accepted to the entry.
-pub type News = dyn Fn(Document) + Send + Sync;
+pub type AcceptedFn = dyn Fn(Document) + Send + Sync;
 
 /// What the operators' threads need of the entry.
-pub struct Desk {
+pub struct OperatorContext {
     /// The platform's table.
     pub table: Table,
     /// Who may ask and act; nobody is asked for a token if none is set.
     pub tokens: Tokens,
     /// Asks the thread that owns the tables; none if it is too busy to say.
-    pub ask: Box<Ask>,
+    pub query: Box<QueryFn>,
     /// Hands a document that was just accepted to the entry.
-    pub news: Box<News>,
+    pub on_accepted: Box<AcceptedFn>,
     /// The name of the entry.
     pub name: String,
     /// Asks the other entries.
-    pub fan: Fan,
+    pub peers: PeerClient,
 }
 
-impl std::fmt::Debug for Desk {
+impl std::fmt::Debug for OperatorContext {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Desk").finish_non_exhaustive()
+        f.debug_struct("OperatorContext").finish_non_exhaustive()
     }
 }
 
 const UNKNOWN_PATH: &str = "no such path; known are /v1/show/SUBJECT, \
     /v1/explain/request/ID, /v1/explain/endpoint/NAME and /v1/change";
 
-struct Said {
+struct JsonResponse {
     status: u16,
     body: Value,
 }
 
-impl Said {
+impl JsonResponse {
     fn new(status: u16, body: Value) -> Self {
         Self { status, body }
     }
@@ -106,68 +106,76 @@
 /// # Errors
 ///
 /// Returns the system's error if the address can't be listened on.
-pub fn listen(address: SocketAddr, desk: Desk) -> std::io::Result<SocketAddr> {
+pub fn listen(address: SocketAddr, context: OperatorContext) -> std::io::Result<SocketAddr> {
     let server = Server::http(address).map_err(std::io::Error::other)?;
     let bound = server.server_addr().to_ip().unwrap_or(address);
-    let (server, desk) = (Arc::new(server), Arc::new(desk));
-    for n in 0..THREADS {
-        let (server, desk) = (Arc::clone(&server), Arc::clone(&desk));
+    let (server, context) = (Arc::new(server), Arc::new(context));
+    for n in 0..OPERATOR_THREADS {
+        let (server, context) = (Arc::clone(&server), Arc::clone(&context));
         thread::Builder::new()
             .name(format!("operators-{n}"))
-            .spawn(move || serve(&server, &desk))?;
+            .spawn(move || serve(&server, &context))?;
     }
     Ok(bound)
 }
 
-fn serve(server: &Server, desk: &Desk) {
+fn serve(server: &Server, context: &OperatorContext) {
     while let Ok(mut request) = server.recv() {
-        let said = answer(&mut request, desk);
-        let kind = Header::from_bytes("content-type", "application/json").expect("a valid header");
-        let response = Response::from_string(said.body.to_string())
-            .with_status_code(said.status)
-            .with_header(kind);
+        let response = answer(&mut request, context);
+        let content_type =
+            Header::from_bytes("content-type", "application/json").expect("a valid header");
+        let response = Response::from_string(response.body.to_string())
+            .with_status_code(response.status)
+            .with_header(content_type);
         if let Err(error) = request.respond(response) {
             log::debug!(target: "operators", "An operator left: {error}.");
         }
     }
 }
 
-fn answer(request: &mut Request, desk: &Desk) -> Said {
+fn answer(request: &mut Request, context: &OperatorContext) -> JsonResponse {
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     match (request.method(), path.strip_prefix("/v1/")) {
         (Method::Get, Some(path)) if path.starts_with("show/") || path.starts_with("explain/") => {
-            if !allowed(request, &[&desk.tokens.ask, &desk.tokens.act]) {
-                return denied();
+            if !is_authorized(request, &[&context.tokens.ask, &context.tokens.act]) {
+                return unauthorized();
             }
             let token = authorization(request);
             let token = token.as_deref();
-            let alone = query == ONLY_SELF;
-            told(&ask::answer(&Question { desk, token, alone }, path))
+            let local_only = query == LOCAL_ONLY_QUERY;
+            show_response(&ask::answer(
+                &Question {
+                    context,
+                    token,
+                    local_only,
+                },
+                path,
+            ))
         }
         (Method::Post, Some("change")) => {
-            if !allowed(request, &[&desk.tokens.act]) {
-                return denied();
+            if !is_authorized(request, &[&context.tokens.act]) {
+                return unauthorized();
             }
-            change(request, desk)
+            change(request, context)
         }
-        _ => Said::error(404, UNKNOWN_PATH),
+        _ => JsonResponse::error(404, UNKNOWN_PATH),
     }
 }
 
-fn told(answer: &Result<Shown, Refusal>) -> Said {
+fn show_response(answer: &Result<Shown, Refusal>) -> JsonResponse {
     match answer {
-        Ok(shown) => Said::new(
+        Ok(shown) => JsonResponse::new(
             200,
-            json!({ "rows": shown.rows, "lacks": shown.lacks, "version": shown.version }),
+            json!({ "rows": shown.rows, "lacks": shown.missing, "version": shown.version }),
         ),
-        Err(Refusal::Unknown(detail)) => Said::error(404, detail),
-        Err(Refusal::Unable(detail)) => Said::error(503, detail),
+        Err(Refusal::NotFound(detail)) => JsonResponse::error(404, detail),
+        Err(Refusal::Unavailable(detail)) => JsonResponse::error(503, detail),
     }
 }
 
-fn denied() -> Said {
-    Said::error(
+fn unauthorized() -> JsonResponse {
+    JsonResponse::error(
         401,
         "the token is missing or wrong; pass one with --token-file",
     )
@@ -175,7 +183,7 @@
 
 /// Compares in constant time, and with every token, so that the time taken says
 /// nothing about how much of a guess was right.
-fn allowed(request: &Request, lists: &[&Vec<String>]) -> bool {
+fn is_authorized(request: &Request, lists: &[&Vec<String>]) -> bool {
     let mut tokens = lists.iter().flat_map(|list| list.iter()).peekable();
     if tokens.peek().is_none() {
         return true;
@@ -193,30 +201,30 @@
     Some(header.value.as_str().to_owned())
 }
 
-fn change(request: &mut Request, desk: &Desk) -> Said {
+fn change(request: &mut Request, context: &OperatorContext) -> JsonResponse {
     let origin = request
         .remote_addr()
         .map_or_else(String::new, |address| address.ip().to_string());
     let mut body = Vec::new();
     let read = request
         .as_reader()
-        .take(LARGEST_COMMAND)
+        .take(MAX_COMMAND_BYTES)
         .read_to_end(&mut body);
     if read.is_err() {
-        return Said::error(400, "the command could not be read whole");
+        return JsonResponse::error(400, "the command could not be read whole");
     }
     let command: Command = match serde_json::from_slice(&body) {
         Ok(command) => command,
         Err(error) => {
-            return Said::error(400, &format!("the command can't be understood: {error}"));
+            return JsonResponse::error(400, &format!("the command can't be understood: {error}"));
         }
     };
-    let reply = config::commit(&desk.table, &command, &origin);
+    let reply = config::commit(&context.table, &command, &origin);
     log::info!(
         target: "operators",
         "Command {} by {} from {origin}: {}.", command.id, command.operator, outcome(&reply),
     );
-    tell(desk, reply)
+    change_response(context, reply)
 }
 
 const fn outcome(reply: &Reply) -> &'static str {
@@ -228,49 +236,50 @@
     }
 }
 
-fn tell(desk: &Desk, reply: Reply) -> Said {
+fn change_response(context: &OperatorContext, reply: Reply) -> JsonResponse {
     let outcome = outcome(&reply);
-    let mut said = match reply {
-        Reply::Decided(verdict, document) => {
+    let mut response = match reply {
+        Reply::Decided(outcome_of_command, document) => {
             if let Some(document) = document {
-                (desk.news)(*document);
+                (context.on_accepted)(*document);
             }
-            decided(desk, verdict)
+            outcome_response(context, outcome_of_command)
         }
-        Reply::Down(fault) => {
-            let detail = format!("nothing was changed: {fault}; ask again later");
-            Said::new(
+        Reply::Down(error) => {
+            let detail = format!("nothing was changed: {error}; ask again later");
+            JsonResponse::new(
                 503,
                 json!({ "problem": ErrorKind::StoreDown.answer().problem, "detail": detail }),
             )
         }
-        Reply::Unknown(fault) => {
-            let detail = format!("{fault}; ask again with the same command id");
-            Said::new(
+        Reply::Unknown(error) => {
+            let detail = format!("{error}; ask again with the same command id");
+            JsonResponse::new(
                 503,
                 json!({ "problem": ErrorKind::OutcomeUnknown.answer().problem, "detail": detail }),
             )
         }
     };
-    said.body["outcome"] = json!(outcome);
-    said
+    response.body["outcome"] = json!(outcome);
+    response
 }
 
-fn decided(desk: &Desk, verdict: CommandOutcome) -> Said {
-    match verdict {
-        CommandOutcome::Done(version) => Said::new(200, json!({ "version": version })),
-        CommandOutcome::DryRun(audit) => Said::new(
+fn outcome_response(context: &OperatorContext, outcome_of_command: CommandOutcome) -> JsonResponse {
+    match outcome_of_command {
+        CommandOutcome::Done(version) => JsonResponse::new(200, json!({ "version": version })),
+        CommandOutcome::DryRun(audit) => JsonResponse::new(
             200,
             json!({ "version": audit.version, "changes": audit.edits }),
         ),
         CommandOutcome::Refused(refusal) => {
-            Said::new(409, json!({ "detail": refusal.to_string() }))
+            JsonResponse::new(409, json!({ "detail": refusal.to_string() }))
         }
         CommandOutcome::Conflict(version) => {
-            let who = winner(desk, version);
-            let detail = format!("{who} came first with version {version}; look and ask again");
+            let operator = winning_operator(context, version);
+            let detail =
+                format!("{operator} came first with version {version}; look and ask again");
             let problem = ErrorKind::ConfigConflict.answer().problem;
-            Said::new(
+            JsonResponse::new(
                 409,
                 json!({ "version": version, "problem": problem, "detail": detail }),
             )
@@ -278,7 +287,9 @@
     }
 }
 
-fn winner(desk: &Desk, version: u64) -> String {
-    let line = config::line(&desk.table, version).ok().flatten();
-    line.map_or_else(|| "another operator".to_owned(), |line| line.operator)
+fn winning_operator(context: &OperatorContext, version: u64) -> String {
+    let entry = config::read_audit_entry(&context.table, version)
+        .ok()
+        .flatten();
+    entry.map_or_else(|| "another operator".to_owned(), |entry| entry.operator)
 }
--- a/hibiscusroad-daemon/src/entry/fan.rs
+++ b/hibiscusroad-daemon/src/entry/peers.rs
@@ -6,7 +6,7 @@
 //! each entry. A question that was passed on says so and is answered from what
 //! the asked entry knows: otherwise each would ask all others in turn.
 //!
-//! A few are asked at a time, and all of it ends after [`LIMIT`]: an operator is
+//! A few are asked at a time, and all of it ends after [`TOTAL_TIMEOUT`]: an operator is
 //! better served by an answer that names whom it lacks than by a wait.
 
 use crate::entry::operators::{Peer, Row, Shown};
@@ -18,31 +18,31 @@
 use ureq::Agent;
 
 /// What a question that was passed on says in its query.
-pub const ONLY_SELF: &str = "only=self";
+pub const LOCAL_ONLY_QUERY: &str = "only=self";
 
 /// Entries that are asked at the same time. At 2 ms each, 360 entries take
 /// a tenth of a second.
-const WIDTH: usize = 8;
+const MAX_CONCURRENT_PEERS: usize = 8;
 
 /// How long one entry may take: its tables answer within a turn.
-const EACH: Duration = Duration::from_millis(700);
+const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long all of them may take.
-const LIMIT: Duration = Duration::from_secs(2);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks other entries.
 #[derive(Clone, Debug)]
-pub struct Fan {
+pub struct PeerClient {
     agent: Agent,
 }
 
 /// What other entries said.
 #[derive(Clone, Debug, Default)]
-pub struct Answers {
+pub struct PeerAnswers {
     /// The answers, in the order of the entries.
     pub shown: Vec<Shown>,
     /// The entries that gave none.
-    pub lacks: Vec<String>,
+    pub missing: Vec<String>,
 }
 
 #[derive(Deserialize)]
@@ -51,18 +51,18 @@
     version: u64,
 }
 
-impl Default for Fan {
+impl Default for PeerClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Fan {
+impl PeerClient {
     /// Creates a client of the other entries.
     #[must_use]
     pub fn new() -> Self {
         let agent = Agent::config_builder()
-            .timeout_global(Some(EACH))
+            .timeout_global(Some(PEER_TIMEOUT))
             .max_idle_connections(0)
             .proxy(None)
             .build()
@@ -74,57 +74,59 @@
     /// that the last answers have brought all that was wanted.
     ///
     /// `token` is what the operator showed in the header `Authorization`.
-    pub fn ask(
+    pub fn query(
         &self,
         peers: &[Peer],
         path: &str,
         token: Option<&str>,
         mut enough: impl FnMut(&[Shown]) -> bool,
-    ) -> Answers {
-        let end = Instant::now() + LIMIT;
-        let mut answers = Answers::default();
-        let mut groups = peers.chunks(WIDTH);
+    ) -> PeerAnswers {
+        let deadline = Instant::now() + TOTAL_TIMEOUT;
+        let mut answers = PeerAnswers::default();
+        let mut groups = peers.chunks(MAX_CONCURRENT_PEERS);
         for group in groups.by_ref() {
             let first = answers.shown.len();
-            for (peer, shown) in group.iter().zip(self.ask_group(group, path, token)) {
+            for (peer, shown) in group.iter().zip(self.query_group(group, path, token)) {
                 match shown {
                     Some(shown) => answers.shown.push(shown),
-                    None => answers.lacks.push(peer.name.clone()),
+                    None => answers.missing.push(peer.name.clone()),
                 }
             }
             if enough(&answers.shown[first..]) {
                 return answers;
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 break;
             }
         }
-        let unasked = groups.flatten().map(|peer| peer.name.clone());
-        answers.lacks.extend(unasked);
+        let skipped = groups.flatten().map(|peer| peer.name.clone());
+        answers.missing.extend(skipped);
         answers
     }
 
-    fn ask_group(&self, peers: &[Peer], path: &str, token: Option<&str>) -> Vec<Option<Shown>> {
+    fn query_group(&self, peers: &[Peer], path: &str, token: Option<&str>) -> Vec<Option<Shown>> {
         thread::scope(|scope| {
-            let asked: Vec<_> = peers
+            let threads: Vec<_> = peers
                 .iter()
-                .map(|peer| scope.spawn(move || self.ask_one(peer, path, token)))
+                .map(|peer| scope.spawn(move || self.query_peer(peer, path, token)))
                 .collect();
-            let answers = asked.into_iter().map(|asked| asked.join().ok().flatten());
+            let answers = threads
+                .into_iter()
+                .map(|thread| thread.join().ok().flatten());
             answers.collect()
         })
     }
 
-    fn ask_one(&self, peer: &Peer, path: &str, token: Option<&str>) -> Option<Shown> {
-        let url = format!("http://{}/v1/{path}?{ONLY_SELF}", peer.address);
+    fn query_peer(&self, peer: &Peer, path: &str, token: Option<&str>) -> Option<Shown> {
+        let url = format!("http://{}/v1/{path}?{LOCAL_ONLY_QUERY}", peer.address);
         let mut request = self.agent.get(url);
         if let Some(token) = token {
             request = request.header("authorization", token);
         }
-        let said = request
+        let response = request
             .call()
-            .and_then(|mut answer| answer.body_mut().read_to_vec());
-        let body = match said {
+            .and_then(|mut response| response.body_mut().read_to_vec());
+        let body = match response {
             Ok(bytes) => serde_json::from_slice::<Body>(&bytes).ok()?,
             Err(error) => {
                 log::debug!(target: "operators", "{} gave no answer: {error}.", peer.name);
--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -19,9 +19,9 @@
 };
 
 /// How long a crash counts. Nothing tells here whether the endpoint really ended.
-const KEEP: Duration = Duration::from_mins(10);
+const CRASH_TTL: Duration = Duration::from_mins(10);
 /// Breaks at one endpoint within this are one crash: a process takes longer to start.
-const SAME: Duration = Duration::from_secs(1);
+const CRASH_MERGE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Crashes that this entry has seen.
 #[derive(Debug)]
@@ -29,15 +29,15 @@
     ledger: Ledger,
     start: Instant,
     /// When endpoints last crashed, since `start`.
-    last: HashMap<EndpointKey, Duration>,
+    last_crashes: HashMap<EndpointKey, Duration>,
 }
 
 impl Crashes {
     pub(super) fn new(start: Instant) -> Self {
         Self {
-            ledger: Ledger::new(CRASH_LIMIT, KEEP),
+            ledger: Ledger::new(CRASH_LIMIT, CRASH_TTL),
             start,
-            last: HashMap::new(),
+            last_crashes: HashMap::new(),
         }
     }
 
@@ -51,10 +51,10 @@
 
     fn add(&mut self, now: Instant, row: &CallRow, attempt: &Attempt) {
         let at = now - self.start;
-        let last = self.last.get(&attempt.endpoint).copied();
-        let crash = last.filter(|last| at.saturating_sub(*last) < SAME);
+        let last = self.last_crashes.get(&attempt.endpoint).copied();
+        let crash = last.filter(|last| at.saturating_sub(*last) < CRASH_MERGE_WINDOW);
         let crash = crash.unwrap_or(at);
-        self.last.insert(attempt.endpoint, crash);
+        self.last_crashes.insert(attempt.endpoint, crash);
         let started_ms = u64::try_from(crash.as_millis()).ok();
         let (request, path) = (fingerprint(row), row.request.path.clone());
         let endpoint = format!("{:?}", attempt.endpoint);
@@ -67,8 +67,8 @@
             at,
             path,
         });
-        let held = matches!(self.ledger.verdict(at, request), Verdict::Quarantined(_));
-        if added && held {
+        let quarantined = matches!(self.ledger.verdict(at, request), Verdict::Quarantined(_));
+        if added && quarantined {
             log::warn!(target: "calls", "Requests for {} {} with fingerprint {request} are in \
                 quarantine: endpoints break while they run them.",
                 row.request.service, row.request.path);
@@ -114,10 +114,10 @@
             .calls
             .get(&id)
             .map(|row| self.crashes.verdict(now, row));
-        let Some(Verdict::Quarantined(left)) = verdict else {
+        let Some(Verdict::Quarantined(remaining)) = verdict else {
             return false;
         };
-        self.refuse(now, id, ErrorKind::Quarantined, left);
+        self.refuse(now, id, ErrorKind::Quarantined, remaining);
         true
     }
 
@@ -128,7 +128,7 @@
             self.crashes.ledger.expire(at, |_| false);
         }
         self.crashes
-            .last
-            .retain(|_, last| at.saturating_sub(*last) < SAME);
+            .last_crashes
+            .retain(|_, last| at.saturating_sub(*last) < CRASH_MERGE_WINDOW);
     }
 }
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -19,8 +19,8 @@
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, time::Instant};
 
-const REQUEST: &str = "explain/request/";
-const ENDPOINT: &str = "explain/endpoint/";
+const REQUEST_PREFIX: &str = "explain/request/";
+const ENDPOINT_PREFIX: &str = "explain/endpoint/";
 
 impl Tables {
     /// Answers what an operator asks about `subject`, from what this entry
@@ -28,11 +28,11 @@
     #[must_use]
     pub fn show(&self, now: Instant, subject: &str) -> Shown {
         let rows = match subject {
-            _ if subject.starts_with(REQUEST) => {
-                self.explain_request(now, &subject[REQUEST.len()..])
+            _ if subject.starts_with(REQUEST_PREFIX) => {
+                self.explain_request(now, &subject[REQUEST_PREFIX.len()..])
             }
-            _ if subject.starts_with(ENDPOINT) => {
-                self.explain_endpoint(now, &subject[ENDPOINT.len()..])
+            _ if subject.starts_with(ENDPOINT_PREFIX) => {
+                self.explain_endpoint(now, &subject[ENDPOINT_PREFIX.len()..])
             }
             "endpoints" => self.endpoint_rows(now),
             "services" => self.service_rows(),
@@ -43,7 +43,7 @@
         };
         Shown {
             rows,
-            lacks: Vec::new(),
+            missing: Vec::new(),
             version: self.config.version(),
             peers: self.peers(),
         }
@@ -70,7 +70,7 @@
     }
 
     fn has_side(&self, host: &Host) -> bool {
-        let key = self.side(&host.service, &host.endpoint);
+        let key = self.find_side(&host.service, &host.endpoint);
         key.is_some_and(|key| self.sides[key].listing != Listing::QueryOnly)
     }
 
@@ -102,7 +102,7 @@
             ("place", json!(host.data_centre)),
             ("address", json!(host.address.to_string())),
             ("state", json!(UNKNOWN)),
-            ("age_ms", age(now, self.listed.unwrap_or(now))),
+            ("age_ms", age(now, self.hosts_received.unwrap_or(now))),
             ("source", json!("host list")),
         ])
     }
@@ -199,8 +199,8 @@
     }
 }
 
-pub(super) fn age(now: Instant, heard: Instant) -> Value {
-    let ms = now.saturating_duration_since(heard).as_millis();
+pub(super) fn age(now: Instant, since: Instant) -> Value {
+    let ms = now.saturating_duration_since(since).as_millis();
     json!(u64::try_from(ms).unwrap_or(u64::MAX))
 }
 
--- a/hibiscusroad-daemon/src/entry/survey.rs
+++ b/hibiscusroad-daemon/src/entry/survey.rs
@@ -39,12 +39,12 @@
         for row in rows {
             let key = (text(&row, "service"), text(&row, "endpoint"));
             match self.rows.entry(key) {
-                Entry::Vacant(place) => {
-                    place.insert(row);
+                Entry::Vacant(slot) => {
+                    slot.insert(row);
                 }
-                Entry::Occupied(mut place) => {
-                    if rank(&row) < rank(place.get()) {
-                        place.insert(row);
+                Entry::Occupied(mut slot) => {
+                    if rank(&row) < rank(slot.get()) {
+                        slot.insert(row);
                     }
                 }
             }
@@ -53,16 +53,16 @@
 
     /// Says whether an entry with a link has told of each endpoint.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.rows.values().all(|row| rank(row).0 == 0)
     }
 
     /// Returns the endpoints without fresh news.
     #[must_use]
-    pub fn lacks(&self) -> Vec<String> {
+    pub fn stale_endpoints(&self) -> Vec<String> {
         let rows = self.rows.values();
-        let lacking = rows.filter(|row| rank(row) > (0, STALE_MS));
-        lacking.map(|row| text(row, "endpoint")).collect()
+        let stale = rows.filter(|row| rank(row) > (0, STALE_MS));
+        stale.map(|row| text(row, "endpoint")).collect()
     }
 
     /// Returns the rows.
@@ -74,7 +74,7 @@
     /// Counts the endpoints by what they have in `column`; `more` are columns
     /// that all of a group have in common.
     #[must_use]
-    pub fn groups(&self, column: &str, more: &[&str], source: &str) -> Vec<Row> {
+    pub fn groups(&self, column: &str, common: &[&str], source: &str) -> Vec<Row> {
         let mut groups: BTreeMap<String, Vec<&Row>> = BTreeMap::new();
         for row in self.rows.values() {
             groups.entry(text(row, column)).or_default().push(row);
@@ -82,7 +82,7 @@
         let rows = groups.into_iter().map(|(name, rows)| {
             let mut group = Row::new();
             group.insert(column.to_owned(), json!(name));
-            for column in more {
+            for column in common {
                 group.insert((*column).to_owned(), json!(text(rows[0], column)));
             }
             let oldest = rows.iter().map(|row| age(row)).max();
@@ -116,12 +116,12 @@
 
 /// Orders rows of one endpoint: the lowest one knows most.
 fn rank(row: &Row) -> (u8, u64) {
-    let far = match text(row, "state").as_str() {
+    let distance = match text(row, "state").as_str() {
         UNKNOWN => 2,
         UNLINKED => 1,
         _ => 0,
     };
-    (far, age(row))
+    (distance, age(row))
 }
 
 fn age(row: &Row) -> u64 {
--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -17,7 +17,7 @@
     },
     metrics::Metrics,
     platform::Host,
-    settings::{Entry as Part, Settings},
+    settings::{Entry as EntrySettings, Settings},
 };
 use flume::Sender;
 use hibiscusroad::{
@@ -48,18 +48,18 @@
     pub(super) sides: SlotMap<SideKey, Side>,
     /// The last host list, and when it came.
     pub(super) hosts: Vec<Host>,
-    pub(super) listed: Option<Instant>,
+    pub(super) hosts_received: Option<Instant>,
     pub(super) endpoints: HashMap<EndpointKey, SideKey>,
     pub(super) calls: HashMap<RequestId, CallRow>,
     pub(super) attempts: HashMap<RequestId, Attempt>,
     pub(super) crashes: Crashes,
-    pub(super) ticked: Instant,
+    pub(super) last_tick: Instant,
     pub(super) metrics: Metrics,
-    pub(super) reported: Instant,
+    pub(super) last_report: Instant,
     pub(super) trace: Trace,
-    pub(super) writes: Sender<Write>,
+    pub(super) claim_writes: Sender<Write>,
     /// Calls of each key, in their turn.
-    pub(super) keys: HashMap<String, VecDeque<RequestId>>,
+    pub(super) key_queues: HashMap<String, VecDeque<RequestId>>,
     /// How long callers wait who don't say, of a service without a rule.
     pub(super) default_timeout: Duration,
     pub(super) deadlines: BTreeSet<(Instant, RequestId)>,
@@ -71,35 +71,35 @@
     #[must_use]
     pub fn new(
         settings: &Settings,
-        part: &Part,
+        entry_settings: &EntrySettings,
         ids: Arc<Ids>,
         dialer: Dialer,
-        writes: Sender<Write>,
+        claim_writes: Sender<Write>,
         metrics: Metrics,
     ) -> Self {
         let seed = ids.origin().0;
         Self {
             name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
-            subset: part.subset,
+            subset: entry_settings.subset,
             ids,
             dialer,
             router: Router::new(&settings.data_centre, seed),
             config: Register::new(),
             sides: SlotMap::with_key(),
             hosts: Vec::new(),
-            listed: None,
+            hosts_received: None,
             endpoints: HashMap::new(),
             calls: HashMap::new(),
             attempts: HashMap::new(),
             crashes: Crashes::new(Instant::now()),
-            ticked: Instant::now(),
+            last_tick: Instant::now(),
             metrics,
-            reported: Instant::now(),
+            last_report: Instant::now(),
             trace: Trace::default(),
-            writes,
-            keys: HashMap::new(),
-            default_timeout: Duration::from_millis(part.deadline_ms),
+            claim_writes,
+            key_queues: HashMap::new(),
+            default_timeout: Duration::from_millis(entry_settings.deadline_ms),
             deadlines: BTreeSet::new(),
             stopping: false,
         }
@@ -117,17 +117,17 @@
             Event::Link(side, epoch, LinkEvent::Down(reason)) => {
                 self.link_down(now, side, epoch, &reason);
             }
-            Event::Hosts(hosts) => self.hosts(now, hosts),
-            Event::Claimed(call, attempt, verdict) => {
-                self.apply_claim_outcome(now, call, attempt, *verdict);
+            Event::Hosts(hosts) => self.apply_hosts(now, hosts),
+            Event::Claimed(call, attempt, outcome) => {
+                self.apply_claim_outcome(now, call, attempt, *outcome);
             }
-            Event::Config(document) => self.adopt(now, *document),
-            Event::Ask(subject, reply) => {
+            Event::Config(document) => self.apply_config(now, *document),
+            Event::Query(subject, reply) => {
                 let _ = reply.try_send(self.show(now, &subject));
             }
             Event::Stop => self.stopping = true,
         }
-        self.steps(now);
+        self.apply_router_steps(now);
     }
 
     /// Runs the systems over the tables, if it is time.
@@ -136,7 +136,7 @@
     /// not be looked at with each of them.
     pub fn tick(&mut self, now: Instant) {
         let due = self.next_due().is_some_and(|due| due <= now);
-        if !due && now < self.ticked + TICK {
+        if !due && now < self.last_tick + TICK {
             return;
         }
         self.expire(now);
@@ -144,9 +144,9 @@
         self.acknowledge_all();
         self.tick_sides(now);
         self.router.tick(now);
-        self.report_numbers(now);
+        self.report_gauges(now);
         self.trace_endpoints(now);
-        self.steps(now);
+        self.apply_router_steps(now);
     }
 
     /// Says when [`Tables::tick`] has something to do at the latest.
@@ -172,7 +172,7 @@
     }
 
     /// Puts a configuration in force if it is newer than the one that is.
-    pub fn adopt(&mut self, now: Instant, document: Document) {
+    pub fn apply_config(&mut self, now: Instant, document: Document) {
         if !self.config.offer(document) {
             return;
         }
@@ -190,7 +190,7 @@
     }
 
     /// Carries out what the router decided.
-    pub(super) fn steps(&mut self, now: Instant) {
+    pub(super) fn apply_router_steps(&mut self, now: Instant) {
         while let Some(step) = self.router.next_step() {
             match step {
                 Step::Start { id, endpoint, .. } => self.start_attempt(now, id, endpoint),
@@ -205,7 +205,7 @@
     }
 
     /// Finds a service, unless the configuration in force has none of this name.
-    pub(super) fn known(&self, name: &str) -> Option<ServiceKey> {
+    pub(super) fn find_service(&self, name: &str) -> Option<ServiceKey> {
         let document = self.config.newest();
         if document.version > 0 && !document.services.contains_key(name) {
             return None;
@@ -223,13 +223,13 @@
         }
     }
 
-    pub(super) fn repeat(&self, request: &Inbound) -> Repeat {
+    pub(super) fn repeat_policy(&self, request: &Inbound) -> Repeat {
         let document = self.config.newest();
-        let model = match document.services.get(&request.service) {
+        let is_model = match document.services.get(&request.service) {
             Some(service) => service.kind == Kind::Model,
             None => request.prompt.is_some(),
         };
-        if request.idempotent || model {
+        if request.idempotent || is_model {
             Repeat::Idempotent
         } else {
             Repeat::Once
--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -24,13 +24,13 @@
 
 /// Requests that are kept: half a second of the load to come, minutes of
 /// today's, at about 300 bytes each.
-const REQUESTS: usize = 4096;
+const MAX_REQUESTS: usize = 4096;
 
 /// Decisions on one request that are kept; more than its attempts can have.
-const DECISIONS: usize = 16;
+const MAX_DECISIONS: usize = 16;
 
 /// Changes of one endpoint that are kept.
-const CHANGES: usize = 32;
+const MAX_CHANGES: usize = 32;
 
 /// One decision on a request.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     Ended(String, Outcome),
     Answered,
     Refused(ErrorKind, Duration, usize),
-    Left,
+    CallerGone,
 }
 
 /// How an endpoint stood from an instant on.
@@ -48,9 +48,9 @@
 struct Change {
     at: Instant,
     state: &'static str,
-    standing: Option<HealthState>,
+    health: Option<HealthState>,
     view: Option<EndpointView>,
-    last: Option<ErrorKind>,
+    last_failure: Option<ErrorKind>,
     config: u64,
 }
 
@@ -61,13 +61,13 @@
     requests: HashMap<RequestId, Vec<(Instant, Decision)>>,
     changes: SecondaryMap<SideKey, VecDeque<Change>>,
     /// Why the last attempt at an endpoint that failed did.
-    last: SecondaryMap<SideKey, ErrorKind>,
+    last_failures: SecondaryMap<SideKey, ErrorKind>,
 }
 
 impl Trace {
-    fn note(&mut self, now: Instant, id: RequestId, decision: Decision) {
+    fn record(&mut self, now: Instant, id: RequestId, decision: Decision) {
         if !self.requests.contains_key(&id) {
-            if self.order.len() >= REQUESTS
+            if self.order.len() >= MAX_REQUESTS
                 && let Some(oldest) = self.order.pop_front()
             {
                 self.requests.remove(&oldest);
@@ -75,7 +75,7 @@
             self.order.push_back(id);
         }
         let decisions = self.requests.entry(id).or_default();
-        if decisions.len() < DECISIONS {
+        if decisions.len() < MAX_DECISIONS {
             decisions.push((now, decision));
         }
     }
@@ -84,7 +84,7 @@
 impl Tables {
     /// Keeps a decision on a request.
     pub(super) fn trace(&mut self, now: Instant, id: RequestId, decision: Decision) {
-        self.trace.note(now, id, decision);
+        self.trace.record(now, id, decision);
     }
 
     /// Keeps where a request was sent.
@@ -93,7 +93,7 @@
         let side = &self.sides[key];
         let view = self.router.endpoint_view(now, side.endpoint);
         let decision = Decision::Placed(side.name.clone(), view);
-        self.trace.note(now, id, decision);
+        self.trace.record(now, id, decision);
     }
 
     /// Keeps how an attempt ended.
@@ -108,10 +108,10 @@
             return;
         };
         if let Outcome::NotRun(kind) | Outcome::Failed(kind) = outcome {
-            self.trace.last.insert(key, kind);
+            self.trace.last_failures.insert(key, kind);
         }
         let decision = Decision::Ended(side.name.clone(), outcome);
-        self.trace.note(now, id, decision);
+        self.trace.record(now, id, decision);
     }
 
     /// Keeps that a request was refused.
@@ -124,7 +124,7 @@
     ) {
         let waiting = self.calls.get(&id).map_or(0, |row| self.in_queue(row));
         self.trace
-            .note(now, id, Decision::Refused(kind, after, waiting));
+            .record(now, id, Decision::Refused(kind, after, waiting));
     }
 
     fn in_queue(&self, row: &CallRow) -> usize {
@@ -135,24 +135,24 @@
     /// Keeps how endpoints changed since the last look.
     pub(super) fn trace_endpoints(&mut self, now: Instant) {
         for (key, side) in &self.sides {
-            let (state, standing) = (state(side), self.router.health_state(side.endpoint));
+            let (state, health) = (state(side), self.router.health_state(side.endpoint));
             let Some(entry) = self.trace.changes.entry(key) else {
                 continue;
             };
             let changes = entry.or_default();
             let last = changes.back();
-            if last.is_some_and(|last| last.state == state && last.standing == standing) {
+            if last.is_some_and(|last| last.state == state && last.health == health) {
                 continue;
             }
-            if changes.len() >= CHANGES {
+            if changes.len() >= MAX_CHANGES {
                 changes.pop_front();
             }
             changes.push_back(Change {
                 at: now,
                 state,
-                standing,
+                health,
                 view: self.router.endpoint_view(now, side.endpoint),
-                last: self.trace.last.get(key).copied(),
+                last_failure: self.trace.last_failures.get(key).copied(),
                 config: self.config.version(),
             });
         }
@@ -165,7 +165,7 @@
             return Vec::new();
         };
         let rows = decisions.iter().map(|(at, decision)| {
-            let (event, endpoint, why) = words(decision);
+            let (event, endpoint, why) = describe_decision(decision);
             row([
                 ("request", json!(name)),
                 ("event", json!(event)),
@@ -186,8 +186,8 @@
             row([
                 ("endpoint", json!(name)),
                 ("state", json!(change.state)),
-                ("standing", json!(change.standing.map(standing))),
-                ("why", json!(reason(change))),
+                ("standing", json!(change.health.map(health_label))),
+                ("why", json!(describe_change(change))),
                 ("age_ms", age(now, change.at)),
                 ("source", json!(self.name)),
             ])
@@ -196,8 +196,8 @@
     }
 }
 
-const fn standing(standing: HealthState) -> &'static str {
-    match standing {
+const fn health_label(health: HealthState) -> &'static str {
+    match health {
         HealthState::Healthy => "fit",
         HealthState::Ejected => "ejected",
         HealthState::AwaitingTrial => "to be tried",
@@ -205,12 +205,14 @@
     }
 }
 
-fn words(decision: &Decision) -> (&'static str, &str, String) {
+fn describe_decision(decision: &Decision) -> (&'static str, &str, String) {
     match decision {
         Decision::Arrived => ("arrived", "", String::new()),
-        Decision::Placed(endpoint, view) => {
-            ("placed", endpoint, view.map_or_else(String::new, seen))
-        }
+        Decision::Placed(endpoint, view) => (
+            "placed",
+            endpoint,
+            view.map_or_else(String::new, describe_view),
+        ),
         Decision::Ended(endpoint, Outcome::Answered) => ("ended", endpoint, "answered".to_owned()),
         Decision::Ended(endpoint, Outcome::NotRun(kind)) => {
             ("ended", endpoint, format!("not run: {kind}"))
@@ -226,11 +228,11 @@
                 format!("{problem}; {waiting} of its class waited; come back after {after:.1} s");
             ("refused", "", why)
         }
-        Decision::Left => ("left", "", "its caller went away".to_owned()),
+        Decision::CallerGone => ("left", "", "its caller went away".to_owned()),
     }
 }
 
-fn seen(view: EndpointView) -> String {
+fn describe_view(view: EndpointView) -> String {
     let EndpointView {
         running,
         limit,
@@ -243,9 +245,9 @@
     )
 }
 
-fn reason(change: &Change) -> String {
+fn describe_change(change: &Change) -> String {
     let config = change.config;
-    match (change.state, change.standing) {
+    match (change.state, change.health) {
         ("drained", _) => {
             format!("drained by configuration {config} at the latest; see show audit")
         }
@@ -253,7 +255,7 @@
         ("silent", _) => "its link gave nothing for 0.7 s".to_owned(),
         ("unlinked", _) => "there is no link to its side".to_owned(),
         ("unreachable", _) => "nothing listens at its address".to_owned(),
-        (_, Some(HealthState::Ejected)) => ejected(change),
+        (_, Some(HealthState::Ejected)) => describe_ejection(change),
         (_, Some(HealthState::AwaitingTrial | HealthState::Trial)) => {
             "the pause after its ejection is over".to_owned()
         }
@@ -261,8 +263,8 @@
     }
 }
 
-fn ejected(change: &Change) -> String {
-    let last = change.last.map_or_else(String::new, |kind| {
+fn describe_ejection(change: &Change) -> String {
+    let last = change.last_failure.map_or_else(String::new, |kind| {
         format!(", the last failure {}", kind.answer().problem)
     });
     let Some(view) = change.view else {
