--- a/hibiscusroad-daemon/src/entry/assembly.rs
+++ b/hibiscusroad-daemon/src/entry/assembly.rs
@@ -1,48 +1,47 @@
-//! The bytes of one answer, in order.
+//! Reassembly of an answer from its chunks.
 //!
-//! A link may be replaced while an answer is under way, and the side then sends
-//! again from the offset it is asked for. Frames of both links can arrive mixed,
-//! so that each chunk is judged by its offset alone: what was taken before is
-//! skipped, and what leaves a hole is not taken at all. A hole would make a
-//! caller's answer wrong without any sign of it; asking again from the last
-//! good offset costs one round trip.
+//! A connection may be replaced during an answer, and the sidecar then resends
+//! from the requested offset. Chunks of both connections can arrive interleaved,
+//! so each is placed by its offset alone: bytes that were received before are
+//! skipped, and a chunk after a gap is rejected, because the gap would corrupt
+//! the caller's answer unnoticed.
 
-/// What became of a chunk.
+/// The outcome of adding a chunk.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ChunkOutcome {
-    /// These bytes are new and follow the last ones.
+    /// These bytes are new and follow the last ones received.
     New(Vec<u8>),
-    /// All of it was taken before.
+    /// All of its bytes were received before.
     Duplicate,
     /// Bytes before it are missing.
     Gap,
 }
 
-/// What became of the declared end.
+/// The outcome of checking the declared end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndOutcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
     /// Bytes are missing.
     Missing,
-    /// More bytes came than were declared.
+    /// More bytes were received than declared.
     Excess,
 }
 
-/// Counts the bytes of one answer.
+/// Tracks the contiguous bytes received of one answer.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
     offset: u64,
 }
 
 impl Assembly {
-    /// Returns the number of bytes taken.
+    /// Returns the number of contiguous bytes received.
     #[must_use]
     pub const fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Judges a chunk that begins at `offset`.
+    /// Adds a chunk that starts at `offset`.
     pub fn chunk(&mut self, offset: u64, mut data: Vec<u8>) -> ChunkOutcome {
         let Some(received) = self.offset.checked_sub(offset) else {
             return ChunkOutcome::Gap;
@@ -58,7 +57,7 @@
         ChunkOutcome::New(data)
     }
 
-    /// Judges an end that declares `length` bytes.
+    /// Checks an end that declares `length` bytes.
     #[must_use]
     pub const fn end(&self, length: u64) -> EndOutcome {
         if length == self.offset {
