--- a/hibiscusroad-daemon/src/entry/event.rs
+++ b/hibiscusroad-daemon/src/entry/event.rs
@@ -1,5 +1,5 @@
-//! What the threads of an entry hand to the thread that owns the tables, and
-//! what comes back.
+//! Events for the thread that owns the tables, and the parts of answers that it
+//! sends back.
 
 use crate::{
     entry::{operators::Shown, side::SideKey},
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-/// Names the requests and attempts of one life of an entry.
+/// Generates the ids of requests and attempts of one incarnation of an entry.
 #[derive(Debug)]
 pub struct Ids {
     origin: Incarnation,
@@ -26,7 +26,7 @@
 }
 
 impl Ids {
-    /// Creates the names of a new life.
+    /// Creates a generator for a new incarnation.
     #[must_use]
     pub fn new(origin: Incarnation) -> Self {
         Self {
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Returns the life that the names belong to.
+    /// Returns the incarnation that the ids belong to.
     #[must_use]
     pub const fn origin(&self) -> Incarnation {
         self.origin
     }
 
-    /// Returns a name that was not given before.
+    /// Returns a new id.
     pub fn next(&self) -> RequestId {
         RequestId {
             origin: self.origin,
@@ -50,16 +50,16 @@
     }
 }
 
-/// A caller's request, checked.
+/// A caller's validated request.
 #[derive(Clone, Debug)]
 pub struct Inbound {
-    /// The service that it is for.
+    /// The requested service.
     pub service: String,
     /// The method.
     pub method: String,
     /// The path at the endpoint, with its query.
     pub path: String,
-    /// The headers that go on to the endpoint.
+    /// The headers forwarded to the endpoint.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Vec<u8>,
@@ -69,35 +69,35 @@
     pub key: Option<String>,
     /// Whether the method is idempotent by RFC 9110.
     pub idempotent: bool,
-    /// What the body says of a model call.
+    /// Properties of a model call, read from the body.
     pub prompt: Option<Prompt>,
 }
 
-/// What the body of a model call says about the work in it.
+/// Properties of a model call that its body states.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// Tokens to be read and generated, estimated.
+    /// Estimated tokens of the prompt and the output.
     pub tokens: u32,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt's first bytes.
     pub prefix: u64,
-    /// Whether the answer is to come as a stream.
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-/// A request with the way back to its caller.
+/// A new request with the channel to its caller.
 #[derive(Debug)]
 pub struct Arrival {
-    /// Its name.
+    /// The request's id.
     pub id: RequestId,
-    /// What is asked.
+    /// The request.
     pub request: Inbound,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Instant,
-    /// How long the caller waits, if it said so.
+    /// The caller's timeout, if it set one.
     pub timeout: Option<Duration>,
-    /// Where the answer goes.
+    /// Receives the parts of the answer.
     pub reply: Sender<Part>,
-    /// Bytes of the answer that the caller has taken.
+    /// Bytes of the answer that were delivered to the caller.
     pub delivered: Arc<AtomicU64>,
 }
 
@@ -106,53 +106,53 @@
 pub struct Head {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that go on to the caller.
+    /// The headers forwarded to the caller.
     pub headers: Vec<Header>,
 }
 
-/// A part of an answer on its way to the caller.
+/// A part of an answer, sent to the caller.
 #[derive(Debug)]
 pub enum Part {
-    /// The whole answer.
+    /// The complete answer.
     Whole(Head, Vec<u8>),
-    /// The beginning of an answer that comes in pieces.
+    /// The head of a streamed answer.
     Head(Head),
-    /// The next bytes.
+    /// The next bytes of a streamed answer.
     Data(Vec<u8>),
-    /// The end: all bytes have come.
+    /// The end of a streamed answer that is complete.
     End,
-    /// There is no answer, or no more of it.
+    /// The answer failed or was broken off; with the retry delay.
     Fail(ErrorKind, Duration),
 }
 
-/// What a link reports.
+/// An event of a connection to a sidecar.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A frame came.
+    /// A frame was received.
     Frame(Frame),
-    /// The link is gone, or never came up.
+    /// The connection ended or failed to open, for this reason.
     Down(String),
 }
 
-/// One event for the thread that owns the tables.
+/// An event for the thread that owns the tables.
 #[derive(Debug)]
 pub enum Event {
-    /// A request came in.
+    /// A request arrived.
     Arrive(Box<Arrival>),
-    /// A caller took a good part of its answer.
+    /// Enough of an answer was delivered to acknowledge it.
     Delivered(RequestId),
-    /// A caller went away.
+    /// A caller disconnected.
     CallerGone(RequestId),
-    /// News from a link: its side, its epoch, and what happened.
+    /// An event of a connection, with its sidecar and epoch.
     Link(SideKey, u64, LinkEvent),
     /// The host list was fetched.
     Hosts(Vec<Host>),
-    /// What became of a call's claim for an attempt.
+    /// The outcome of a call's claim for an attempt.
     Claimed(RequestId, RequestId, Box<ClaimOutcome>),
     /// A configuration was read or accepted.
     Config(Box<Document>),
-    /// An operator asks about a subject.
+    /// An operator queries a subject.
     Query(String, Sender<Shown>),
-    /// The process is to stop.
+    /// The process is asked to stop.
     Stop,
 }
