--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -1,8 +1,8 @@
 //! The tables of an entry and the systems that run over them.
 //!
-//! A call is what a caller asked for; an attempt is one try to run it at one
-//! endpoint. The router decides where calls run; these tables carry it out and
-//! keep account of what each caller may be told.
+//! A call is a caller's request; an attempt is one run of it at one endpoint. The
+//! router decides where calls run. These tables perform its steps and track
+//! whether a call may have run.
 
 use crate::{
     entry::{
@@ -35,7 +35,7 @@
 /// Time between two runs of the systems when no deadline passes.
 pub const TICK: Duration = Duration::from_millis(25);
 
-/// All that an entry knows.
+/// The state of an entry.
 #[derive(Debug)]
 pub struct Tables {
     pub(super) name: String,
@@ -46,7 +46,7 @@
     pub(super) router: Router,
     pub(super) config: Register,
     pub(super) sides: SlotMap<SideKey, Side>,
-    /// The last host list, and when it came.
+    /// The last host list; `hosts_received` is when it was fetched.
     pub(super) hosts: Vec<Host>,
     pub(super) hosts_received: Option<Instant>,
     pub(super) endpoints: HashMap<EndpointKey, SideKey>,
@@ -58,16 +58,16 @@
     pub(super) last_report: Instant,
     pub(super) trace: Trace,
     pub(super) claim_writes: Sender<Write>,
-    /// Calls of each key, in their turn.
+    /// Open calls by the row of their idempotency key, in order of arrival.
     pub(super) key_queues: HashMap<String, VecDeque<RequestId>>,
-    /// How long callers wait who don't say, of a service without a rule.
+    /// Timeout of calls that set none, for services without a rule.
     pub(super) default_timeout: Duration,
     pub(super) deadlines: BTreeSet<(Instant, RequestId)>,
     stopping: bool,
 }
 
 impl Tables {
-    /// Creates the tables of an entry that knows no side yet.
+    /// Creates the tables of an entry without sidecars.
     #[must_use]
     pub fn new(
         settings: &Settings,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes in one event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Arrive(arrival) => self.accept_call(now, *arrival),
@@ -130,10 +130,9 @@
         self.apply_router_steps(now);
     }
 
-    /// Runs the systems over the tables, if it is time.
+    /// Runs the time-driven systems if a deadline or [`TICK`] has passed.
     ///
-    /// Events come thousands of times a second; what waits for time alone need
-    /// not be looked at with each of them.
+    /// They don't run after every event, of which there may be thousands a second.
     pub fn tick(&mut self, now: Instant) {
         let due = self.next_due().is_some_and(|due| due <= now);
         if !due && now < self.last_tick + TICK {
@@ -149,7 +148,7 @@
         self.apply_router_steps(now);
     }
 
-    /// Says when [`Tables::tick`] has something to do at the latest.
+    /// Returns the earliest deadline of the calls and the router.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
@@ -159,19 +158,19 @@
             .min()
     }
 
-    /// Says whether the process is to stop.
+    /// Returns whether the process was asked to stop.
     #[must_use]
     pub const fn stopping(&self) -> bool {
         self.stopping
     }
 
-    /// Returns how many calls have no final answer yet.
+    /// Returns the number of calls without a final answer.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Applies a configuration if it is newer than the current one.
     pub fn apply_config(&mut self, now: Instant, document: Document) {
         if !self.config.offer(document) {
             return;
@@ -184,12 +183,12 @@
         let keys: Vec<SideKey> = self.sides.keys().collect();
         for key in keys {
             self.update_accepting(now, key);
-            // Not left to the next heartbeat: news is to be everywhere at once.
+            // Sent before the next heartbeat, so that it spreads at once.
             self.offer_config(key, self.sides[key].config);
         }
     }
 
-    /// Carries out what the router decided.
+    /// Performs the steps that the router decided.
     pub(super) fn apply_router_steps(&mut self, now: Instant) {
         while let Some(step) = self.router.next_step() {
             match step {
@@ -204,7 +203,7 @@
         }
     }
 
-    /// Finds a service, unless the configuration in force has none of this name.
+    /// Finds a service, unless the current configuration has none of this name.
     pub(super) fn find_service(&self, name: &str) -> Option<ServiceKey> {
         let document = self.config.newest();
         if document.version > 0 && !document.services.contains_key(name) {
@@ -213,8 +212,8 @@
         self.router.service(name)
     }
 
-    /// A name can be said to be unknown only by an entry that knows names: one
-    /// that has just started must not turn callers away for good.
+    /// Returns the error for a service that isn't found. An entry that has just
+    /// started knows no services yet and must not refuse callers permanently.
     pub(super) fn unknown_service(&self) -> ErrorKind {
         if self.sides.is_empty() && self.config.version() == 0 {
             ErrorKind::NoConfig
@@ -236,7 +235,7 @@
         }
     }
 
-    /// Adds a service that a host list names and no configuration does.
+    /// Adds a service of the host list that no configuration defines.
     pub(super) fn ensure_service(&mut self, now: Instant, name: &str) {
         if self.router.service(name).is_none() {
             self.router.set_service(now, name, ServiceSpec::new());
