--- a/hibiscusroad-daemon/src/entry/side.rs
+++ b/hibiscusroad-daemon/src/entry/side.rs
@@ -1,4 +1,4 @@
-//! The sides that an entry knows, each with its links.
+//! The sidecars that an entry knows, with their connections.
 
 use crate::{
     entry::link::Link,
@@ -14,19 +14,18 @@
     time::{Duration, Instant},
 };
 
-/// The first wait after a connection that failed.
+/// Backoff after the first failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest wait: a side that came back gets work within this time, and one
-/// that stays away costs each entry a try now and then.
+/// Maximum backoff. A sidecar that is back gets work within this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 slotmap::new_key_type! {
-    /// Names a side in the tables.
+    /// Identifies a sidecar in the tables.
     pub struct SideKey;
 }
 
-/// One side.
+/// A sidecar and the state of its connections.
 #[derive(Debug)]
 pub struct Side {
     /// The name of its endpoint.
@@ -35,9 +34,9 @@
     pub service: String,
     /// Its host.
     pub host: String,
-    /// The place of its host.
+    /// The data centre of its host.
     pub data_centre: String,
-    /// Where it takes links.
+    /// The address where it accepts connections.
     pub address: SocketAddr,
     /// Its endpoint in the router.
     pub endpoint: EndpointKey,
@@ -45,66 +44,66 @@
     pub epoch: u64,
     /// The connection in use.
     pub link: Option<Link>,
-    /// A connection that is being opened, and since when.
+    /// A connection that is opening, and when that started.
     pub opening: Option<(Link, Instant)>,
-    /// The side's life at the last Welcome; 0 before the first.
+    /// Its incarnation in the last Welcome; 0 before the first.
     pub incarnation: u64,
-    /// When something was last heard on the connection in use.
+    /// When a frame last arrived on the connection in use.
     pub last_received: Instant,
     /// When the last heartbeat was sent.
     pub last_heartbeat: Instant,
-    /// Heartbeats sent.
+    /// Number of heartbeats sent.
     pub heartbeats: u64,
     /// When the next connection may be opened.
     pub next_connect: Instant,
-    /// The waits between connections that fail.
+    /// Backoff between failed connections.
     pub backoff: Backoff,
-    /// Whether the connection in use takes no more frames.
+    /// Whether the send queue of the connection in use was full.
     pub queue_full: bool,
-    /// Whether the connection in use has been silent for too long.
+    /// Whether the connection in use is suspected because of its silence.
     pub suspect: bool,
-    /// Since when there is no connection in use.
+    /// When the last connection in use was lost.
     pub unlinked_since: Option<Instant>,
-    /// Whether the host list or its heartbeat says that it is leaving.
+    /// Which sources say that it is leaving.
     pub leaving: Leaving,
-    /// Whether it says that nothing listens at its endpoint's address.
+    /// Whether it reports that nothing listens at its endpoint's address.
     pub unreachable: bool,
-    /// The configuration version that it last said to have.
+    /// The configuration version that it last reported.
     pub config: u64,
-    /// What it last reported of its endpoint.
+    /// The load that it last reported of its endpoint.
     pub report: LoadReport,
     /// The weight version that its endpoint last reported.
     pub weights: String,
-    /// Why it is known.
+    /// How it came into the tables.
     pub listing: Listing,
-    /// The attempts that it was sent and that have not ended.
+    /// Its attempts in flight.
     pub attempts: BTreeSet<RequestId>,
 }
 
-/// Why a side is known.
+/// How a sidecar came into the tables.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Listing {
-    /// The last host list names it, and this entry's subset has it.
+    /// It is on the last host list and in this entry's subset.
     Listed,
-    /// An earlier one did.
+    /// It was listed earlier.
     Unlisted,
-    /// It was only added to be asked about a claim.
+    /// It was added only to be queried about a claim.
     QueryOnly,
 }
 
-/// Who says that a side is leaving.
+/// The sources that say a sidecar is leaving.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Leaving {
-    /// The host list does.
+    /// The host list says so.
     pub listed: bool,
-    /// The side itself does.
+    /// Its own heartbeat says so.
     pub reported: bool,
     /// The configuration drains it.
     pub drained: bool,
 }
 
 impl Side {
-    /// Creates a side that no connection was opened to yet.
+    /// Creates a sidecar without connections.
     #[must_use]
     pub fn new(host: &Host, endpoint: EndpointKey, now: Instant) -> Self {
         Self {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Says whether new work may be sent to it.
+    /// Returns whether it may be sent new work.
     #[must_use]
     pub const fn takes_work(&self) -> bool {
         let leaving = self.leaving.listed || self.leaving.reported || self.leaving.drained;
