--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -1,9 +1,9 @@
-//! Sides come and go by the platform's host list.
+//! Adds and updates sidecars by the platform's host list.
 //!
-//! The list lags. A process that it no longer names may be serving, so a side
-//! is kept until its link is silent too; one that it names may be gone, which
-//! its link shows. Only "leaving" is taken at its word at once: to stop sending
-//! work to a host that stays costs nothing.
+//! The list lags behind the processes. A sidecar that it no longer names may still
+//! serve, so it is kept until its connection is lost too. One that it names may
+//! have exited, which its connection shows. Only "leaving" takes effect at once,
+//! because sending no work to a host that stays is harmless.
 
 use crate::{
     entry::{
@@ -26,17 +26,17 @@
     time::{Duration, Instant},
 };
 
-/// Time between two looks at the list.
+/// Time between two fetches of the list.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two looks while none has succeeded yet.
+/// Time between two fetches until the first succeeds.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts the thread that polls the host list.
 ///
 /// # Errors
 ///
-/// Returns the system's error if there is no thread to be had.
+/// Returns the system's error if the thread can't be spawned.
 pub fn watch(list: HostList, budget: Arc<Budget>, events: Sender<Event>) -> io::Result<()> {
     thread::Builder::new()
         .name("hosts".to_owned())
@@ -55,14 +55,14 @@
                     return;
                 }
             }
-            Err(e) => log::warn!(target: "hosts", "The host list can't be had: {e}."),
+            Err(e) => log::warn!(target: "hosts", "The host list can't be fetched: {e}."),
         }
         thread::sleep(interval);
     }
 }
 
 impl Tables {
-    /// Takes in a host list.
+    /// Applies a new host list.
     pub(super) fn apply_hosts(&mut self, now: Instant, hosts: Vec<Host>) {
         self.update_sides(now, &hosts);
         self.hosts = hosts;
@@ -114,7 +114,7 @@
         side.listing = Listing::Listed;
         side.leaving.listed = host.state == HostState::Leaving;
         if side.address != host.address && side.link.is_none() {
-            // Its host was replaced. While a link stands, the list is behind.
+            // Its host was replaced. While it is connected, the list is outdated.
             side.address = host.address;
             side.opening = None;
             side.next_connect = now;
@@ -135,14 +135,14 @@
         self.update_accepting(now, key);
     }
 
-    /// Forgets a side that is gone.
+    /// Removes a sidecar and fails its attempts.
     pub(super) fn remove_side(&mut self, now: Instant, key: SideKey) {
         let attempts: Vec<_> = self.sides[key].attempts.iter().copied().collect();
         for id in attempts {
             self.fail_lost(now, id);
         }
         if let Some(side) = self.sides.remove(key) {
-            log::info!(target: "hosts", "{} is gone.", side.name);
+            log::info!(target: "hosts", "{} is removed.", side.name);
             self.endpoints.remove(&side.endpoint);
             self.router.remove_endpoint(now, side.endpoint);
         }
