--- a/hibiscusroad-daemon/src/entry/quarantine.rs
+++ b/hibiscusroad-daemon/src/entry/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that crash endpoints, as this entry sees them.
+//! Requests that crash endpoints, as this entry observes them.
 //!
-//! [`hibiscusroad::quarantine`] decides. A side says that its endpoint broke the
-//! connection after the start, and serves the next life of it under the same name; so
-//! breaks at one endpoint that are close together are one crash.
+//! [`hibiscusroad::quarantine`] decides. A sidecar reports broken connections of its
+//! endpoint but not the endpoint's incarnation, so breaks at one endpoint that
+//! are close together count as one crash.
 //!
-//! Entries don't share evidence. Each may see [`CRASH_LIMIT`] crashes of its own: the table
-//! takes few writes of each entry, and deployments with sides have two or three.
+//! Entries don't share evidence, because the platform's table allows each only a
+//! few writes: a request may cause [`CRASH_LIMIT`] crashes at each entry.
 
 use crate::entry::{attempt::Attempt, call::CallRow, tables::Tables};
 use hibiscusroad::{
@@ -18,18 +18,18 @@
     time::{Duration, Instant},
 };
 
-/// How long a crash counts. Nothing tells here whether the endpoint really ended.
+/// How long a crash counts. The entry can't tell whether the endpoint really exited.
 const CRASH_TTL: Duration = Duration::from_mins(10);
-/// Breaks at one endpoint within this are one crash: a process takes longer to start.
+/// Breaks at one endpoint within this time are one crash; a restart takes longer.
 const CRASH_MERGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Crashes that this entry has seen.
+/// Crashes that this entry observed.
 #[derive(Debug)]
 pub(super) struct Crashes {
     ledger: Ledger,
     start: Instant,
-    /// When endpoints last crashed, since `start`.
-    last_crashes: HashMap<EndpointKey, Duration>,
+    /// When each endpoint last crashed, as time since `start`.
+    last_breaks: HashMap<EndpointKey, Duration>,
 }
 
 impl Crashes {
@@ -37,11 +37,11 @@
         Self {
             ledger: Ledger::new(CRASH_LIMIT, CRASH_TTL),
             start,
-            last_crashes: HashMap::new(),
+            last_breaks: HashMap::new(),
         }
     }
 
-    /// Says what is known of a call.
+    /// Returns whether a call is suspected or quarantined.
     pub(super) fn verdict(&self, now: Instant, row: &CallRow) -> Verdict {
         if self.ledger.is_empty() {
             return Verdict::Clear;
@@ -51,10 +51,10 @@
 
     fn add(&mut self, now: Instant, row: &CallRow, attempt: &Attempt) {
         let at = now - self.start;
-        let last = self.last_crashes.get(&attempt.endpoint).copied();
+        let last = self.last_breaks.get(&attempt.endpoint).copied();
         let crash = last.filter(|last| at.saturating_sub(*last) < CRASH_MERGE_WINDOW);
         let crash = crash.unwrap_or(at);
-        self.last_crashes.insert(attempt.endpoint, crash);
+        self.last_breaks.insert(attempt.endpoint, crash);
         let started_ms = u64::try_from(crash.as_millis()).ok();
         let (request, path) = (fingerprint(row), row.request.path.clone());
         let endpoint = format!("{:?}", attempt.endpoint);
@@ -89,7 +89,7 @@
 }
 
 impl Tables {
-    /// Takes in how an attempt ended.
+    /// Updates the crash ledger by the outcome of an attempt.
     pub(super) fn record_crash(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         let Some(row) = self.calls.get(&attempt.call) else {
             return;
@@ -98,7 +98,7 @@
             Outcome::Answered if !self.crashes.ledger.is_empty() => {
                 self.crashes.ledger.remove_request(fingerprint(row));
             }
-            // An attempt whose side is gone tells nothing of the endpoint.
+            // An unreachable sidecar says nothing about its endpoint.
             Outcome::Failed(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
                 if attempt.reachable =>
             {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Refuses a call that crashes endpoints; `false` if it isn't known to.
+    /// Refuses a call that is in quarantine. Returns whether it was refused.
     pub(super) fn refuse_quarantined(&mut self, now: Instant, id: RequestId) -> bool {
         let verdict = self
             .calls
@@ -121,14 +121,14 @@
         true
     }
 
-    /// Drops crashes that count no more.
+    /// Removes expired crashes.
     pub(super) fn expire_crashes(&mut self, now: Instant) {
         let at = now - self.crashes.start;
         if !self.crashes.ledger.is_empty() {
             self.crashes.ledger.expire(at, |_| false);
         }
         self.crashes
-            .last_crashes
+            .last_breaks
             .retain(|_, last| at.saturating_sub(*last) < CRASH_MERGE_WINDOW);
     }
 }
