--- a/hibiscusroad-daemon/src/entry/numbers.rs
+++ b/hibiscusroad-daemon/src/entry/numbers.rs
@@ -1,4 +1,4 @@
-//! What an entry counts and measures.
+//! The metrics of an entry.
 
 use crate::{
     entry::{call::CallRow, event::Inbound, tables::Tables},
@@ -8,12 +8,12 @@
 use std::{collections::BTreeSet, time::Instant};
 
 impl Tables {
-    /// Counts a request that came in.
+    /// Counts a request that arrived.
     pub(super) fn count_request(&self, request: &Inbound) {
         self.metrics.count(metrics::REQUESTS, &tags(request));
     }
 
-    /// Counts a request that got its whole answer.
+    /// Counts a request that was answered completely.
     pub(super) fn count_answered(&self, now: Instant, row: &CallRow) {
         let tags = tags(&row.request);
         self.metrics.count(metrics::ANSWERED, &tags);
@@ -21,21 +21,21 @@
         self.metrics.time(metrics::LATENCY, latency, &tags);
     }
 
-    /// Counts a request that got a problem.
+    /// Counts a request that was refused.
     pub(super) fn count_refused(&self, request: &Inbound, kind: ErrorKind) {
         let [service, class] = tags(request);
         let tags = [service, class, ("problem", kind.answer().problem)];
         self.metrics.count(metrics::REFUSED, &tags);
     }
 
-    /// Counts a request whose service nobody knows. The name is the caller's
-    /// own word and becomes no tag: anybody could make up thousands.
+    /// Counts a request for an unknown service. The name isn't a tag, because
+    /// callers could create any number of them.
     pub(super) fn count_unknown(&self, kind: ErrorKind) {
         let tags = [("problem", kind.answer().problem)];
         self.metrics.count(metrics::REFUSED, &tags);
     }
 
-    /// Counts a request whose caller has gone.
+    /// Counts a request whose caller disconnected.
     pub(super) fn count_caller_gone(&self, row: &CallRow) {
         self.metrics.count(metrics::LEFT, &tags(&row.request));
     }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Counts what became of a claim.
+    /// Counts a claim by its outcome.
     pub(super) fn count_claim(&self, outcome: &ClaimOutcome) {
         let outcome = match outcome {
             ClaimOutcome::Won => "won",
