--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -263,7 +263,7 @@
         match outcome {
             Outcome::Answered => {}
             Outcome::NotRun(_) => {
-                self.apply_reported_state(now, attempt.call, ReportedState::Sealed)
+                self.apply_reported_state(now, attempt.call, ReportedState::Sealed);
             }
             Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, random_retry_after()),
         }
