--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -225,7 +225,7 @@
         match serde_json::from_slice::<Document>(&config.document) {
             Ok(document) if document.version == config.version => self.apply_config(now, document),
             Ok(_) => {
-                log::warn!(target: "config", "A sidecar sent a document whose version differs from its frame.")
+                log::warn!(target: "config", "A sidecar sent a document whose version differs from its frame.");
             }
             Err(e) => log::warn!(target: "config", "A sidecar sent an invalid document: {e}."),
         }
