--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -1,9 +1,9 @@
 //! Watching and changing the configuration in the platform's table.
 //!
-//! The rows: `config/current` holds the document, `command/ID` the version that
-//! a command made, `audit/VERSION` the line of the trail. All three are written
-//! in one transaction, on the condition that the document's row still is the
-//! one that the change was planned on and that the command has no row yet.
+//! Row `config/current` holds the document, `command/ID` the version that a
+//! command created, `audit/VERSION` an entry of the audit trail. A transaction
+//! writes all three if the document is unchanged since the change was planned and
+//! the command has no row yet.
 
 use crate::platform::{Backoff, Condition, Op, Outcome, PlatformError, Row, Table, Transaction};
 use hibiscusroad::config::{
@@ -20,32 +20,32 @@
 const COMMAND_PREFIX: &str = "command/";
 const AUDIT_PREFIX: &str = "audit/";
 
-/// Time between two looks at the document's row.
+/// Time between two polls of the document's row.
 ///
-/// 360 entries then read 360 times a second, within the thousand that all may;
-/// the aim is a change in force everywhere within 2 s.
+/// Short enough for a change to apply everywhere within 2 s, long enough for the
+/// polls of all entries to stay within the table's read limit.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest wait between looks while the table is down, so that news spreads
-/// soon after it is back.
+/// Maximum backoff between polls while the table is down.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long an operator waits for a verdict. After that the outcome is unknown
-/// and the command may be repeated under its id.
+/// How long a command is tried. Afterwards its outcome may be unknown, and it can
+/// be repeated with the same id.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What became of a command, as far as this entry can tell.
+/// The outcome of a command, as far as this entry knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It is decided for good; with the document, if this call wrote it.
+    /// The final outcome, with the document if this call wrote it.
     Decided(CommandOutcome, Option<Box<Document>>),
-    /// Nothing was written, because the table gave no answer.
+    /// Nothing was written, because the table is unavailable.
     Down(PlatformError),
-    /// It may or may not have been accepted.
+    /// The command may or may not have been accepted.
     Unknown(PlatformError),
 }
 
-/// Makes a command's change, once.
+/// Applies a command's change exactly once, retrying for up to
+/// [`COMMIT_TIMEOUT`].
 #[must_use]
 pub fn commit(table: &Table, command: &Command, origin: &str) -> Reply {
     let start = Instant::now();
@@ -67,7 +67,7 @@
     }
 }
 
-/// Takes one step: read, decide, write. An error means "look again".
+/// Reads, decides and writes once. An error means that the step may be retried.
 fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, PlatformError> {
     let rows = read(table, id)?;
     let plan = match attempt.next_step(&rows, now_ms()) {
@@ -107,7 +107,7 @@
         .then(Op::Put(audit, json(&plan.audit)))
 }
 
-/// The key of the line that tells of a version; keys sort as versions do.
+/// Returns the key of a version's audit entry; keys sort by version.
 fn audit_key(version: u64) -> String {
     format!("{AUDIT_PREFIX}{version:020}")
 }
@@ -125,7 +125,7 @@
     Ok(rows)
 }
 
-/// Reads the newest lines of the audit trail, oldest first.
+/// Reads the newest entries of the audit trail, oldest first.
 ///
 /// # Errors
 ///
@@ -134,7 +134,7 @@
     table.list(AUDIT_PREFIX, 0)?.iter().map(parse).collect()
 }
 
-/// Reads the line of the audit trail that tells of one version.
+/// Reads the audit entry of one version.
 ///
 /// # Errors
 ///
@@ -147,9 +147,9 @@
         .transpose()
 }
 
-/// Looks at the document's row for as long as `news` returns true.
+/// Polls the document's row until `on_document` returns false.
 ///
-/// `news` gets every document that was written since the last look.
+/// `on_document` gets the newest document if it was written since the last poll.
 pub fn watch(table: &Table, mut on_document: impl FnMut(Document) -> bool) {
     let mut rng = Pcg64Mcg::from_os_rng();
     let mut backoff = Backoff::new(POLL_INTERVAL, MAX_POLL_INTERVAL);
@@ -167,7 +167,7 @@
                 POLL_INTERVAL
             }
             Err(error) => {
-                log::debug!(target: "config", "No news from the table: {error}.");
+                log::debug!(target: "config", "The configuration can't be read from the table: {error}.");
                 backoff.next_wait(&mut rng)
             }
         };
