--- a/hibiscusroad-daemon/src/entry/peers.rs
+++ b/hibiscusroad-daemon/src/entry/peers.rs
@@ -1,12 +1,11 @@
-//! Asking the other entries what they know.
+//! Queries to the other entries.
 //!
-//! An entry has links to a subset of the sides and knows its own callers only.
-//! An operator's question is therefore passed on to the other entries, with the
-//! operator's own token, so that nobody learns more this way than by asking
-//! each entry. A question that was passed on says so and is answered from what
-//! the asked entry knows: otherwise each would ask all others in turn.
+//! An entry is connected to a subset of the sidecars and knows only its own
+//! callers. An operator's query is therefore forwarded to the other entries, with
+//! the operator's token, so that it returns nothing that the operator couldn't
+//! query directly. A forwarded query is answered locally, so it doesn't loop.
 //!
-//! A few are asked at a time, and all of it ends after [`TOTAL_TIMEOUT`]: an operator is
+//! A few entries are queried at a time, and all of it ends after [`TOTAL_TIMEOUT`]: an operator is
 //! better served by an answer that names whom it lacks than by a wait.
 
 use crate::entry::operators::{Peer, Row, Shown};
@@ -17,31 +16,30 @@
 };
 use ureq::Agent;
 
-/// What a question that was passed on says in its query.
+/// Query string that marks a forwarded query.
 pub const LOCAL_ONLY_QUERY: &str = "only=self";
 
-/// Entries that are asked at the same time. At 2 ms each, 360 entries take
-/// a tenth of a second.
+/// Entries that are queried concurrently.
 const MAX_CONCURRENT_PEERS: usize = 8;
 
-/// How long one entry may take: its tables answer within a turn.
+/// Timeout of one entry's answer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long all of them may take.
+/// Time after which no more entries are queried.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks other entries.
+/// Client of the other entries.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     agent: Agent,
 }
 
-/// What other entries said.
+/// The answers of other entries.
 #[derive(Clone, Debug, Default)]
 pub struct PeerAnswers {
     /// The answers, in the order of the entries.
     pub shown: Vec<Shown>,
-    /// The entries that gave none.
+    /// The entries that gave no answer.
     pub missing: Vec<String>,
 }
 
@@ -70,10 +68,10 @@
         Self { agent }
     }
 
-    /// Asks `peers` for the rows at `path`, below `/v1/`, until `enough` says
-    /// that the last answers have brought all that was wanted.
+    /// Queries `peers` for the rows at `path`, below `/v1/`, until `enough` returns
+    /// true for the latest answers.
     ///
-    /// `token` is what the operator showed in the header `Authorization`.
+    /// `token` is the value of the operator's `Authorization` header.
     pub fn query(
         &self,
         peers: &[Peer],
