--- a/hibiscusroad-daemon/src/entry/survey.rs
+++ b/hibiscusroad-daemon/src/entry/survey.rs
@@ -1,32 +1,31 @@
-//! One answer out of what several entries know.
+//! Merges the endpoint rows of several entries into one answer.
 //!
-//! Of an endpoint, an entry that has a link to its side knows most; among those
-//! the youngest news wins. Rows without such an entry come from the host list
-//! alone, and the answer says that it lacks them.
+//! Rows of entries that are connected to the endpoint's sidecar take precedence,
+//! then the most recent ones. Endpoints without such a row are known only from
+//! the host list and are reported as missing.
 
 use crate::entry::operators::Row;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, btree_map::Entry};
 
-/// How old a side's news may be before an answer says that it lacks the side:
-/// four heartbeats.
+/// Age after which an endpoint's row is reported as missing: four heartbeats.
 const STALE_MS: u64 = 1000;
 
 /// The state of an endpoint that takes new work.
 pub const OPEN: &str = "open";
-/// The state of an endpoint whose side an entry has no link to.
+/// The state of an endpoint whose sidecar the entry isn't connected to.
 pub const UNLINKED: &str = "unlinked";
-/// The state of an endpoint that an entry knows from the host list alone.
+/// The state of an endpoint that an entry knows only from the host list.
 pub const UNKNOWN: &str = "unknown";
 
-/// The rows of endpoints, one each.
+/// The best known row of each endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Survey {
     rows: BTreeMap<(String, String), Row>,
 }
 
 impl Survey {
-    /// Creates a survey of what one entry knows.
+    /// Creates a survey from the rows of one entry.
     #[must_use]
     pub fn new(rows: Vec<Row>) -> Self {
         let mut survey = Self::default();
@@ -34,7 +33,7 @@
         survey
     }
 
-    /// Takes in what another entry knows.
+    /// Merges the rows of another entry.
     pub fn add(&mut self, rows: Vec<Row>) {
         for row in rows {
             let key = (text(&row, "service"), text(&row, "endpoint"));
@@ -51,13 +50,13 @@
         }
     }
 
-    /// Says whether an entry with a link has told of each endpoint.
+    /// Returns whether each endpoint has a row of a connected entry.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.rows.values().all(|row| rank(row).0 == 0)
     }
 
-    /// Returns the endpoints without fresh news.
+    /// Returns the endpoints without a recent row of a connected entry.
     #[must_use]
     pub fn stale_endpoints(&self) -> Vec<String> {
         let rows = self.rows.values();
@@ -71,7 +70,7 @@
         self.rows.into_values().collect()
     }
 
-    /// Counts the endpoints by what they have in `column`; `more` are columns
+    /// Counts the endpoints by their value in `column`; `common` are columns
     /// that all of a group have in common.
     #[must_use]
     pub fn groups(&self, column: &str, common: &[&str], source: &str) -> Vec<Row> {
@@ -114,7 +113,7 @@
     open.count()
 }
 
-/// Orders rows of one endpoint: the lowest one knows most.
+/// Ranks rows of one endpoint; the lowest takes precedence.
 fn rank(row: &Row) -> (u8, u64) {
     let distance = match text(row, "state").as_str() {
         UNKNOWN => 2,
