--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -1,7 +1,7 @@
-//! What an entry answers when an operator asks.
+//! Rows that answer operators' queries from the state of this entry.
 //!
-//! Each row says where it comes from and how old it is, because an entry knows
-//! of the rest only what links and lists last told it.
+//! Each row has its source and age, because an entry knows other processes only
+//! by their last report.
 
 use crate::{
     entry::{
@@ -23,8 +23,7 @@
 const ENDPOINT_PREFIX: &str = "explain/endpoint/";
 
 impl Tables {
-    /// Answers what an operator asks about `subject`, from what this entry
-    /// knows.
+    /// Answers an operator's query about `subject` from the state of this entry.
     #[must_use]
     pub fn show(&self, now: Instant, subject: &str) -> Shown {
         let rows = match subject {
@@ -93,7 +92,7 @@
         ])
     }
 
-    /// The row of an endpoint that is only known from the host list.
+    /// Returns the row of an endpoint that is known only from the host list.
     fn listed_row(&self, now: Instant, host: &Host) -> Row {
         row([
             ("endpoint", json!(host.endpoint)),
@@ -107,7 +106,7 @@
         ])
     }
 
-    /// Callers in flight, by service and class.
+    /// Returns the counts of calls in flight, by service and class.
     fn caller_rows(&self, now: Instant) -> Vec<Row> {
         let mut groups: BTreeMap<(&str, Class), (usize, usize, Instant)> = BTreeMap::new();
         for call in self.calls.values() {
@@ -181,7 +180,7 @@
     rows.collect()
 }
 
-/// Names the state of an endpoint as this entry sees it.
+/// Returns the state of an endpoint as this entry sees it.
 pub(super) const fn state(side: &Side) -> &'static str {
     let leaving = side.leaving;
     if side.link.is_none() {
