--- a/hibiscusroad-daemon/src/entry/trace.rs
+++ b/hibiscusroad-daemon/src/entry/trace.rs
@@ -1,8 +1,7 @@
-//! Why requests were placed, refused or tried again, and endpoints ejected.
+//! A bounded history of decisions on requests and of endpoints' state changes.
 //!
-//! An operator asks after the fact, so that the last decisions are kept: of
-//! each request a few, of the last requests only. A decision costs a copy of
-//! the endpoint's name and no formatting; the words are made when asked.
+//! It lets operators query afterwards why a request was placed, refused or
+//! retried, or an endpoint ejected. Entries are formatted only when queried.
 
 use crate::entry::{
     call::CallRow,
@@ -22,14 +21,13 @@
     time::{Duration, Instant},
 };
 
-/// Requests that are kept: half a second of the load to come, minutes of
-/// today's, at about 300 bytes each.
+/// Requests that are kept.
 const MAX_REQUESTS: usize = 4096;
 
-/// Decisions on one request that are kept; more than its attempts can have.
+/// Decisions that are kept of one request.
 const MAX_DECISIONS: usize = 16;
 
-/// Changes of one endpoint that are kept.
+/// Changes that are kept of one endpoint.
 const MAX_CHANGES: usize = 32;
 
 /// One decision on a request.
@@ -43,7 +41,7 @@
     CallerGone,
 }
 
-/// How an endpoint stood from an instant on.
+/// A change of an endpoint's state.
 #[derive(Clone, Debug)]
 struct Change {
     at: Instant,
@@ -54,13 +52,13 @@
     config: u64,
 }
 
-/// The decisions of an entry that are kept.
+/// The history of an entry's decisions.
 #[derive(Debug, Default)]
 pub(super) struct Trace {
     order: VecDeque<RequestId>,
     requests: HashMap<RequestId, Vec<(Instant, Decision)>>,
     changes: SecondaryMap<SideKey, VecDeque<Change>>,
-    /// Why the last attempt at an endpoint that failed did.
+    /// The error of the last failed attempt at each endpoint.
     last_failures: SecondaryMap<SideKey, ErrorKind>,
 }
 
@@ -82,12 +80,12 @@
 }
 
 impl Tables {
-    /// Keeps a decision on a request.
+    /// Records a decision on a request.
     pub(super) fn trace(&mut self, now: Instant, id: RequestId, decision: Decision) {
         self.trace.record(now, id, decision);
     }
 
-    /// Keeps where a request was sent.
+    /// Records where a request was sent.
     pub(super) fn trace_placed(&mut self, id: RequestId, key: SideKey) {
         let now = Instant::now();
         let side = &self.sides[key];
@@ -96,7 +94,7 @@
         self.trace.record(now, id, decision);
     }
 
-    /// Keeps how an attempt ended.
+    /// Records the outcome of an attempt.
     pub(super) fn trace_ended(
         &mut self,
         now: Instant,
@@ -114,7 +112,7 @@
         self.trace.record(now, id, decision);
     }
 
-    /// Keeps that a request was refused.
+    /// Records the refusal of a request.
     pub(super) fn trace_refused(
         &mut self,
         now: Instant,
@@ -132,7 +130,7 @@
         service.map_or(0, |key| self.router.queued(key, row.request.class))
     }
 
-    /// Keeps how endpoints changed since the last look.
+    /// Records endpoints' changes since the last call.
     pub(super) fn trace_endpoints(&mut self, now: Instant) {
         for (key, side) in &self.sides {
             let (state, health) = (state(side), self.router.health_state(side.endpoint));
@@ -158,7 +156,7 @@
         }
     }
 
-    /// Explains a request, by the name that its answer had.
+    /// Returns the decisions on a request, by the id in its answer.
     pub(super) fn explain_request(&self, now: Instant, name: &str) -> Vec<Row> {
         let mut requests = self.trace.requests.iter();
         let Some((_, decisions)) = requests.find(|(id, _)| id.to_string() == name) else {
@@ -178,7 +176,7 @@
         rows.collect()
     }
 
-    /// Explains how an endpoint came to stand as it does.
+    /// Returns the recorded changes of an endpoint.
     pub(super) fn explain_endpoint(&self, now: Instant, name: &str) -> Vec<Row> {
         let sides = self.sides.iter().filter(|(_, side)| side.name == name);
         let changes = sides.flat_map(|(key, _)| self.trace.changes.get(key).into_iter().flatten());
