--- a/hibiscusroad-daemon/src/entry/operators.rs
+++ b/hibiscusroad-daemon/src/entry/operators.rs
@@ -1,8 +1,8 @@
-//! The operators' side of an entry: asking and acting over HTTP.
+//! The HTTP server for operators: queries and commands.
 //!
-//! It listens apart from callers and has threads of its own, so that operators
-//! get through while callers saturate the entry. What an entry knows is asked
-//! of the thread that owns the tables; what lasts is asked of the platform.
+//! It has its own address and threads, so that operators are served while callers
+//! saturate the entry. The thread that owns the tables answers queries about the
+//! entry; stored data is read from the platform's table.
 
 use crate::{
     entry::{
@@ -22,25 +22,24 @@
 use subtle::ConstantTimeEq;
 use tiny_http::{Header, Method, Request, Response, Server};
 
-/// Threads that answer operators; few people ask at once, but each of their
-/// questions may wait seconds for the table or for other entries, which ask
-/// here meanwhile.
+/// Threads that serve operators. A query may block for seconds on the table or on
+/// other entries, which may query this entry meanwhile.
 const OPERATOR_THREADS: usize = 8;
 
-/// Bytes that a command may have.
+/// Size limit of a command.
 const MAX_COMMAND_BYTES: u64 = 64 * 1024;
 
 /// One row of an answer.
 pub type Row = Map<String, Value>;
 
-/// What an entry answers to a question.
+/// The answer to a query.
 #[derive(Clone, Debug, Default)]
 pub struct Shown {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Whom the answer lacks.
+    /// Endpoints or entries without information in the answer.
     pub missing: Vec<String>,
-    /// The configuration version in force at the entry.
+    /// The configuration version of the entry.
     pub version: u64,
     /// The other entries on the host list.
     pub peers: Vec<Peer>,
@@ -51,29 +50,29 @@
 pub struct Peer {
     /// Its name.
     pub name: String,
-    /// Where it answers operators.
+    /// Its address for operators.
     pub address: SocketAddr,
 }
 
-/// Asks the thread that owns the tables; none if it is too busy to say.
+/// Queries the thread that owns the tables; returns `None` if it is overloaded.
 pub type QueryFn = dyn Fn(&str) -> Option<Shown> + Send + Sync;
 
-/// Hands a document that was just accepted to the entry.
+/// Passes a document that was just accepted to the entry.
 pub type AcceptedFn = dyn Fn(Document) + Send + Sync;
 
-/// What the operators' threads need of the entry.
+/// What the operators' threads use of the entry.
 pub struct OperatorContext {
     /// The platform's table.
     pub table: Table,
-    /// Who may ask and act; nobody is asked for a token if none is set.
+    /// The tokens for queries and commands; none is required if none is set.
     pub tokens: Tokens,
-    /// Asks the thread that owns the tables; none if it is too busy to say.
+    /// Queries the thread that owns the tables.
     pub query: Box<QueryFn>,
-    /// Hands a document that was just accepted to the entry.
+    /// Passes a document that was just accepted to the entry.
     pub on_accepted: Box<AcceptedFn>,
     /// The name of the entry.
     pub name: String,
-    /// Asks the other entries.
+    /// Client of the other entries.
     pub peers: PeerClient,
 }
 
@@ -128,7 +127,7 @@
             .with_status_code(response.status)
             .with_header(content_type);
         if let Err(error) = request.respond(response) {
-            log::debug!(target: "operators", "An operator left: {error}.");
+            log::debug!(target: "operators", "An operator's answer could not be sent: {error}.");
         }
     }
 }
@@ -181,8 +180,8 @@
     )
 }
 
-/// Compares in constant time, and with every token, so that the time taken says
-/// nothing about how much of a guess was right.
+/// Returns whether a request carries one of the tokens, or none is set. Compares
+/// with every token in constant time against timing attacks.
 fn is_authorized(request: &Request, lists: &[&Vec<String>]) -> bool {
     let mut tokens = lists.iter().flat_map(|list| list.iter()).peekable();
     if tokens.peek().is_none() {
