--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/ask.rs
@@ -1,7 +1,7 @@
-//! Answering an operator's question.
+//! Answers operators' queries.
 //!
-//! Runs on an operators' thread, so that it may wait: for the tables of this
-//! entry, for the platform's table, and for other entries.
+//! Runs on an operators' thread, so it may block on the tables of this entry, the
+//! platform's table and other entries.
 
 use crate::{
     entry::{
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use std::mem;
 
-/// What a question may be about.
+/// The subjects of queries.
 const SUBJECTS: &[&str] = &[
     "audit",
     "callers",
@@ -31,27 +31,27 @@
     "versions",
 ];
 
-/// A question, and who asks.
+/// A query and its origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Question<'a> {
-    /// What answering needs of the entry.
+    /// Access to the entry.
     pub context: &'a OperatorContext,
-    /// What the operator showed in the header `Authorization`.
+    /// The value of the operator's `Authorization` header.
     pub token: Option<&'a str>,
-    /// Whether another entry passed it on.
+    /// Whether another entry forwarded it, so that it is answered locally.
     pub local_only: bool,
 }
 
-/// Why there is no answer.
+/// Why a query has no answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// Nothing of this name is known.
+    /// The subject is unknown.
     NotFound(String),
-    /// The answer can't be had now.
+    /// The answer is unavailable now.
     Unavailable(String),
 }
 
-/// Answers the question at `path`, below `/v1/`.
+/// Answers the query at `path`, below `/v1/`.
 ///
 /// # Errors
 ///
@@ -75,13 +75,13 @@
 }
 
 impl Question<'_> {
-    /// Asks the tables of this entry.
+    /// Queries the tables of this entry.
     fn query_local(&self, subject: &str) -> Result<Shown, Refusal> {
         let shown = (self.context.query)(subject);
         shown.ok_or_else(|| Refusal::Unavailable("the entry is too busy to say".to_owned()))
     }
 
-    /// Asks other entries, unless one of them asks.
+    /// Queries the other entries, unless one of them forwarded this query.
     fn query_peers(
         &self,
         local: &Shown,
@@ -96,7 +96,7 @@
             .query(&local.peers, path, self.token, enough)
     }
 
-    /// Puts the rows of all entries together.
+    /// Concatenates the rows of all entries.
     fn query_all(&self, subject: &str) -> Result<Shown, Refusal> {
         let mut local = self.query_local(subject)?;
         let answers = self.query_peers(&local, &format!("show/{subject}"), |_| false);
@@ -107,7 +107,7 @@
         Ok(local)
     }
 
-    /// Asks other entries for the endpoints that this one has no link to.
+    /// Queries other entries for the endpoints that this one isn't connected to.
     fn survey(&self, subject: &str) -> Result<Shown, Refusal> {
         let mut local = self.query_local("endpoints")?;
         if self.local_only {
@@ -171,11 +171,11 @@
         })
     }
 
-    /// Explains what became of a request, or of an endpoint, and why.
+    /// Explains the decisions on a request, or the state of an endpoint.
     fn explain(&self, what: &str) -> Result<Shown, Refusal> {
         let path = format!("explain/{what}");
         let mut local = self.query_local(&path)?;
-        // One entry decides on a request; on an endpoint each decides alone.
+        // A request belongs to one entry; each entry has its own view of an endpoint.
         let is_request = what.starts_with("request/");
         if !is_request || local.rows.is_empty() {
             let found = |shown: &[Shown]| is_request && shown.iter().any(|s| !s.rows.is_empty());
