--- a/hibiscusroad-daemon/src/entry/mod.rs
+++ b/hibiscusroad-daemon/src/entry/mod.rs
@@ -1,14 +1,10 @@
-//! The role entry: callers' requests in, answers out.
+//! The entry role: queues callers' requests and sends them to sidecars.
 //!
-//! One thread owns all tables ([`tables`]) and runs them as a stakker actor.
-//! Around it stand the callers' HTTP server ([`front`]), the links to the sides
-//! ([`link`]) and the watch on the host list ([`hosts`]); none of them holds
-//! state. What they have to say comes as an [`event::Event`] over one bounded
-//! channel.
-//!
-//! The trade-off: one thread decides for all requests of an entry. A decision
-//! takes microseconds, the reading and writing of requests is done elsewhere,
-//! and in return there are no locks and no order of locks to get wrong.
+//! One thread owns all state ([`tables`]) and runs it as a stakker actor. The
+//! callers' HTTP server ([`front`]), the connections to sidecars ([`link`]) and the
+//! poll of the host list ([`hosts`]) hold none; they send an [`event::Event`] over
+//! one bounded channel. A single thread decides for all requests, which avoids
+//! locks; requests are read and written on other threads.
 
 mod ask;
 mod assembly;
@@ -61,32 +57,30 @@
 
 pub use self::assembly::{Assembly, ChunkOutcome, EndOutcome};
 
-/// How long a stopping entry has to be without work before it closes its
-/// listener.
+/// How long a stopping entry is idle before it closes its listener.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(300);
 
-/// How long it goes on after that. A connection that stands either brings a
-/// request in this time, which is refused and the connection closed with it, or
-/// is closed for its silence: no request is cut off by the end of the process.
+/// How long it runs after that. Each open connection either sends a request in
+/// this time, which is refused and closes it, or reaches its idle timeout, so the
+/// exit of the process cuts off no request.
 const CLOSE_LINGER: Duration = IDLE_TIMEOUT.saturating_add(Duration::from_millis(200));
 
-/// How long the process stays for callers that its deadline cut off.
+/// How long the process waits for refusals to be written after its deadline.
 const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long the tables may take to answer an operator; they do it within a
-/// turn unless they are overrun.
+/// How long the tables may take to answer an operator's query.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why an entry can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings have no part for this role.
+    /// The settings have no section for this role.
     #[error("the settings have no [entry]")]
     NoSettings,
-    /// The address for callers can't be had.
+    /// The address for callers can't be bound.
     #[error("callers can't be served at {0}: {1}")]
     Callers(SocketAddr, #[source] io::Error),
-    /// The address for operators can't be had.
+    /// The address for operators can't be bound.
     #[error("operators can't be served at {0}: {1}")]
     Operators(SocketAddr, #[source] io::Error),
     /// The system refused a thread or a signal handler.
@@ -108,7 +102,7 @@
     Ok(())
 }
 
-/// Starts an entry on threads of its own.
+/// Starts an entry on its own threads.
 ///
 /// # Errors
 ///
@@ -184,7 +178,7 @@
             shown.recv_timeout(QUERY_TIMEOUT).ok()
         }),
         on_accepted: Box::new(move |document| {
-            // The watch on the table brings it later if there is no room now.
+            // If the queue is full, the poll of the table delivers it later.
             let _ = accepted.try_send(Event::Config(Box::new(document)));
         }),
     };
@@ -192,7 +186,7 @@
         .map_err(|e| Error::Operators(entry_settings.operators, e))
 }
 
-/// An entry that runs on threads of its own.
+/// A running entry.
 #[derive(Debug)]
 pub struct Running {
     callers: SocketAddr,
@@ -223,9 +217,9 @@
     /// Waits until it has stopped.
     pub fn join(self) {
         if self.thread.join().is_err() {
-            log::error!(target: "process", "The thread that owns the tables failed.");
+            log::error!(target: "process", "The thread that owns the tables panicked.");
         }
-        // Whoever was cut off learns it from a worker, which needs a moment.
+        // Workers may still be writing refusals to callers.
         let limit = Instant::now() + FINAL_ANSWER_TIMEOUT;
         while self.stopper.shared.busy() > 0 && Instant::now() < limit {
             thread::sleep(TICK);
@@ -241,8 +235,7 @@
 }
 
 impl Stopper {
-    /// Refuses new requests from now on; the entry ends when all others have
-    /// their answer.
+    /// Starts to refuse new requests; the entry stops when all others are answered.
     pub fn stop(&self) {
         self.shared.stop();
         let _ = self.events.send(Event::Stop);
@@ -274,7 +267,7 @@
 #[derive(Clone, Copy)]
 struct Stop {
     deadline: Instant,
-    /// When there was work last.
+    /// When it last had open requests.
     last_busy: Instant,
     /// When the listener was closed.
     closed_at: Option<Instant>,
@@ -308,7 +301,7 @@
         timer_min!(&mut self.wake_timer, due, [cx], wake());
     }
 
-    /// Ends the sleep of the loop, which then settles.
+    /// Wakes the event loop, which then runs the systems.
     #[expect(clippy::unused_self, reason = "stakker's form of a method")]
     fn wake(&mut self, _: CX![]) {}
 
