--- a/hibiscusroad-daemon/src/entry/front/answer.rs
+++ b/hibiscusroad-daemon/src/entry/front/answer.rs
@@ -1,10 +1,9 @@
 //! Writes answers to callers.
 //!
-//! An answer in pieces is sent in chunks, and the last chunk says that it is
-//! whole. When an answer breaks off, that last chunk must not be written: the
-//! caller would take half an answer for all of it. `tiny_http` gives no way to
-//! close a connection at once, so a line that is no chunk is written instead.
-//! Every HTTP client reports it as a broken answer, and closes.
+//! A streamed answer uses the chunked coding, whose last chunk marks it complete.
+//! If an answer is broken off, that chunk must not be written, or the caller would
+//! take it as complete. `tiny_http` can't close a connection at once, so an
+//! invalid chunk is written instead, which HTTP clients report as an error.
 
 use crate::entry::{event::Head, front::request::is_not_forwarded};
 use chunked_transfer::Encoder;
@@ -17,10 +16,10 @@
 };
 use tiny_http::{HTTPVersion, Method, Request, StatusCode};
 
-/// What stands where a chunk's size belongs when an answer breaks off.
+/// Written in place of a chunk's size when an answer is broken off.
 const INVALID_CHUNK_LINE: &[u8] = b"broken off\r\n";
 
-/// The largest chunk.
+/// Size limit of a chunk.
 const MAX_CHUNK_BYTES: usize = 32 << 10;
 
 /// Statuses whose answers have no body (RFC 9110, 6.4.1).
@@ -36,18 +35,18 @@
     request: String,
 }
 
-/// What an answer needs to know of its request.
+/// Properties of a request that determine the form of its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     id: RequestId,
-    /// Whether the caller understands chunks.
+    /// Whether the caller supports the chunked coding.
     pub chunks: bool,
     bodyless: bool,
     close: bool,
 }
 
 impl Target {
-    /// Notes what the answer to `request` depends on.
+    /// Creates the target of the answer to `request`.
     pub fn new(request: &Request, id: RequestId, close: bool) -> Self {
         Self {
             id,
@@ -58,11 +57,11 @@
     }
 }
 
-/// Writes the problem that stands for an error.
+/// Writes the problem body of an error.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the caller doesn't take it.
+/// Returns the system's error if it can't be written to the caller.
 pub fn write_problem(
     out: &mut dyn Write,
     target: Target,
@@ -86,11 +85,11 @@
     finish(out, text, target, answer.status, &body)
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the caller doesn't take it.
+/// Returns the system's error if it can't be written to the caller.
 pub fn write_whole(
     out: &mut dyn Write,
     target: Target,
@@ -101,17 +100,17 @@
     finish(out, text, target, head.status, body)
 }
 
-/// An answer in pieces.
+/// A streamed answer.
 pub struct ChunkedAnswer {
     encoder: Encoder<ClosableWriter>,
 }
 
 impl ChunkedAnswer {
-    /// Writes the head of an answer in pieces.
+    /// Writes the head of a streamed answer.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take it.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn start(mut out: Box<dyn Write + Send>, target: Target, head: &Head) -> io::Result<Self> {
         let mut text = head_text(head, target);
         push_header(&mut text, "Transfer-Encoding", "chunked");
@@ -127,28 +126,28 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take them.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn write(&mut self, data: &[u8]) -> io::Result<()> {
         self.encoder.write_all(data)
     }
 
-    /// Sends on what was written.
+    /// Flushes the written bytes to the caller.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take it.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn flush(&mut self) -> io::Result<()> {
         self.encoder.flush()?;
         self.encoder.get_mut().flush()
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     pub fn end(self) {
         // The encoder writes the last chunk when it is dropped.
         drop(self);
     }
 
-    /// Ends an answer that stays incomplete.
+    /// Breaks off an incomplete answer.
     pub fn abort(mut self) {
         let _ = self.encoder.flush();
         let writer = self.encoder.get_mut();
@@ -158,8 +157,8 @@
     }
 }
 
-/// Lets nothing through once it is shut, not even the last chunk that the
-/// encoder writes when it is dropped.
+/// A writer that discards everything once closed, including the last chunk that
+/// the encoder writes when dropped.
 struct ClosableWriter {
     out: Box<dyn Write + Send>,
     closed: bool,
@@ -171,8 +170,8 @@
             return Ok(buf.len());
         }
         let written = self.out.write(buf);
-        // A caller that takes nothing any more would get the last chunk as the
-        // next bytes, and with it an answer that looks whole.
+        // After a failed write the last chunk must not follow, or the answer
+        // would look complete.
         self.closed = written.is_err();
         written
     }
@@ -185,9 +184,9 @@
 }
 
 impl Drop for ClosableWriter {
-    /// The encoder writes the last chunk when it is dropped, just before this.
-    /// Left in the server's buffer it would reach a caller who keeps the
-    /// connection only when that is closed, seconds later.
+    /// Flushes the last chunk, which the encoder writes when dropped, just before
+    /// this. Otherwise it would stay in the server's buffer until the connection
+    /// is closed.
     fn drop(&mut self) {
         if !self.closed {
             let _ = self.out.flush();
@@ -195,7 +194,7 @@
     }
 }
 
-/// Rounds up, so that nobody comes back too early.
+/// Rounds up, so that callers don't retry too early.
 fn ceil_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
--- a/hibiscusroad-daemon/src/entry/front/mod.rs
+++ b/hibiscusroad-daemon/src/entry/front/mod.rs
@@ -1,22 +1,16 @@
 //! The callers' HTTP server.
 //!
-//! `tiny_http` takes a thread for each open connection and knows no time limits,
-//! and its accept loop ends for good on the first error. Three measures make it
-//! fit to stand before callers:
+//! `tiny_http` uses a thread per connection, has no timeouts, and ends its accept
+//! loop on the first error. Three workarounds:
 //!
-//! * The listening socket has read and write time limits, which Linux hands on
-//!   to accepted sockets. A connection that stays silent is closed, so that
-//!   half-open ones can't hold threads for ever.
-//! * The same limit applies to accepting, so a thread connects to the own
-//!   address more often than that and accepting never times out.
-//! * When accepting still fails (the process is out of file descriptors),
-//!   another server is started on a clone of the socket, while the old one goes
-//!   on serving the connections that it has.
+//! * Linux passes the listener's read and write timeouts on to accepted sockets,
+//!   so idle and half-open connections are closed.
+//! * The timeout applies to accepting too, so a thread connects to the listener
+//!   periodically and accepting never times out.
+//! * If accepting fails, another server starts on a clone of the socket.
 //!
-//! A request is handed to a free worker, or refused at once: a caller who waits
-//! in front of a queue gets a late answer. Answers that need the request's body
-//! to be skipped are left to a few threads of their own, because skipping waits
-//! for the caller.
+//! A request goes to an idle worker or is refused at once. Refusals that must skip
+//! a request's body block on the caller and use separate threads.
 
 mod answer;
 mod request;
@@ -42,45 +36,45 @@
 };
 use tiny_http::{Request, Server};
 
-/// How long a connection may stay silent in the middle of a request, between
-/// two requests, or while it is to take bytes of an answer.
+/// How long a connection may be idle within a request, between two requests, or
+/// while it receives an answer.
 ///
-/// Longer than the pauses of a phone on a bad network, short enough that 200
-/// new half-open connections a second hold no more than a thousand threads.
+/// Longer than the pauses of a phone on a bad network, short enough to bound the
+/// threads that half-open connections hold.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often accepting is woken; well within [`IDLE_TIMEOUT`].
+/// Time between two connections that wake accepting; well within [`IDLE_TIMEOUT`].
 const WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the connect of a wake may take.
+/// Connect timeout of such a connection.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections that the system holds before they are accepted.
+/// Connections that the kernel queues for accepting.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// The pause before accepting is started again, so that a process that is out
-/// of file descriptors doesn't spin.
+/// Delay before accepting is restarted, so that a process without free file
+/// descriptors doesn't spin.
 const RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// How long an old server is kept without a request. No connection lives longer
-/// without one: the longest deadline, and then [`IDLE_TIMEOUT`].
+/// How long a replaced server is kept without a request. No connection lives
+/// longer without one: the longest deadline plus [`IDLE_TIMEOUT`].
 const RETIRED_SERVER_TTL: Duration = Duration::from_secs(620);
 
 /// Threads that skip bodies of refused requests.
 const SKIP_THREADS: usize = 4;
 
-/// Refused requests that may wait for their body to be skipped.
+/// Refused requests that may wait for a skip thread.
 const SKIP_QUEUE_CAPACITY: usize = 256;
 
-/// Bodies up to this length were read by the server along with the headers.
+/// Bodies up to this length are read by the server along with the headers.
 const PREREAD_BODY_BYTES: usize = 1024;
 
-/// What the threads of the front share.
+/// State shared by the threads of the server.
 #[derive(Debug)]
 pub struct Shared {
     events: Sender<Event>,
     ids: Arc<Ids>,
-    /// Bytes that a body may have.
+    /// Size limit of a body, in bytes.
     max_body: usize,
     listener: TcpListener,
     stopping: AtomicBool,
@@ -90,16 +84,16 @@
 }
 
 impl Shared {
-    /// Refuses all requests from now on.
+    /// Starts to refuse all requests.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Takes no new connections from now on; those that stand are served.
+    /// Stops accepting connections; open ones are still served.
     ///
-    /// Shutting the socket ends accepting in every server that has a clone of
-    /// it; the system then refuses connections, which a balancer takes as a
-    /// sign to go elsewhere before anything was sent.
+    /// Shutting down the socket ends accepting in every server that has a clone of
+    /// it. The kernel then refuses connections, so a load balancer can choose
+    /// another entry before it sends anything.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
         if let Err(e) = SockRef::from(&self.listener).shutdown(Shutdown::Both) {
@@ -117,7 +111,7 @@
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Counts a refusal that the tables know nothing of.
+    /// Counts a refusal that doesn't reach the tables.
     fn count_refused(&self, kind: ErrorKind) {
         let problem = kind.answer().problem;
         self.metrics
@@ -129,7 +123,7 @@
     }
 }
 
-/// A request on its way to a worker.
+/// A request for a worker.
 struct Job {
     request: Request,
     id: RequestId,
@@ -143,7 +137,7 @@
     kind: ErrorKind,
 }
 
-/// Counts a request as being worked on until it is dropped.
+/// Counts a request as busy until dropped.
 struct Guard(Arc<Shared>);
 
 impl Guard {
@@ -162,9 +156,9 @@
 /// The running server.
 #[derive(Debug)]
 pub struct Front {
-    /// Where callers connect.
+    /// The address where callers connect.
     pub address: SocketAddr,
-    /// What its threads share.
+    /// State shared with its threads.
     pub shared: Arc<Shared>,
 }
 
@@ -173,7 +167,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the address or a thread can't be had.
+    /// Returns the system's error if the address can't be bound or a thread can't be
+    /// spawned.
     pub fn start(
         settings: &Entry,
         metrics: Metrics,
@@ -192,7 +187,7 @@
             busy: AtomicUsize::new(0),
             metrics,
         });
-        // No room at all: a job is taken only by a worker that waits for one.
+        // Without capacity, a job is sent only to a worker that is idle.
         let (jobs, job_queue) = flume::bounded(0);
         let (refusals, refused) = flume::bounded(SKIP_QUEUE_CAPACITY);
         for _ in 0..settings.workers {
@@ -202,7 +197,7 @@
         for _ in 0..SKIP_THREADS {
             let refused: Receiver<Refusal> = refused.clone();
             spawn("skipper", move || {
-                refused.iter().for_each(worker::refuse_and_skip)
+                refused.iter().for_each(worker::refuse_and_skip);
             })?;
         }
         let acceptor = Acceptor {
@@ -237,8 +232,7 @@
     Ok(socket.into())
 }
 
-/// Connects to the own address again and again, so that accepting never times
-/// out.
+/// Connects to the listener periodically, so that accepting never times out.
 fn wake(mut address: SocketAddr) {
     if address.ip().is_unspecified() {
         address.set_ip(match address.ip() {
@@ -249,12 +243,12 @@
     loop {
         thread::sleep(WAKE_INTERVAL);
         if let Err(e) = TcpStream::connect_timeout(&address, WAKE_TIMEOUT) {
-            log::debug!(target: "callers", "The wake of the listener failed: {e}.");
+            log::debug!(target: "callers", "Connecting to the own listener failed: {e}.");
         }
     }
 }
 
-/// Takes requests off one server after another.
+/// Receives requests from a server, and replaces it if accepting fails.
 #[derive(Clone)]
 struct Acceptor {
     shared: Arc<Shared>,
@@ -287,16 +281,16 @@
         }
     }
 
-    /// Starts another server on the same socket, however long that takes.
+    /// Starts another server on the same socket, retrying until it succeeds.
     fn replace(&self, error: &io::Error) {
         if !self.shared.closed() {
-            log::warn!(target: "callers", "Accepting failed: {error}. Starting it again.");
+            log::warn!(target: "callers", "Accepting failed: {error}. Restarting it.");
         }
         while !self.shared.closed() {
             thread::sleep(RESTART_DELAY);
             match self.clone().spawn() {
                 Ok(()) => return,
-                Err(e) => log::warn!(target: "callers", "Accepting can't start yet: {e}."),
+                Err(e) => log::warn!(target: "callers", "Accepting can't be restarted yet: {e}."),
             }
         }
     }
--- a/hibiscusroad-daemon/src/entry/front/request.rs
+++ b/hibiscusroad-daemon/src/entry/front/request.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a caller's request.
+//! Reads and validates a caller's request.
 
 use crate::{
     entry::event::{Inbound, Prompt},
@@ -14,51 +14,49 @@
 use tiny_http::{Method, Request};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Header that names the time that the caller still waits.
+/// Header with the caller's remaining time, in milliseconds.
 const DEADLINE_HEADER: &str = "Deadline-Ms";
 
-/// Header that marks a request that its caller may send again.
+/// Header with the idempotency key.
 const KEY_HEADER: &str = "Idempotency-Key";
 
-/// Header that names the class of the caller.
+/// Header with the request's class.
 const CLASS_HEADER: &str = "Request-Class";
 
 /// The range of [`DEADLINE_HEADER`], in milliseconds.
 const DEADLINE_MS_RANGE: std::ops::RangeInclusive<u64> = 1..=600_000;
 
-/// The longest time that a caller may wait, by its header or a service's rule.
+/// Longest timeout of a call, by its header or a service's rule.
 pub const MAX_TIMEOUT: Duration = Duration::from_millis(*DEADLINE_MS_RANGE.end());
 
-/// The longest idempotency key.
+/// Size limit of an idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
-/// The most headers, and the most bytes of them.
+/// Limits of the number and total size of the headers.
 const MAX_HEADERS: usize = 64;
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
-/// The longest target, and the longest service name in it.
+/// Size limits of the request target and of the service name in it.
 const MAX_TARGET_BYTES: usize = 8 << 10;
 const MAX_SERVICE_BYTES: usize = 64;
 
-/// How long a body may take, however slowly it drips. Without this a caller who
-/// sends one byte every few seconds holds a worker for hours.
+/// Time limit for reading a body, so that a slow caller doesn't hold a worker.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of a prompt's beginning that are hashed to find an engine that has it
-/// in its cache.
+/// Bytes at the start of a prompt that are hashed for routing to an engine with
+/// that prefix in its cache.
 const PREFIX_BYTES: usize = 512;
 
-/// Bytes of text to a token, as an estimate.
+/// Estimated bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens that a model call generates if it doesn't say.
+/// Tokens that a model call generates if its body sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Headers that the entry has read for itself.
+/// Headers that the entry consumes.
 const CONSUMED_HEADERS: [&str; 2] = ["content-length", "deadline-ms"];
 
-/// Says whether a header belongs to one connection, or is read here, and isn't
-/// passed on.
+/// Returns whether a header is hop-by-hop or consumed here, and isn't forwarded.
 pub fn is_not_forwarded(name: &str) -> bool {
     is_hop_by_hop(name)
         || CONSUMED_HEADERS
@@ -66,18 +64,19 @@
             .any(|consumed| name.eq_ignore_ascii_case(consumed))
 }
 
-/// Says whether a body may follow the headers.
+/// Returns whether a body may follow the headers.
 pub fn has_body(request: &Request) -> bool {
     header_values(request, "Content-Length").any(|v| v != "0")
         || header_values(request, "Transfer-Encoding").next().is_some()
         || header_values(request, "Connection").any(is_upgrade)
 }
 
-/// Returns the time that the caller waits, if it says so.
+/// Returns the caller's timeout, if it sets one.
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::BadDeadline`] if the header is no number in its range.
+/// Returns [`ErrorKind::BadDeadline`] if the header is not a number in
+/// its range.
 pub fn deadline(request: &Request) -> Result<Option<Duration>, ErrorKind> {
     let Some(text) = single_header(request, DEADLINE_HEADER, ErrorKind::BadDeadline)? else {
         return Ok(None);
@@ -91,11 +90,11 @@
     }
 }
 
-/// Reads a request whole; its body may have `largest` bytes.
+/// Reads and validates a request; its body may have `max_body` bytes.
 ///
 /// # Errors
 ///
-/// Returns the kind of what is wrong with it.
+/// Returns the kind of error if the request is invalid.
 pub fn read(request: &mut Request, max_body: usize) -> Result<Inbound, ErrorKind> {
     check_headers(request)?;
     let (service, path) = target(request.url())?;
@@ -119,8 +118,8 @@
     })
 }
 
-/// Says whether a path is one of the common model forms, whose calls may be
-/// repeated.
+/// Returns whether a path is one of the common model APIs, whose calls are
+/// idempotent.
 pub fn is_model_path(path: &str) -> bool {
     let path = path.split('?').next().unwrap_or_default();
     matches!(path, "/v1/completions" | "/v1/chat/completions")
@@ -145,8 +144,8 @@
     check_framing(request)
 }
 
-/// Refuses what two programs could read as bodies of different lengths
-/// (RFC 9112, 6.3): the rest of such a body would be taken for a request.
+/// Refuses ambiguous body lengths, which would allow request smuggling (RFC 9112,
+/// 6.3).
 fn check_framing(request: &Request) -> Result<(), ErrorKind> {
     if header_values(request, "Connection").any(is_upgrade) {
         return Err(ErrorKind::BadRequest);
@@ -263,10 +262,10 @@
     stream: bool,
 }
 
-/// Reads what a model call says about the work in it.
+/// Parses the properties of a model call from its body.
 ///
-/// A body in another form gives none, and is routed like a plain call: judging
-/// it is the engine's business.
+/// Returns `None` for a body in another form, which is routed like a plain call
+/// and left to the engine to validate.
 fn prompt(body: &[u8]) -> Option<Prompt> {
     let call: ModelCall<'_> = serde_json::from_slice(body).ok()?;
     let text = call.prompt.as_bytes();
@@ -286,7 +285,7 @@
         .map(|h| h.value.as_str().trim())
 }
 
-/// Returns the value of a header that may be given once.
+/// Returns the value of a header that may occur at most once.
 fn single_header<'a>(
     request: &'a Request,
     name: &'static str,
--- a/hibiscusroad-daemon/src/entry/front/worker.rs
+++ b/hibiscusroad-daemon/src/entry/front/worker.rs
@@ -1,4 +1,4 @@
-//! Threads that each see one request through.
+//! Worker threads, each serving one request at a time.
 
 use crate::entry::{
     call::random_retry_after,
@@ -22,27 +22,27 @@
     time::{Duration, Instant},
 };
 
-/// Parts of an answer that may wait for a slow caller. The tables drop a caller
-/// that is further behind.
+/// Parts of an answer that may be queued for a slow caller. The tables drop the
+/// call if the queue is full.
 const PART_QUEUE_CAPACITY: usize = 1024;
 
-/// How long past the deadline a worker waits for the tables' final word. They
-/// give it at the deadline; this is for the case that they stand still.
+/// How long past the deadline a worker waits for the tables' final answer, in case
+/// they are stalled.
 const DEADLINE_GRACE: Duration = Duration::from_millis(250);
 
-/// How long the news that a caller left may wait for room.
+/// How long a worker tries to report that a caller disconnected.
 const CALLER_GONE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of an answer that are gathered for a caller that doesn't know chunks.
+/// Size limit of an answer that is buffered for a caller without chunked coding.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// Bytes of a body that are skipped to keep a connection usable.
+/// Size limit of a body that is skipped to keep a connection usable.
 const MAX_SKIPPED_BYTES: usize = 64 << 20;
 
-/// The status that comes before an answer to a request whose body isn't read.
+/// Interim status before the answer to a request whose body isn't read.
 const INTERIM_STATUS: u16 = 100;
 
-/// Serves requests until the front is gone.
+/// Serves requests until the server ends.
 pub fn run(jobs: &Receiver<Job>, refusals: &Sender<Refusal>) {
     for mut job in jobs {
         let shared = Arc::clone(&job.guard.0);
@@ -50,7 +50,7 @@
             .and_then(|wait| Ok((request::read(&mut job.request, shared.max_body)?, wait)));
         match read {
             Ok((inbound, wait)) => serve(job, &shared, inbound, wait),
-            // Only the server knows how much of the body was read.
+            // It is unknown here how much of the body was read.
             Err(kind) if request::has_body(&job.request) => {
                 queue_refusal(refusals, Refusal { job, kind });
             }
@@ -65,14 +65,14 @@
     let target = target(&job);
     let (mut out, _guard) = split(job);
     if let Err(e) = answer::write_problem(&mut *out, target, kind, random_retry_after()) {
-        log::debug!(target: "callers", "A refusal was not taken: {e}.");
+        log::debug!(target: "callers", "A refusal could not be sent: {e}.");
     }
 }
 
-/// Leaves a refusal to the threads that skip bodies.
+/// Queues a refusal for the threads that skip bodies.
 ///
-/// When even these are all busy, skipping nothing and leaving the connection as
-/// it is costs its thread until the caller hangs up, but no worker.
+/// If the queue is full, the connection is leaked without an answer. That holds
+/// its thread until the caller disconnects, but no worker.
 pub fn queue_refusal(refusals: &Sender<Refusal>, refusal: Refusal) {
     if let Err(e) = refusals.try_send(refusal) {
         abandon(e.into_inner().job);
@@ -81,13 +81,12 @@
 
 /// Refuses a request whose body was not read, and then skips the body.
 ///
-/// The server would skip it first, which takes as long as the caller likes. It
-/// gives the stream before that only after an interim status; callers pass over
-/// that one.
+/// The server would skip the body first, which blocks on the caller. It provides
+/// the stream before that only after an interim status, which callers ignore.
 ///
-/// A body that is declared longer than anybody sends is not skipped: the server
-/// would reserve memory for all of it, which ends the process if there is less.
-/// Its connection is left open and unused until the caller hangs up.
+/// A body with an excessive declared length is not skipped, because the server
+/// would allocate all of it. Its connection is leaked until the caller
+/// disconnects.
 pub fn refuse_and_skip(refusal: Refusal) {
     let Refusal { job, kind } = refusal;
     job.guard.0.count_refused(kind);
@@ -96,7 +95,7 @@
     let interim = tiny_http::Response::empty(INTERIM_STATUS);
     let mut stream = job.request.upgrade("none", interim);
     if let Err(e) = answer::write_problem(&mut *stream, target, kind, random_retry_after()) {
-        log::debug!(target: "callers", "A refusal was not taken: {e}.");
+        log::debug!(target: "callers", "A refusal could not be sent: {e}.");
     }
     drop(job.guard);
     if length > MAX_SKIPPED_BYTES {
@@ -135,7 +134,7 @@
     {
         return refuse(job, ErrorKind::HandoverFull);
     }
-    // Only the tables know how long the service's callers wait who don't say.
+    // Only the tables know the default timeout of the service.
     let deadline = job.arrived + timeout.unwrap_or(request::MAX_TIMEOUT);
     let answer = Answer {
         id,
@@ -150,7 +149,7 @@
     } else {
         answer.collect()
     };
-    // Only now is it known whether the process is stopping.
+    // Computed again, because the process may be stopping by now.
     let target = target(&job);
     let (mut out, _guard) = split(job);
     let written = match first {
@@ -159,19 +158,19 @@
         FirstPart::Chunked(head) => answer.stream(out, target, &head),
     };
     if let Err(e) = written {
-        log::debug!(target: "callers", "The caller of {id} left: {e}.");
+        log::debug!(target: "callers", "The caller of {id} disconnected: {e}.");
         answer.report_caller_gone();
     }
 }
 
-/// How an answer begins.
+/// The start of an answer.
 enum FirstPart {
     Whole(Head, Vec<u8>),
     Chunked(Head),
     Fail(ErrorKind, Duration),
 }
 
-/// The answer to one request, as it comes from the tables.
+/// The answer to a request, received from the tables.
 struct Answer<'a> {
     id: RequestId,
     shared: &'a Shared,
@@ -202,8 +201,8 @@
         }
     }
 
-    /// Waits for all of the answer, for a caller that doesn't know chunks: it
-    /// could not see that an answer broke off.
+    /// Collects the complete answer for a caller without chunked coding, which
+    /// could not detect that an answer was broken off.
     fn collect(&self) -> FirstPart {
         let head = match self.first() {
             FirstPart::Chunked(head) => head,
@@ -250,24 +249,24 @@
             part = if let Ok(part) = self.parts.try_recv() {
                 part
             } else {
-                // Nothing more is there, so what is must not wait.
+                // No part is queued, so send what is buffered.
                 chunked.flush()?;
                 self.next()
             };
         }
     }
 
-    /// Tells the tables that the caller took bytes, each time that they can
-    /// acknowledge some.
+    /// Counts bytes that were delivered to the caller, and notifies the tables when
+    /// enough are delivered for an acknowledgement.
     fn record_delivered(&self, bytes: usize) {
         let before = self.delivered.fetch_add(bytes as u64, Ordering::Relaxed);
         if before / ACK_INTERVAL_BYTES != (before + bytes as u64) / ACK_INTERVAL_BYTES {
-            // If there is no room, the tables look by themselves soon.
+            // If the queue is full, the tables' next tick acknowledges them.
             let _ = self.shared.events.try_send(Event::Delivered(self.id));
         }
     }
 
-    /// Tells the tables that nobody waits for the answer any more.
+    /// Notifies the tables that the answer is no longer needed.
     fn report_caller_gone(&self) {
         let event = Event::CallerGone(self.id);
         if self
@@ -276,7 +275,7 @@
             .send_timeout(event, CALLER_GONE_TIMEOUT)
             .is_err()
         {
-            log::warn!(target: "callers", "The tables don't hear that {} left.", self.id);
+            log::warn!(target: "callers", "The event queue is full; the end of the caller of {} is not reported.", self.id);
         }
     }
 }
