--- a/hibiscusroad-daemon/src/entry/frames.rs
+++ b/hibiscusroad-daemon/src/entry/frames.rs
@@ -1,11 +1,11 @@
-//! Frames about attempts: the pieces of their answers.
+//! Handlers of the frames that carry attempts' answers and states.
 //!
-//! Each piece is for one attempt, by its id, and for one place in its answer,
-//! by its offset. A caller gets bytes of one attempt only: the first that is
-//! whole, or that is passed on in pieces.
+//! Each frame names its attempt, and each chunk its offset in the answer. A
+//! caller gets bytes of one attempt only: the first whose answer is complete or
+//! is forwarded as a stream.
 
 use crate::entry::{
-    assembly::{Ending, Taken},
+    assembly::{ChunkOutcome, EndOutcome},
     attempt::{Phase, wire_id},
     event::{Head, Part},
     tables::Tables,
@@ -15,73 +15,73 @@
 use hibiscusroad_wire::{Ack, Chunk, End, Refused, Standing, State, to_side::Frame};
 use std::{mem, sync::atomic::Ordering, time::Instant};
 
-/// Bytes of an answer that are held back. A longer one is passed on in pieces.
+/// Bytes of an answer that are buffered before it is forwarded in chunks.
 ///
-/// While it is held back, a failure still becomes a clear problem, or another
-/// attempt; afterwards only a broken connection. Larger than common answers.
-const HELD_BACK: usize = 256 << 10;
+/// While an answer is buffered, a failure can still be retried or reported as a
+/// problem; afterwards the caller only sees a broken connection. Larger than
+/// common answers.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Bytes between two acknowledgements of a long answer.
-pub(super) const ACK_EVERY: u64 = 64 << 10;
+/// Bytes between two acknowledgements of an answer.
+pub(super) const ACK_INTERVAL_BYTES: u64 = 64 << 10;
 
 impl Tables {
-    /// Takes in the head of an answer.
-    pub(super) fn head(&mut self, now: Instant, head: hibiscusroad_wire::Head) {
-        let Some((_, attempt)) = self.find_open(head.id) else {
+    /// Handles the head of an answer.
+    pub(super) fn handle_head(&mut self, now: Instant, head: hibiscusroad_wire::Head) {
+        let Some((_, attempt)) = self.find_sent(head.id) else {
             return;
         };
         if attempt.head.is_some() {
             return;
         }
-        // A stream isn't begun for its caller before its first bytes are there:
-        // an endpoint that dies between the two leaves the call free to go
-        // elsewhere, where its caller else sees an empty answer broken off.
+        // Nothing is sent to the caller before the first bytes of the body: if
+        // the endpoint fails until then, the call can still be retried elsewhere.
         attempt.head = Some(Head {
             status: u16::try_from(head.status).unwrap_or(502),
             headers: head.headers,
         });
-        attempt.asked = false;
+        attempt.attach_pending = false;
         let (call, endpoint) = (attempt.call, attempt.endpoint);
         self.router.record_progress(now, call, endpoint, 0);
     }
 
-    /// Takes in bytes of an answer.
-    pub(super) fn chunk(&mut self, now: Instant, chunk: Chunk) {
-        let Some((id, attempt)) = self.find_open(chunk.id) else {
+    /// Handles a chunk of an answer.
+    pub(super) fn handle_chunk(&mut self, now: Instant, chunk: Chunk) {
+        let Some((id, attempt)) = self.find_sent(chunk.id) else {
             return;
         };
-        // What was asked for follows on the same connection, in order; pieces
-        // that come before it are left out and not asked for again.
-        let asked = attempt.asked;
+        // The answer to an Attach follows on the same connection, in order;
+        // chunks that arrive before it are ignored and not requested again.
+        let attach_pending = attempt.attach_pending;
         if attempt.head.is_none() {
-            if !asked {
+            if !attach_pending {
                 self.attach(now, id);
             }
             return;
         }
         match attempt.assembly.chunk(chunk.offset, chunk.data) {
-            Taken::Gap if !asked => self.attach(now, id),
-            Taken::Old | Taken::Gap => {}
-            Taken::New(data) => self.bytes(now, id, data),
+            ChunkOutcome::Gap if !attach_pending => self.attach(now, id),
+            ChunkOutcome::Duplicate | ChunkOutcome::Gap => {}
+            ChunkOutcome::New(data) => self.append(now, id, data),
         }
     }
 
-    fn bytes(&mut self, now: Instant, id: RequestId, data: Vec<u8>) {
+    fn append(&mut self, now: Instant, id: RequestId, data: Vec<u8>) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.repeats = 0;
-        attempt.asked = false;
-        attempt.pieces += 1;
-        let (call, endpoint, pieces) = (attempt.call, attempt.endpoint, attempt.pieces);
-        // An engine sends a token a piece, so pieces count tokens well enough.
-        self.router.record_progress(now, call, endpoint, pieces);
+        attempt.attaches = 0;
+        attempt.attach_pending = false;
+        attempt.chunks += 1;
+        let (call, endpoint, chunks) = (attempt.call, attempt.endpoint, attempt.chunks);
+        // An engine sends one token in a chunk, so chunks approximate tokens.
+        self.router.record_progress(now, call, endpoint, chunks);
         self.acknowledge(id);
         let Some(row) = self.calls.get(&call) else {
             return;
         };
         if row.winner == Some(id) {
-            self.pass(now, call, Part::Data(data));
+            self.send_part(now, call, Part::Data(data));
             return;
         }
         let winner = row.winner;
@@ -89,41 +89,41 @@
             return;
         };
         attempt.body.extend(data);
-        let begins = attempt.body.len() > HELD_BACK || attempt.head.as_ref().is_some_and(is_stream);
-        if winner.is_none() && begins {
+        let commits =
+            attempt.body.len() > MAX_BUFFERED_BYTES || attempt.head.as_ref().is_some_and(is_stream);
+        if winner.is_none() && commits {
             let body = mem::take(&mut attempt.body);
             let head = attempt.head.clone().unwrap_or_default();
             if self.commit(now, id, head) {
-                self.pass(now, call, Part::Data(body));
+                self.send_part(now, call, Part::Data(body));
             }
         }
     }
 
-    /// Acknowledges what came, so that the side reads on and can forget it. What
-    /// may be asked for again under its key the side keeps for that reason.
+    /// Acknowledges received bytes, so that the sidecar can drop them and read
+    /// more. It keeps answers that may be requested again under a key.
     ///
-    /// Of an answer that is being passed on, only what the caller has taken
-    /// counts: the side reads a few hundred kilobytes past that and no further.
-    /// Otherwise a large answer would pile up here as fast as the endpoint
-    /// writes, until its caller is cut off for being slow.
+    /// Of an answer that is being forwarded, only bytes delivered to the caller
+    /// are acknowledged. The sidecar limits how far it reads ahead of that, so a
+    /// large answer doesn't accumulate here until its caller counts as too slow.
     fn acknowledge(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let row = self.calls.get(&attempt.call);
-        let taken = row.filter(|row| row.winner == Some(id));
-        let taken = taken.map_or(u64::MAX, |row| row.taken.load(Ordering::Relaxed));
-        let offset = attempt.assembly.offset().min(taken);
-        if offset.saturating_sub(attempt.acked) < ACK_EVERY {
+        let committed = row.filter(|row| row.winner == Some(id));
+        let delivered = committed.map_or(u64::MAX, |row| row.delivered.load(Ordering::Relaxed));
+        let offset = attempt.assembly.offset().min(delivered);
+        if offset.saturating_sub(attempt.acked) < ACK_INTERVAL_BYTES {
             return;
         }
         attempt.acked = offset;
         let (side, id) = (attempt.side, Some(wire_id(id)));
         let done = false;
-        self.tell(side, Frame::Ack(Ack { id, offset, done }));
+        self.send_frame(side, Frame::Ack(Ack { id, offset, done }));
     }
 
-    /// Acknowledges what a caller has taken of its answer.
+    /// Acknowledges the bytes that were delivered to a caller.
     pub(super) fn acknowledge_call(&mut self, call: RequestId) {
         let row = self.calls.get(&call);
         if let Some(winner) = row.and_then(|row| row.winner) {
@@ -131,8 +131,10 @@
         }
     }
 
-    /// Acknowledges what all callers have taken, for those whose word of it
-    /// found no room.
+    /// Acknowledges the bytes that were delivered to all callers. Covers those
+    /// whose [`Event::Delivered`] did not fit into the event queue.
+    ///
+    /// [`Event::Delivered`]: crate::entry::event::Event::Delivered
     pub(super) fn acknowledge_all(&mut self) {
         let winners = self.calls.values().filter_map(|row| row.winner);
         for winner in winners.collect::<Vec<RequestId>>() {
@@ -140,23 +142,23 @@
         }
     }
 
-    /// Takes in the declared end of an answer.
-    pub(super) fn end(&mut self, now: Instant, end: &End) {
-        let Some((id, attempt)) = self.find_open(end.id) else {
+    /// Handles the declared end of an answer.
+    pub(super) fn handle_end(&mut self, now: Instant, end: &End) {
+        let Some((id, attempt)) = self.find_sent(end.id) else {
             return;
         };
-        let ending = attempt.assembly.end(end.length);
-        match ending {
-            Ending::Whole if attempt.head.is_some() => self.whole(now, id),
-            Ending::Whole | Ending::Missing => self.attach(now, id),
-            Ending::Excess => {
+        let outcome = attempt.assembly.end(end.length);
+        match outcome {
+            EndOutcome::Complete if attempt.head.is_some() => self.complete(now, id),
+            EndOutcome::Complete | EndOutcome::Missing => self.attach(now, id),
+            EndOutcome::Excess => {
                 let outcome = Outcome::Failed(ErrorKind::EndpointBroken);
                 self.end_attempt(now, id, outcome);
             }
         }
     }
 
-    fn whole(&mut self, now: Instant, id: RequestId) {
+    fn complete(&mut self, now: Instant, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -169,17 +171,17 @@
             offset,
             done: true,
         };
-        self.tell(side, Frame::Ack(ack));
+        self.send_frame(side, Frame::Ack(ack));
         let winner = self.calls.get(&call).and_then(|row| row.winner);
         let part = match winner {
             None => Part::Whole(head, body),
             Some(winner) if winner == id => Part::End,
-            // Another attempt's answer is on its way to the caller.
+            // Another attempt's answer is being delivered.
             Some(_) => return self.abandon(id, Repeat::Idempotent),
         };
-        if self.pass(now, call, part) {
+        if self.send_part(now, call, part) {
             self.end_attempt(now, id, Outcome::Answered);
-            self.steps(now);
+            self.apply_router_steps(now);
             if let Some(row) = self.calls.get(&call) {
                 self.count_answered(now, row);
                 self.trace(now, call, Decision::Answered);
@@ -188,9 +190,9 @@
         }
     }
 
-    /// Takes in the final word on an attempt that gave no answer.
-    pub(super) fn refused(&mut self, now: Instant, refused: &Refused) {
-        let Some((id, _)) = self.find(refused.id) else {
+    /// Handles the refusal of an attempt, which ends it without an answer.
+    pub(super) fn handle_refused(&mut self, now: Instant, refused: &Refused) {
+        let Some((id, _)) = self.find_attempt(refused.id) else {
             return;
         };
         let kind = ErrorKind::from_problem(&refused.problem).unwrap_or(ErrorKind::EndpointBroken);
@@ -202,9 +204,9 @@
         self.end_attempt(now, id, outcome);
     }
 
-    /// Takes in how an attempt stands, after it was asked for.
-    pub(super) fn standing(&mut self, now: Instant, standing: Standing) {
-        let Some((id, attempt)) = self.find(standing.id) else {
+    /// Handles the state of an attempt, sent in response to a query.
+    pub(super) fn handle_standing(&mut self, now: Instant, standing: Standing) {
+        let Some((id, attempt)) = self.find_attempt(standing.id) else {
             return;
         };
         let state = State::try_from(standing.state).unwrap_or(State::Unspecified);
@@ -218,10 +220,10 @@
                     attempt.phase = Phase::Sent;
                     let call = attempt.call;
                     self.attach(now, id);
-                    self.fate(now, call, ReportedState::Readable);
+                    self.apply_reported_state(now, call, ReportedState::Readable);
                 }
             }
-            State::Lost | State::Unspecified => self.lose(now, id),
+            State::Lost | State::Unspecified => self.fail_lost(now, id),
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/front/answer.rs
+++ b/hibiscusroad-daemon/src/entry/front/answer.rs
@@ -1,12 +1,11 @@
 //! Writes answers to callers.
 //!
-//! An answer in pieces is sent in chunks, and the last chunk says that it is
-//! whole. When an answer breaks off, that last chunk must not be written: the
-//! caller would take half an answer for all of it. `tiny_http` gives no way to
-//! close a connection at once, so a line that is no chunk is written instead.
-//! Every HTTP client reports it as a broken answer, and closes.
+//! A streamed answer uses the chunked coding, whose last chunk marks it complete.
+//! If an answer is broken off, that chunk must not be written, or the caller would
+//! take it as complete. `tiny_http` can't close a connection at once, so an
+//! invalid chunk is written instead, which HTTP clients report as an error.
 
-use crate::entry::{event::Head, front::request::is_hop};
+use crate::entry::{event::Head, front::request::is_not_forwarded};
 use chunked_transfer::Encoder;
 use hibiscusroad::{ErrorKind, RequestId, Retry};
 use serde::Serialize;
@@ -17,14 +16,14 @@
 };
 use tiny_http::{HTTPVersion, Method, Request, StatusCode};
 
-/// What stands where a chunk's size belongs when an answer breaks off.
-const NO_CHUNK: &[u8] = b"broken off\r\n";
+/// Written in place of a chunk's size when an answer is broken off.
+const INVALID_CHUNK_LINE: &[u8] = b"broken off\r\n";
 
-/// The largest chunk.
-const CHUNK: usize = 32 << 10;
+/// Size limit of a chunk.
+const MAX_CHUNK_BYTES: usize = 32 << 10;
 
 /// Statuses whose answers have no body (RFC 9110, 6.4.1).
-const BODILESS: [u16; 2] = [204, 304];
+const BODYLESS_STATUSES: [u16; 2] = [204, 304];
 
 /// A problem body (RFC 9457).
 #[derive(Debug, Serialize)]
@@ -36,34 +35,34 @@
     request: String,
 }
 
-/// What an answer needs to know of its request.
+/// Properties of a request that determine the form of its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     id: RequestId,
-    /// Whether the caller understands chunks.
+    /// Whether the caller supports the chunked coding.
     pub chunks: bool,
-    bodiless: bool,
+    bodyless: bool,
     close: bool,
 }
 
 impl Target {
-    /// Notes what the answer to `request` depends on.
+    /// Creates the target of the answer to `request`.
     pub fn new(request: &Request, id: RequestId, close: bool) -> Self {
         Self {
             id,
             chunks: *request.http_version() >= HTTPVersion(1, 1),
-            bodiless: *request.method() == Method::Head,
+            bodyless: *request.method() == Method::Head,
             close,
         }
     }
 }
 
-/// Writes the problem that stands for an error.
+/// Writes the problem body of an error.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the caller doesn't take it.
-pub fn problem(
+/// Returns the system's error if it can't be written to the caller.
+pub fn write_problem(
     out: &mut dyn Write,
     target: Target,
     kind: ErrorKind,
@@ -78,43 +77,48 @@
         request: target.id.to_string(),
     };
     let body = serde_json::to_vec(&problem)?;
-    let mut text = start(answer.status, target);
+    let mut text = start_head(answer.status, target);
     text.push_str("Content-Type: application/problem+json\r\n");
     if answer.retry == Retry::After {
-        line(&mut text, "Retry-After", &whole_seconds(after).to_string());
+        push_header(&mut text, "Retry-After", &ceil_seconds(after).to_string());
     }
     finish(out, text, target, answer.status, &body)
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the caller doesn't take it.
-pub fn whole(out: &mut dyn Write, target: Target, head: &Head, body: &[u8]) -> io::Result<()> {
+/// Returns the system's error if it can't be written to the caller.
+pub fn write_whole(
+    out: &mut dyn Write,
+    target: Target,
+    head: &Head,
+    body: &[u8],
+) -> io::Result<()> {
     let text = head_text(head, target);
     finish(out, text, target, head.status, body)
 }
 
-/// An answer in pieces.
-pub struct Pieces {
-    encoder: Encoder<Gate>,
+/// A streamed answer.
+pub struct ChunkedAnswer {
+    encoder: Encoder<ClosableWriter>,
 }
 
-impl Pieces {
-    /// Writes the head of an answer in pieces.
+impl ChunkedAnswer {
+    /// Writes the head of a streamed answer.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take it.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn start(mut out: Box<dyn Write + Send>, target: Target, head: &Head) -> io::Result<Self> {
         let mut text = head_text(head, target);
-        line(&mut text, "Transfer-Encoding", "chunked");
+        push_header(&mut text, "Transfer-Encoding", "chunked");
         text.push_str("\r\n");
         out.write_all(text.as_bytes())?;
-        let gate = Gate { out, shut: false };
+        let writer = ClosableWriter { out, closed: false };
         Ok(Self {
-            encoder: Encoder::with_chunks_size(gate, CHUNK),
+            encoder: Encoder::with_chunks_size(writer, MAX_CHUNK_BYTES),
         })
     }
 
@@ -122,98 +126,98 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take them.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn write(&mut self, data: &[u8]) -> io::Result<()> {
         self.encoder.write_all(data)
     }
 
-    /// Sends on what was written.
+    /// Flushes the written bytes to the caller.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the caller doesn't take it.
+    /// Returns the system's error if it can't be written to the caller.
     pub fn flush(&mut self) -> io::Result<()> {
         self.encoder.flush()?;
         self.encoder.get_mut().flush()
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     pub fn end(self) {
         // The encoder writes the last chunk when it is dropped.
         drop(self);
     }
 
-    /// Ends an answer that stays incomplete.
-    pub fn break_off(mut self) {
+    /// Breaks off an incomplete answer.
+    pub fn abort(mut self) {
         let _ = self.encoder.flush();
-        let gate = self.encoder.get_mut();
-        let _ = gate.write_all(NO_CHUNK);
-        let _ = gate.flush();
-        gate.shut = true;
+        let writer = self.encoder.get_mut();
+        let _ = writer.write_all(INVALID_CHUNK_LINE);
+        let _ = writer.flush();
+        writer.closed = true;
     }
 }
 
-/// Lets nothing through once it is shut, not even the last chunk that the
-/// encoder writes when it is dropped.
-struct Gate {
+/// A writer that discards everything once closed, including the last chunk that
+/// the encoder writes when dropped.
+struct ClosableWriter {
     out: Box<dyn Write + Send>,
-    shut: bool,
+    closed: bool,
 }
 
-impl Write for Gate {
+impl Write for ClosableWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        if self.shut {
+        if self.closed {
             return Ok(buf.len());
         }
         let written = self.out.write(buf);
-        // A caller that takes nothing any more would get the last chunk as the
-        // next bytes, and with it an answer that looks whole.
-        self.shut = written.is_err();
+        // After a failed write the last chunk must not follow, or the answer
+        // would look complete.
+        self.closed = written.is_err();
         written
     }
 
     fn flush(&mut self) -> io::Result<()> {
         let flushed = self.out.flush();
-        self.shut |= flushed.is_err();
+        self.closed |= flushed.is_err();
         flushed
     }
 }
 
-impl Drop for Gate {
-    /// The encoder writes the last chunk when it is dropped, just before this.
-    /// Left in the server's buffer it would reach a caller who keeps the
-    /// connection only when that is closed, seconds later.
+impl Drop for ClosableWriter {
+    /// Flushes the last chunk, which the encoder writes when dropped, just before
+    /// this. Otherwise it would stay in the server's buffer until the connection
+    /// is closed.
     fn drop(&mut self) {
-        if !self.shut {
+        if !self.closed {
             let _ = self.out.flush();
         }
     }
 }
 
-/// Rounds up, so that nobody comes back too early.
-fn whole_seconds(after: Duration) -> u64 {
+/// Rounds up, so that callers don't retry too early.
+fn ceil_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
 
-fn start(status: u16, target: Target) -> String {
+fn start_head(status: u16, target: Target) -> String {
     let reason = StatusCode(status).default_reason_phrase();
     let mut text = format!("HTTP/1.1 {status} {reason}\r\n");
-    line(&mut text, "Request-Id", &target.id.to_string());
+    push_header(&mut text, "Request-Id", &target.id.to_string());
     if target.close {
-        line(&mut text, "Connection", "close");
+        push_header(&mut text, "Connection", "close");
     }
     text
 }
 
 fn head_text(head: &Head, target: Target) -> String {
-    let mut text = start(head.status, target);
-    for header in head.headers.iter().filter(|h| !is_hop(&h.name)) {
-        line(&mut text, &header.name, &header.value);
+    let mut text = start_head(head.status, target);
+    for header in head.headers.iter().filter(|h| !is_not_forwarded(&h.name)) {
+        push_header(&mut text, &header.name, &header.value);
     }
     text
 }
 
-fn line(text: &mut String, name: &str, value: &str) {
+fn push_header(text: &mut String, name: &str, value: &str) {
     let _ = write!(text, "{name}: {value}\r\n");
 }
 
@@ -224,12 +228,12 @@
     status: u16,
     body: &[u8],
 ) -> io::Result<()> {
-    if !BODILESS.contains(&status) && !target.bodiless {
-        line(&mut text, "Content-Length", &body.len().to_string());
+    if !BODYLESS_STATUSES.contains(&status) && !target.bodyless {
+        push_header(&mut text, "Content-Length", &body.len().to_string());
     }
     text.push_str("\r\n");
     let mut bytes = text.into_bytes();
-    if !BODILESS.contains(&status) && !target.bodiless {
+    if !BODYLESS_STATUSES.contains(&status) && !target.bodyless {
         bytes.extend_from_slice(body);
     }
     out.write_all(&bytes)?;
