--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -5,8 +5,8 @@
 //! done.
 
 use super::{
-    Batches, Owned,
-    seat::{Seat, Start},
+    Batches, OwnedBatch,
+    slot::{ItemStart, Slot},
 };
 use crate::{gateway::calls::drawn_service, logs::BATCHES};
 use hibiscusroad::{
@@ -42,8 +42,8 @@
     pub(in crate::gateway) async fn dispatch(self: Rc<Self>) {
         loop {
             let now = Instant::now();
-            let mut mine: Vec<Rc<Owned>> = self.mine.borrow().values().cloned().collect();
-            mine.sort_by_key(|owned| (owned.priority, owned.due));
+            let mut mine: Vec<Rc<OwnedBatch>> = self.owned.borrow().values().cloned().collect();
+            mine.sort_by_key(|owned| (owned.priority, owned.due_at));
             for owned in &mine {
                 self.start_all(now, owned);
             }
@@ -55,21 +55,21 @@
             let held = mine.iter().any(|owned| owned.batch.borrow().holds_any());
             let next = if waits { LOOK } else { DRAFT_LOOK };
             tokio::select! {
-                () = self.work.notified() => {}
+                () = self.dispatch_needed.notified() => {}
                 () = sleep_until((now + next).into()), if waits || held || !drafted => {}
             }
         }
     }
 
     /// Returns the route of a batch, as it is in force now.
-    pub(super) fn route(&self, owned: &Owned) -> Option<Route> {
+    pub(super) fn route(&self, owned: &OwnedBatch) -> Option<Route> {
         let catalog = self.known.catalog()?;
         let route = catalog.find(&owned.host, &owned.path)?;
         (route.kind == Kind::Rollout).then(|| route.clone())
     }
 
-    fn start_all(self: &Rc<Self>, now: Instant, owned: &Rc<Owned>) {
-        if owned.over.get() || owned.batch.borrow().next_start(now).is_none() {
+    fn start_all(self: &Rc<Self>, now: Instant, owned: &Rc<OwnedBatch>) {
+        if owned.is_stopped.get() || owned.batch.borrow().next_start(now).is_none() {
             return;
         }
         let Some(route) = self.route(owned) else {
@@ -80,24 +80,24 @@
             log::warn!(target: BATCHES, batch = owned.id.as_str();
                 "A batch's route is gone; what is not done is given up.");
             owned.batch.borrow_mut().give_up();
-            owned.ready.notify_one();
+            owned.result_ready.notify_one();
             return;
         };
         loop {
             let next = owned.batch.borrow().next_start(now);
-            let Some(n) = next else { return };
-            if self.is_quarantined(owned, n) {
-                owned.batch.borrow_mut().hold(n, now + HOLD);
+            let Some(index) = next else { return };
+            if self.is_quarantined(owned, index) {
+                owned.batch.borrow_mut().hold(index, now + HOLD);
                 continue;
             }
-            self.drop_lost(owned, &route, n);
-            let Some(key) = self.choose(now, owned, &route, n, None) else {
-                let lack = self.lack(owned, &route, n);
+            self.drop_lost(owned, &route, index);
+            let Some(key) = self.choose_engine(now, owned, &route, index, None) else {
+                let lack = self.lack(owned, &route, index);
                 owned.batch.borrow_mut().lacks(now, lack);
                 return;
             };
             owned.batch.borrow_mut().lacks(now, None);
-            self.start(now, owned, &route, n, key);
+            self.start(now, owned, &route, index, key);
         }
     }
 
@@ -105,12 +105,12 @@
     ///
     /// It is not errored: it did not fail by itself, and may run again once its crashes
     /// count no more.
-    pub(super) fn is_quarantined(&self, owned: &Owned, n: usize) -> bool {
+    pub(super) fn is_quarantined(&self, owned: &OwnedBatch, index: usize) -> bool {
         let crashes = &self.line.crashes;
         if !crashes.has_evidence() {
             return false;
         }
-        let subject = owned.subject(&owned.submission.items[n]);
+        let subject = owned.subject(&owned.submission.items[index]);
         matches!(crashes.verdict(&subject), Verdict::Quarantined(_))
     }
 
@@ -119,37 +119,37 @@
     ///
     /// Only between runs: events of a run that goes on would be added to nothing,
     /// and the trainer would get a text without its beginning.
-    fn drop_lost(&self, owned: &Owned, route: &Route, n: usize) {
-        let pinned = owned.batch.borrow().pinned(n);
+    fn drop_lost(&self, owned: &OwnedBatch, route: &Route, index: usize) {
+        let pinned = owned.batch.borrow().pinned(index);
         let Some((version, model)) = pinned.zip(owned.submission.model.as_deref()) else {
             return;
         };
         let engines = self.engines.borrow();
         let mut services = route.shares.iter().map(|share| share.service.as_str());
         if !services.any(|service| engines.has_version(service, model, version)) {
-            owned.batch.borrow_mut().restart(n);
+            owned.batch.borrow_mut().restart(index);
         }
     }
 
     /// Chooses an engine for an item, other than the one that won't do.
-    pub(super) fn choose(
+    pub(super) fn choose_engine(
         &self,
         now: Instant,
-        owned: &Owned,
+        owned: &OwnedBatch,
         route: &Route,
-        n: usize,
+        index: usize,
         not: Option<EngineKey>,
     ) -> Option<EngineKey> {
         let want = Want {
-            not: not.or_else(|| owned.avoid.borrow().get(&n).copied()),
-            ..want(owned, route, n)?
+            not: not.or_else(|| owned.avoided_engines.borrow().get(&index).copied()),
+            ..want(owned, route, index)?
         };
         self.engines.borrow().choose(now, &want)
     }
 
     /// Says what an item lacks that can't start now.
-    fn lack(&self, owned: &Owned, route: &Route, n: usize) -> Option<Lack> {
-        let want = want(owned, route, n)?;
+    fn lack(&self, owned: &OwnedBatch, route: &Route, index: usize) -> Option<Lack> {
+        let want = want(owned, route, index)?;
         Some(self.engines.borrow().lack(&want))
     }
 
@@ -161,19 +161,19 @@
 
     /// Chooses an engine for a draft: one with weights from `floor` on that is at
     /// least half empty.
-    pub(super) fn choose_idle(
+    pub(super) fn choose_idle_engine(
         &self,
         now: Instant,
-        owned: &Owned,
+        owned: &OwnedBatch,
         route: &Route,
-        n: usize,
+        index: usize,
         floor: u64,
     ) -> Option<EngineKey> {
         let engines = self.engines.borrow();
         let want = Want {
             floor,
             exact: None,
-            ..want(owned, route, n)?
+            ..want(owned, route, index)?
         };
         let found = engines.choose(now, &want);
         found.filter(|key| engines.is_idle(now, *key))
@@ -182,24 +182,24 @@
     fn start(
         self: &Rc<Self>,
         now: Instant,
-        owned: &Rc<Owned>,
+        owned: &Rc<OwnedBatch>,
         route: &Route,
-        n: usize,
+        index: usize,
         key: EngineKey,
     ) {
         let Some(endpoint) = self.endpoint(key) else {
             self.engines.borrow_mut().failed(now, key);
             return;
         };
-        let seat = Seat::take(self, key);
-        owned.avoid.borrow_mut().remove(&n);
-        let exact = owned.batch.borrow().pinned(n);
-        let waited = owned.batch.borrow().waited(now, n);
-        let before = owned.batch.borrow_mut().start(n);
-        let priority = self.rank(now, owned, route, &endpoint.service, n);
-        let start = Start {
-            n,
-            seat,
+        let slot = Slot::take(self, key);
+        owned.avoided_engines.borrow_mut().remove(&index);
+        let exact = owned.batch.borrow().pinned(index);
+        let waited = owned.batch.borrow().waited(now, index);
+        let before = owned.batch.borrow_mut().start(index);
+        let priority = self.rank(now, owned, route, &endpoint.service, index);
+        let start = ItemStart {
+            index,
+            slot,
             endpoint,
             priority,
             before,
@@ -208,7 +208,7 @@
         };
         let run = {
             let (batches, owned) = (Rc::clone(self), Rc::clone(owned));
-            async move { batches.item(&owned, start).await }
+            async move { batches.run_item(&owned, start).await }
         };
         let task = spawn_local(run);
         let mut tasks = owned.tasks.borrow_mut();
@@ -217,12 +217,19 @@
     }
 
     /// Returns the rank of an item at its engine.
-    fn rank(&self, now: Instant, owned: &Owned, route: &Route, service: &str, n: usize) -> u8 {
-        let item = &owned.submission.items[n];
+    fn rank(
+        &self,
+        now: Instant,
+        owned: &OwnedBatch,
+        route: &Route,
+        service: &str,
+        index: usize,
+    ) -> u8 {
+        let item = &owned.submission.items[index];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
-        let last = owned.batch.borrow().last(n).unwrap_or(0);
+        let last = owned.batch.borrow().last(index).unwrap_or(0);
         let expected = self.engines.borrow().expected(service, hint, last);
-        let left = owned.due.saturating_duration_since(now);
+        let left = owned.due_at.saturating_duration_since(now);
         urgency::rank(
             owned.priority,
             route.due.unwrap_or_default(),
@@ -232,10 +239,10 @@
     }
 
     /// Notes that a run broke off, for the item and for the engine.
-    pub(super) fn broke(
+    pub(super) fn record_interruption(
         &self,
-        owned: &Owned,
-        n: usize,
+        owned: &OwnedBatch,
+        index: usize,
         key: EngineKey,
         before: Option<u64>,
         cause: Break,
@@ -255,23 +262,23 @@
             Break::Lost => engines.failed(now, key),
             Break::Moved | Break::Failed | Break::Never => {}
         }
-        owned.batch.borrow_mut().broke(now, n, before, cause);
+        owned.batch.borrow_mut().broke(now, index, before, cause);
         if cause == Break::Moved {
-            owned.avoid.borrow_mut().insert(n, key);
+            owned.avoided_engines.borrow_mut().insert(index, key);
         }
-        owned.ready.notify_one();
+        owned.result_ready.notify_one();
     }
 }
 
 /// Returns what an item needs of its engine.
-fn want<'a>(owned: &'a Owned, route: &'a Route, n: usize) -> Option<Want<'a>> {
+fn want<'a>(owned: &'a OwnedBatch, route: &'a Route, index: usize) -> Option<Want<'a>> {
     let submission = &owned.submission;
-    let group = submission.items[n].group.as_str();
+    let group = submission.items[index].group.as_str();
     Some(Want {
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
         floor: submission.floor,
-        exact: owned.batch.borrow().pinned(n),
+        exact: owned.batch.borrow().pinned(index),
         group,
         not: None,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -13,7 +13,7 @@
 //! only for a later batch. It takes an engine that is at least half empty, at the
 //! lowest priority, so nothing else waits for it.
 
-use super::{Batches, Owned, seat::Seat};
+use super::{Batches, OwnedBatch, slot::Slot};
 use crate::{gateway::failure::Failure, logs::BATCHES};
 use futures_util::future::join_all;
 use hibiscusroad::{
@@ -52,7 +52,7 @@
     task: AbortHandle,
 }
 
-impl Owned {
+impl OwnedBatch {
     /// Stops all drafts.
     pub(super) fn drop_drafts(&self) {
         for (_, draft) in self.drafts.borrow_mut().drain() {
@@ -65,11 +65,11 @@
         let batch = self.batch.borrow();
         let items = self.submission.items.iter().enumerate();
         let open: HashSet<&str> = items
-            .filter(|(n, _)| !batch.is_listed(*n))
+            .filter(|(index, _)| !batch.is_listed(*index))
             .map(|(_, item)| item.group.as_str())
             .collect();
-        self.drafts.borrow_mut().retain(|n, draft| {
-            let needed = open.contains(self.submission.items[*n].group.as_str());
+        self.drafts.borrow_mut().retain(|index, draft| {
+            let needed = open.contains(self.submission.items[*index].group.as_str());
             if !needed {
                 draft.task.abort();
             }
@@ -80,9 +80,9 @@
     /// Returns what of drafts isn't kept yet.
     fn unkept_drafts(&self) -> Vec<(usize, Piece)> {
         let drafts = self.drafts.borrow();
-        let found = drafts.iter().filter_map(|(n, draft)| {
+        let found = drafts.iter().filter_map(|(index, draft)| {
             let piece = draft.text.unkept(0)?;
-            Some((*n, piece))
+            Some((*index, piece))
         });
         found.collect()
     }
@@ -97,15 +97,15 @@
 impl Batches {
     /// Starts drafts of a batch's stragglers, where there is room; `false` if one
     /// waits for an engine, of which nothing may tell when it is free.
-    pub(super) fn draft_stragglers(self: &Rc<Self>, now: Instant, owned: &Rc<Owned>) -> bool {
+    pub(super) fn draft_stragglers(self: &Rc<Self>, now: Instant, owned: &Rc<OwnedBatch>) -> bool {
         let Some((floor, route)) = self.next_floor(owned).zip(self.route(owned)) else {
             return true;
         };
         let stragglers = owned.batch.borrow().stragglers(floor);
         let mut all = true;
-        for n in stragglers {
-            if !owned.drafts.borrow().contains_key(&n) {
-                all &= self.draft_one(now, owned, &route, n, floor);
+        for index in stragglers {
+            if !owned.drafts.borrow().contains_key(&index) {
+                all &= self.draft_one(now, owned, &route, index, floor);
             }
         }
         all
@@ -113,55 +113,55 @@
 
     /// Returns the oldest weights that a later batch of the same trainer will take,
     /// once such weights are named: at least one version more is named before it.
-    fn next_floor(&self, owned: &Owned) -> Option<u64> {
+    fn next_floor(&self, owned: &OwnedBatch) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
         let named = self.known.named().get(model).copied()?;
-        let began = owned.submission.floor + owned.lag;
-        (named > began).then(|| (named + 1).saturating_sub(owned.lag))
+        let began = owned.submission.floor + owned.version_lag;
+        (named > began).then(|| (named + 1).saturating_sub(owned.version_lag))
     }
 
     fn draft_one(
         self: &Rc<Self>,
         now: Instant,
-        owned: &Rc<Owned>,
+        owned: &Rc<OwnedBatch>,
         route: &Route,
-        n: usize,
+        index: usize,
         floor: u64,
     ) -> bool {
-        if self.is_quarantined(owned, n) {
+        if self.is_quarantined(owned, index) {
             return true;
         }
-        let Some(key) = self.choose_idle(now, owned, route, n, floor) else {
+        let Some(key) = self.choose_idle_engine(now, owned, route, index, floor) else {
             return false;
         };
         let Some(endpoint) = self.endpoint(key) else {
             return false;
         };
-        let seat = Seat::take(self, key);
+        let slot = Slot::take(self, key);
         let run = {
             let (batches, owned) = (Rc::clone(self), Rc::clone(owned));
-            async move { batches.draft(&owned, n, seat, endpoint).await }
+            async move { batches.run_draft(&owned, index, slot, endpoint).await }
         };
         let draft = Draft {
             text: Text::default(),
             task: spawn_local(run).abort_handle(),
         };
-        owned.drafts.borrow_mut().insert(n, draft);
+        owned.drafts.borrow_mut().insert(index, draft);
         true
     }
 
     /// Keeps what drafts have grown by.
-    pub(super) async fn keep_drafts(&self, owned: &Owned) {
+    pub(super) async fn save_drafts(&self, owned: &OwnedBatch) {
         owned.drop_needless_drafts();
         let pieces = owned.unkept_drafts();
         if pieces.is_empty() {
             return;
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
-        for (n, piece) in &pieces {
+        for (index, piece) in &pieces {
             let id = row::draft(
                 &owned.id,
-                &owned.submission.items[*n].id,
+                &owned.submission.items[*index].id,
                 owned.tenure,
                 piece,
             );
@@ -171,8 +171,8 @@
         // What isn't done is written again, longer, the next time.
         if let Commit::Done { .. } = self.store.transact(&change).await {
             let mut drafts = owned.drafts.borrow_mut();
-            for (n, piece) in &pieces {
-                if let Some(draft) = drafts.get_mut(n) {
+            for (index, piece) in &pieces {
+                if let Some(draft) = drafts.get_mut(index) {
                     draft.text.keep(piece);
                 }
             }
@@ -180,20 +180,20 @@
     }
 
     /// Lets the drafts of a batch that has ended go on until they are needed.
-    pub(super) async fn linger(self: Rc<Self>, owned: Rc<Owned>, version: u64) {
+    pub(super) async fn finish_drafts(self: Rc<Self>, owned: Rc<OwnedBatch>, version: u64) {
         owned.version.set(version);
         let end = Instant::now() + LINGER;
-        while owned.has_open_drafts() && Instant::now() < end && !self.leaving.get() {
+        while owned.has_open_drafts() && Instant::now() < end && !self.is_stopping.get() {
             // Listened for from here on, or a batch that comes while parts are kept
             // would be missed.
-            let mut arrived = pin!(self.arrived.notified());
+            let mut arrived = pin!(self.batches_changed.notified());
             arrived.as_mut().enable();
             // The owner of the next batch goes on with them elsewhere: two runs of
             // one item must not both go on.
             if self.is_carried_on(&owned) {
                 break;
             }
-            self.keep_drafts(&owned).await;
+            self.save_drafts(&owned).await;
             let _early = timeout(KEEP, arrived).await.is_ok();
         }
         log::info!(target: BATCHES, batch = owned.id.as_str(),
@@ -202,13 +202,13 @@
     }
 
     /// Says whether a later batch carries over a group that has drafts here.
-    fn is_carried_on(&self, owned: &Owned) -> bool {
+    fn is_carried_on(&self, owned: &OwnedBatch) -> bool {
         let heads = self.heads.borrow();
         let Some(own) = heads.get(&owned.id).map(|row| &row.head) else {
             return true;
         };
         let drafts = owned.drafts.borrow();
-        let items = drafts.keys().map(|n| &owned.submission.items[*n]);
+        let items = drafts.keys().map(|index| &owned.submission.items[*index]);
         let groups: Vec<u32> = items.map(|item| row::group_hash(&item.group)).collect();
         let later = heads
             .values()
@@ -219,7 +219,7 @@
     }
 
     /// Reads what earlier batches have of the texts of items that are carried over.
-    pub(super) async fn carried_texts(
+    pub(super) async fn read_carried_texts(
         &self,
         id: &str,
         head: &Head,
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -6,8 +6,8 @@
 //! which one ran.
 
 use super::{
-    Batches, Owned,
-    seat::{Seat, Start},
+    Batches, OwnedBatch,
+    slot::{ItemStart, Slot},
 };
 use crate::{
     gateway::{
@@ -77,9 +77,9 @@
 /// A run under way.
 struct Run<'a> {
     batches: &'a Batches,
-    owned: &'a Owned,
+    owned: &'a OwnedBatch,
     service: &'a str,
-    n: usize,
+    index: usize,
     key: EngineKey,
     /// Its events go to the item's draft, and it is never cut for a better engine.
     draft: bool,
@@ -95,20 +95,20 @@
 
 impl Batches {
     /// Runs an item at an engine, and then its scorer.
-    pub(super) async fn item(self: &Rc<Self>, owned: &Rc<Owned>, start: Start) {
-        let Start {
-            n,
-            seat,
+    pub(super) async fn run_item(self: &Rc<Self>, owned: &Rc<OwnedBatch>, start: ItemStart) {
+        let ItemStart {
+            index,
+            slot,
             endpoint,
             priority,
             before,
             exact,
             waited: (waited, lacked),
         } = start;
-        let item = &owned.submission.items[n];
+        let item = &owned.submission.items[index];
         let start = Instant::now();
-        let mut run = Run::new(self, owned, &endpoint.service, n, seat.key);
-        let deadline = owned.expires.unwrap_or(start + LONGEST);
+        let mut run = Run::new(self, owned, &endpoint.service, index, slot.key);
+        let deadline = owned.expires_at.unwrap_or(start + LONGEST);
         let request = request(item, owned, priority.min(LOWEST), deadline, before, exact);
         let subject = request
             .as_ref()
@@ -126,7 +126,7 @@
         if let Some(pace) = pace {
             self.engines
                 .borrow_mut()
-                .paced(Instant::now(), seat.key, pace);
+                .paced(Instant::now(), slot.key, pace);
         }
         if let Err(cause) = ended {
             log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
@@ -135,7 +135,7 @@
                 events = run.events, pace_us = micros(run.pace), took_ms = millis(start.elapsed()),
                 waited_ms = millis(waited), weights_ms = millis(lacked.weights),
                 room_ms = millis(lacked.room); "A run of an item broke off.");
-            self.broke(owned, n, seat.key, before, cause);
+            self.record_interruption(owned, index, slot.key, before, cause);
             return;
         }
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
@@ -147,26 +147,32 @@
         let meters = &self.line.meters;
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
-        drop(seat);
-        let events = owned.batch.borrow().last(n).unwrap_or(0);
+        drop(slot);
+        let events = owned.batch.borrow().last(index).unwrap_or(0);
         self.engines.borrow_mut().whole(events, item.hint);
-        let whole = owned.batch.borrow_mut().generated(Instant::now(), n);
+        let whole = owned.batch.borrow_mut().generated(Instant::now(), index);
         if whole {
-            self.score(owned, n).await;
+            self.score(owned, index).await;
         } else {
-            self.work.notify_one();
+            self.dispatch_needed.notify_one();
         }
     }
 }
 
 impl Batches {
     /// Runs an item a second time, for a later batch.
-    pub(super) async fn draft(&self, owned: &Owned, n: usize, seat: Seat, endpoint: Endpoint) {
-        let item = &owned.submission.items[n];
+    pub(super) async fn run_draft(
+        &self,
+        owned: &OwnedBatch,
+        index: usize,
+        slot: Slot,
+        endpoint: Endpoint,
+    ) {
+        let item = &owned.submission.items[index];
         let start = Instant::now();
-        let mut run = Run::new(self, owned, &endpoint.service, n, seat.key);
+        let mut run = Run::new(self, owned, &endpoint.service, index, slot.key);
         run.draft = true;
-        let deadline = owned.expires.unwrap_or(start + LONGEST);
+        let deadline = owned.expires_at.unwrap_or(start + LONGEST);
         let ended = match request(item, owned, LOWEST, deadline, None, None) {
             Ok(request) => run.generate(&request, &endpoint).await,
             Err(_unsendable) => Err(Break::Never),
@@ -193,7 +199,7 @@
 
 fn request(
     item: &Item,
-    owned: &Owned,
+    owned: &OwnedBatch,
     priority: u8,
     deadline: Instant,
     before: Option<u64>,
@@ -226,7 +232,7 @@
     })
 }
 
-impl Owned {
+impl OwnedBatch {
     /// Returns what is the same in all runs of an item.
     pub(super) fn subject(&self, item: &Item) -> Rc<Subject> {
         Subject::of_item(&self.host, item, self.account.as_deref())
@@ -236,9 +242,9 @@
 impl<'a> Run<'a> {
     fn new(
         batches: &'a Batches,
-        owned: &'a Owned,
+        owned: &'a OwnedBatch,
         service: &'a str,
-        n: usize,
+        index: usize,
         key: EngineKey,
     ) -> Self {
         let now = Instant::now();
@@ -246,7 +252,7 @@
             batches,
             owned,
             service,
-            n,
+            index,
             key,
             draft: false,
             version: None,
@@ -261,21 +267,21 @@
     fn grown(&self) -> Option<u64> {
         if self.draft {
             let drafts = self.owned.drafts.borrow();
-            return drafts.get(&self.n).and_then(|draft| draft.text.last());
+            return drafts.get(&self.index).and_then(|draft| draft.text.last());
         }
-        self.owned.batch.borrow().last(self.n)
+        self.owned.batch.borrow().last(self.index)
     }
 
     /// Adds an event to the text that grows; `false` if it doesn't follow.
     fn grow(&self, event: &Event) -> bool {
         if self.draft {
             let mut drafts = self.owned.drafts.borrow_mut();
-            let draft = drafts.get_mut(&self.n);
+            let draft = drafts.get_mut(&self.index);
             return draft
                 .is_some_and(|draft| draft.text.extend(event.number, &event.data, self.version));
         }
         let mut batch = self.owned.batch.borrow_mut();
-        batch.extend(self.n, event.number, &event.data, self.version)
+        batch.extend(self.index, event.number, &event.data, self.version)
     }
 
     async fn generate(&mut self, request: &Request, endpoint: &Endpoint) -> Result<(), Break> {
@@ -431,7 +437,7 @@
         }
         let route = self.batches.route(self.owned)?;
         self.batches
-            .choose(now, self.owned, &route, self.n, Some(self.key))
+            .choose_engine(now, self.owned, &route, self.index, Some(self.key))
     }
 
     /// Adds an event to the text; one that doesn't follow the last ends the run.
--- a/hibiscusroad-daemon/src/gateway/batches/give.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/give.rs
@@ -54,7 +54,8 @@
 
     /// Takes a batch that a peer says is this process's.
     pub(in crate::gateway) fn take(self: &Rc<Self>, given: peer::Batch) {
-        let Some(head) = Head::decode(&given.head).filter(|head| head.owner == self.life) else {
+        let Some(head) = Head::decode(&given.head).filter(|head| head.owner == self.incarnation)
+        else {
             log::warn!(target: BATCHES, batch = given.id.as_str();
                 "A batch was given to this process that isn't its own; it is ignored.");
             return;
@@ -68,17 +69,17 @@
                 return;
             }
         };
-        if self.leaving.get() || !self.set(&given.id, head.clone(), given.version) {
+        if self.is_stopping.get() || !self.update_head(&given.id, head.clone(), given.version) {
             // Known already, or left to the next owner by what the store tells.
-            self.note(&Row {
+            self.record_head(&Row {
                 id: row::head(&given.id),
                 value: given.head,
                 version: given.version,
             });
             return;
         }
-        self.show_life();
-        let loaded = Loaded::fresh(submission);
+        self.mark_owning();
+        let loaded = Loaded::new(submission);
         spawn_local(Rc::clone(self).begin(given.id, head, given.version, loaded));
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/heads.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/heads.rs
@@ -1,4 +1,4 @@
-//! What every process knows of all batches, from the store's feed.
+//! The head rows of all batches, followed from the store's feed.
 
 use super::{Batches, HeadRow};
 use crate::{gateway::sync::Sink, logs::BATCHES};
@@ -17,17 +17,17 @@
         parts: row::buckets().collect(),
         replace: Box::new(move |rows| {
             let ids: HashSet<String> = rows.iter().map(|row| row.id.key.clone()).collect();
-            all.forget(|id| !ids.contains(id));
+            all.remove_heads(|id| !ids.contains(id));
             for row in &rows {
-                all.note(row);
+                all.record_head(row);
             }
         }),
         change: Box::new(move |changes| {
             for id in &changes.removed {
-                batches.forget(|known| known == id.key);
+                batches.remove_heads(|known| known == id.key);
             }
             for row in &changes.rows {
-                batches.note(row);
+                batches.record_head(row);
             }
         }),
         confirm: Box::new(|| {}),
@@ -35,24 +35,24 @@
 }
 
 impl Batches {
-    /// Takes in a head from the store; older ones than known are ignored.
-    pub(super) fn note(self: &Rc<Self>, row: &Row) {
+    /// Applies a head row of the store, unless a newer version is known.
+    pub(super) fn record_head(self: &Rc<Self>, row: &Row) {
         let Some(head) = Head::decode(&row.value) else {
             log::error!(target: BATCHES, batch = row.id.key.as_str(), row = row.version;
-                "A batch's head is broken; it is ignored.");
+                "The head of a batch could not be decoded; it is ignored.");
             return;
         };
         let id = row.id.key.as_str();
-        if !self.set(id, head.clone(), row.version) {
+        if !self.update_head(id, head.clone(), row.version) {
             return;
         }
-        let mine = self.mine.borrow().get(id).cloned();
-        if head.ended || head.owner != self.life {
-            if let Some(owned) = mine {
-                self.mine.borrow_mut().remove(id);
+        let running = self.owned.borrow().get(id).cloned();
+        if head.ended || head.owner != self.incarnation {
+            if let Some(owned) = running {
+                self.owned.borrow_mut().remove(id);
                 owned.stop();
-                if head.ended && head.owner == self.life {
-                    spawn_local(Rc::clone(self).linger(owned, row.version));
+                if head.ended && head.owner == self.incarnation {
+                    spawn_local(Rc::clone(self).finish_drafts(owned, row.version));
                 } else {
                     owned.drop_drafts();
                 }
@@ -60,35 +60,35 @@
                     owner = head.owner.as_str(), row = row.version;
                     "A batch is no longer run here.");
             }
-        } else if mine.is_none() && !self.leaving.get() {
-            // Another process gave the batch to this one, or a write of its own came
-            // late.
+        } else if running.is_none() && !self.is_stopping.get() {
+            // Another process handed the batch over, or a write of this process was
+            // carried out late.
             spawn_local(Rc::clone(self).adopt(id.to_owned(), head, row.version));
-        } else if mine.is_none() {
-            // It was given to this process while that one stops.
+        } else if running.is_none() {
+            // The batch was handed over to this process, which is stopping too.
             let (batches, id) = (Rc::clone(self), id.to_owned());
-            spawn_local(async move { batches.hand_on(&id).await });
+            spawn_local(async move { batches.hand_over(&id).await });
         }
-        self.owners.notify_one();
+        self.owners_changed.notify_one();
     }
 
-    /// Keeps a head; `false` if a newer one is known.
-    pub(super) fn set(&self, id: &str, head: Head, version: u64) -> bool {
+    /// Stores a head; returns `false` if this version or a newer one is known.
+    pub(super) fn update_head(&self, id: &str, head: Head, version: u64) -> bool {
         let mut heads = self.heads.borrow_mut();
         let known = heads.get(id);
         if known.is_some_and(|known| known.version >= version) {
             return false;
         }
-        let since = known
+        let owner_since = known
             .filter(|known| known.head.owner == head.owner)
-            .map_or_else(Instant::now, |known| known.since);
+            .map_or_else(Instant::now, |known| known.owner_since);
         let row = HeadRow {
             head,
             version,
-            since,
+            owner_since,
         };
         heads.insert(id.to_owned(), row);
-        self.arrived.notify_waiters();
+        self.batches_changed.notify_waiters();
         true
     }
 
@@ -96,13 +96,13 @@
         self.heads.borrow().get(id).cloned()
     }
 
-    /// Says whether a batch is known to belong to no account.
+    /// Returns whether a batch is known and belongs to no client account.
     pub(in crate::gateway) fn is_public(&self, id: &str) -> bool {
         let heads = self.heads.borrow();
         heads.get(id).is_some_and(|row| row.head.account.is_none())
     }
 
-    fn forget(&self, gone: impl Fn(&str) -> bool) {
-        self.heads.borrow_mut().retain(|id, _| !gone(id));
+    fn remove_heads(&self, is_removed: impl Fn(&str) -> bool) {
+        self.heads.borrow_mut().retain(|id, _| !is_removed(id));
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -3,7 +3,7 @@
 //! One write at a time: the next positions are handed out when the outcome of
 //! the last write is known. Results that become ready meanwhile go together.
 
-use super::{Batches, Owned};
+use super::{Batches, OwnedBatch};
 use crate::{logs::BATCHES, platform::Backoff};
 use hibiscusroad::{
     clock::millis,
@@ -30,14 +30,14 @@
 
 impl Batches {
     /// Lists a batch's results as they become ready.
-    pub(super) async fn list(self: Rc<Self>, owned: Rc<Owned>) {
+    pub(super) async fn list_results(self: Rc<Self>, owned: Rc<OwnedBatch>) {
         loop {
             let ready = Self::next_write(&owned);
             if ready.is_empty() {
                 if owned.batch.borrow().complete() {
                     return;
                 }
-                owned.ready.notified().await;
+                owned.result_ready.notified().await;
                 continue;
             }
             let single = ready.len() == 1;
@@ -50,7 +50,7 @@
         }
     }
 
-    fn next_write(owned: &Owned) -> Kept {
+    fn next_write(owned: &OwnedBatch) -> Kept {
         // The head and each row are conditions of the same write.
         let ready = owned
             .batch
@@ -58,19 +58,19 @@
             .ready(&owned.submission, MAX_ENTRIES / 2 - 1);
         let mut bytes = 0;
         let mut kept = Vec::new();
-        for (n, result) in ready {
+        for (index, result) in ready {
             let value = batch::encode_result(&result);
             bytes += value.len();
             if bytes > WRITE && !kept.is_empty() {
                 break;
             }
-            kept.push((n, value));
+            kept.push((index, value));
         }
         kept
     }
 
     /// Writes results until the outcome is known; `false` if the batch is over.
-    async fn write(self: &Rc<Self>, owned: &Owned, kept: Kept) -> bool {
+    async fn write(self: &Rc<Self>, owned: &OwnedBatch, kept: Kept) -> bool {
         let first = owned.listed.borrow().len();
         let mut rows = Vec::new();
         for (at, (_, value)) in kept.iter().enumerate() {
@@ -86,7 +86,7 @@
         }
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
         let start = Instant::now();
-        owned.writing.set(Some(start));
+        owned.write_started.set(Some(start));
         loop {
             match self.store.transact(&change).await {
                 Commit::Done { .. } => break,
@@ -101,30 +101,38 @@
         }
         let items: Vec<&str> = kept
             .iter()
-            .map(|(n, _)| owned.submission.items[*n].id.as_str())
+            .map(|(index, _)| owned.submission.items[*index].id.as_str())
             .collect();
         log::info!(target: BATCHES, batch = owned.id.as_str(), first = first,
             results = kept.len(), took_ms = millis(start.elapsed()),
             items = items.join(" ").as_str(); "Results are listed.");
         self.line.meters.results.inc_by(kept.len() as u64);
-        owned.batch.borrow_mut().list(kept.iter().map(|(n, _)| *n));
+        owned
+            .batch
+            .borrow_mut()
+            .list(kept.iter().map(|(index, _)| *index));
         owned
             .listed
             .borrow_mut()
             .extend(kept.into_iter().map(|(_, value)| value));
-        owned.writing.set(None);
-        owned.news.notify_waiters();
+        owned.write_started.set(None);
+        owned.results_listed.notify_waiters();
         true
     }
 
     /// Understands why a write found its conditions not met: an earlier copy of
     /// it was done, or the batch isn't this process's any more.
-    fn meant(self: &Rc<Self>, owned: &Owned, rows: &[(usize, Vec<u8>)], found: &[Row]) -> Meant {
+    fn meant(
+        self: &Rc<Self>,
+        owned: &OwnedBatch,
+        rows: &[(usize, Vec<u8>)],
+        found: &[Row],
+    ) -> Meant {
         let head = row::head(&owned.id);
         let mut done = 0;
         for row in found {
             if row.id == head {
-                self.note(row);
+                self.record_head(row);
                 continue;
             }
             let ours = rows
@@ -135,7 +143,7 @@
         if done == rows.len() {
             return Meant::Done;
         }
-        let over = owned.over.get() || found.iter().any(|row| row.id != head);
+        let over = owned.is_stopped.get() || found.iter().any(|row| row.id != head);
         if over {
             log::info!(target: BATCHES, batch = owned.id.as_str(), version = owned.version.get();
                 "Results were not listed: the batch is no longer run here.");
@@ -148,22 +156,22 @@
     /// Returns what the row of a result holds: the result, or the name of an
     /// object if it is too long for a row.
     async fn row_value(&self, id: &str, position: usize, value: &[u8]) -> Option<Vec<u8>> {
-        if value.len() <= self.row_bytes {
+        if value.len() <= self.max_row_bytes {
             return Some(value.to_vec());
         }
-        let name = object(id, position, &self.life, value);
+        let name = object(id, position, &self.incarnation, value);
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
         while let Err(failure) = self.store.put_object(&name, value.to_vec()).await {
             log::debug!(target: BATCHES, object = name.as_str(),
                 error = failure.to_string().as_str(); "A long result could not be kept yet.");
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
-        Some(format!("{REFERENCE}{name}").into_bytes())
+        Some(format!("{OBJECT_PREFIX}{name}").into_bytes())
     }
 }
 
 /// What a row begins with that names an object; results begin with a brace.
-pub(super) const REFERENCE: &str = "object:";
+pub(super) const OBJECT_PREFIX: &str = "object:";
 
 /// Names the object of a long result. Its content is part of the name: another
 /// owner may find another text for the same position.
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -1,22 +1,8 @@
-//! Batches of trainers: accepted once, run by one owner, readable everywhere.
+//! Batches of trainers: accepted once, run by one owner, readable at every process.
 //!
-//! * [`submit`]: acceptance, by one conditional write.
-//! * [`give`]: batches that go to another process than the one that accepted them.
-//! * [`heads`]: what every process knows of all batches, from the store.
-//! * [`owner`]: who runs a batch, and when another takes it over.
-//! * [`dispatch`]: starts items at engines.
-//! * [`generate`]: one run of one item.
-//! * [`seat`]: a place at an engine, and the item that takes it.
-//! * [`score`]: the scorer's call.
-//! * [`list`]: writes results, in order. [`pieces`]: keeps unfinished texts.
-//! * [`draft`]: texts for the batch that carries a group over.
-//! * [`share`]: tells other owners how fast engines are.
-//! * [`read`]: answers about batches, at any process.
-//! * [`sweep`]: removes what nobody may ask for any more.
-//!
-//! Everything that a trainer may rely on is in the store before it is said:
-//! the submission before its 202, a result before it is read. The owner's
-//! memory only saves the way there.
+//! The store holds everything that a trainer may rely on before the trainer is told: the
+//! submission before the 202, a result before it can be read. The owner's memory is only
+//! a cache of the store.
 
 mod dispatch;
 mod draft;
@@ -28,8 +14,8 @@
 mod pieces;
 mod read;
 mod score;
-mod seat;
 mod share;
+mod slot;
 mod submit;
 mod sweep;
 
@@ -58,102 +44,102 @@
 
 pub(super) use self::heads::sink;
 
-/// A batch as the store holds it.
+/// The head row of a batch.
 #[derive(Clone, Debug)]
 pub(super) struct HeadRow {
     head: Head,
-    /// The row's version.
     version: u64,
-    /// When this process first heard of this owner.
-    since: Instant,
+    /// When this process first saw this owner of the batch.
+    owner_since: Instant,
 }
 
-/// All batches, as this process sees them.
+/// All batches that this process knows, and those that it runs.
 pub(super) struct Batches {
-    /// This life of this process.
-    life: String,
-    /// This process among its peers.
+    /// The incarnation of this process, as rows name it.
+    incarnation: String,
     directory: Directory,
-    row_bytes: usize,
-    /// Megabytes that this process may use.
-    memory: u32,
+    /// The longest result that is stored in its row.
+    max_row_bytes: usize,
+    /// The memory that this process may use.
+    memory_mb: u32,
     /// How long a batch stays readable after its submission.
-    keep: Duration,
+    retention: Duration,
     store: Rc<Store>,
     line: Line,
     members: Rc<Members>,
     known: Rc<Known>,
     engines: RefCell<Engines>,
     heads: RefCell<HashMap<String, HeadRow>>,
-    mine: RefCell<HashMap<String, Rc<Owned>>>,
-    /// Submissions read for their bodies, the last ones used.
-    bodies: RefCell<Vec<(String, Rc<Submission>)>>,
-    /// Something may start, or has to be looked at.
-    work: Notify,
-    /// Owners of batches changed.
-    owners: Notify,
-    /// A batch is known or run here that wasn't before, or has changed.
-    arrived: Notify,
-    /// This process has got a batch, or a duty.
-    owning: Notify,
-    /// It holds the duty of the weights, and must be seen to live.
-    duty: Cell<bool>,
-    /// When it had a batch or a duty last.
-    owned_at: Cell<Option<Instant>>,
-    /// What this process saw of the others.
-    seen: RefCell<Presences>,
-    /// The others were looked at.
-    looked: Notify,
-    /// No batch is accepted or taken over any more.
-    leaving: Cell<bool>,
+    /// The batches that this process runs.
+    owned: RefCell<HashMap<String, Rc<OwnedBatch>>>,
+    /// Cache of submissions that were read from the store, oldest first.
+    submissions: RefCell<Vec<(String, Rc<Submission>)>>,
+    /// Wakes the dispatcher: an item may be able to start.
+    dispatch_needed: Notify,
+    /// Notified when a head row changes.
+    owners_changed: Notify,
+    /// Notified when a batch is added or changed, or starts to run here.
+    batches_changed: Notify,
+    /// Notified when this process gets a batch, or gets or loses the duty.
+    ownership_changed: Notify,
+    /// Whether this process holds the duty of the weights.
+    holds_duty: Cell<bool>,
+    /// When this process last had a batch or the duty.
+    last_owned_at: Cell<Option<Instant>>,
+    /// Detects processes that are gone by their heartbeats.
+    failure_detector: RefCell<Presences>,
+    /// Notified after each poll of the heartbeats.
+    polled: Notify,
+    /// Whether the process is stopping: it runs and takes over no more batches.
+    is_stopping: Cell<bool>,
 }
 
 /// A batch that this process runs.
-struct Owned {
+struct OwnedBatch {
     id: String,
     submission: Submission,
     path: String,
     host: String,
-    /// The account that it is for.
+    /// The client account that submitted it.
     account: Option<String>,
-    /// The version of its head's row.
+    /// The current version of its head row.
     version: Cell<u64>,
-    due: Instant,
-    /// The rank of its route; 0 is the highest.
+    due_at: Instant,
+    /// Its priority; 0 is the highest.
     priority: u8,
-    /// When it may be given up.
-    expires: Option<Instant>,
+    /// When its unfinished items are given up.
+    expires_at: Option<Instant>,
     batch: RefCell<Batch>,
-    /// Results in the order of their positions, as they are kept.
+    /// Encoded results by position, as they are stored.
     listed: RefCell<Vec<Vec<u8>>>,
-    /// Since when a write of results has no outcome.
-    writing: Cell<Option<Instant>>,
-    /// Engines that items were just moved away from.
-    avoid: RefCell<HashMap<usize, EngineKey>>,
-    /// The version of the head's row since which this process has it.
+    /// When the write of results began whose outcome is not known yet.
+    write_started: Cell<Option<Instant>>,
+    /// The engine that an item was just moved away from, by item.
+    avoided_engines: RefCell<HashMap<usize, EngineKey>>,
+    /// The version of the head row with which this process became the owner.
     tenure: u64,
-    /// Second texts of items, for a later batch.
+    /// Drafts by item.
     drafts: RefCell<HashMap<usize, Draft>>,
-    /// By how many versions its floor was behind the newest when it was accepted.
-    lag: u64,
-    /// Rows in the store that hold parts of texts.
-    pieces: RefCell<Vec<RowId>>,
-    /// A result is ready to be listed.
-    ready: Notify,
-    /// A result was listed.
-    news: Notify,
+    /// How far its minimum weight version was behind the newest when it was accepted.
+    version_lag: u64,
+    /// Rows of the store that hold pieces of its texts.
+    piece_rows: RefCell<Vec<RowId>>,
+    /// Notified when a result is ready to be listed.
+    result_ready: Notify,
+    /// Notified when results were listed.
+    results_listed: Notify,
     tasks: RefCell<Vec<JoinHandle<()>>>,
-    over: Cell<bool>,
+    is_stopped: Cell<bool>,
 }
 
-impl Owned {
-    /// Stops all that runs of it.
+impl OwnedBatch {
+    /// Stops its tasks.
     fn stop(&self) {
-        self.over.set(true);
+        self.is_stopped.set(true);
         for task in self.tasks.borrow_mut().drain(..) {
             task.abort();
         }
-        self.news.notify_waiters();
+        self.results_listed.notify_waiters();
     }
 }
 
@@ -161,55 +147,55 @@
     pub(super) fn new(
         directory: Directory,
         holder: &str,
-        own: &GatewaySettings,
+        settings: &GatewaySettings,
         store: Rc<Store>,
         line: Line,
         members: Rc<Members>,
         known: Rc<Known>,
     ) -> Self {
         Self {
-            life: holder.to_owned(),
+            incarnation: holder.to_owned(),
             directory,
-            row_bytes: own.row_bytes,
-            memory: own.memory_mb,
-            keep: Duration::from_secs(own.keep_s),
+            max_row_bytes: settings.row_bytes,
+            memory_mb: settings.memory_mb,
+            retention: Duration::from_secs(settings.keep_s),
             store,
             line,
             members,
             known,
             engines: RefCell::new(Engines::new()),
             heads: RefCell::default(),
-            mine: RefCell::default(),
-            bodies: RefCell::default(),
-            work: Notify::new(),
-            owners: Notify::new(),
-            arrived: Notify::new(),
-            owning: Notify::new(),
-            duty: Cell::new(false),
-            owned_at: Cell::new(None),
-            seen: RefCell::new(Presences::new()),
-            looked: Notify::new(),
-            leaving: Cell::new(false),
+            owned: RefCell::default(),
+            submissions: RefCell::default(),
+            dispatch_needed: Notify::new(),
+            owners_changed: Notify::new(),
+            batches_changed: Notify::new(),
+            ownership_changed: Notify::new(),
+            holds_duty: Cell::new(false),
+            last_owned_at: Cell::new(None),
+            failure_detector: RefCell::new(Presences::new()),
+            polled: Notify::new(),
+            is_stopping: Cell::new(false),
         }
     }
 
-    /// Takes in changes of the roster.
-    pub(super) fn roster(&self, news: &[EndpointChange]) {
+    /// Applies changes of the roster.
+    pub(super) fn roster(&self, changes: &[EndpointChange]) {
         let mut engines = self.engines.borrow_mut();
-        for news in news {
-            match news {
-                EndpointChange::Updated(e) if !e.weights.is_empty() => {
-                    engines.set(e);
+        for change in changes {
+            match change {
+                EndpointChange::Updated(endpoint) if !endpoint.weights.is_empty() => {
+                    engines.set(endpoint);
                 }
                 EndpointChange::Updated(_) => {}
                 EndpointChange::Removed(id) => engines.remove(id),
             }
         }
         drop(engines);
-        self.work.notify_one();
+        self.dispatch_needed.notify_one();
     }
 
-    /// Returns the newest head of each model: what its steps need.
+    /// Returns the head of the newest batch of each model.
     pub(super) fn needs(&self) -> HashMap<String, Head> {
         let heads = self.heads.borrow();
         let mut rows: Vec<&Head> = heads.values().map(|row| &row.head).collect();
@@ -221,37 +207,37 @@
         needs.collect()
     }
 
-    /// Returns this process as its peers know it.
+    /// Returns the directory entry of this process.
     pub(super) const fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Notes whether this process holds the duty of the weights.
-    pub(super) fn set_duty(&self, held: bool) {
-        if self.duty.replace(held) != held {
-            self.owning.notify_one();
+    /// Records whether this process holds the duty of the weights.
+    pub(super) fn set_duty(&self, is_held: bool) {
+        if self.holds_duty.replace(is_held) != is_held {
+            self.ownership_changed.notify_one();
         }
     }
 
-    /// Waits until the other processes were looked at.
-    pub(super) async fn next_look(&self) {
-        self.looked.notified().await;
+    /// Waits for the next poll of the heartbeats.
+    pub(super) async fn next_poll(&self) {
+        self.polled.notified().await;
     }
 
-    /// Says why another process is taken to be gone, if it is, and how many there
-    /// are. It is known here since `since`.
-    pub(super) fn lost(&self, life: &str, since: Instant) -> Option<(Loss, usize)> {
-        let seen = self.seen.borrow();
-        let why = seen.lost(life, since)?;
-        Some((why, seen.count()))
+    /// Returns why another process is considered gone, if it is, and the number of known
+    /// processes. `since` is when this process first saw it hold the duty.
+    pub(super) fn loss(&self, incarnation: &str, since: Instant) -> Option<(Loss, usize)> {
+        let detector = self.failure_detector.borrow();
+        let loss = detector.lost(incarnation, since)?;
+        Some((loss, detector.count()))
     }
 
     /// Returns how many batches run here.
     pub(super) fn running(&self) -> usize {
-        self.mine.borrow().len()
+        self.owned.borrow().len()
     }
 
-    /// Counts what happened to a batch.
+    /// Counts an event of a batch in the metrics.
     fn count(&self, event: &str) {
         self.line.meters.batches.with_label_values(&[event]).inc();
     }
@@ -261,18 +247,18 @@
         self.engines.borrow().mine(endpoint)
     }
 
-    /// Says whether an engine is known to be much slower than its peers.
+    /// Returns whether an engine is known to be much slower than its peers.
     pub(super) fn is_slow(&self, endpoint: &str) -> bool {
         self.engines.borrow().is_slow(Instant::now(), endpoint)
     }
 
-    /// Takes in a version that an engine reported.
-    pub(super) fn saw(&self, endpoint: &str, model: &str, version: u64) {
+    /// Records a weight version that an engine reported.
+    pub(super) fn record_version(&self, endpoint: &str, model: &str, version: u64) {
         let mut engines = self.engines.borrow_mut();
         if let Some(key) = engines.key(endpoint) {
             engines.weights(key, model, version);
         }
         drop(engines);
-        self.work.notify_one();
+        self.dispatch_needed.notify_one();
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -1,9 +1,10 @@
-//! Who runs a batch, and when another takes it over.
+//! Ownership of batches: heartbeats, takeover and handover.
 //!
-//! The owner renews its row while it has batches, and the others look at those
-//! rows while there are batches of others; [`hibiscusroad::rollout::presence`] decides who is gone.
+//! A process renews its heartbeat row while it has batches. The others poll these rows
+//! while there are batches of others; [`hibiscusroad::rollout::presence`] decides which
+//! processes are gone.
 
-use super::{Batches, HeadRow, Owned};
+use super::{Batches, HeadRow, OwnedBatch};
 use crate::{gateway::peers::presence, logs::BATCHES, platform::Backoff};
 use futures_util::future::join3;
 use hibiscusroad::{
@@ -29,37 +30,38 @@
     time::{sleep, sleep_until, timeout},
 };
 
-/// For so long a process that has no batch any more is seen to live: the steps of a
-/// trainer are some seconds apart, and the next one goes to the owner of the last.
-const EXPECTED: Duration = Duration::from_secs(10);
-/// How often a process that owns nothing tells its time of day all the same. 360 of them
-/// write six times a second together.
-const TOLD: Duration = Duration::from_mins(1);
-/// What a stopping process spends on a look at the others: it has a second or so in all.
-const LAST_LOOK: Duration = Duration::from_millis(200);
-/// What the holder of the weights' duty is watched as, beside the batches.
+/// How long a process sends heartbeats after its last batch: the next step of the trainer
+/// is given to the owner of the last one.
+const IDLE_HEARTBEAT_DURATION: Duration = Duration::from_secs(10);
+/// Time between two renewals of the row of a process that is_owner nothing; the row also
+/// carries its clock offset.
+const IDLE_RENEWAL_INTERVAL: Duration = Duration::from_mins(1);
+/// Limit for the poll of a stopping process, which has about a second in all.
+const STOP_POLL_TIMEOUT: Duration = Duration::from_millis(200);
+/// The name under which the holder of the weights' duty is watched.
 const WEIGHTS_DUTY: &str = "weights";
-const PAUSE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
+/// Shortest and longest wait between retries.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
 
-/// What a batch is run from.
+/// The state from which a batch is run.
 pub(super) struct Loaded {
     pub(super) submission: Submission,
-    /// Results that are listed, as they are kept.
+    /// Encoded results that are listed.
     pub(super) results: Vec<Vec<u8>>,
-    /// Parts of its texts: their rows, items and contents.
+    /// Pieces of its texts, with their rows and item ids.
     pub(super) pieces: Vec<(RowId, String, Piece)>,
-    /// Texts of earlier batches, by items.
+    /// Texts of earlier batches, with their item ids.
     pub(super) carried: Vec<(String, Text)>,
 }
 
 impl Loaded {
-    /// Says whether nothing of it is known to have run.
+    /// Returns whether nothing of it has run, as far as the store tells.
     pub(super) fn is_new(&self) -> bool {
         self.results.is_empty() && self.pieces.is_empty()
     }
 
-    /// Describes a batch of which nothing has run.
-    pub(super) const fn fresh(submission: Submission) -> Self {
+    /// Creates the state of a batch of which nothing has run.
+    pub(super) const fn new(submission: Submission) -> Self {
         Self {
             submission,
             results: Vec::new(),
@@ -70,17 +72,16 @@
 }
 
 impl Batches {
-    /// Renews this process's row while it has batches.
+    /// Renews the heartbeat row of this process while it has batches.
     pub(in crate::gateway) async fn renew(self: Rc<Self>) {
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
-        // The first row tells of this life, and ends the time of the former.
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
+        // The first write announces this incarnation and replaces the row of the last one.
         loop {
-            // A process that has given its batches back must not seem to run
-            // what it accepted at the last moment.
-            if self.leaving.get() {
+            // The others must take over batches that were accepted during the stop.
+            if self.is_stopping.get() {
                 return;
             }
-            let presence = self.presence();
+            let presence = self.own_presence();
             let value = serde_json::to_vec(&presence).unwrap_or_default();
             let change = Change::new().put(row::entry(&self.directory.name), value);
             let done = self.store.transact(&change).await;
@@ -91,127 +92,142 @@
             backoff.reset();
             loop {
                 sleep(RENEWAL).await;
-                // The first answer of the store tells its clock.
-                if self.is_seen_to_live() || presence.offset.is_none() {
+                // Until the store has answered, the clock offset is not known.
+                if self.needs_heartbeat() || presence.offset.is_none() {
                     break;
                 }
-                if timeout(TOLD, self.owning.notified()).await.is_err() {
+                if timeout(IDLE_RENEWAL_INTERVAL, self.ownership_changed.notified())
+                    .await
+                    .is_err()
+                {
                     break;
                 }
             }
         }
     }
 
-    /// Notes that this process owns something, and has to be seen to live from now on.
-    pub(super) fn show_life(&self) {
-        self.owned_at.set(Some(Instant::now()));
-        self.owning.notify_one();
+    /// Records that this process is_owner something, which starts the heartbeats.
+    pub(super) fn mark_owning(&self) {
+        self.last_owned_at.set(Some(Instant::now()));
+        self.ownership_changed.notify_one();
     }
 
-    fn presence(&self) -> Presence {
+    fn own_presence(&self) -> Presence {
         Presence {
-            life: self.life.clone(),
+            life: self.incarnation.clone(),
             peer: self.directory.address,
             renewed: millis(self.store.now().unwrap_or_default()),
-            memory: self.memory,
+            memory: self.memory_mb,
             offset: self.directory.times.offset(),
         }
     }
 
-    /// Says whether others have to see that this process lives: it owns something, or
-    /// the next step of a trainer may come to it.
-    fn is_seen_to_live(&self) -> bool {
-        let owns = self.duty.get() || !self.mine.borrow().is_empty();
-        if owns {
-            self.owned_at.set(Some(Instant::now()));
+    /// Returns whether this process must send heartbeats: it is_owner something, or may be
+    /// given the next step of a trainer.
+    fn needs_heartbeat(&self) -> bool {
+        let is_owner = self.holds_duty.get() || !self.owned.borrow().is_empty();
+        if is_owner {
+            self.last_owned_at.set(Some(Instant::now()));
         }
-        owns || self
-            .owned_at
-            .get()
-            .is_some_and(|at| at.elapsed() < EXPECTED)
+        is_owner
+            || self
+                .last_owned_at
+                .get()
+                .is_some_and(|at| at.elapsed() < IDLE_HEARTBEAT_DURATION)
     }
 
-    /// Takes over batches whose owners are gone.
+    /// Polls the heartbeats and takes over batches whose owners are gone.
     pub(in crate::gateway) async fn watch(self: Rc<Self>) {
         loop {
-            let foreign = self.foreign();
-            if foreign.is_empty() || self.leaving.get() {
-                self.owners.notified().await;
+            let foreign = self.foreign_batches();
+            if foreign.is_empty() || self.is_stopping.get() {
+                self.owners_changed.notified().await;
                 continue;
             }
-            match self.look().await {
+            match self.poll_heartbeats().await {
                 Ok(()) => {
                     for (id, row) in foreign {
-                        let why = self.seen.borrow().lost(&row.head.owner, row.since);
-                        if let Some(why) = why {
-                            self.take_over(&id, &row, why).await;
+                        let loss = self
+                            .failure_detector
+                            .borrow()
+                            .lost(&row.head.owner, row.owner_since);
+                        if let Some(loss) = loss {
+                            self.take_over(&id, &row, loss).await;
                         }
                     }
                 }
                 Err(error) => {
-                    self.seen.borrow_mut().blind();
+                    self.failure_detector.borrow_mut().blind();
                     log::debug!(target: BATCHES, error = error.as_str();
-                        "Owners of batches could not be looked at.");
+                        "The heartbeats of batch owners could not be read.");
                 }
             }
-            self.pause_between_looks().await;
+            self.wait_for_next_poll().await;
         }
     }
 
-    /// Waits until the others are to be looked at again. A batch that comes meanwhile
-    /// may be one that this process watches closely.
-    async fn pause_between_looks(&self) {
-        let looked = Instant::now();
+    /// Waits until the next poll is due. The time is recomputed when an owner changes: it
+    /// depends on the owners that this process watches.
+    async fn wait_for_next_poll(&self) {
+        let polled_at = Instant::now();
         loop {
-            let foreign = self.foreign();
+            let foreign = self.foreign_batches();
             let owners = foreign.iter().map(|(_, row)| row.head.owner.as_str());
             let owners = owners.chain([WEIGHTS_DUTY]);
-            let pause = self.seen.borrow().pause(&self.directory.name, owners);
-            let next = looked + pause;
+            let pause = self
+                .failure_detector
+                .borrow()
+                .pause(&self.directory.name, owners);
+            let next = polled_at + pause;
             if Instant::now() >= next {
                 return;
             }
             tokio::select! {
                 () = sleep_until(next.into()) => return,
-                () = self.owners.notified() => {}
+                () = self.owners_changed.notified() => {}
             }
         }
     }
 
-    fn foreign(&self) -> Vec<(String, HeadRow)> {
+    /// Returns the open batches that other processes own.
+    fn foreign_batches(&self) -> Vec<(String, HeadRow)> {
         let heads = self.heads.borrow();
         let now = millis(self.store.now().unwrap_or_default());
-        let open = |row: &HeadRow| !row.head.ended && now < row.head.until;
-        let open = heads.iter().filter(|(_, row)| open(row));
-        let foreign = open.filter(|(_, row)| row.head.owner != self.life);
+        let is_open = |row: &HeadRow| !row.head.ended && now < row.head.until;
+        let open = heads.iter().filter(|(_, row)| is_open(row));
+        let foreign = open.filter(|(_, row)| row.head.owner != self.incarnation);
         foreign.map(|(id, row)| (id.clone(), row.clone())).collect()
     }
 
-    async fn look(&self) -> Result<(), String> {
+    /// Reads the heartbeats of all processes.
+    async fn poll_heartbeats(&self) -> Result<(), String> {
         let start = Instant::now();
         let page = self.store.read_whole(&Range::part(row::ENTRIES, "")).await;
         let page = page.map_err(|failure| failure.to_string())?;
         let now = Instant::now();
         self.directory.hear(&self.store, &page.rows);
-        let signs = page.rows.iter().filter_map(sign).collect();
+        let heartbeats = page.rows.iter().filter_map(heartbeat).collect();
         let latency = now.saturating_duration_since(start);
-        self.seen.borrow_mut().seen(now, latency, signs);
-        self.looked.notify_waiters();
+        self.failure_detector
+            .borrow_mut()
+            .seen(now, latency, heartbeats);
+        self.polled.notify_waiters();
         Ok(())
     }
 
-    async fn take_over(self: &Rc<Self>, id: &str, row: &HeadRow, why: Loss) {
+    /// Becomes the owner of a batch whose owner is gone.
+    async fn take_over(self: &Rc<Self>, id: &str, row: &HeadRow, loss: Loss) {
         let delay = {
-            let seen = self.seen.borrow();
-            seen.takeover_delay(&self.directory.name, self.memory)
+            let detector = self.failure_detector.borrow();
+            detector.takeover_delay(&self.directory.name, self.memory_mb)
         };
         sleep(delay).await;
-        let now = self.head(id);
-        if self.leaving.get() || now.is_none_or(|now| now.version != row.version) {
+        let current = self.head(id);
+        if self.is_stopping.get() || current.is_none_or(|current| current.version != row.version) {
             return;
         }
         let head = Head {
-            owner: self.life.clone(),
+            owner: self.incarnation.clone(),
             ..row.head.clone()
         };
         let change = Change::new()
@@ -220,31 +236,30 @@
         match self.store.transact(&change).await {
             Commit::Done { version, .. } => {
                 log::info!(target: BATCHES, batch = id, from = row.head.owner.as_str(),
-                    why:? = why, row = version; "A batch is taken over.");
+                    why:? = loss, row = version; "A batch is taken over.");
                 self.count("taken-over");
-                self.set(id, head.clone(), version);
+                self.update_head(id, head.clone(), version);
                 spawn_local(Rc::clone(self).adopt(id.to_owned(), head, version));
             }
-            Commit::Conflict(rows) => rows.iter().for_each(|row| self.note(row)),
+            Commit::Conflict(rows) => rows.iter().for_each(|row| self.record_head(row)),
             Commit::Refused | Commit::Unknown => {}
         }
     }
 
-    /// Begins to run a batch that the store says is this process's.
+    /// Loads a batch of which this process is the owner and runs it.
     pub(super) async fn adopt(self: Rc<Self>, id: String, head: Head, version: u64) {
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
-        // What it loads can take longer than the silence after which an owner is taken
-        // to be gone: all hosts that start together read theirs at once.
-        self.show_life();
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
+        // Loading may take longer than the heartbeat timeout, so heartbeats start now.
+        self.mark_owning();
         loop {
-            if self.mine.borrow().contains_key(&id) || self.leaving.get() {
+            if self.owned.borrow().contains_key(&id) || self.is_stopping.get() {
                 return;
             }
             if self.head(&id).is_none_or(|row| row.version != version) {
                 return;
             }
-            // Without a configuration nobody knows how often an item may fail, or
-            // whether its route still stands: it would be given up for nothing.
+            // Without a configuration the route seems to be removed, and the batch would
+            // be given up.
             if self.known.catalog().is_none() {
                 sleep(backoff.next_wait(&mut rand::rng())).await;
                 continue;
@@ -256,32 +271,33 @@
                 }
                 Err(error) => {
                     log::warn!(target: BATCHES, batch = id.as_str(), error = error.as_str();
-                        "A batch could not be loaded yet.");
+                        "A batch could not be loaded; the load is retried.");
                     sleep(backoff.next_wait(&mut rand::rng())).await;
                 }
             }
         }
     }
 
+    /// Reads the state of a batch from the store.
     async fn load(&self, id: &str) -> Result<Loaded, String> {
         let name = row::object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
-            self.kept(id, 0),
-            self.pieces(id),
+            self.read_results(id, 0),
+            self.read_pieces(id),
         )
         .await;
         let object = object.map_err(|failure| failure.to_string())?;
-        let object = object.ok_or("its submission is not there")?;
+        let object = object.ok_or("the submission object is missing")?;
         let submission = batch::decode_submission(&object).map_err(|error| error.to_string())?;
         Ok(Loaded {
             results: results.map_err(|failure| failure.to_string())?,
             pieces: pieces.map_err(|failure| failure.to_string())?,
-            ..Loaded::fresh(submission)
+            ..Loaded::new(submission)
         })
     }
 
-    /// Runs a batch from what is listed of it.
+    /// Starts the tasks of a batch.
     pub(super) fn run(self: &Rc<Self>, id: &str, head: Head, version: u64, loaded: Loaded) {
         let Loaded {
             submission,
@@ -289,120 +305,128 @@
             pieces,
             carried,
         } = loaded;
-        if self.leaving.get() {
-            log::info!(target: BATCHES, batch = id; "A batch is left to the next owner.");
+        if self.is_stopping.get() {
+            log::info!(target: BATCHES, batch = id; "The process is stopping; the batch is left to the next owner.");
             return;
         }
         let now = Instant::now();
         let catalog = self.known.catalog();
         let route = catalog.and_then(|c| c.find(&head.host, &head.path).cloned());
-        let attempts = route.as_ref().map_or(1, |route| route.max_attempts);
-        let single = route.as_ref().is_some_and(|route| route.single_version);
-        let mut batch = Batch::new(now, &submission, attempts, single, head.carried);
+        let max_attempts = route.as_ref().map_or(1, |route| route.max_attempts);
+        let is_single_version = route.as_ref().is_some_and(|route| route.single_version);
+        let mut batch = Batch::new(
+            now,
+            &submission,
+            max_attempts,
+            is_single_version,
+            head.carried,
+        );
         for result in &results {
             match batch::decode_item_id(result) {
                 Ok(item) => batch.restore(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
-                    error = error.to_string().as_str(); "A kept result is broken."),
+                    error = error.to_string().as_str(); "A stored result could not be decoded; it is ignored."),
             }
         }
-        let mut kept = Vec::new();
+        let mut piece_rows = Vec::new();
         for (row, item, piece) in pieces {
             batch.resume(&item, piece);
-            kept.push(row);
+            piece_rows.push(row);
         }
         for (item, text) in carried {
             let (last, versions) = (text.last(), text.versions().to_vec());
             if batch.carry(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
-                    versions:? = versions; "A text is carried over.");
+                    versions:? = versions; "A text of an earlier batch is carried over.");
             }
         }
         let age = head.age(self.store.now().unwrap_or_default());
-        let accepted = now.checked_sub(age).unwrap_or(now);
-        let owned = Rc::new(Owned {
+        let accepted_at = now.checked_sub(age).unwrap_or(now);
+        let owned = Rc::new(OwnedBatch {
             id: id.to_owned(),
             path: head.path,
             host: head.host,
             account: head.account,
             submission,
             priority: head.priority,
-            due: accepted + route.as_ref().and_then(|r| r.due).unwrap_or_default(),
-            expires: route.and_then(|r| r.item_ttl).map(|ttl| accepted + ttl),
+            due_at: accepted_at + route.as_ref().and_then(|r| r.due).unwrap_or_default(),
+            expires_at: route.and_then(|r| r.item_ttl).map(|ttl| accepted_at + ttl),
             version: Cell::new(version),
             batch: RefCell::new(batch),
             listed: RefCell::new(results),
             tenure: version,
             drafts: RefCell::default(),
-            lag: head.lag,
-            writing: Cell::new(None),
-            avoid: RefCell::default(),
-            pieces: RefCell::new(kept),
-            ready: Notify::new(),
-            news: Notify::new(),
+            version_lag: head.lag,
+            write_started: Cell::new(None),
+            avoided_engines: RefCell::default(),
+            piece_rows: RefCell::new(piece_rows),
+            result_ready: Notify::new(),
+            results_listed: Notify::new(),
             tasks: RefCell::default(),
-            over: Cell::new(false),
+            is_stopped: Cell::new(false),
         });
         log::info!(target: BATCHES, batch = id, listed = owned.listed.borrow().len(),
             age_ms = millis(age); "A batch is run here.");
-        let lister = spawn_local(Rc::clone(self).list(Rc::clone(&owned)));
-        let keeper = spawn_local(Rc::clone(self).keep_pieces(Rc::clone(&owned)));
-        owned.tasks.borrow_mut().extend([lister, keeper]);
-        if let Some(expires) = owned.expires {
-            let expiry = spawn_local(Rc::clone(&owned).expire(expires));
+        let lister = spawn_local(Rc::clone(self).list_results(Rc::clone(&owned)));
+        let piece_saver = spawn_local(Rc::clone(self).save_pieces(Rc::clone(&owned)));
+        owned.tasks.borrow_mut().extend([lister, piece_saver]);
+        if let Some(expires_at) = owned.expires_at {
+            let expiry = spawn_local(Rc::clone(&owned).expire(expires_at));
             owned.tasks.borrow_mut().push(expiry);
         }
-        self.mine.borrow_mut().insert(id.to_owned(), owned);
-        self.owning.notify_one();
-        self.arrived.notify_waiters();
-        self.work.notify_one();
+        self.owned.borrow_mut().insert(id.to_owned(), owned);
+        self.ownership_changed.notify_one();
+        self.batches_changed.notify_waiters();
+        self.dispatch_needed.notify_one();
     }
 
-    /// Gives all batches back, so that others take them over at once.
+    /// Stops all batches, saves their texts and hands them over.
     pub(in crate::gateway) async fn leave(&self) {
-        self.leaving.set(true);
-        // Who takes what is left here is chosen by who is seen to live now.
-        if timeout(LAST_LOOK, self.look()).await.is_err() {
-            log::info!(target: BATCHES, "Batches are handed on by what was seen before.");
+        self.is_stopping.set(true);
+        // The successor is chosen among the processes that are alive now.
+        if timeout(STOP_POLL_TIMEOUT, self.poll_heartbeats())
+            .await
+            .is_err()
+        {
+            log::info!(target: BATCHES, "The heartbeats could not be read in time; the successor is chosen by the last poll.");
         }
-        let mine: Vec<Rc<Owned>> = self.mine.borrow_mut().drain().map(|(_, o)| o).collect();
-        for owned in mine {
+        let batches: Vec<Rc<OwnedBatch>> =
+            self.owned.borrow_mut().drain().map(|(_, o)| o).collect();
+        for owned in batches {
             self.count("given-back");
             owned.stop();
             owned.drop_drafts();
-            // What was generated since the last time goes to the next owner.
-            self.keep_once(&owned).await;
-            self.hand_on(&owned.id).await;
+            // The next owner continues behind the last event.
+            self.save_new_pieces(&owned).await;
+            self.hand_over(&owned.id).await;
         }
         let change = Change::new().remove(row::entry(&self.directory.name));
         let done = self.store.transact(&change).await;
         log::info!(target: BATCHES, done = matches!(done, Commit::Done { .. });
-            "All batches are given back.");
+            "All batches are handed over; the heartbeats end.");
     }
 }
 
 impl Batches {
-    fn heir(&self) -> Option<String> {
-        let seen = self.seen.borrow();
-        seen.heir(&self.directory.name).map(str::to_owned)
+    fn successor(&self) -> Option<String> {
+        let detector = self.failure_detector.borrow();
+        detector.heir(&self.directory.name).map(str::to_owned)
     }
 
     /// Makes another process the owner of a batch.
     ///
-    /// Load: hosts are stopped in turn, one each second or two, and each stop meets
-    /// one step in two. Harm: if others have to find out that a batch is nobody's, it
-    /// stands still for 0.1 to 0.5 s each time. One that is named here hears of it
-    /// with the next change of the table, within milliseconds; should it be stopping
-    /// too or be gone, the batch is taken over like any other.
-    pub(super) async fn hand_on(&self, batch: &str) {
-        let Some((heir, row)) = self.heir().zip(self.head(batch)) else {
+    /// The successor hears of it from the table's feed, which is faster than a takeover
+    /// after the heartbeat timeout. If it is gone or stopping itself, the batch is taken
+    /// over like any other.
+    pub(super) async fn hand_over(&self, batch: &str) {
+        let Some((successor, row)) = self.successor().zip(self.head(batch)) else {
             return;
         };
-        if row.head.owner != self.life || row.head.ended {
+        if row.head.owner != self.incarnation || row.head.ended {
             return;
         }
         let head = Head {
-            owner: heir.clone(),
+            owner: successor.clone(),
             ..row.head
         };
         let id = row::head(batch);
@@ -410,12 +434,13 @@
             .expect(id.clone(), row.version)
             .put(id, head.encode());
         let done = self.store.transact(&change).await;
-        log::info!(target: BATCHES, batch = batch, to = heir.as_str(),
+        log::info!(target: BATCHES, batch = batch, to = successor.as_str(),
             done = matches!(done, Commit::Done { .. }); "A batch is handed on.");
     }
 }
 
-fn sign(row: &Row) -> Option<Sign> {
+/// Decodes a heartbeat row.
+fn heartbeat(row: &Row) -> Option<Sign> {
     let Presence { life, memory, .. } = presence(row)?;
     Some(Sign {
         name: row.id.key.clone(),
@@ -425,12 +450,12 @@
     })
 }
 
-impl Owned {
-    /// Gives up what isn't done when its time is over.
-    async fn expire(self: Rc<Self>, at: Instant) {
-        sleep_until(at.into()).await;
+impl OwnedBatch {
+    /// Gives up the unfinished items at the given time.
+    async fn expire(self: Rc<Self>, expires_at: Instant) {
+        sleep_until(expires_at.into()).await;
         log::info!(target: BATCHES, batch = self.id.as_str(); "A batch is given up: its time is over.");
         self.batch.borrow_mut().give_up();
-        self.ready.notify_one();
+        self.result_ready.notify_one();
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -8,7 +8,7 @@
 //! Only what is new is written. Like a result, a part is written only while the
 //! head is as this owner left it.
 
-use super::{Batches, Owned};
+use super::{Batches, OwnedBatch};
 use crate::{gateway::failure::Failure, logs::BATCHES};
 use hibiscusroad::{
     rollout::{
@@ -28,29 +28,29 @@
 
 impl Batches {
     /// Keeps texts for as long as the batch runs here.
-    pub(super) async fn keep_pieces(self: Rc<Self>, owned: Rc<Owned>) {
+    pub(super) async fn save_pieces(self: Rc<Self>, owned: Rc<OwnedBatch>) {
         while !owned.batch.borrow().complete() {
             sleep(KEEP).await;
-            self.keep_once(&owned).await;
-            self.keep_drafts(&owned).await;
+            self.save_new_pieces(&owned).await;
+            self.save_drafts(&owned).await;
         }
     }
 
     /// Keeps what has come since the last time.
-    pub(super) async fn keep_once(&self, owned: &Owned) {
+    pub(super) async fn save_new_pieces(&self, owned: &OwnedBatch) {
         let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
-            bytes <= WRITE && piece.text.len() < self.row_bytes / 2
+            bytes <= WRITE && piece.text.len() < self.max_row_bytes / 2
         });
         if pieces.is_empty() {
             return;
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
         let mut rows = Vec::new();
-        for (n, piece) in &pieces {
-            let id = row::piece(&owned.id, &owned.submission.items[*n].id, piece);
+        for (index, piece) in &pieces {
+            let id = row::piece(&owned.id, &owned.submission.items[*index].id, piece);
             let value = serde_json::to_vec(piece).unwrap_or_default();
             change = change.put(id.clone(), value);
             rows.push(id);
@@ -58,10 +58,10 @@
         match self.store.transact(&change).await {
             Commit::Done { .. } => {
                 let mut batch = owned.batch.borrow_mut();
-                for (n, piece) in &pieces {
-                    batch.keep(*n, piece);
+                for (index, piece) in &pieces {
+                    batch.keep(*index, piece);
                 }
-                owned.pieces.borrow_mut().extend(rows);
+                owned.piece_rows.borrow_mut().extend(rows);
             }
             Commit::Conflict(_) => {
                 log::info!(target: BATCHES, batch = owned.id.as_str();
@@ -73,7 +73,10 @@
     }
 
     /// Reads the kept parts of a batch's texts, in the order of their growth.
-    pub(super) async fn pieces(&self, id: &str) -> Result<Vec<(RowId, String, Piece)>, Failure> {
+    pub(super) async fn read_pieces(
+        &self,
+        id: &str,
+    ) -> Result<Vec<(RowId, String, Piece)>, Failure> {
         let part = row::bucket(id);
         let from = format!("{id}/");
         // The slash behind the batch is followed by a zero in byte order.
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -5,7 +5,7 @@
 //! is open. What can't be read is never said to be missing: only
 //! the store's word that there is no head is a "not found".
 
-use super::{Batches, HeadRow, Owned, list::REFERENCE};
+use super::{Batches, HeadRow, OwnedBatch, list::OBJECT_PREFIX};
 use crate::{
     gateway::{
         answer::{Out, problem, whole},
@@ -88,7 +88,7 @@
             return Ok(Some(row));
         }
         if let Some(row) = self.store.read_row(&row::head(id)).await? {
-            self.note(&row);
+            self.record_head(&row);
         }
         Ok(self.head(id))
     }
@@ -105,10 +105,10 @@
         };
         let total = row.head.total;
         loop {
-            let mine = self.mine.borrow().get(id).cloned();
+            let mine = self.owned.borrow().get(id).cloned();
             let found = match &mine {
                 Some(owned) if !is_unsure(owned, after) => listed(owned, after),
-                _ => self.kept(id, after).await?,
+                _ => self.read_results(id, after).await?,
             };
             let ended = self.head(id).is_some_and(|row| row.head.ended);
             if !found.is_empty() || after >= total || ended || Instant::now() >= end {
@@ -117,8 +117,8 @@
             }
             match mine {
                 Some(owned) => {
-                    let news = owned.news.notified();
-                    if listed(&owned, after).is_empty() && !owned.over.get() {
+                    let news = owned.results_listed.notified();
+                    if listed(&owned, after).is_empty() && !owned.is_stopped.get() {
                         let _over = timeout_at(end.into(), news).await.is_err();
                     }
                 }
@@ -128,7 +128,11 @@
     }
 
     /// Reads the kept results of a batch from a position on.
-    pub(super) async fn kept(&self, id: &str, after: usize) -> Result<Vec<Vec<u8>>, Failure> {
+    pub(super) async fn read_results(
+        &self,
+        id: &str,
+        after: usize,
+    ) -> Result<Vec<Vec<u8>>, Failure> {
         let name = row::result(id, after);
         // The slash before the position is followed by a zero in byte order.
         let end = format!("{id}0");
@@ -146,7 +150,7 @@
 
     /// Follows the name of an object where a result was too long for its row.
     async fn result_value(&self, value: Vec<u8>) -> Result<Vec<u8>, Failure> {
-        let Some(name) = value.strip_prefix(REFERENCE.as_bytes()) else {
+        let Some(name) = value.strip_prefix(OBJECT_PREFIX.as_bytes()) else {
             return Ok(value);
         };
         let name = String::from_utf8_lossy(name);
@@ -163,7 +167,7 @@
         if row.head.ended {
             return Ok(unknown());
         }
-        let mine = self.mine.borrow().get(id).cloned();
+        let mine = self.owned.borrow().get(id).cloned();
         let body = match mine {
             Some(owned) => item_body(&owned.submission, item),
             None => item_body(&*self.submission(id).await?, item),
@@ -176,7 +180,7 @@
     /// Reads a batch's submission, or remembers it.
     async fn submission(&self, id: &str) -> Result<Rc<Submission>, Failure> {
         let known = self
-            .bodies
+            .submissions
             .borrow()
             .iter()
             .find(|(known, _)| known == id)
@@ -187,7 +191,7 @@
         let object = self.store.get_object(&row::object(id)).await?;
         let object = object.ok_or_else(|| Failure::Refused("no submission is there".into()))?;
         let submission = Rc::new(batch::decode_submission(&object)?);
-        let mut bodies = self.bodies.borrow_mut();
+        let mut bodies = self.submissions.borrow_mut();
         if bodies.len() >= BODIES {
             bodies.remove(0);
         }
@@ -216,14 +220,14 @@
                 Commit::Done { version, .. } => {
                     log::info!(target: BATCHES, batch = id, row = version; "A batch is ended.");
                     self.count("ended");
-                    self.note(&hibiscusroad::table::Row {
+                    self.record_head(&hibiscusroad::table::Row {
                         id: name,
                         value: head.encode(),
                         version,
                     });
                     return Ok(whole(StatusCode::OK, "", ""));
                 }
-                Commit::Conflict(rows) => rows.iter().for_each(|row| self.note(row)),
+                Commit::Conflict(rows) => rows.iter().for_each(|row| self.record_head(row)),
                 Commit::Refused => sleep(LOOK).await,
                 Commit::Unknown => {}
             }
@@ -237,14 +241,14 @@
 /// Says whether the store may have results from a position on that the owner
 /// doesn't know to be listed: others read them from there, and what was read
 /// once must be found here as well.
-fn is_unsure(owned: &Owned, after: usize) -> bool {
+fn is_unsure(owned: &OwnedBatch, after: usize) -> bool {
     let known = owned.listed.borrow().len();
-    let open = owned.writing.get();
+    let open = owned.write_started.get();
     after > known || (after == known && open.is_some_and(|since| since.elapsed() > UNSURE))
 }
 
 /// Returns what the owner has listed from a position on.
-fn listed(owned: &Owned, after: usize) -> Vec<Vec<u8>> {
+fn listed(owned: &OwnedBatch, after: usize) -> Vec<Vec<u8>> {
     let listed = owned.listed.borrow();
     listed.get(after..).unwrap_or_default().to_vec()
 }
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -3,7 +3,7 @@
 //! It runs only when the text is whole, and its text is not listed without its
 //! signature. It may be repeated, and is until the batch's time is over.
 
-use super::{Batches, Owned};
+use super::{Batches, OwnedBatch};
 use crate::{
     gateway::{
         attempt::{Answer, Received, text},
@@ -35,11 +35,11 @@
 
 impl Batches {
     /// Has an item's text scored.
-    pub(super) async fn score(&self, owned: &Rc<Owned>, n: usize) {
-        let item = &owned.submission.items[n];
+    pub(super) async fn score(&self, owned: &Rc<OwnedBatch>, index: usize) {
+        let item = &owned.submission.items[index];
         let Some(scorer) = &item.scorer else {
-            owned.batch.borrow_mut().scored(n, None);
-            owned.ready.notify_one();
+            owned.batch.borrow_mut().scored(index, None);
+            owned.result_ready.notify_one();
             return;
         };
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
@@ -55,11 +55,11 @@
                         log::info!(target: BATCHES, batch = owned.id.as_str(),
                             item = item.id.as_str(), scorer = scorer.id.as_str(),
                             took_ms = millis(start.elapsed()); "The text of an item is scored.");
-                        owned.batch.borrow_mut().scored(n, Some(score));
+                        owned.batch.borrow_mut().scored(index, Some(score));
                         break;
                     }
                     Called::Rejected => {
-                        if owned.batch.borrow_mut().rejected(n, route.max_attempts) {
+                        if owned.batch.borrow_mut().rejected(index, route.max_attempts) {
                             log::info!(target: BATCHES, batch = owned.id.as_str(),
                                 item = item.id.as_str(), scorer = scorer.id.as_str();
                                 "A scorer fails each time; the item is errored.");
@@ -71,7 +71,7 @@
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
-        owned.ready.notify_one();
+        owned.result_ready.notify_one();
     }
 
     async fn call(&self, scorer: &Scorer, route: &Route) -> Called {
--- a/hibiscusroad-daemon/src/gateway/batches/share.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/share.rs
@@ -28,8 +28,8 @@
     pub(in crate::gateway) async fn share_paces(self: Rc<Self>) {
         let mut seen = Seen::new();
         loop {
-            if self.mine.borrow().is_empty() {
-                self.arrived.notified().await;
+            if self.owned.borrow().is_empty() {
+                self.batches_changed.notified().await;
                 continue;
             }
             let since = Instant::now();
--- a/hibiscusroad-daemon/src/gateway/batches/seat.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/slot.rs
@@ -8,12 +8,12 @@
 use std::{rc::Rc, time::Duration};
 
 /// An item's place at an engine, given up when it is dropped.
-pub(super) struct Seat {
+pub(super) struct Slot {
     batches: Rc<Batches>,
     pub(super) key: EngineKey,
 }
 
-impl Seat {
+impl Slot {
     /// Takes a place at an engine.
     pub(super) fn take(batches: &Rc<Batches>, key: EngineKey) -> Self {
         batches.engines.borrow_mut().start(key);
@@ -24,17 +24,17 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.batches.engines.borrow_mut().end(self.key);
-        self.batches.work.notify_one();
+        self.batches.dispatch_needed.notify_one();
     }
 }
 
 /// An item that is to run.
-pub(super) struct Start {
-    pub(super) n: usize,
-    pub(super) seat: Seat,
+pub(super) struct ItemStart {
+    pub(super) index: usize,
+    pub(super) slot: Slot,
     pub(super) endpoint: Endpoint,
     /// The rank of its route.
     pub(super) priority: u8,
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -121,7 +121,7 @@
     /// Chooses who runs a new batch of so many items.
     async fn choose_owner(&self, items: usize) -> Owner {
         let own = Owner {
-            life: self.life.clone(),
+            life: self.incarnation.clone(),
             peer: None,
         };
         let owners = self.recent_owners();
@@ -148,8 +148,8 @@
             })
             .collect();
         let now = self.store.now().unwrap_or_default();
-        let chosen = choice::choose(&candidates, items, self.memory, now);
-        let other = chosen.filter(|found| found.presence.life != self.life);
+        let chosen = choice::choose(&candidates, items, self.memory_mb, now);
+        let other = chosen.filter(|found| found.presence.life != self.incarnation);
         other.map_or(own, |found| Owner {
             life: found.presence.life.clone(),
             peer: found.presence.peer,
@@ -198,7 +198,7 @@
                 }
                 Commit::Conflict(rows) => {
                     for row in &rows {
-                        self.note(row);
+                        self.record_head(row);
                     }
                     return found(id, &rows, new.head.account.as_deref());
                 }
@@ -233,11 +233,11 @@
             target = submission.target, carried = head.carried, row = version,
             owner = head.owner.as_str(); "A batch is accepted.");
         self.count("accepted");
-        self.set(id, head.clone(), version);
-        self.owners.notify_one();
+        self.update_head(id, head.clone(), version);
+        self.owners_changed.notify_one();
         let id = id.to_owned();
-        if head.owner == self.life {
-            let loaded = Loaded::fresh(submission);
+        if head.owner == self.incarnation {
+            let loaded = Loaded::new(submission);
             spawn_local(Rc::clone(self).begin(id, head, version, loaded));
         } else if let Some(peer) = peer {
             spawn_local(Rc::clone(self).give(peer, id, version, head, body));
@@ -257,7 +257,7 @@
         }
         // It may have come by the feed, or have been ended, meanwhile.
         let current = self.head(&id).is_some_and(|row| row.version == version);
-        if current && !self.mine.borrow().contains_key(&id) {
+        if current && !self.owned.borrow().contains_key(&id) {
             self.run(&id, head, version, loaded);
         }
     }
@@ -266,7 +266,10 @@
     async fn prepare(&self, id: &str, head: &Head, loaded: &mut Loaded) {
         let (paces, carried) = join(
             timeout(PREPARE, self.read_paces()),
-            timeout(PREPARE, self.carried_texts(id, head, &loaded.submission)),
+            timeout(
+                PREPARE,
+                self.read_carried_texts(id, head, &loaded.submission),
+            ),
         )
         .await;
         if !matches!(paces, Ok(Ok(()))) {
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -56,7 +56,7 @@
         let due = heads.iter().filter(|(_, row)| {
             let age = row.head.age(now);
             let open = !row.head.ended && now < Duration::from_millis(row.head.until);
-            age > self.keep + SPARE && !open
+            age > self.retention + SPARE && !open
         });
         due.map(|(id, row)| (id.clone(), row.clone())).collect()
     }
--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -182,7 +182,7 @@
         tokio::select! {
             () = sleep(time) => {}
             () = self.changed.notified() => {}
-            () = self.batches.next_look(), if !held => {}
+            () = self.batches.next_poll(), if !held => {}
         }
     }
 
@@ -200,7 +200,7 @@
                 now
             }
         };
-        let Some((why, count)) = self.batches.lost(&holding.holder, since) else {
+        let Some((why, count)) = self.batches.loss(&holding.holder, since) else {
             return false;
         };
         let draw = xxh3_64(self.life.as_bytes()) % TAKING_MS;
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -166,7 +166,7 @@
         let known = seen.entry(key).or_default();
         *known = (*known).max(version);
         drop(seen);
-        self.batches.saw(endpoint, model, version);
+        self.batches.record_version(endpoint, model, version);
     }
 
     async fn report(&self, endpoint: &Endpoint) -> Option<Report> {
