--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -186,7 +186,7 @@
         while owned.has_open_drafts() && Instant::now() < end && !self.is_stopping.get() {
             // Listened for from here on, or a batch that comes while parts are kept
             // would be missed.
-            let mut arrived = pin!(self.batches_changed.notified());
+            let mut arrived = pin!(self.heads_changed.notified());
             arrived.as_mut().enable();
             // The owner of the next batch goes on with them elsewhere: two runs of
             // one item must not both go on.
--- a/hibiscusroad-daemon/src/gateway/batches/heads.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/heads.rs
@@ -88,7 +88,7 @@
             owner_since,
         };
         heads.insert(id.to_owned(), row);
-        self.batches_changed.notify_waiters();
+        self.heads_changed.notify_waiters();
         true
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -79,7 +79,7 @@
     /// Notified when a head row changes.
     owners_changed: Notify,
     /// Notified when a batch is added or changed, or starts to run here.
-    batches_changed: Notify,
+    heads_changed: Notify,
     /// Notified when this process gets a batch, or gets or loses the duty.
     ownership_changed: Notify,
     /// Whether this process holds the duty of the weights.
@@ -169,7 +169,7 @@
             submissions: RefCell::default(),
             dispatch_needed: Notify::new(),
             owners_changed: Notify::new(),
-            batches_changed: Notify::new(),
+            heads_changed: Notify::new(),
             ownership_changed: Notify::new(),
             holds_duty: Cell::new(false),
             last_owned_at: Cell::new(None),
@@ -238,7 +238,7 @@
     }
 
     /// Counts an event of a batch in the metrics.
-    fn count(&self, event: &str) {
+    fn count_event(&self, event: &str) {
         self.line.meters.batches.with_label_values(&[event]).inc();
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -237,7 +237,7 @@
             Commit::Done { version, .. } => {
                 log::info!(target: BATCHES, batch = id, from = row.head.owner.as_str(),
                     why:? = loss, row = version; "A batch is taken over.");
-                self.count("taken-over");
+                self.count_event("taken-over");
                 self.update_head(id, head.clone(), version);
                 spawn_local(Rc::clone(self).adopt(id.to_owned(), head, version));
             }
@@ -376,7 +376,7 @@
         }
         self.owned.borrow_mut().insert(id.to_owned(), owned);
         self.ownership_changed.notify_one();
-        self.batches_changed.notify_waiters();
+        self.heads_changed.notify_waiters();
         self.dispatch_needed.notify_one();
     }
 
@@ -393,7 +393,7 @@
         let batches: Vec<Rc<OwnedBatch>> =
             self.owned.borrow_mut().drain().map(|(_, o)| o).collect();
         for owned in batches {
-            self.count("given-back");
+            self.count_event("given-back");
             owned.stop();
             owned.drop_drafts();
             // The next owner continues behind the last event.
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -219,7 +219,7 @@
             match self.store.transact(&change).await {
                 Commit::Done { version, .. } => {
                     log::info!(target: BATCHES, batch = id, row = version; "A batch is ended.");
-                    self.count("ended");
+                    self.count_event("ended");
                     self.record_head(&hibiscusroad::table::Row {
                         id: name,
                         value: head.encode(),
--- a/hibiscusroad-daemon/src/gateway/batches/share.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/share.rs
@@ -29,7 +29,7 @@
         let mut seen = Seen::new();
         loop {
             if self.owned.borrow().is_empty() {
-                self.batches_changed.notified().await;
+                self.heads_changed.notified().await;
                 continue;
             }
             let since = Instant::now();
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -210,7 +210,7 @@
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
-        self.count("refused");
+        self.count_event("refused");
         log::warn!(target: BATCHES, batch = id, unknown = open; "A batch is not accepted.");
         if open {
             problem(ErrorKind::OutcomeUnknown, RETURN)
@@ -232,7 +232,7 @@
             floor = submission.floor, groups = head.groups.len(),
             target = submission.target, carried = head.carried, row = version,
             owner = head.owner.as_str(); "A batch is accepted.");
-        self.count("accepted");
+        self.count_event("accepted");
         self.update_head(id, head.clone(), version);
         self.owners_changed.notify_one();
         let id = id.to_owned();
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -36,7 +36,7 @@
             for (id, row) in due {
                 match self.remove(&id, &row).await {
                     Ok(true) => {
-                        self.count("swept");
+                        self.count_event("swept");
                         log::info!(target: BATCHES, batch = id.as_str(); "A batch is swept.");
                     }
                     Ok(false) => {}
