--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -1,7 +1,7 @@
-//! Writes results, each at the next position, in the owner's order.
+//! Writes results to the store, each at the next position.
 //!
-//! One write at a time: the next positions are handed out when the outcome of
-//! the last write is known. Results that become ready meanwhile go together.
+//! Writes follow each other: the next positions are assigned when the outcome of the last
+//! write is known. Results that become ready meanwhile share the next write.
 
 use super::{Batches, OwnedBatch};
 use crate::{logs::BATCHES, platform::Backoff};
@@ -17,22 +17,22 @@
 };
 use tokio::time::sleep;
 
-/// Bytes of one write: a store takes 1 MB in base64 and with its names.
-const WRITE: usize = 600 << 10;
-/// Pause behind a write of several results. Trainers read twice a second; a tenth of
-/// one is lost to them at the most, and a step of a hundred items takes ten to twenty
-/// writes in place of a hundred. Behind a single result there is none: it came alone,
-/// as the last ones of a step do, and what its trainer waits for must not wait here.
-const GATHER: Duration = Duration::from_millis(80);
-const PAUSE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
+/// Limit of the results in one write; the store accepts 1 MB with names and base64.
+const MAX_WRITE_BYTES: usize = 600 << 10;
+/// Delay after a write of several results, so that the next ones share a write. There is
+/// none after a single result, which may be the last one of a step.
+const GROUP_WRITE_DELAY: Duration = Duration::from_millis(80);
+/// Shortest and longest wait between retries.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
-type Kept = Vec<(usize, Vec<u8>)>;
+/// Item indexes with their encoded results.
+type EncodedResults = Vec<(usize, Vec<u8>)>;
 
 impl Batches {
-    /// Lists a batch's results as they become ready.
+    /// Writes a batch's results as they become ready.
     pub(super) async fn list_results(self: Rc<Self>, owned: Rc<OwnedBatch>) {
         loop {
-            let ready = Self::next_write(&owned);
+            let ready = Self::next_results(&owned);
             if ready.is_empty() {
                 if owned.batch.borrow().complete() {
                     return;
@@ -40,152 +40,158 @@
                 owned.result_ready.notified().await;
                 continue;
             }
-            let single = ready.len() == 1;
-            if !self.write(&owned, ready).await {
+            let is_single = ready.len() == 1;
+            if !self.write_results(&owned, ready).await {
                 return;
             }
-            if !single {
-                sleep(GATHER).await;
+            if !is_single {
+                sleep(GROUP_WRITE_DELAY).await;
             }
         }
     }
 
-    fn next_write(owned: &OwnedBatch) -> Kept {
-        // The head and each row are conditions of the same write.
+    /// Returns the ready results that fit in the next write.
+    fn next_results(owned: &OwnedBatch) -> EncodedResults {
+        // Each result is a condition and a change, and the head is one more condition.
         let ready = owned
             .batch
             .borrow()
             .ready(&owned.submission, MAX_ENTRIES / 2 - 1);
         let mut bytes = 0;
-        let mut kept = Vec::new();
+        let mut results = Vec::new();
         for (index, result) in ready {
             let value = batch::encode_result(&result);
             bytes += value.len();
-            if bytes > WRITE && !kept.is_empty() {
+            if bytes > MAX_WRITE_BYTES && !results.is_empty() {
                 break;
             }
-            kept.push((index, value));
+            results.push((index, value));
         }
-        kept
+        results
     }
 
-    /// Writes results until the outcome is known; `false` if the batch is over.
-    async fn write(self: &Rc<Self>, owned: &OwnedBatch, kept: Kept) -> bool {
+    /// Writes results until the outcome is known; returns `false` if the batch is no longer
+    /// run here.
+    async fn write_results(self: &Rc<Self>, owned: &OwnedBatch, results: EncodedResults) -> bool {
         let first = owned.listed.borrow().len();
         let mut rows = Vec::new();
-        for (at, (_, value)) in kept.iter().enumerate() {
-            match self.row_value(&owned.id, first + at, value).await {
-                Some(value) => rows.push((first + at, value)),
+        for (offset, (_, value)) in results.iter().enumerate() {
+            match self.encode_row(&owned.id, first + offset, value).await {
+                Some(value) => rows.push((first + offset, value)),
                 None => return false,
             }
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
-        for (at, value) in &rows {
-            let id = row::result(&owned.id, *at);
+        for (position, value) in &rows {
+            let id = row::result(&owned.id, *position);
             change = change.expect(id.clone(), 0).put(id, value.clone());
         }
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         let start = Instant::now();
         owned.write_started.set(Some(start));
         loop {
             match self.store.transact(&change).await {
                 Commit::Done { .. } => break,
-                Commit::Conflict(found) => match self.meant(owned, &rows, &found) {
-                    Meant::Done => break,
-                    Meant::Over => return false,
-                    Meant::Again => {}
+                Commit::Conflict(found) => match self.resolve_conflict(owned, &rows, &found) {
+                    ConflictOutcome::Written => break,
+                    ConflictOutcome::Stopped => return false,
+                    ConflictOutcome::Retry => {}
                 },
                 Commit::Refused | Commit::Unknown => {}
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
-        let items: Vec<&str> = kept
+        let items: Vec<&str> = results
             .iter()
             .map(|(index, _)| owned.submission.items[*index].id.as_str())
             .collect();
         log::info!(target: BATCHES, batch = owned.id.as_str(), first = first,
-            results = kept.len(), took_ms = millis(start.elapsed()),
+            results = results.len(), took_ms = millis(start.elapsed()),
             items = items.join(" ").as_str(); "Results are listed.");
-        self.line.meters.results.inc_by(kept.len() as u64);
+        self.line.meters.results.inc_by(results.len() as u64);
         owned
             .batch
             .borrow_mut()
-            .list(kept.iter().map(|(index, _)| *index));
+            .list(results.iter().map(|(index, _)| *index));
         owned
             .listed
             .borrow_mut()
-            .extend(kept.into_iter().map(|(_, value)| value));
+            .extend(results.into_iter().map(|(_, value)| value));
         owned.write_started.set(None);
         owned.results_listed.notify_waiters();
         true
     }
 
-    /// Understands why a write found its conditions not met: an earlier copy of
-    /// it was done, or the batch isn't this process's any more.
-    fn meant(
+    /// Finds out why the conditions of a write were not met: an earlier try has done it, or
+    /// another process owns the batch.
+    fn resolve_conflict(
         self: &Rc<Self>,
         owned: &OwnedBatch,
         rows: &[(usize, Vec<u8>)],
         found: &[Row],
-    ) -> Meant {
+    ) -> ConflictOutcome {
         let head = row::head(&owned.id);
-        let mut done = 0;
+        let mut written = 0;
         for row in found {
             if row.id == head {
                 self.record_head(row);
                 continue;
             }
-            let ours = rows
-                .iter()
-                .any(|(at, value)| row::result(&owned.id, *at) == row.id && *value == row.value);
-            done += usize::from(ours);
+            let is_own = rows.iter().any(|(position, value)| {
+                row::result(&owned.id, *position) == row.id && *value == row.value
+            });
+            written += usize::from(is_own);
         }
-        if done == rows.len() {
-            return Meant::Done;
+        if written == rows.len() {
+            return ConflictOutcome::Written;
         }
-        let over = owned.is_stopped.get() || found.iter().any(|row| row.id != head);
-        if over {
+        let is_stopped = owned.is_stopped.get() || found.iter().any(|row| row.id != head);
+        if is_stopped {
             log::info!(target: BATCHES, batch = owned.id.as_str(), version = owned.version.get();
-                "Results were not listed: the batch is no longer run here.");
-            Meant::Over
+                "Results could not be listed: the batch is no longer run here.");
+            ConflictOutcome::Stopped
         } else {
-            Meant::Again
+            ConflictOutcome::Retry
         }
     }
 
-    /// Returns what the row of a result holds: the result, or the name of an
-    /// object if it is too long for a row.
-    async fn row_value(&self, id: &str, position: usize, value: &[u8]) -> Option<Vec<u8>> {
+    /// Returns the row value of a result: the result itself, or the name of an object that
+    /// holds a result that is too long for a row.
+    async fn encode_row(&self, id: &str, position: usize, value: &[u8]) -> Option<Vec<u8>> {
         if value.len() <= self.max_row_bytes {
             return Some(value.to_vec());
         }
-        let name = object(id, position, &self.incarnation, value);
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
+        let name = object_name(id, position, &self.incarnation, value);
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         while let Err(failure) = self.store.put_object(&name, value.to_vec()).await {
             log::debug!(target: BATCHES, object = name.as_str(),
-                error = failure.to_string().as_str(); "A long result could not be kept yet.");
+                error = failure.to_string().as_str();
+                "A long result could not be written as an object; the write is retried.");
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
         Some(format!("{OBJECT_PREFIX}{name}").into_bytes())
     }
 }
 
-/// What a row begins with that names an object; results begin with a brace.
+/// Prefix of a row value that names an object; encoded results begin with a brace.
 pub(super) const OBJECT_PREFIX: &str = "object:";
 
-/// Names the object of a long result. Its content is part of the name: another
-/// owner may find another text for the same position.
-fn object(id: &str, position: usize, life: &str, value: &[u8]) -> String {
-    let hash =
-        xxhash_rust::xxh3::xxh3_64_with_seed(value, xxhash_rust::xxh3::xxh3_64(life.as_bytes()));
+/// Returns the name of the object for a long result. It contains a hash of the result and
+/// of the owner: another owner may write another text at the same position.
+fn object_name(id: &str, position: usize, incarnation: &str, value: &[u8]) -> String {
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(
+        value,
+        xxhash_rust::xxh3::xxh3_64(incarnation.as_bytes()),
+    );
     format!("result-{id}-{position}-{hash:016x}")
 }
 
-enum Meant {
-    /// The rows stand as they were to be written.
-    Done,
-    /// Another owner has the batch, or it has ended.
-    Over,
-    /// Nothing tells against writing again.
-    Again,
+/// What a conflict means for a write of results.
+enum ConflictOutcome {
+    /// The rows have the values that were to be written.
+    Written,
+    /// Another process owns the batch, or it has ended.
+    Stopped,
+    /// The write may be tried again.
+    Retry,
 }
