--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -1,12 +1,10 @@
-//! Keeps the texts of running items, for the owner that comes after a failure.
+//! Saves the texts of running items, so that another owner can resume them.
 //!
-//! A long item takes as long as a whole step may: if it began anew with each
-//! change of owner, every killed, frozen or stopped process would cost a step.
-//! With its text kept, a takeover loses what came since the last write, and
-//! goes on at another engine behind the last event.
+//! After a takeover an item continues behind its last saved event instead of starting
+//! again, since a long item takes about as long as a step.
 //!
-//! Only what is new is written. Like a result, a part is written only while the
-//! head is as this owner left it.
+//! Only new pieces are written. Like a result, a piece is written on the condition that
+//! the head row is as this owner left it.
 
 use super::{Batches, OwnedBatch};
 use crate::{gateway::failure::Failure, logs::BATCHES};
@@ -21,28 +19,28 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Time between two writes: what a takeover loses, beside the silence before it.
-const KEEP: Duration = Duration::from_millis(400);
-/// Bytes of one write.
-const WRITE: usize = 600 << 10;
+/// Time between two writes, and so the text that a takeover may lose.
+const SAVE_INTERVAL: Duration = Duration::from_millis(400);
+/// Limit of the texts in one write.
+const MAX_WRITE_BYTES: usize = 600 << 10;
 
 impl Batches {
-    /// Keeps texts for as long as the batch runs here.
+    /// Saves texts until the batch is complete.
     pub(super) async fn save_pieces(self: Rc<Self>, owned: Rc<OwnedBatch>) {
         while !owned.batch.borrow().complete() {
-            sleep(KEEP).await;
+            sleep(SAVE_INTERVAL).await;
             self.save_new_pieces(&owned).await;
             self.save_drafts(&owned).await;
         }
     }
 
-    /// Keeps what has come since the last time.
+    /// Saves the text that came since the last save.
     pub(super) async fn save_new_pieces(&self, owned: &OwnedBatch) {
         let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
-            bytes <= WRITE && piece.text.len() < self.max_row_bytes / 2
+            bytes <= MAX_WRITE_BYTES && piece.text.len() < self.max_row_bytes / 2
         });
         if pieces.is_empty() {
             return;
@@ -65,24 +63,24 @@
             }
             Commit::Conflict(_) => {
                 log::info!(target: BATCHES, batch = owned.id.as_str();
-                    "Texts are not kept: the batch is no longer run here.");
+                    "Texts could not be saved: the batch is no longer run here.");
             }
-            // Written again, longer, the next time: the rows have the same names.
+            // The next save writes the same rows again, with the text that came meanwhile.
             Commit::Refused | Commit::Unknown => {}
         }
     }
 
-    /// Reads the kept parts of a batch's texts, in the order of their growth.
+    /// Reads the saved pieces of a batch's texts in their order, without drafts.
     pub(super) async fn read_pieces(
         &self,
         id: &str,
     ) -> Result<Vec<(RowId, String, Piece)>, Failure> {
         let part = row::bucket(id);
-        let from = format!("{id}/");
-        // The slash behind the batch is followed by a zero in byte order.
+        let start = format!("{id}/");
+        // '0' is the byte after '/'.
         let end = format!("{id}0");
         let range = Range {
-            start: Some(&from),
+            start: Some(&start),
             end: Some(&end),
             ..Range::part(PIECES, &part)
         };
@@ -91,14 +89,14 @@
             let name = row::piece_item(id, &row.id.key);
             let piece = serde_json::from_slice(&row.value).ok();
             match name.zip(piece) {
-                // A draft is for a later batch.
+                // A piece with a tenure belongs to a draft.
                 Some(((_, tenure), _)) if !tenure.is_empty() => {}
                 Some(((item, _), piece)) => {
                     let item = item.to_owned();
                     found.push((row.id, item, piece));
                 }
                 None => log::error!(target: BATCHES, row = row.id.key.as_str();
-                    "A kept part of a text is broken; it is ignored."),
+                    "A stored piece of a text could not be decoded; it is ignored."),
             }
         }
         Ok(found)
