--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -1,9 +1,8 @@
-//! Answers about batches, at any process.
+//! Answers calls about batches, at any process.
 //!
-//! The owner answers from its memory, which holds only what the store surely
-//! has; others read the rows, and so does the owner while the outcome of a write
-//! is open. What can't be read is never said to be missing: only
-//! the store's word that there is no head is a "not found".
+//! The owner answers from memory, which holds only what is surely in the store; other
+//! processes read the rows, and so does the owner while the outcome of a write is unknown.
+//! "Not found" is answered only if the store says that there is no head.
 
 use super::{Batches, HeadRow, OwnedBatch, list::OBJECT_PREFIX};
 use crate::{
@@ -29,26 +28,25 @@
 };
 use tokio::time::{sleep, sleep_until, timeout_at};
 
-/// Bytes of results in one answer.
-const MOST: usize = 900 << 10;
-/// Longest time that a reader is kept waiting, whatever it asks for.
-const WAIT: Duration = Duration::from_secs(1);
-/// Pause between looks for a reader that waits at another process than the owner. One
-/// trainer has one read that waits, so two trainers ask for 40 rows a second, and the
-/// last result of a step is held up by 25 ms on average.
-const LOOK: Duration = Duration::from_millis(50);
-/// A write whose outcome is open for longer is looked for in the store. Readers
-/// allow a second before what one process showed has to be there at all.
-const UNSURE: Duration = Duration::from_millis(250);
-/// When a reader comes back to a process that can't read.
-const RETURN: Duration = Duration::from_millis(300);
-/// Submissions kept for requests of their bodies: a few hundred KB each.
-const BODIES: usize = 4;
-/// Tries to end a batch, each after the row has changed meanwhile.
-const ENDS: usize = 5;
+/// Limit of the results in one answer.
+const MAX_PAGE_BYTES: usize = 900 << 10;
+/// The longest wait for new results.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Time between two reads of the store for a reader that waits at a process which is not
+/// the owner.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after which the owner looks for an unanswered write in the store. Results that one
+/// process has shown must be readable at all processes within a second.
+const UNCONFIRMED_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
+/// When a caller may try again after the store has failed.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Size of the cache of submissions, which have some hundred KB each.
+const MAX_CACHED_SUBMISSIONS: usize = 4;
+/// Limit of the tries to end a batch whose row changes meanwhile.
+const MAX_END_ATTEMPTS: usize = 5;
 
 impl Batches {
-    /// Answers a call about a batch, by a caller of an account.
+    /// Answers a call about a batch, from a caller of a client account.
     pub(in crate::gateway) async fn answer(
         self: &Rc<Self>,
         call: BatchRequest,
@@ -58,8 +56,8 @@
         let answer = self.answer_account(&call, account, wait).await;
         answer.unwrap_or_else(|failure| {
             log::info!(target: BATCHES, call:? = call, error = failure.to_string().as_str();
-                "A call about a batch can't be answered.");
-            problem(ErrorKind::StoreDown, RETURN)
+                "A call about a batch could not be answered.");
+            problem(ErrorKind::StoreDown, RETRY_AFTER)
         })
     }
 
@@ -69,21 +67,21 @@
         account: Option<&str>,
         wait: Duration,
     ) -> Result<Response<Out>, Failure> {
-        let found = self.find(call.batch()).await?;
+        let found = self.find_head(call.batch()).await?;
         if !found.is_some_and(|row| row.head.is_of(account)) {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
         }
         match call {
             BatchRequest::Read { batch, after } => {
-                self.results(batch, *after, wait.min(WAIT)).await
+                self.answer_results(batch, *after, wait.min(MAX_WAIT)).await
             }
-            BatchRequest::Body { batch, item } => self.body(batch, item).await,
-            BatchRequest::End { batch } => self.end(batch).await,
+            BatchRequest::Body { batch, item } => self.answer_body(batch, item).await,
+            BatchRequest::End { batch } => self.end_batch(batch).await,
         }
     }
 
-    /// Finds the head of a batch, in the store if it isn't known here.
-    async fn find(self: &Rc<Self>, id: &str) -> Result<Option<HeadRow>, Failure> {
+    /// Returns the head of a batch, from the store if it isn't known here.
+    async fn find_head(self: &Rc<Self>, id: &str) -> Result<Option<HeadRow>, Failure> {
         if let Some(row) = self.head(id) {
             return Ok(Some(row));
         }
@@ -93,48 +91,49 @@
         Ok(self.head(id))
     }
 
-    async fn results(
+    /// Answers with results, and waits for new ones if there are none.
+    async fn answer_results(
         self: &Rc<Self>,
         id: &str,
         after: usize,
         wait: Duration,
     ) -> Result<Response<Out>, Failure> {
-        let end = Instant::now() + wait;
-        let Some(row) = self.find(id).await? else {
+        let deadline = Instant::now() + wait;
+        let Some(row) = self.find_head(id).await? else {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
         };
         let total = row.head.total;
         loop {
-            let mine = self.owned.borrow().get(id).cloned();
-            let found = match &mine {
-                Some(owned) if !is_unsure(owned, after) => listed(owned, after),
+            let running = self.owned.borrow().get(id).cloned();
+            let found = match &running {
+                Some(owned) if !may_be_behind_store(owned, after) => listed_from(owned, after),
                 _ => self.read_results(id, after).await?,
             };
             let ended = self.head(id).is_some_and(|row| row.head.ended);
-            if !found.is_empty() || after >= total || ended || Instant::now() >= end {
-                let body = batch::encode_page(total, after, &some(found));
+            if !found.is_empty() || after >= total || ended || Instant::now() >= deadline {
+                let body = batch::encode_page(total, after, &limit_page(found));
                 return Ok(whole(StatusCode::OK, "application/json", body));
             }
-            match mine {
+            match running {
                 Some(owned) => {
-                    let news = owned.results_listed.notified();
-                    if listed(&owned, after).is_empty() && !owned.is_stopped.get() {
-                        let _over = timeout_at(end.into(), news).await.is_err();
+                    let listed = owned.results_listed.notified();
+                    if listed_from(&owned, after).is_empty() && !owned.is_stopped.get() {
+                        let _is_elapsed = timeout_at(deadline.into(), listed).await.is_err();
                     }
                 }
-                None => sleep_until((Instant::now() + LOOK).min(end).into()).await,
+                None => sleep_until((Instant::now() + POLL_INTERVAL).min(deadline).into()).await,
             }
         }
     }
 
-    /// Reads the kept results of a batch from a position on.
+    /// Reads the stored results of a batch from a position on.
     pub(super) async fn read_results(
         &self,
         id: &str,
         after: usize,
     ) -> Result<Vec<Vec<u8>>, Failure> {
         let name = row::result(id, after);
-        // The slash before the position is followed by a zero in byte order.
+        // '0' is the byte after '/'.
         let end = format!("{id}0");
         let range = Range {
             start: Some(&name.key),
@@ -143,42 +142,43 @@
         };
         let mut found = Vec::new();
         for row in self.store.read_whole(&range).await?.rows {
-            found.push(self.result_value(row.value).await?);
+            found.push(self.decode_row(row.value).await?);
         }
         Ok(found)
     }
 
-    /// Follows the name of an object where a result was too long for its row.
-    async fn result_value(&self, value: Vec<u8>) -> Result<Vec<u8>, Failure> {
+    /// Returns the result of a row, or of the object that the row names.
+    async fn decode_row(&self, value: Vec<u8>) -> Result<Vec<u8>, Failure> {
         let Some(name) = value.strip_prefix(OBJECT_PREFIX.as_bytes()) else {
             return Ok(value);
         };
         let name = String::from_utf8_lossy(name);
         let object = self.store.get_object(&name).await?;
-        let object = object.ok_or_else(|| Failure::Refused(format!("{name} is not there")))?;
+        let object = object.ok_or_else(|| Failure::Refused(format!("object {name} is missing")))?;
         Ok(object.to_vec())
     }
 
-    async fn body(self: &Rc<Self>, id: &str, item: &str) -> Result<Response<Out>, Failure> {
+    /// Answers with the body of an item.
+    async fn answer_body(self: &Rc<Self>, id: &str, item: &str) -> Result<Response<Out>, Failure> {
         let unknown = || problem(ErrorKind::UnknownBatch, Duration::ZERO);
-        let Some(row) = self.find(id).await? else {
+        let Some(row) = self.find_head(id).await? else {
             return Ok(unknown());
         };
         if row.head.ended {
             return Ok(unknown());
         }
-        let mine = self.owned.borrow().get(id).cloned();
-        let body = match mine {
+        let running = self.owned.borrow().get(id).cloned();
+        let body = match running {
             Some(owned) => item_body(&owned.submission, item),
-            None => item_body(&*self.submission(id).await?, item),
+            None => item_body(&*self.load_submission(id).await?, item),
         };
         Ok(body.map_or_else(unknown, |body| {
             whole(StatusCode::OK, "application/octet-stream", body)
         }))
     }
 
-    /// Reads a batch's submission, or remembers it.
-    async fn submission(&self, id: &str) -> Result<Rc<Submission>, Failure> {
+    /// Returns a batch's submission from the cache or the store.
+    async fn load_submission(&self, id: &str) -> Result<Rc<Submission>, Failure> {
         let known = self
             .submissions
             .borrow()
@@ -189,20 +189,21 @@
             return Ok(submission);
         }
         let object = self.store.get_object(&row::object(id)).await?;
-        let object = object.ok_or_else(|| Failure::Refused("no submission is there".into()))?;
+        let object =
+            object.ok_or_else(|| Failure::Refused("the submission object is missing".into()))?;
         let submission = Rc::new(batch::decode_submission(&object)?);
-        let mut bodies = self.submissions.borrow_mut();
-        if bodies.len() >= BODIES {
-            bodies.remove(0);
+        let mut cache = self.submissions.borrow_mut();
+        if cache.len() >= MAX_CACHED_SUBMISSIONS {
+            cache.remove(0);
         }
-        bodies.push((id.to_owned(), Rc::clone(&submission)));
+        cache.push((id.to_owned(), Rc::clone(&submission)));
         Ok(submission)
     }
 
-    /// Ends a batch, which a repeated call finds done.
-    async fn end(self: &Rc<Self>, id: &str) -> Result<Response<Out>, Failure> {
-        for _ in 0..ENDS {
-            let Some(row) = self.find(id).await? else {
+    /// Ends a batch; a repeated call succeeds too.
+    async fn end_batch(self: &Rc<Self>, id: &str) -> Result<Response<Out>, Failure> {
+        for _ in 0..MAX_END_ATTEMPTS {
+            let Some(row) = self.find_head(id).await? else {
                 return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
             };
             if row.head.ended {
@@ -228,45 +229,47 @@
                     return Ok(whole(StatusCode::OK, "", ""));
                 }
                 Commit::Conflict(rows) => rows.iter().for_each(|row| self.record_head(row)),
-                Commit::Refused => sleep(LOOK).await,
+                Commit::Refused => sleep(POLL_INTERVAL).await,
                 Commit::Unknown => {}
             }
         }
         Err(Failure::Lost(
-            "the end of a batch could not be written".into(),
+            "the end of the batch could not be written".into(),
         ))
     }
 }
 
-/// Says whether the store may have results from a position on that the owner
-/// doesn't know to be listed: others read them from there, and what was read
-/// once must be found here as well.
-fn is_unsure(owned: &OwnedBatch, after: usize) -> bool {
-    let known = owned.listed.borrow().len();
-    let open = owned.write_started.get();
-    after > known || (after == known && open.is_some_and(|since| since.elapsed() > UNSURE))
+/// Returns whether the store may have results from a position on that the owner doesn't
+/// know to be listed. Other processes may have shown them already.
+fn may_be_behind_store(owned: &OwnedBatch, after: usize) -> bool {
+    let listed_count = owned.listed.borrow().len();
+    let write_started = owned.write_started.get();
+    after > listed_count
+        || (after == listed_count
+            && write_started.is_some_and(|since| since.elapsed() > UNCONFIRMED_WRITE_TIMEOUT))
 }
 
-/// Returns what the owner has listed from a position on.
-fn listed(owned: &OwnedBatch, after: usize) -> Vec<Vec<u8>> {
+/// Returns the results that the owner has listed from a position on.
+fn listed_from(owned: &OwnedBatch, after: usize) -> Vec<Vec<u8>> {
     let listed = owned.listed.borrow();
     listed.get(after..).unwrap_or_default().to_vec()
 }
 
-/// Takes as many results as fit in one answer, one at least.
-fn some(results: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
+/// Returns as many results as fit in one answer, at least one.
+fn limit_page(results: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
     let mut bytes = 0;
-    let mut taken = Vec::new();
+    let mut page = Vec::new();
     for result in results {
         bytes += result.len();
-        if bytes > MOST && !taken.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !page.is_empty() {
             break;
         }
-        taken.push(result);
+        page.push(result);
     }
-    taken
+    page
 }
 
+/// Returns the body of an item.
 fn item_body(submission: &Submission, id: &str) -> Option<Vec<u8>> {
     let item = submission.items.iter().find(|item| item.id == id)?;
     Some(item.body.clone())
