--- a/hibiscusroad-daemon/src/gateway/batches/share.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/share.rs
@@ -1,7 +1,7 @@
-//! Tells other owners of batches how fast engines are, and hears it from them.
+//! Shares the measured paces of engines between owners of batches.
 //!
-//! A lost write loses a second of news and nothing else, so none is repeated. The
-//! row's version is a condition all the same: a conflict brings what others wrote.
+//! A failed write is not repeated, since the next one follows after a second. Writes are
+//! conditional on the row's version: a conflict returns what other owners have written.
 
 use super::Batches;
 use crate::{gateway::failure::Failure, logs::BATCHES};
@@ -16,38 +16,38 @@
 use std::{collections::HashMap, rc::Rc, time::Duration, time::Instant};
 use tokio::time::sleep;
 
-/// Time between two writes of an owner: a tenth of a step. With eight owners at
-/// work that is eight of the store's 800 writes a second.
-const SHARE: Duration = Duration::from_secs(1);
+/// Time between two writes of an owner.
+const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rows of paces as this process last saw them, by their services.
-type Seen = HashMap<String, (u64, Paces)>;
+/// The last known version and content of the pace rows, by service.
+type KnownRows = HashMap<String, (u64, Paces)>;
 
 impl Batches {
     /// Shares paces for as long as the process runs.
     pub(in crate::gateway) async fn share_paces(self: Rc<Self>) {
-        let mut seen = Seen::new();
+        let mut known = KnownRows::new();
         loop {
             if self.owned.borrow().is_empty() {
                 self.heads_changed.notified().await;
                 continue;
             }
             let since = Instant::now();
-            sleep(SHARE).await;
+            sleep(SHARE_INTERVAL).await;
             let services = self.engines.borrow().sampled_since(since);
             for service in services {
-                self.share(&service, &mut seen).await;
+                self.write_paces(&service, &mut known).await;
             }
         }
     }
 
-    async fn share(&self, service: &str, seen: &mut Seen) {
+    /// Merges the own paces of a service into its row.
+    async fn write_paces(&self, service: &str, known: &mut KnownRows) {
         let Some(now) = self.store.now() else { return };
         let own = self.engines.borrow().paces_of(Instant::now(), now, service);
         let id = row::paces(service);
-        // The second try has what others wrote meanwhile.
+        // The second try includes what other owners wrote meanwhile.
         for _ in 0..2 {
-            let (version, mut paces) = seen.remove(service).unwrap_or_default();
+            let (version, mut paces) = known.remove(service).unwrap_or_default();
             paces.merge(&own);
             paces.expire(now);
             let value = serde_json::to_vec(&paces).unwrap_or_default();
@@ -56,13 +56,13 @@
                 .put(id.clone(), value);
             match self.store.transact(&change).await {
                 Commit::Done { version, .. } => {
-                    seen.insert(service.to_owned(), (version, paces));
+                    known.insert(service.to_owned(), (version, paces));
                     return;
                 }
                 Commit::Conflict(rows) => {
                     for row in rows.iter().filter(|row| row.id == id) {
-                        let heard = self.hear_paces(row);
-                        seen.insert(service.to_owned(), (row.version, heard));
+                        let applied = self.apply_paces(row);
+                        known.insert(service.to_owned(), (row.version, applied));
                     }
                 }
                 Commit::Refused | Commit::Unknown => return,
@@ -74,25 +74,26 @@
     pub(in crate::gateway) async fn read_paces(&self) -> Result<(), Failure> {
         let page = self.store.read_whole(&Range::part(PACES, "")).await?;
         for row in &page.rows {
-            self.hear_paces(row);
+            self.apply_paces(row);
         }
         Ok(())
     }
 
-    fn hear_paces(&self, row: &Row) -> Paces {
+    /// Applies a row of paces and returns its content.
+    fn apply_paces(&self, row: &Row) -> Paces {
         let paces: Paces = match serde_json::from_slice(&row.value) {
             Ok(paces) => paces,
             Err(error) => {
                 log::error!(target: BATCHES, service = row.id.key.as_str(),
                     error = error.to_string().as_str();
-                    "A row of paces is broken; it is written anew.");
+                    "A row of paces could not be decoded; it is overwritten.");
                 return Paces::new();
             }
         };
         if let Some(now) = self.store.now() {
-            let heard = self.engines.borrow_mut().hear(Instant::now(), now, &paces);
+            let applied = self.engines.borrow_mut().hear(Instant::now(), now, &paces);
             log::debug!(target: BATCHES, service = row.id.key.as_str(), row = row.version,
-                engines = heard, store_ms = millis(now); "Paces of engines are heard.");
+                engines = applied, store_ms = millis(now); "Engine paces are read from the store.");
         }
         paces
     }
