--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -1,11 +1,9 @@
-//! Removes batches that nobody may ask for any more.
+//! Removes batches whose retention is over.
 //!
-//! The store is shared, holds a limited amount of objects and forgets nothing by
-//! itself: without sweeping, a busy trainer fills it within a day, and every
-//! submission would be refused from then on. Every process sweeps what it knows,
-//! at times of its own; each removal is conditional on the head, so two that
-//! sweep the same batch do no harm, and one that stops midway leaves the head
-//! for the next.
+//! The store is shared, holds a limited number of objects and expires nothing by itself.
+//! Every process sweeps the batches that it knows. Each removal is conditional on the head
+//! row, so concurrent sweeps do no harm, and an interrupted one leaves the head for the
+//! next.
 
 use super::{Batches, HeadRow};
 use crate::{gateway::failure::Failure, logs::BATCHES};
@@ -17,55 +15,54 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Time between two sweeps of a process, drawn anew each time up to twice this.
-/// A sweep looks through what the process knows, and writes only for what is due.
-const SWEEP: Duration = Duration::from_secs(4);
-/// Batches that one sweep removes at most: a few dozen calls to the store.
-const MOST: usize = 4;
-/// Time beyond the promised one for which a batch is kept, for a reader that
-/// asks in time and is answered late.
-const SPARE: Duration = Duration::from_secs(5);
+/// Mean time between two sweeps of a process; each is drawn at random up to twice this.
+const MEAN_SWEEP_INTERVAL: Duration = Duration::from_secs(4);
+/// Limit of the batches that one sweep removes.
+const MAX_SWEPT: usize = 4;
+/// Extra retention, for a read that begins in time and takes long.
+const RETENTION_MARGIN: Duration = Duration::from_secs(5);
 
 impl Batches {
     /// Sweeps for as long as the process runs.
     pub(in crate::gateway) async fn sweep(self: Rc<Self>) {
         loop {
-            sleep(SWEEP.mul_f64(2.0 * rand::random::<f64>())).await;
-            let mut due = self.outlived();
-            due.truncate(MOST);
+            sleep(MEAN_SWEEP_INTERVAL.mul_f64(2.0 * rand::random::<f64>())).await;
+            let mut due = self.expired();
+            due.truncate(MAX_SWEPT);
             for (id, row) in due {
-                match self.remove(&id, &row).await {
+                match self.remove_batch(&id, &row).await {
                     Ok(true) => {
                         self.count_event("swept");
                         log::info!(target: BATCHES, batch = id.as_str(); "A batch is swept.");
                     }
                     Ok(false) => {}
                     Err(failure) => log::debug!(target: BATCHES, batch = id.as_str(),
-                        error = failure.to_string().as_str(); "A batch could not be swept yet."),
+                        error = failure.to_string().as_str();
+                        "A batch could not be swept; a later sweep tries again."),
                 }
             }
         }
     }
 
-    /// Returns the batches that are kept for long enough.
-    fn outlived(&self) -> Vec<(String, HeadRow)> {
+    /// Returns the batches whose retention is over.
+    fn expired(&self) -> Vec<(String, HeadRow)> {
         let Some(now) = self.store.now() else {
             return Vec::new();
         };
         let heads = self.heads.borrow();
         let due = heads.iter().filter(|(_, row)| {
             let age = row.head.age(now);
-            let open = !row.head.ended && now < Duration::from_millis(row.head.until);
-            age > self.retention + SPARE && !open
+            let is_open = !row.head.ended && now < Duration::from_millis(row.head.until);
+            age > self.retention + RETENTION_MARGIN && !is_open
         });
         due.map(|(id, row)| (id.clone(), row.clone())).collect()
     }
 
-    /// Removes a batch; `false` if another change came first.
-    async fn remove(&self, id: &str, row: &HeadRow) -> Result<bool, Failure> {
+    /// Removes a batch; returns `false` if its head was changed meanwhile.
+    async fn remove_batch(&self, id: &str, row: &HeadRow) -> Result<bool, Failure> {
         for table in [RESULTS, PIECES] {
             loop {
-                let (rows, more) = self.some_rows(table, id).await?;
+                let (rows, has_more) = self.read_row_ids(table, id).await?;
                 if rows.is_empty() {
                     break;
                 }
@@ -76,7 +73,7 @@
                 if !matches!(self.store.transact(&change).await, Commit::Done { .. }) {
                     return Ok(false);
                 }
-                if !more {
+                if !has_more {
                     break;
                 }
             }
@@ -89,23 +86,23 @@
         Ok(matches!(done, Commit::Done { .. }))
     }
 
-    /// Reads the names of some rows of a batch, and whether there are more.
-    async fn some_rows(&self, table: &str, id: &str) -> Result<(Vec<RowId>, bool), Failure> {
+    /// Reads the ids of some rows of a batch, and whether there are more.
+    async fn read_row_ids(&self, table: &str, id: &str) -> Result<(Vec<RowId>, bool), Failure> {
         let part = row::bucket(id);
-        let from = format!("{id}/");
-        // The slash behind the batch is followed by a zero in byte order.
+        let start = format!("{id}/");
+        // '0' is the byte after '/'.
         let end = format!("{id}0");
         let limit = MAX_ENTRIES / 2;
         let page = self
             .store
             .read(&Range {
-                start: Some(&from),
+                start: Some(&start),
                 end: Some(&end),
                 limit: Some(limit),
                 ..Range::part(table, &part)
             })
             .await?;
-        let more = page.truncated || page.rows.len() >= limit;
-        Ok((page.rows.into_iter().map(|row| row.id).collect(), more))
+        let has_more = page.truncated || page.rows.len() >= limit;
+        Ok((page.rows.into_iter().map(|row| row.id).collect(), has_more))
     }
 }
