--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -7,7 +7,6 @@
 mod dispatch;
 mod draft;
 mod generate;
-mod give;
 mod heads;
 mod list;
 mod owner;
@@ -18,6 +17,7 @@
 mod slot;
 mod submit;
 mod sweep;
+mod transfer;
 
 use super::{attempt::Line, known::Known, peers::Directory, store::Store, sync::Members};
 use crate::settings::Gateway as GatewaySettings;
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -33,7 +33,7 @@
 /// How long a process sends heartbeats after its last batch: the next step of the trainer
 /// is given to the owner of the last one.
 const IDLE_HEARTBEAT_DURATION: Duration = Duration::from_secs(10);
-/// Time between two renewals of the row of a process that is_owner nothing; the row also
+/// Time between two renewals of the row of a process that owns nothing; the row also
 /// carries its clock offset.
 const IDLE_RENEWAL_INTERVAL: Duration = Duration::from_mins(1);
 /// Limit for the poll of a stopping process, which has about a second in all.
@@ -44,7 +44,7 @@
 const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
 
 /// The state from which a batch is run.
-pub(super) struct Loaded {
+pub(super) struct BatchState {
     pub(super) submission: Submission,
     /// Encoded results that are listed.
     pub(super) results: Vec<Vec<u8>>,
@@ -54,7 +54,7 @@
     pub(super) carried: Vec<(String, Text)>,
 }
 
-impl Loaded {
+impl BatchState {
     /// Returns whether nothing of it has run, as far as the store tells.
     pub(super) fn is_new(&self) -> bool {
         self.results.is_empty() && self.pieces.is_empty()
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Records that this process is_owner something, which starts the heartbeats.
+    /// Records that this process owns something, which starts the heartbeats.
     pub(super) fn mark_owning(&self) {
         self.last_owned_at.set(Some(Instant::now()));
         self.ownership_changed.notify_one();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns whether this process must send heartbeats: it is_owner something, or may be
+    /// Returns whether this process must send heartbeats: it owns something, or may be
     /// given the next step of a trainer.
     fn needs_heartbeat(&self) -> bool {
         let is_owner = self.holds_duty.get() || !self.owned.borrow().is_empty();
@@ -265,8 +265,8 @@
                 continue;
             }
             match self.load(&id).await {
-                Ok(loaded) => {
-                    self.begin(id, head, version, loaded).await;
+                Ok(state) => {
+                    self.begin(id, head, version, state).await;
                     return;
                 }
                 Err(error) => {
@@ -279,7 +279,7 @@
     }
 
     /// Reads the state of a batch from the store.
-    async fn load(&self, id: &str) -> Result<Loaded, String> {
+    async fn load(&self, id: &str) -> Result<BatchState, String> {
         let name = row::object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
@@ -290,23 +290,24 @@
         let object = object.map_err(|failure| failure.to_string())?;
         let object = object.ok_or("the submission object is missing")?;
         let submission = batch::decode_submission(&object).map_err(|error| error.to_string())?;
-        Ok(Loaded {
+        Ok(BatchState {
             results: results.map_err(|failure| failure.to_string())?,
             pieces: pieces.map_err(|failure| failure.to_string())?,
-            ..Loaded::new(submission)
+            ..BatchState::new(submission)
         })
     }
 
     /// Starts the tasks of a batch.
-    pub(super) fn run(self: &Rc<Self>, id: &str, head: Head, version: u64, loaded: Loaded) {
-        let Loaded {
+    pub(super) fn run(self: &Rc<Self>, id: &str, head: Head, version: u64, state: BatchState) {
+        let BatchState {
             submission,
             results,
             pieces,
             carried,
-        } = loaded;
+        } = state;
         if self.is_stopping.get() {
-            log::info!(target: BATCHES, batch = id; "The process is stopping; the batch is left to the next owner.");
+            log::info!(target: BATCHES, batch = id;
+                "The process is stopping; the batch is left to the next owner.");
             return;
         }
         let now = Instant::now();
@@ -325,7 +326,8 @@
             match batch::decode_item_id(result) {
                 Ok(item) => batch.restore(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
-                    error = error.to_string().as_str(); "A stored result could not be decoded; it is ignored."),
+                    error = error.to_string().as_str();
+                    "A stored result could not be decoded; it is ignored."),
             }
         }
         let mut piece_rows = Vec::new();
@@ -388,7 +390,8 @@
             .await
             .is_err()
         {
-            log::info!(target: BATCHES, "The heartbeats could not be read in time; the successor is chosen by the last poll.");
+            log::info!(target: BATCHES,
+                "The heartbeats could not be read in time; the successor is chosen by the last poll.");
         }
         let batches: Vec<Rc<OwnedBatch>> =
             self.owned.borrow_mut().drain().map(|(_, o)| o).collect();
@@ -454,7 +457,8 @@
     /// Gives up the unfinished items at the given time.
     async fn expire(self: Rc<Self>, expires_at: Instant) {
         sleep_until(expires_at.into()).await;
-        log::info!(target: BATCHES, batch = self.id.as_str(); "A batch is given up: its time is over.");
+        log::info!(target: BATCHES, batch = self.id.as_str();
+            "A batch is given up: its time is over.");
         self.batch.borrow_mut().give_up();
         self.result_ready.notify_one();
     }
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -1,13 +1,12 @@
-//! Acceptance of a batch.
+//! Accepts batches.
 //!
-//! The submission is kept as an object first; nothing refers to it yet. The
-//! batch exists from the write of its head on, on the condition that there is
-//! none. So a refusal is true as long as no head was sent, or the store said
-//! that it did not write it. If no answer comes, the write may still be done
-//! seconds later: the caller gets an answer that promises nothing and submits
-//! again, and finds the head or writes it then.
+//! The submission is stored as an object first. The batch exists once its head is written,
+//! on the condition that there is no head yet. So a refusal is certain only if no head was
+//! sent, or the store has refused the write. If the store doesn't answer, the write may
+//! still be carried out seconds later; the caller is told that the outcome is unknown and
+//! submits again, which finds the head or writes it.
 
-use super::{Batches, HeadRow, give::Owner, owner::Loaded};
+use super::{Batches, HeadRow, owner::BatchState, transfer::Owner};
 use crate::{
     gateway::{
         answer::{Out, problem, whole},
@@ -42,41 +41,38 @@
     time::{sleep, timeout},
 };
 
-/// A submission is worth an answer within its route's target; beyond this its
-/// trainer does better to ask another process.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// When a trainer comes back that was refused: outages of the store last
-/// seconds, and another process may reach it.
-const RETURN: Duration = Duration::from_millis(400);
-/// How long a batch is run if its route doesn't say.
-const LIFE: Duration = Duration::from_mins(10);
-/// How long a batch waits for what the store has for its begin. Reads take 4 ms; a
-/// batch that waits for a slow store loses more than it gains.
-const PREPARE: Duration = Duration::from_millis(400);
-/// Pauses between tries.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(300));
+/// Limit for the acceptance of a batch; after it the trainer tries another process.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// When a trainer may submit again after the store has failed.
+const RETRY_AFTER: Duration = Duration::from_millis(400);
+/// How long a batch runs if its route sets no limit.
+const DEFAULT_BATCH_TTL: Duration = Duration::from_mins(10);
+/// Limit for each of the optional reads before a batch starts.
+const PREPARE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Shortest and longest wait between retries.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(300));
 
-/// What one process has of the batches that are known.
+/// The batches that one process owns, as far as they are known here.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct OwnerLoad {
     /// Items of its open batches.
-    items: usize,
-    /// The store's clock when its last batch was accepted.
-    last: Duration,
+    open_items: usize,
+    /// When its last batch was accepted, by the store's clock.
+    last_batch_at: Duration,
 }
 
 /// A batch that is about to be accepted.
-struct Pending {
+struct NewBatch {
     head: Head,
-    /// Where its owner takes it, if that is another process.
-    peer: Option<SocketAddr>,
+    /// The address of its owner, if that is another process.
+    address: Option<SocketAddr>,
     submission: Submission,
-    /// The submission as it came.
+    /// The submission as received.
     body: Bytes,
 }
 
 impl Batches {
-    /// Accepts a batch, once, or refuses it.
+    /// Accepts a batch once, or refuses it.
     pub(in crate::gateway) async fn submit(
         self: &Rc<Self>,
         id: &str,
@@ -86,52 +82,53 @@
         body: Bytes,
     ) -> Response<Out> {
         if let Some(row) = self.head(id) {
-            return repeated(&row.head, account.map(|account| account.name.as_str()));
+            return answer_repeated(&row.head, account.map(|account| account.name.as_str()));
         }
         let submission = match batch::decode_submission(&body) {
-            Ok(submission) if unique(&submission) => submission,
+            Ok(submission) if has_unique_ids(&submission) => submission,
             Ok(_) => return problem(ErrorKind::BadBody, Duration::ZERO),
             Err(error) => {
                 log::warn!(target: BATCHES, batch = id, error = error.to_string().as_str();
-                    "A submission is not understood.");
+                    "A submission could not be decoded; it is refused.");
                 return problem(ErrorKind::BadBody, Duration::ZERO);
             }
         };
-        let end = Instant::now() + PATIENCE;
-        let (kept, owner) = join(
-            self.keep(id, &body, end),
+        let deadline = Instant::now() + ACCEPT_TIMEOUT;
+        let (stored, owner) = join(
+            self.store_submission(id, &body, deadline),
             self.choose_owner(submission.items.len()),
         )
         .await;
-        if let Err(failure) = kept {
+        if let Err(failure) = stored {
             log::warn!(target: BATCHES, batch = id, error = failure.as_str();
-                "A submission could not be kept; it is refused.");
-            return problem(ErrorKind::StoreDown, RETURN);
+                "A submission could not be stored; it is refused.");
+            return problem(ErrorKind::StoreDown, RETRY_AFTER);
         }
-        let head = self.new_head(path, route, account, &submission, owner.life);
-        let new = Pending {
+        let head = self.new_head(path, route, account, &submission, owner.incarnation);
+        let new = NewBatch {
             head,
-            peer: owner.peer,
+            address: owner.address,
             submission,
             body,
         };
-        self.enter(id, new, end).await
+        self.write_head(id, new, deadline).await
     }
 
-    /// Chooses who runs a new batch of so many items.
+    /// Chooses the process that runs a new batch with the given number of items.
     async fn choose_owner(&self, items: usize) -> Owner {
         let own = Owner {
-            life: self.incarnation.clone(),
-            peer: None,
+            incarnation: self.incarnation.clone(),
+            address: None,
         };
         let owners = self.recent_owners();
         if owners.is_empty() {
             return own;
         }
         let range = Range::part(row::ENTRIES, "");
-        let read = timeout(PREPARE, self.store.read_whole(&range)).await;
+        let read = timeout(PREPARE_TIMEOUT, self.store.read_whole(&range)).await;
         let Ok(Ok(page)) = read else {
-            log::info!(target: BATCHES, "A batch is run where it comes: nobody is seen to live.");
+            log::info!(target: BATCHES,
+                "The heartbeats could not be read; the batch is run by the process that accepted it.");
             return own;
         };
         let candidates: Vec<Candidate> = page
@@ -139,11 +136,11 @@
             .iter()
             .filter_map(|row| {
                 let presence = presence(row)?;
-                let held = owners.get(&presence.life)?;
+                let load = owners.get(&presence.life)?;
                 Some(Candidate {
                     presence,
-                    items: held.items,
-                    last: held.last,
+                    items: load.open_items,
+                    last: load.last_batch_at,
                 })
             })
             .collect();
@@ -151,79 +148,89 @@
         let chosen = choice::choose(&candidates, items, self.memory_mb, now);
         let other = chosen.filter(|found| found.presence.life != self.incarnation);
         other.map_or(own, |found| Owner {
-            life: found.presence.life.clone(),
-            peer: found.presence.peer,
+            incarnation: found.presence.life.clone(),
+            address: found.presence.peer,
         })
     }
 
-    /// Returns what each process has of the batches that are known, by its life.
-    fn recent_owners(&self) -> HashMap<String, Held> {
-        let mut owners: HashMap<String, Held> = HashMap::new();
+    /// Returns the load of the owners of known batches, by incarnation.
+    fn recent_owners(&self) -> HashMap<String, OwnerLoad> {
+        let mut owners: HashMap<String, OwnerLoad> = HashMap::new();
         for HeadRow { head, .. } in self.heads.borrow().values() {
-            let held = owners.entry(head.owner.clone()).or_default();
-            held.items += if head.ended { 0 } else { head.total };
-            held.last = held.last.max(Duration::from_millis(head.accepted));
+            let load = owners.entry(head.owner.clone()).or_default();
+            load.open_items += if head.ended { 0 } else { head.total };
+            load.last_batch_at = load.last_batch_at.max(Duration::from_millis(head.accepted));
         }
         owners
     }
 
-    /// Keeps the submission's object.
-    async fn keep(&self, id: &str, body: &Bytes, end: Instant) -> Result<(), String> {
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
+    /// Writes the submission's object.
+    async fn store_submission(
+        &self,
+        id: &str,
+        body: &Bytes,
+        deadline: Instant,
+    ) -> Result<(), String> {
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         loop {
-            let kept = self.store.put_object(&row::object(id), body.to_vec()).await;
-            let Err(failure) = kept else {
+            let stored = self.store.put_object(&row::object(id), body.to_vec()).await;
+            let Err(failure) = stored else {
                 return Ok(());
             };
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(failure.to_string());
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
     }
 
-    /// Writes the head.
-    async fn enter(self: &Rc<Self>, id: &str, new: Pending, end: Instant) -> Response<Out> {
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
-        // Whether a write may be done although no answer said so.
-        let mut open = false;
+    /// Writes the head of a new batch, which accepts it.
+    async fn write_head(
+        self: &Rc<Self>,
+        id: &str,
+        new: NewBatch,
+        deadline: Instant,
+    ) -> Response<Out> {
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
+        // Whether an unanswered write may have been carried out.
+        let mut is_unknown = false;
         loop {
             let change = Change::new()
                 .expect(row::head(id), 0)
                 .put(row::head(id), new.head.encode());
             match self.store.transact(&change).await {
                 Commit::Done { version, .. } => {
-                    self.entered(id, version, new);
+                    self.start_accepted(id, version, new);
                     return accepted();
                 }
                 Commit::Conflict(rows) => {
                     for row in &rows {
                         self.record_head(row);
                     }
-                    return found(id, &rows, new.head.account.as_deref());
+                    return answer_conflict(id, &rows, new.head.account.as_deref());
                 }
                 Commit::Refused => {}
-                Commit::Unknown => open = true,
+                Commit::Unknown => is_unknown = true,
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 break;
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
         }
         self.count_event("refused");
-        log::warn!(target: BATCHES, batch = id, unknown = open; "A batch is not accepted.");
-        if open {
-            problem(ErrorKind::OutcomeUnknown, RETURN)
+        log::warn!(target: BATCHES, batch = id, unknown = is_unknown; "A batch is not accepted.");
+        if is_unknown {
+            problem(ErrorKind::OutcomeUnknown, RETRY_AFTER)
         } else {
-            problem(ErrorKind::StoreDown, RETURN)
+            problem(ErrorKind::StoreDown, RETRY_AFTER)
         }
     }
 
-    /// Runs a batch that was accepted, or gives it to its owner.
-    fn entered(self: &Rc<Self>, id: &str, version: u64, new: Pending) {
-        let Pending {
+    /// Runs an accepted batch, or sends it to its owner.
+    fn start_accepted(self: &Rc<Self>, id: &str, version: u64, new: NewBatch) {
+        let NewBatch {
             head,
-            peer,
+            address,
             submission,
             body,
         } = new;
@@ -237,52 +244,53 @@
         self.owners_changed.notify_one();
         let id = id.to_owned();
         if head.owner == self.incarnation {
-            let loaded = Loaded::new(submission);
-            spawn_local(Rc::clone(self).begin(id, head, version, loaded));
-        } else if let Some(peer) = peer {
-            spawn_local(Rc::clone(self).give(peer, id, version, head, body));
+            let state = BatchState::new(submission);
+            spawn_local(Rc::clone(self).begin(id, head, version, state));
+        } else if let Some(address) = address {
+            spawn_local(Rc::clone(self).send_to_owner(address, id, version, head, body));
         }
     }
 
-    /// Runs a batch; a new one with what earlier ones have of its texts.
+    /// Runs a batch, a new one with the texts that earlier batches have of its items.
     pub(super) async fn begin(
         self: Rc<Self>,
         id: String,
         head: Head,
         version: u64,
-        mut loaded: Loaded,
+        mut state: BatchState,
     ) {
-        if loaded.is_new() {
-            self.prepare(&id, &head, &mut loaded).await;
+        if state.is_new() {
+            self.prepare(&id, &head, &mut state).await;
         }
-        // It may have come by the feed, or have been ended, meanwhile.
-        let current = self.head(&id).is_some_and(|row| row.version == version);
-        if current && !self.owned.borrow().contains_key(&id) {
-            self.run(&id, head, version, loaded);
+        // The feed may have started or ended it meanwhile.
+        let is_current = self.head(&id).is_some_and(|row| row.version == version);
+        if is_current && !self.owned.borrow().contains_key(&id) {
+            self.run(&id, head, version, state);
         }
     }
 
-    /// Reads what a new batch begins with.
-    async fn prepare(&self, id: &str, head: &Head, loaded: &mut Loaded) {
+    /// Reads the paces of engines and the texts that a new batch starts with.
+    async fn prepare(&self, id: &str, head: &Head, state: &mut BatchState) {
         let (paces, carried) = join(
-            timeout(PREPARE, self.read_paces()),
+            timeout(PREPARE_TIMEOUT, self.read_paces()),
             timeout(
-                PREPARE,
-                self.read_carried_texts(id, head, &loaded.submission),
+                PREPARE_TIMEOUT,
+                self.read_carried_texts(id, head, &state.submission),
             ),
         )
         .await;
         if !matches!(paces, Ok(Ok(()))) {
             log::info!(target: BATCHES, batch = id;
-                "A batch begins without what others know of engines.");
+                "The paces of engines could not be read; the batch starts without them.");
         }
         match carried {
-            Ok(texts) => loaded.carried = texts,
+            Ok(texts) => state.carried = texts,
             Err(_elapsed) => log::info!(target: BATCHES, batch = id;
-                "Texts are not carried over: the store is slow."),
+                "Carried texts could not be read in time; the batch starts without them."),
         }
     }
 
+    /// Builds the head of a new batch.
     fn new_head(
         &self,
         path: &str,
@@ -291,25 +299,25 @@
         submission: &Submission,
         owner: String,
     ) -> Head {
-        let tokens = |item: &hibiscusroad::rollout::Item| u64::from(item.tokens);
+        let token_limit = |item: &hibiscusroad::rollout::Item| u64::from(item.tokens);
         let model = submission.model.clone();
-        let named = model
+        let newest = model
             .as_ref()
             .and_then(|model| self.known.named().get(model).copied());
-        let groups = groups(submission);
+        let groups = group_hashes(submission);
         let name = account.map(|account| account.name.clone());
         let accepted = millis(self.store.now().unwrap_or_default());
         Head {
             host: route.host.clone(),
             path: path.to_owned(),
             accepted,
-            until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(LIFE)),
+            until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(DEFAULT_BATCH_TTL)),
             owner,
             total: submission.items.len(),
             ended: false,
-            lag: named.unwrap_or(1).saturating_sub(submission.floor),
-            work: submission.items.iter().map(tokens).sum(),
-            carried: self.carried(name.as_deref(), model.as_deref(), &groups),
+            lag: newest.unwrap_or(1).saturating_sub(submission.floor),
+            work: submission.items.iter().map(token_limit).sum(),
+            carried: self.count_carried(name.as_deref(), model.as_deref(), &groups),
             priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
             account: name,
             groups,
@@ -317,13 +325,13 @@
         }
     }
 
-    /// Counts the groups at the beginning that are known from earlier batches.
-    fn carried(&self, account: Option<&str>, model: Option<&str>, groups: &[u32]) -> usize {
+    /// Counts the leading groups that earlier batches have too.
+    fn count_carried(&self, account: Option<&str>, model: Option<&str>, groups: &[u32]) -> usize {
         let heads = self.heads.borrow();
-        let same = heads.values().filter(|row| {
+        let related = heads.values().filter(|row| {
             row.head.account.as_deref() == account && row.head.model.as_deref() == model
         });
-        let known: HashSet<u32> = same
+        let known: HashSet<u32> = related
             .flat_map(|row| row.head.groups.iter().copied())
             .collect();
         groups
@@ -333,20 +341,21 @@
     }
 }
 
-/// Answers when the head exists already: it was accepted before.
-fn found(id: &str, rows: &[Row], account: Option<&str>) -> Response<Out> {
+/// Answers a submission whose head exists already.
+fn answer_conflict(id: &str, rows: &[Row], account: Option<&str>) -> Response<Out> {
     if let Some(row) = rows.iter().find(|row| row.id.key == id) {
         return match Head::decode(&row.value) {
-            Some(head) => repeated(&head, account),
-            None => problem(ErrorKind::OutcomeUnknown, RETURN),
+            Some(head) => answer_repeated(&head, account),
+            None => problem(ErrorKind::OutcomeUnknown, RETRY_AFTER),
         };
     }
-    log::error!(target: BATCHES, batch = id; "The store refuses a head without naming its row.");
-    problem(ErrorKind::OutcomeUnknown, RETURN)
+    log::error!(target: BATCHES, batch = id;
+        "The store reported a conflict without the head's row.");
+    problem(ErrorKind::OutcomeUnknown, RETRY_AFTER)
 }
 
-/// Returns the hashes of the groups, in the order of the submission.
-fn groups(submission: &Submission) -> Vec<u32> {
+/// Returns the distinct group hashes, in the order of the submission.
+fn group_hashes(submission: &Submission) -> Vec<u32> {
     let mut seen = HashSet::new();
     let hashes = submission
         .items
@@ -355,7 +364,8 @@
     hashes.filter(|hash| seen.insert(*hash)).collect()
 }
 
-fn unique(submission: &Submission) -> bool {
+/// Returns whether no two items have the same id.
+fn has_unique_ids(submission: &Submission) -> bool {
     let mut ids: Vec<&str> = submission
         .items
         .iter()
@@ -365,9 +375,9 @@
     ids.windows(2).all(|pair| pair[0] != pair[1])
 }
 
-/// Answers a submission of a batch that is known: to its own account it was accepted,
-/// to any other its id says nothing, as in all calls about batches.
-fn repeated(head: &Head, account: Option<&str>) -> Response<Out> {
+/// Answers a repeated submission: accepted for the client account of the batch, unknown for
+/// all others, as in all calls about batches.
+fn answer_repeated(head: &Head, account: Option<&str>) -> Response<Out> {
     if head.is_of(account) {
         accepted()
     } else {
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -159,8 +159,8 @@
     }));
     if let Some(peers) = peers {
         let batches = Rc::clone(&gateway.batches);
-        let take = move |batch| batches.take(batch);
-        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take));
+        let receive = move |batch| batches.receive(batch);
+        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), receive));
         let store = Rc::clone(&gateway.store);
         spawn_local(peers::meet(store, gateway.batches.directory().clone()));
     }
