--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -1,8 +1,7 @@
 //! Starts items at engines.
 //!
-//! The most urgent batch goes first, and of two alike the one that is due first:
-//! its trainer waits for it, and the next step can't be asked for before it is
-//! done.
+//! Batches are served by priority, then by due time: a trainer can't submit its next step
+//! before the last one is done.
 
 use super::{
     Batches, OwnedBatch,
@@ -26,59 +25,66 @@
 };
 use tokio::{task::spawn_local, time::sleep_until};
 
-/// While items wait for room the engines are looked at again so often: what
-/// other owners leave shows without an event here.
-const LOOK: Duration = Duration::from_millis(40);
+/// Time between two tries to start items that wait. Capacity that other owners release
+/// causes no event here.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// While a draft waits for an engine they are looked at so often: one that loads is
-/// left alone for as long, and when that is over nothing tells of it. A draft that was
-/// not tried again then never began, in one run of three where a load ended last.
-const DRAFT_LOOK: Duration = Duration::from_millis(250);
-/// An item in quarantine is looked at again so often: its quarantine may end.
-const HOLD: Duration = Duration::from_secs(1);
+/// Time between two tries to start drafts that wait. An engine that has loaded weights is
+/// blocked for a time, and the end of that causes no event.
+const DRAFT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two checks whether the quarantine of an item has ended.
+const QUARANTINE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Batches {
     /// Starts items for as long as the process runs.
     pub(in crate::gateway) async fn dispatch(self: Rc<Self>) {
         loop {
             let now = Instant::now();
-            let mut mine: Vec<Rc<OwnedBatch>> = self.owned.borrow().values().cloned().collect();
-            mine.sort_by_key(|owned| (owned.priority, owned.due_at));
-            for owned in &mine {
-                self.start_all(now, owned);
+            let mut batches: Vec<Rc<OwnedBatch>> = self.owned.borrow().values().cloned().collect();
+            batches.sort_by_key(|owned| (owned.priority, owned.due_at));
+            for owned in &batches {
+                self.start_items(now, owned);
             }
-            let mut drafted = true;
-            for owned in &mine {
-                drafted &= self.draft_stragglers(now, owned);
+            let mut all_drafted = true;
+            for owned in &batches {
+                all_drafted &= self.draft_stragglers(now, owned);
             }
-            let waits = mine.iter().any(|owned| owned.batch.borrow().waiting() > 0);
-            let held = mine.iter().any(|owned| owned.batch.borrow().holds_any());
-            let next = if waits { LOOK } else { DRAFT_LOOK };
+            let is_waiting = batches
+                .iter()
+                .any(|owned| owned.batch.borrow().waiting() > 0);
+            let is_held = batches.iter().any(|owned| owned.batch.borrow().holds_any());
+            let interval = if is_waiting {
+                START_RETRY_INTERVAL
+            } else {
+                DRAFT_RETRY_INTERVAL
+            };
+            let must_retry = is_waiting || is_held || !all_drafted;
             tokio::select! {
                 () = self.dispatch_needed.notified() => {}
-                () = sleep_until((now + next).into()), if waits || held || !drafted => {}
+                () = sleep_until((now + interval).into()), if must_retry => {}
             }
         }
     }
 
-    /// Returns the route of a batch, as it is in force now.
+    /// Returns the route of a batch in the present configuration.
     pub(super) fn route(&self, owned: &OwnedBatch) -> Option<Route> {
         let catalog = self.known.catalog()?;
         let route = catalog.find(&owned.host, &owned.path)?;
         (route.kind == Kind::Rollout).then(|| route.clone())
     }
 
-    fn start_all(self: &Rc<Self>, now: Instant, owned: &Rc<OwnedBatch>) {
+    /// Starts items of a batch as far as engines have capacity.
+    fn start_items(self: &Rc<Self>, now: Instant, owned: &Rc<OwnedBatch>) {
         if owned.is_stopped.get() || owned.batch.borrow().next_start(now).is_none() {
             return;
         }
         let Some(route) = self.route(owned) else {
-            // A route that was added a moment ago may not be known here yet.
+            // The configuration that added the route may not have arrived here yet.
             if !self.known.is_current(now) {
                 return;
             }
             log::warn!(target: BATCHES, batch = owned.id.as_str();
-                "A batch's route is gone; what is not done is given up.");
+                "The route of a batch was removed; its unfinished items are given up.");
             owned.batch.borrow_mut().give_up();
             owned.result_ready.notify_one();
             return;
@@ -87,24 +93,26 @@
             let next = owned.batch.borrow().next_start(now);
             let Some(index) = next else { return };
             if self.is_quarantined(owned, index) {
-                owned.batch.borrow_mut().hold(index, now + HOLD);
+                owned
+                    .batch
+                    .borrow_mut()
+                    .hold(index, now + QUARANTINE_CHECK_INTERVAL);
                 continue;
             }
-            self.drop_lost(owned, &route, index);
+            self.discard_unusable_text(owned, &route, index);
             let Some(key) = self.choose_engine(now, owned, &route, index, None) else {
-                let lack = self.lack(owned, &route, index);
-                owned.batch.borrow_mut().lacks(now, lack);
+                let reason = self.wait_reason(owned, &route, index);
+                owned.batch.borrow_mut().lacks(now, reason);
                 return;
             };
             owned.batch.borrow_mut().lacks(now, None);
-            self.start(now, owned, &route, index, key);
+            self.start_item(now, owned, &route, index, key);
         }
     }
 
-    /// Says whether an item crashes engines and must not run.
+    /// Returns whether an item is in quarantine because engines crash while they run it.
     ///
-    /// It is not errored: it did not fail by itself, and may run again once its crashes
-    /// count no more.
+    /// The item is held and not errored: it may run again when its quarantine ends.
     pub(super) fn is_quarantined(&self, owned: &OwnedBatch, index: usize) -> bool {
         let crashes = &self.line.crashes;
         if !crashes.has_evidence() {
@@ -114,14 +122,13 @@
         matches!(crashes.verdict(&subject), Verdict::Quarantined(_))
     }
 
-    /// Drops the text of an item that waits, if no engine can go on with it under
-    /// its version.
+    /// Discards the text of a waiting item if no engine has the weight version that it
+    /// must be continued with.
     ///
-    /// Only between runs: events of a run that goes on would be added to nothing,
-    /// and the trainer would get a text without its beginning.
-    fn drop_lost(&self, owned: &OwnedBatch, route: &Route, index: usize) {
-        let pinned = owned.batch.borrow().pinned(index);
-        let Some((version, model)) = pinned.zip(owned.submission.model.as_deref()) else {
+    /// Must not be called while the item runs: the text would lack its beginning.
+    fn discard_unusable_text(&self, owned: &OwnedBatch, route: &Route, index: usize) {
+        let required = owned.batch.borrow().pinned(index);
+        let Some((version, model)) = required.zip(owned.submission.model.as_deref()) else {
             return;
         };
         let engines = self.engines.borrow();
@@ -131,55 +138,56 @@
         }
     }
 
-    /// Chooses an engine for an item, other than the one that won't do.
+    /// Chooses an engine for an item, other than the excluded one.
     pub(super) fn choose_engine(
         &self,
         now: Instant,
         owned: &OwnedBatch,
         route: &Route,
         index: usize,
-        not: Option<EngineKey>,
+        excluded: Option<EngineKey>,
     ) -> Option<EngineKey> {
-        let want = Want {
-            not: not.or_else(|| owned.avoided_engines.borrow().get(&index).copied()),
-            ..want(owned, route, index)?
+        let requirements = Want {
+            not: excluded.or_else(|| owned.avoided_engines.borrow().get(&index).copied()),
+            ..requirements(owned, route, index)?
         };
-        self.engines.borrow().choose(now, &want)
+        self.engines.borrow().choose(now, &requirements)
     }
 
-    /// Says what an item lacks that can't start now.
-    fn lack(&self, owned: &OwnedBatch, route: &Route, index: usize) -> Option<Lack> {
-        let want = want(owned, route, index)?;
-        Some(self.engines.borrow().lack(&want))
+    /// Returns what an item waits for that can't start now.
+    fn wait_reason(&self, owned: &OwnedBatch, route: &Route, index: usize) -> Option<Lack> {
+        let requirements = requirements(owned, route, index)?;
+        Some(self.engines.borrow().lack(&requirements))
     }
 
-    /// Returns the entry of an engine.
+    /// Returns the roster entry of an engine.
     pub(super) fn endpoint(&self, key: EngineKey) -> Option<Endpoint> {
         let id = self.engines.borrow().id(key).map(str::to_owned);
         self.members.get(&id?)
     }
 
-    /// Chooses an engine for a draft: one with weights from `floor` on that is at
-    /// least half empty.
+    /// Chooses an engine for a draft: at least half idle, with weights of `min_version` or
+    /// newer.
     pub(super) fn choose_idle_engine(
         &self,
         now: Instant,
         owned: &OwnedBatch,
         route: &Route,
         index: usize,
-        floor: u64,
+        min_version: u64,
     ) -> Option<EngineKey> {
         let engines = self.engines.borrow();
-        let want = Want {
-            floor,
+        let requirements = Want {
+            floor: min_version,
             exact: None,
-            ..want(owned, route, index)?
+            ..requirements(owned, route, index)?
         };
-        let found = engines.choose(now, &want);
+        let found = engines.choose(now, &requirements);
         found.filter(|key| engines.is_idle(now, *key))
     }
 
-    fn start(
+    /// Starts an item at an engine.
+    fn start_item(
         self: &Rc<Self>,
         now: Instant,
         owned: &Rc<OwnedBatch>,
@@ -191,33 +199,33 @@
             self.engines.borrow_mut().failed(now, key);
             return;
         };
-        let slot = Slot::take(self, key);
+        let slot = Slot::occupy(self, key);
         owned.avoided_engines.borrow_mut().remove(&index);
-        let exact = owned.batch.borrow().pinned(index);
-        let waited = owned.batch.borrow().waited(now, index);
-        let before = owned.batch.borrow_mut().start(index);
-        let priority = self.rank(now, owned, route, &endpoint.service, index);
+        let exact_version = owned.batch.borrow().pinned(index);
+        let wait_times = owned.batch.borrow().waited(now, index);
+        let last_event = owned.batch.borrow_mut().start(index);
+        let priority = self.item_priority(now, owned, route, &endpoint.service, index);
         let start = ItemStart {
             index,
             slot,
             endpoint,
             priority,
-            before,
-            exact,
-            waited,
+            last_event,
+            exact_version,
+            wait_times,
         };
-        let run = {
+        let task = {
             let (batches, owned) = (Rc::clone(self), Rc::clone(owned));
             async move { batches.run_item(&owned, start).await }
         };
-        let task = spawn_local(run);
+        let task = spawn_local(task);
         let mut tasks = owned.tasks.borrow_mut();
         tasks.retain(|task| !task.is_finished());
         tasks.push(task);
     }
 
-    /// Returns the rank of an item at its engine.
-    fn rank(
+    /// Returns the priority of an item in the queue of its engine.
+    fn item_priority(
         &self,
         now: Instant,
         owned: &OwnedBatch,
@@ -227,24 +235,24 @@
     ) -> u8 {
         let item = &owned.submission.items[index];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
-        let last = owned.batch.borrow().last(index).unwrap_or(0);
-        let expected = self.engines.borrow().expected(service, hint, last);
-        let left = owned.due_at.saturating_duration_since(now);
+        let last_event = owned.batch.borrow().last(index).unwrap_or(0);
+        let expected_duration = self.engines.borrow().expected(service, hint, last_event);
+        let remaining = owned.due_at.saturating_duration_since(now);
         urgency::rank(
             owned.priority,
             route.due.unwrap_or_default(),
-            left,
-            expected,
+            remaining,
+            expected_duration,
         )
     }
 
-    /// Notes that a run broke off, for the item and for the engine.
+    /// Records for the item and for the engine that a run was interrupted.
     pub(super) fn record_interruption(
         &self,
         owned: &OwnedBatch,
         index: usize,
         key: EngineKey,
-        before: Option<u64>,
+        last_event: Option<u64>,
         cause: Break,
     ) {
         let now = Instant::now();
@@ -262,7 +270,10 @@
             Break::Lost => engines.failed(now, key),
             Break::Moved | Break::Failed | Break::Never => {}
         }
-        owned.batch.borrow_mut().broke(now, index, before, cause);
+        owned
+            .batch
+            .borrow_mut()
+            .broke(now, index, last_event, cause);
         if cause == Break::Moved {
             owned.avoided_engines.borrow_mut().insert(index, key);
         }
@@ -270,8 +281,8 @@
     }
 }
 
-/// Returns what an item needs of its engine.
-fn want<'a>(owned: &'a OwnedBatch, route: &'a Route, index: usize) -> Option<Want<'a>> {
+/// Returns what an item requires of an engine.
+fn requirements<'a>(owned: &'a OwnedBatch, route: &'a Route, index: usize) -> Option<Want<'a>> {
     let submission = &owned.submission;
     let group = submission.items[index].group.as_str();
     Some(Want {
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -1,17 +1,12 @@
-//! Texts for the batch after next: drafts of stragglers, and what is carried over.
+//! Drafts: second texts of items for a later batch.
 //!
-//! Load: a trainer goes on without the slowest groups of a step. They come again in
-//! a later one, which can't end before they are whole. Harm: an item as long as a
-//! step may last began anew there each time, so that step took its whole time, and
-//! the steps behind it fell back: one came each 4.5 s where one is planned each
-//! 4 s. What there is of its text is made by weights that are too old by then.
+//! A trainer may go on without the slowest groups of a step and carry them over into a
+//! later batch, where texts of old weights are no longer allowed. So while the last items
+//! of a batch run, they are also run as drafts under the newest weights. A draft may
+//! continue after the end of its batch; the later batch resumes behind its last event.
 //!
-//! So while the last items of a batch run and engines have room, those items are
-//! run a second time under the newest weights, as drafts. A draft goes on after the
-//! batch has ended, until the batch comes that carries its group over, and that one
-//! goes on behind its last event. A draft is never listed: it is an ordinary text
-//! only for a later batch. It takes an engine that is at least half empty, at the
-//! lowest priority, so nothing else waits for it.
+//! Drafts use only engines that are at least half idle, at the lowest priority. A draft is
+//! never listed in its own batch.
 
 use super::{Batches, OwnedBatch, slot::Slot};
 use crate::{gateway::failure::Failure, logs::BATCHES};
@@ -37,15 +32,12 @@
     time::timeout,
 };
 
-/// How long a draft goes on after its batch has ended. A trainer trains for a
-/// second or so and then asks for a later step; one that asks for none is given
-/// two of the usual steps.
-const LINGER: Duration = Duration::from_secs(8);
-/// Time between two writes of drafts after the end: the next batch begins behind
-/// what is kept.
-const KEEP: Duration = Duration::from_millis(300);
+/// How long a draft continues after the end of its batch; about two steps of a trainer.
+const DRAFT_TTL: Duration = Duration::from_secs(8);
+/// Time between two writes of drafts after the end of their batch.
+const SAVE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A second text of an item.
+/// A second text of an item, for a later batch.
 #[derive(Debug)]
 pub(super) struct Draft {
     pub(super) text: Text,
@@ -60,25 +52,25 @@
         }
     }
 
-    /// Stops drafts of groups that are whole: no later batch has them.
-    fn drop_needless_drafts(&self) {
+    /// Stops drafts of groups that are listed whole, which no later batch carries over.
+    fn drop_unneeded_drafts(&self) {
         let batch = self.batch.borrow();
         let items = self.submission.items.iter().enumerate();
-        let open: HashSet<&str> = items
+        let open_groups: HashSet<&str> = items
             .filter(|(index, _)| !batch.is_listed(*index))
             .map(|(_, item)| item.group.as_str())
             .collect();
         self.drafts.borrow_mut().retain(|index, draft| {
-            let needed = open.contains(self.submission.items[*index].group.as_str());
-            if !needed {
+            let is_needed = open_groups.contains(self.submission.items[*index].group.as_str());
+            if !is_needed {
                 draft.task.abort();
             }
-            needed
+            is_needed
         });
     }
 
-    /// Returns what of drafts isn't kept yet.
-    fn unkept_drafts(&self) -> Vec<(usize, Piece)> {
+    /// Returns the pieces of drafts that are not saved yet.
+    fn unsaved_draft_pieces(&self) -> Vec<(usize, Piece)> {
         let drafts = self.drafts.borrow();
         let found = drafts.iter().filter_map(|(index, draft)| {
             let piece = draft.text.unkept(0)?;
@@ -87,73 +79,76 @@
         found.collect()
     }
 
+    /// Returns whether a draft runs or is not saved whole.
     fn has_open_drafts(&self) -> bool {
         let drafts = self.drafts.borrow();
-        let open = |draft: &Draft| !draft.task.is_finished() || draft.text.unkept(0).is_some();
-        drafts.values().any(open)
+        let is_open = |draft: &Draft| !draft.task.is_finished() || draft.text.unkept(0).is_some();
+        drafts.values().any(is_open)
     }
 }
 
 impl Batches {
-    /// Starts drafts of a batch's stragglers, where there is room; `false` if one
-    /// waits for an engine, of which nothing may tell when it is free.
+    /// Starts drafts of a batch's stragglers as far as engines have capacity; returns
+    /// `false` if one of them waits for an engine.
     pub(super) fn draft_stragglers(self: &Rc<Self>, now: Instant, owned: &Rc<OwnedBatch>) -> bool {
-        let Some((floor, route)) = self.next_floor(owned).zip(self.route(owned)) else {
+        let Some((min_version, route)) = self.next_min_version(owned).zip(self.route(owned)) else {
             return true;
         };
-        let stragglers = owned.batch.borrow().stragglers(floor);
-        let mut all = true;
+        let stragglers = owned.batch.borrow().stragglers(min_version);
+        let mut all_started = true;
         for index in stragglers {
             if !owned.drafts.borrow().contains_key(&index) {
-                all &= self.draft_one(now, owned, &route, index, floor);
+                all_started &= self.start_draft(now, owned, &route, index, min_version);
             }
         }
-        all
+        all_started
     }
 
-    /// Returns the oldest weights that a later batch of the same trainer will take,
-    /// once such weights are named: at least one version more is named before it.
-    fn next_floor(&self, owned: &OwnedBatch) -> Option<u64> {
+    /// Returns the oldest weight version that a later batch of the same trainer is expected
+    /// to allow, if versions were named since this batch was accepted. At least one more is
+    /// named before the later batch.
+    fn next_min_version(&self, owned: &OwnedBatch) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
-        let named = self.known.named().get(model).copied()?;
-        let began = owned.submission.floor + owned.version_lag;
-        (named > began).then(|| (named + 1).saturating_sub(owned.version_lag))
+        let newest = self.known.named().get(model).copied()?;
+        let initial_version = owned.submission.floor + owned.version_lag;
+        (newest > initial_version).then(|| (newest + 1).saturating_sub(owned.version_lag))
     }
 
-    fn draft_one(
+    /// Starts the draft of an item; returns `false` if it has to wait for an engine.
+    fn start_draft(
         self: &Rc<Self>,
         now: Instant,
         owned: &Rc<OwnedBatch>,
         route: &Route,
         index: usize,
-        floor: u64,
+        min_version: u64,
     ) -> bool {
         if self.is_quarantined(owned, index) {
             return true;
         }
-        let Some(key) = self.choose_idle_engine(now, owned, route, index, floor) else {
+        let Some(key) = self.choose_idle_engine(now, owned, route, index, min_version) else {
             return false;
         };
         let Some(endpoint) = self.endpoint(key) else {
             return false;
         };
-        let slot = Slot::take(self, key);
-        let run = {
+        let slot = Slot::occupy(self, key);
+        let task = {
             let (batches, owned) = (Rc::clone(self), Rc::clone(owned));
             async move { batches.run_draft(&owned, index, slot, endpoint).await }
         };
         let draft = Draft {
             text: Text::default(),
-            task: spawn_local(run).abort_handle(),
+            task: spawn_local(task).abort_handle(),
         };
         owned.drafts.borrow_mut().insert(index, draft);
         true
     }
 
-    /// Keeps what drafts have grown by.
+    /// Saves the new pieces of drafts.
     pub(super) async fn save_drafts(&self, owned: &OwnedBatch) {
-        owned.drop_needless_drafts();
-        let pieces = owned.unkept_drafts();
+        owned.drop_unneeded_drafts();
+        let pieces = owned.unsaved_draft_pieces();
         if pieces.is_empty() {
             return;
         }
@@ -168,7 +163,7 @@
             let value = serde_json::to_vec(piece).unwrap_or_default();
             change = change.put(id, value);
         }
-        // What isn't done is written again, longer, the next time.
+        // A failed write is repeated with the next save.
         if let Commit::Done { .. } = self.store.transact(&change).await {
             let mut drafts = owned.drafts.borrow_mut();
             for (index, piece) in &pieces {
@@ -179,30 +174,28 @@
         }
     }
 
-    /// Lets the drafts of a batch that has ended go on until they are needed.
+    /// Runs the drafts of an ended batch until a later batch carries them over.
     pub(super) async fn finish_drafts(self: Rc<Self>, owned: Rc<OwnedBatch>, version: u64) {
         owned.version.set(version);
-        let end = Instant::now() + LINGER;
+        let end = Instant::now() + DRAFT_TTL;
         while owned.has_open_drafts() && Instant::now() < end && !self.is_stopping.get() {
-            // Listened for from here on, or a batch that comes while parts are kept
-            // would be missed.
-            let mut arrived = pin!(self.heads_changed.notified());
-            arrived.as_mut().enable();
-            // The owner of the next batch goes on with them elsewhere: two runs of
-            // one item must not both go on.
-            if self.is_carried_on(&owned) {
+            // Enabled before the save, so that a change during the save is not missed.
+            let mut changed = pin!(self.heads_changed.notified());
+            changed.as_mut().enable();
+            // The owner of the later batch runs these items from now on.
+            if self.is_carried_over(&owned) {
                 break;
             }
             self.save_drafts(&owned).await;
-            let _early = timeout(KEEP, arrived).await.is_ok();
+            let _is_changed = timeout(SAVE_INTERVAL, changed).await.is_ok();
         }
         log::info!(target: BATCHES, batch = owned.id.as_str(),
-            drafts = owned.drafts.borrow().len(); "The drafts of a batch are left.");
+            drafts = owned.drafts.borrow().len(); "The drafts of an ended batch are stopped.");
         owned.drop_drafts();
     }
 
-    /// Says whether a later batch carries over a group that has drafts here.
-    fn is_carried_on(&self, owned: &OwnedBatch) -> bool {
+    /// Returns whether a later batch carries over a group that has drafts here.
+    fn is_carried_over(&self, owned: &OwnedBatch) -> bool {
         let heads = self.heads.borrow();
         let Some(own) = heads.get(&owned.id).map(|row| &row.head) else {
             return true;
@@ -218,7 +211,7 @@
             .any(|group| groups.contains(group))
     }
 
-    /// Reads what earlier batches have of the texts of items that are carried over.
+    /// Reads the texts that earlier batches have of items that are carried over.
     pub(super) async fn read_carried_texts(
         &self,
         id: &str,
@@ -228,9 +221,9 @@
         let start = Instant::now();
         let reads = submission.items.iter().filter_map(|item| {
             let group = row::group_hash(&item.group);
-            let place = head.groups.iter().position(|known| *known == group)?;
-            let before = self.last_with(id, head, group)?;
-            (place < head.carried).then(|| self.texts(before, &item.id))
+            let position = head.groups.iter().position(|known| *known == group)?;
+            let earlier = self.last_batch_with(id, head, group)?;
+            (position < head.carried).then(|| self.read_texts(earlier, &item.id))
         });
         let read = join_all(reads).await;
         if read.is_empty() {
@@ -241,7 +234,8 @@
             match texts {
                 Ok(texts) => found.extend(texts),
                 Err(failure) => log::info!(target: BATCHES, batch = id,
-                    error = failure.to_string().as_str(); "A text is not carried over."),
+                    error = failure.to_string().as_str();
+                    "The texts of a carried item could not be read; it starts without them."),
             }
         }
         log::info!(target: BATCHES, batch = id, texts = found.len(),
@@ -249,8 +243,8 @@
         found
     }
 
-    /// Finds the last batch before this one with a group.
-    fn last_with(&self, id: &str, head: &Head, group: u32) -> Option<String> {
+    /// Returns the last batch before this one that has a group.
+    fn last_batch_with(&self, id: &str, head: &Head, group: u32) -> Option<String> {
         let heads = self.heads.borrow();
         let with = heads.iter().filter(|(known, row)| {
             known.as_str() != id
@@ -262,29 +256,29 @@
         last.map(|(known, _)| known.clone())
     }
 
-    /// Reads the texts of an item that a batch has: its own and its drafts.
-    async fn texts(&self, batch: String, item: &str) -> Result<Vec<(String, Text)>, Failure> {
+    /// Reads the texts that a batch has of an item: its own one and its drafts.
+    async fn read_texts(&self, batch: String, item: &str) -> Result<Vec<(String, Text)>, Failure> {
         let part = row::bucket(&batch);
-        let from = format!("{batch}/{item}/");
-        // The slash behind the item is followed by a zero in byte order.
+        let start = format!("{batch}/{item}/");
+        // '0' is the byte after '/'.
         let end = format!("{batch}/{item}0");
         let range = Range {
-            start: Some(&from),
+            start: Some(&start),
             end: Some(&end),
             ..Range::part(PIECES, &part)
         };
         let rows = self.store.read_whole(&range).await?.rows;
-        let parts = rows.iter().filter_map(|row| {
+        let pieces = rows.iter().filter_map(|row| {
             let name = row::piece_item(&batch, &row.id.key);
             let piece = serde_json::from_slice::<Piece>(&row.value).ok();
-            let part = name.zip(piece).map(|((_, tenure), piece)| (tenure, piece));
-            if part.is_none() {
+            let tenure_piece = name.zip(piece).map(|((_, tenure), piece)| (tenure, piece));
+            if tenure_piece.is_none() {
                 log::error!(target: BATCHES, row = row.id.key.as_str();
-                    "A kept part of a text is broken; it is ignored.");
+                    "A stored piece of a text could not be decoded; it is ignored.");
             }
-            part
+            tenure_piece
         });
-        let texts = text::assemble(parts).into_iter();
+        let texts = text::assemble(pieces).into_iter();
         Ok(texts.map(|text| (item.to_owned(), text)).collect())
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -1,9 +1,8 @@
-//! One run of one item, from the engine's first event to the scorer's word.
+//! Runs one item at one engine, then calls its scorer.
 //!
-//! A text may come from several runs, each of which goes on after the last
-//! event of the one before. The versions of a text are those that engines named
-//! with their answers and events; which version was ordered says nothing about
-//! which one ran.
+//! A text may come from several runs, each of which resumes behind the last event of the
+//! one before. Its weight versions are those that engines report with their responses and
+//! events; the versions that were ordered don't tell which one made a text.
 
 use super::{
     Batches, OwnedBatch,
@@ -42,74 +41,76 @@
 };
 use tokio::time::timeout;
 
-/// An engine that says nothing for so long before its first event is taken to
-/// be gone: queues inside engines turn over in a second.
-const HEAD: Duration = Duration::from_secs(3);
-/// The same between two events. Events are some tens of milliseconds apart; a
-/// load of weights holds them up for a second, a slow one for two.
-const GAP: Duration = Duration::from_millis(2_500);
-/// The rank of what nobody waits for; engines know ten, and 0 is the highest.
-const LOWEST: u8 = 9;
-/// How long an item may run if its batch has no end.
-const LONGEST: Duration = Duration::from_mins(1);
+/// Limit for the head of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Limit between two frames of a response; longer than a slow load of weights.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The lowest of the ten priorities of engines; 0 is the highest.
+const LOWEST_PRIORITY: u8 = 9;
+/// How long an item may run if its batch does not expire.
+const DEFAULT_ITEM_TTL: Duration = Duration::from_mins(1);
 
-/// Gaps between events that pass for usual: six times the usual one. Then an
-/// engine loads weights or stands still, and one with room is faster: reading
-/// the text so far again takes some milliseconds.
-const STALL: f64 = 6.0;
-/// The least gap that counts as a stall: queues and quotas on the way make gaps
-/// of a tenth of a second.
-const LEAST_STALL: Duration = Duration::from_millis(160);
-/// A run without a first event after so many usual gaps waits in a queue: reading
-/// its prompt takes less than one.
-const QUEUED: f64 = 3.0;
-/// The least wait that counts as queueing.
-const LEAST_QUEUED: Duration = Duration::from_millis(100);
-/// While an engine stalls, others are looked at again so often.
-const STALL_LOOK: Duration = Duration::from_millis(60);
-/// Events after which the pace of a run is looked at, and again each time.
-const PACE_EVENTS: u32 = 6;
-/// Weight of the last gap in a run's pace.
+/// An engine is stalled after a gap of so many usual gaps between events. A run is then
+/// better resumed at an engine with capacity.
+const STALL_FACTOR: f64 = 6.0;
+/// The shortest gap that counts as a stall; queues and quotas on the way cause gaps of
+/// 100 ms.
+const MIN_STALL: Duration = Duration::from_millis(160);
+/// A run is taken to be queued after so many usual gaps without a response.
+const QUEUE_FACTOR: f64 = 3.0;
+/// The shortest wait that counts as queueing.
+const MIN_QUEUE_WAIT: Duration = Duration::from_millis(100);
+/// Time between two searches for another engine while one stalls or queues.
+const REPLACEMENT_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Number of events between two checks of the pace of a run.
+const PACE_CHECK_EVENTS: u32 = 6;
+/// Weight of the last gap in the moving average of a run's pace.
 const PACE_WEIGHT: f64 = 0.2;
-/// The pace of engines before any was seen, in seconds an event.
-const PACE: f64 = 0.05;
+/// Seconds per event of engines whose pace is not known.
+const DEFAULT_PACE: f64 = 0.05;
 
-/// A run under way.
+/// A run of an item.
 struct Run<'a> {
     batches: &'a Batches,
     owned: &'a OwnedBatch,
     service: &'a str,
     index: usize,
     key: EngineKey,
-    /// Its events go to the item's draft, and it is never cut for a better engine.
-    draft: bool,
-    /// The weight version that makes the next event.
+    /// Whether it makes a draft; a draft is never moved to another engine.
+    is_draft: bool,
+    /// The weight version of the next event.
     version: Option<u64>,
-    /// Seconds from one event to the next, averaged.
+    /// Moving average of the seconds between events.
     pace: Option<f64>,
-    events: u32,
-    /// When the last bytes came, and the last event.
-    heard: Instant,
-    last: Instant,
+    event_count: u32,
+    last_data_at: Instant,
+    last_event_at: Instant,
 }
 
 impl Batches {
-    /// Runs an item at an engine, and then its scorer.
+    /// Runs an item at an engine, and its scorer if the text is complete.
     pub(super) async fn run_item(self: &Rc<Self>, owned: &Rc<OwnedBatch>, start: ItemStart) {
         let ItemStart {
             index,
             slot,
             endpoint,
             priority,
-            before,
-            exact,
-            waited: (waited, lacked),
+            last_event,
+            exact_version,
+            wait_times: (waited, waits),
         } = start;
         let item = &owned.submission.items[index];
         let start = Instant::now();
         let mut run = Run::new(self, owned, &endpoint.service, index, slot.key);
-        let deadline = owned.expires_at.unwrap_or(start + LONGEST);
-        let request = request(item, owned, priority.min(LOWEST), deadline, before, exact);
+        let deadline = owned.expires_at.unwrap_or(start + DEFAULT_ITEM_TTL);
+        let request = build_request(
+            item,
+            owned,
+            priority.min(LOWEST_PRIORITY),
+            deadline,
+            last_event,
+            exact_version,
+        );
         let subject = request
             .as_ref()
             .ok()
@@ -118,11 +119,12 @@
             Ok(request) => run.generate(&request, &endpoint).await,
             Err(error) => {
                 log::error!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
-                    error = error.to_string().as_str(); "An item can't be sent.");
+                    error = error.to_string().as_str();
+                    "The request of an item could not be built.");
                 Err(Break::Never)
             }
         };
-        let pace = run.pace.filter(|_| run.events > PACE_EVENTS);
+        let pace = run.pace.filter(|_| run.event_count > PACE_CHECK_EVENTS);
         if let Some(pace) = pace {
             self.engines
                 .borrow_mut()
@@ -130,19 +132,19 @@
         }
         if let Err(cause) = ended {
             log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
-                endpoint = endpoint.id.as_str(), cause:? = cause, before:? = before,
+                endpoint = endpoint.id.as_str(), cause:? = cause, before:? = last_event,
                 fingerprint = subject.map(|it| it.fingerprint().to_string()),
-                events = run.events, pace_us = micros(run.pace), took_ms = millis(start.elapsed()),
-                waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-                room_ms = millis(lacked.room); "A run of an item broke off.");
-            self.record_interruption(owned, index, slot.key, before, cause);
+                events = run.event_count, pace_us = micros(run.pace),
+                took_ms = millis(start.elapsed()), waited_ms = millis(waited),
+                weights_ms = millis(waits.weights), room_ms = millis(waits.room); "A run of an item broke off.");
+            self.record_interruption(owned, index, slot.key, last_event, cause);
             return;
         }
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
-            endpoint = endpoint.id.as_str(), before:? = before, events = run.events,
+            endpoint = endpoint.id.as_str(), before:? = last_event, events = run.event_count,
             pace_us = micros(run.pace), hint:? = item.hint, took_ms = millis(start.elapsed()),
-            waited_ms = millis(waited), weights_ms = millis(lacked.weights),
-            room_ms = millis(lacked.room), group = item.group.as_str();
+            waited_ms = millis(waited), weights_ms = millis(waits.weights),
+            room_ms = millis(waits.room), group = item.group.as_str();
             "The text of an item is whole.");
         let meters = &self.line.meters;
         meters.runs.with_label_values(&["whole"]).inc();
@@ -150,9 +152,9 @@
         drop(slot);
         let events = owned.batch.borrow().last(index).unwrap_or(0);
         self.engines.borrow_mut().whole(events, item.hint);
-        let whole = owned.batch.borrow_mut().generated(Instant::now(), index);
-        if whole {
-            self.score(owned, index).await;
+        let needs_score = owned.batch.borrow_mut().generated(Instant::now(), index);
+        if needs_score {
+            self.score_item(owned, index).await;
         } else {
             self.dispatch_needed.notify_one();
         }
@@ -160,7 +162,7 @@
 }
 
 impl Batches {
-    /// Runs an item a second time, for a later batch.
+    /// Runs the draft of an item.
     pub(super) async fn run_draft(
         &self,
         owned: &OwnedBatch,
@@ -171,19 +173,19 @@
         let item = &owned.submission.items[index];
         let start = Instant::now();
         let mut run = Run::new(self, owned, &endpoint.service, index, slot.key);
-        run.draft = true;
-        let deadline = owned.expires_at.unwrap_or(start + LONGEST);
-        let ended = match request(item, owned, LOWEST, deadline, None, None) {
+        run.is_draft = true;
+        let deadline = owned.expires_at.unwrap_or(start + DEFAULT_ITEM_TTL);
+        let ended = match build_request(item, owned, LOWEST_PRIORITY, deadline, None, None) {
             Ok(request) => run.generate(&request, &endpoint).await,
             Err(_unsendable) => Err(Break::Never),
         };
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
-            endpoint = endpoint.id.as_str(), events = run.events, ended:? = ended,
+            endpoint = endpoint.id.as_str(), events = run.event_count, ended:? = ended,
             took_ms = millis(start.elapsed()); "A draft of an item has ended.");
     }
 }
 
-/// Returns seconds as whole microseconds, for logs.
+/// Converts seconds to whole microseconds for logs.
 fn micros(seconds: Option<f64>) -> u64 {
     seconds.map_or(0, |s| {
         u64::try_from(Duration::from_secs_f64(s).as_micros()).unwrap_or(0)
@@ -197,13 +199,13 @@
     body: Bytes,
 }
 
-fn request(
+fn build_request(
     item: &Item,
     owned: &OwnedBatch,
     priority: u8,
     deadline: Instant,
-    before: Option<u64>,
-    exact: Option<u64>,
+    last_event: Option<u64>,
+    exact_version: Option<u64>,
 ) -> Result<Request, hyper::http::Error> {
     let mut head = own_head(&owned.host, &item.path, &item.id, deadline)?;
     for (name, value) in &item.headers {
@@ -214,14 +216,14 @@
     if let Some(account) = &owned.account {
         name_account(&mut head.headers, Some(account));
     }
-    if let Some(last) = before {
+    if let Some(last) = last_event {
         set(&mut head.headers, header::LAST_EVENT, &last.to_string());
     }
-    if let Some(exact) = exact {
+    if let Some(version) = exact_version {
         set(
             &mut head.headers,
             header::EXPECT_VERSION,
-            &exact.to_string(),
+            &version.to_string(),
         );
     }
     set(&mut head.headers, header::PRIORITY, &priority.to_string());
@@ -233,7 +235,7 @@
 }
 
 impl OwnedBatch {
-    /// Returns what is the same in all runs of an item.
+    /// Returns the subject of an item, which is the same in all its runs.
     pub(super) fn subject(&self, item: &Item) -> Rc<Subject> {
         Subject::of_item(&self.host, item, self.account.as_deref())
     }
@@ -254,27 +256,27 @@
             service,
             index,
             key,
-            draft: false,
+            is_draft: false,
             version: None,
             pace: None,
-            events: 0,
-            heard: now,
-            last: now,
+            event_count: 0,
+            last_data_at: now,
+            last_event_at: now,
         }
     }
 
-    /// Returns the last event of the text that grows.
-    fn grown(&self) -> Option<u64> {
-        if self.draft {
+    /// Returns the last event of the text.
+    fn last_event(&self) -> Option<u64> {
+        if self.is_draft {
             let drafts = self.owned.drafts.borrow();
             return drafts.get(&self.index).and_then(|draft| draft.text.last());
         }
         self.owned.batch.borrow().last(self.index)
     }
 
-    /// Adds an event to the text that grows; `false` if it doesn't follow.
-    fn grow(&self, event: &Event) -> bool {
-        if self.draft {
+    /// Appends an event to the text; returns `false` if it doesn't follow the last one.
+    fn append_event(&self, event: &Event) -> bool {
+        if self.is_draft {
             let mut drafts = self.owned.drafts.borrow_mut();
             let draft = drafts.get_mut(&self.index);
             return draft
@@ -284,6 +286,7 @@
         batch.extend(self.index, event.number, &event.data, self.version)
     }
 
+    /// Sends the request and reads the response to its end.
     async fn generate(&mut self, request: &Request, endpoint: &Endpoint) -> Result<(), Break> {
         let head = &request.head;
         let target = Target::of(endpoint);
@@ -292,7 +295,7 @@
         let sent = attempt::request(head, &target, whole(request.body.clone()));
         let channels = &self.batches.line.channels;
         let sending = channels.send_noting(target.address, sent, || flight.sent());
-        let sent = self.queue(sending, head.id.as_str()).await?;
+        let sent = self.await_response(sending, head.id.as_str()).await?;
         let (response, channel) = sent.map_err(|fault| {
             flight.faulted(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
@@ -301,53 +304,53 @@
                 "An engine did not answer.");
             Break::Lost
         })?;
-        if let Err(cause) = self.accept(head, &response) {
+        if let Err(cause) = self.check_response(head, &response) {
             flight.dismissed();
             return Err(cause);
         }
-        let keep = attempt::kept(response.headers());
-        self.read(response.into_body(), &mut flight).await?;
+        let is_kept = attempt::kept(response.headers());
+        self.read_events(response.into_body(), &mut flight).await?;
         flight.answered();
-        channels.give_back(channel, keep);
+        channels.give_back(channel, is_kept);
         Ok(())
     }
 
-    /// Waits for the head of an answer, unless the run is better off elsewhere.
+    /// Waits for the head of the response, unless another engine can start the item first.
     ///
-    /// Load: several owners fill the same engines and know of each other only what
-    /// answers tell. Harm: an engine that is full puts a run into its queue, where
-    /// one in ten waited for more than 0.6 s and some for 3 s, while others had room.
-    /// A run that waits for longer than a first event takes has met a full engine;
-    /// it leaves as soon as another one has room.
-    async fn queue<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Break> {
+    /// Several owners share the engines and know each other's load only from responses, so
+    /// a run may get into the queue of a full engine. It leaves that queue as soon as
+    /// another engine has capacity.
+    async fn await_response<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Break> {
         let mut sent = pin!(sent);
         let start = Instant::now();
-        let usual = self.batches.engines.borrow().usual(self.service);
-        let mut wait = Duration::from_secs_f64(usual.unwrap_or(PACE) * QUEUED).max(LEAST_QUEUED);
+        let usual_gap = self.batches.engines.borrow().usual(self.service);
+        let mut wait = Duration::from_secs_f64(usual_gap.unwrap_or(DEFAULT_PACE) * QUEUE_FACTOR)
+            .max(MIN_QUEUE_WAIT);
         loop {
             if let Ok(answer) = timeout(wait, &mut sent).await {
                 return Ok(answer);
             }
             let now = Instant::now();
-            if now.saturating_duration_since(start) > HEAD {
+            if now.saturating_duration_since(start) > RESPONSE_TIMEOUT {
                 return Err(Break::Lost);
             }
             self.batches.engines.borrow_mut().full(now, self.key);
-            if self.elsewhere(now).is_some() {
+            if self.other_engine(now).is_some() {
                 log::debug!(target: BATCHES, item = id,
-                    waited_ms = millis(start.elapsed()); "An item leaves an engine's queue.");
+                    waited_ms = millis(start.elapsed());
+                    "An item leaves the queue of a full engine.");
                 return Err(Break::Moved);
             }
-            wait = STALL_LOOK;
+            wait = REPLACEMENT_POLL_INTERVAL;
         }
     }
 
-    /// Understands the head of an engine's answer.
-    fn accept(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
+    /// Evaluates the head of a response.
+    fn check_response(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
         let headers = response.headers();
-        let told = text(headers, header::LOAD).and_then(header::parse_load);
+        let load = text(headers, header::LOAD).and_then(header::parse_load);
         let mut engines = self.batches.engines.borrow_mut();
-        if let Some((running, queued, _)) = told {
+        if let Some((running, queued, _)) = load {
             engines.told(Instant::now(), self.key, running + queued);
         }
         let echo = text(headers, header::REQUEST);
@@ -370,11 +373,16 @@
         Ok(())
     }
 
-    async fn read(&mut self, mut body: Incoming, flight: &mut InFlight) -> Result<(), Break> {
+    /// Reads the events of a response.
+    async fn read_events(
+        &mut self,
+        mut body: Incoming,
+        flight: &mut InFlight,
+    ) -> Result<(), Break> {
         let mut events = EventDecoder::new();
-        self.heard = Instant::now();
+        self.last_data_at = Instant::now();
         loop {
-            let Some(frame) = self.frame(&mut body, flight).await? else {
+            let Some(frame) = self.next_frame(&mut body, flight).await? else {
                 break;
             };
             let Ok(data) = frame.into_data() else {
@@ -383,33 +391,34 @@
             events.push(&data);
             loop {
                 match events.next_event() {
-                    Ok(Some(event)) => self.take(&event)?,
+                    Ok(Some(event)) => self.handle_event(&event)?,
                     Ok(None) => break,
                     Err(_garbled) => return Err(Break::Lost),
                 }
             }
         }
-        if events.is_at_boundary() && self.grown().is_some() {
+        if events.is_at_boundary() && self.last_event().is_some() {
             Ok(())
         } else {
             Err(Break::Lost)
         }
     }
 
-    /// Waits for the next bytes, unless the run is better off elsewhere.
-    async fn frame(
+    /// Waits for the next frame, unless the engine stalls and another has capacity.
+    async fn next_frame(
         &mut self,
         body: &mut Incoming,
         flight: &mut InFlight,
     ) -> Result<Option<Frame<Bytes>>, Break> {
-        let usual = self.batches.engines.borrow().usual(self.service);
-        let stall = Duration::from_secs_f64(usual.unwrap_or(PACE) * STALL).max(LEAST_STALL);
+        let usual_gap = self.batches.engines.borrow().usual(self.service);
+        let stall = Duration::from_secs_f64(usual_gap.unwrap_or(DEFAULT_PACE) * STALL_FACTOR)
+            .max(MIN_STALL);
         let mut wait = stall;
         loop {
             match timeout(wait, body.frame()).await {
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => {
-                    self.heard = Instant::now();
+                    self.last_data_at = Instant::now();
                     return Ok(Some(frame));
                 }
                 Ok(Some(Err(error))) => {
@@ -419,20 +428,20 @@
                 Err(_elapsed) => {}
             }
             let now = Instant::now();
-            if now.saturating_duration_since(self.heard) > GAP {
+            if now.saturating_duration_since(self.last_data_at) > FRAME_TIMEOUT {
                 return Err(Break::Lost);
             }
             self.batches.engines.borrow_mut().stalled(now, self.key);
-            if self.elsewhere(now).is_some() {
+            if self.other_engine(now).is_some() {
                 return Err(Break::Moved);
             }
-            wait = STALL_LOOK;
+            wait = REPLACEMENT_POLL_INTERVAL;
         }
     }
 
-    /// Finds another engine that has room for this item.
-    fn elsewhere(&self, now: Instant) -> Option<EngineKey> {
-        if self.draft {
+    /// Returns another engine that has capacity for this item.
+    fn other_engine(&self, now: Instant) -> Option<EngineKey> {
+        if self.is_draft {
             return None;
         }
         let route = self.batches.route(self.owned)?;
@@ -440,8 +449,8 @@
             .choose_engine(now, self.owned, &route, self.index, Some(self.key))
     }
 
-    /// Adds an event to the text; one that doesn't follow the last ends the run.
-    fn take(&mut self, event: &Event) -> Result<(), Break> {
+    /// Appends an event; one that doesn't follow the last ends the run.
+    fn handle_event(&mut self, event: &Event) -> Result<(), Break> {
         if let Some(version) = event.version {
             self.version = Some(version);
             if let Some(model) = self.owned.submission.model.as_deref() {
@@ -449,33 +458,35 @@
                 engines.weights(self.key, model, version);
             }
         }
-        if !self.grow(event) {
+        if !self.append_event(event) {
             return Err(Break::Lost);
         }
-        self.count()
+        self.measure_pace()
     }
 
-    /// Measures the pace, and cuts a run that is slow if another engine isn't.
-    fn count(&mut self) -> Result<(), Break> {
+    /// Measures the pace, and ends the run if another engine is fast enough to take it over.
+    fn measure_pace(&mut self) -> Result<(), Break> {
         let now = Instant::now();
-        let gap = now.saturating_duration_since(self.last).as_secs_f64();
-        self.last = now;
-        self.events += 1;
-        if self.events == 1 {
-            // The time to the first event tells of queues and prompts.
+        let gap = now
+            .saturating_duration_since(self.last_event_at)
+            .as_secs_f64();
+        self.last_event_at = now;
+        self.event_count += 1;
+        if self.event_count == 1 {
+            // The time to the first event measures the queue and the prompt.
             return Ok(());
         }
         let pace = self.pace.unwrap_or(gap);
         self.pace = Some(pace + (gap - pace) * PACE_WEIGHT);
-        if !self.events.is_multiple_of(PACE_EVENTS) {
+        if !self.event_count.is_multiple_of(PACE_CHECK_EVENTS) {
             return Ok(());
         }
         let pace = self.pace.unwrap_or(gap);
         self.batches.engines.borrow_mut().paced(now, self.key, pace);
-        let Some(other) = self.elsewhere(now) else {
+        let Some(other) = self.other_engine(now) else {
             return Ok(());
         };
-        let events = self.grown().unwrap_or(0);
+        let events = self.last_event().unwrap_or(0);
         let engines = self.batches.engines.borrow();
         if engines.is_better(self.service, pace, events, other) {
             return Err(Break::Moved);
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -1,7 +1,7 @@
-//! The scorer's call: an ordinary request through its own route.
+//! Calls the scorer of an item, through the scorer's own route.
 //!
-//! It runs only when the text is whole, and its text is not listed without its
-//! signature. It may be repeated, and is until the batch's time is over.
+//! The call is made when the text is complete, and the result is listed only with the
+//! score. A call may be repeated, and is until the batch expires.
 
 use super::{Batches, OwnedBatch};
 use crate::{
@@ -28,21 +28,21 @@
 };
 use tokio::time::sleep;
 
-/// How long one call may take if its route doesn't say.
-const CALL: Duration = Duration::from_secs(3);
-/// Pauses between calls: scorers share their service with callers in person.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(80), Duration::from_millis(800));
+/// Limit for one call if its route sets none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest and longest wait between calls.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(80), Duration::from_millis(800));
 
 impl Batches {
-    /// Has an item's text scored.
-    pub(super) async fn score(&self, owned: &Rc<OwnedBatch>, index: usize) {
+    /// Calls the scorer of an item until there is a score or the scorer fails too often.
+    pub(super) async fn score_item(&self, owned: &Rc<OwnedBatch>, index: usize) {
         let item = &owned.submission.items[index];
         let Some(scorer) = &item.scorer else {
             owned.batch.borrow_mut().scored(index, None);
             owned.result_ready.notify_one();
             return;
         };
-        let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         let start = Instant::now();
         loop {
             let route = self
@@ -50,23 +50,23 @@
                 .catalog()
                 .and_then(|catalog| catalog.find(&scorer.host, &scorer.path).cloned());
             if let Some(route) = route {
-                match self.call(scorer, &route).await {
-                    Called::Score(score) => {
+                match self.call_scorer(scorer, &route).await {
+                    ScorerOutcome::Score(score) => {
                         log::info!(target: BATCHES, batch = owned.id.as_str(),
                             item = item.id.as_str(), scorer = scorer.id.as_str(),
                             took_ms = millis(start.elapsed()); "The text of an item is scored.");
                         owned.batch.borrow_mut().scored(index, Some(score));
                         break;
                     }
-                    Called::Rejected => {
+                    ScorerOutcome::Rejected => {
                         if owned.batch.borrow_mut().rejected(index, route.max_attempts) {
                             log::info!(target: BATCHES, batch = owned.id.as_str(),
                                 item = item.id.as_str(), scorer = scorer.id.as_str();
-                                "A scorer fails each time; the item is errored.");
+                                "The scorer has failed too often; the item is errored.");
                             break;
                         }
                     }
-                    Called::Failed => {}
+                    ScorerOutcome::Failed => {}
                 }
             }
             sleep(backoff.next_wait(&mut rand::rng())).await;
@@ -74,18 +74,20 @@
         owned.result_ready.notify_one();
     }
 
-    async fn call(&self, scorer: &Scorer, route: &Route) -> Called {
-        let deadline = Instant::now() + route.timeout.unwrap_or(CALL);
+    /// Makes one call of a scorer.
+    async fn call_scorer(&self, scorer: &Scorer, route: &Route) -> ScorerOutcome {
+        let deadline = Instant::now() + route.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let head = match own_head(&scorer.host, &scorer.path, &scorer.id, deadline) {
             Ok(head) => head,
             Err(error) => {
                 log::error!(target: BATCHES, scorer = scorer.id.as_str(),
-                    error = error.to_string().as_str(); "A scorer can't be called.");
-                return Called::Rejected;
+                    error = error.to_string().as_str();
+                    "The request of a scorer could not be built.");
+                return ScorerOutcome::Rejected;
             }
         };
         let Some(service) = drawn_service(route) else {
-            return Called::Failed;
+            return ScorerOutcome::Failed;
         };
         let content = Content::Whole(scorer.body.clone().into());
         let request = Forward {
@@ -95,30 +97,32 @@
             service: service.to_owned(),
             class: Class::Partner,
             kind: Kind::Idempotent,
-            // Each failure is counted by itself, so a call is not repeated.
+            // The caller repeats the call and counts its failures.
             attempts: 1,
             tokens: 0,
         };
         match ended(&self.line, request).await {
-            Ended::Answer(answer, _) => judge(&answer),
-            Ended::Refused(..) => Called::Failed,
+            Ended::Answer(answer, _) => classify(&answer),
+            Ended::Refused(..) => ScorerOutcome::Failed,
         }
     }
 }
 
-enum Called {
+/// The outcome of one call of a scorer.
+enum ScorerOutcome {
     Score(String),
-    /// The scorer failed by itself.
+    /// The scorer reported a failure.
     Rejected,
-    /// Nobody knows, or it didn't run.
+    /// The outcome is unknown, or the scorer didn't run.
     Failed,
 }
 
-fn judge(answer: &Answer) -> Called {
+/// Returns the outcome that an answer stands for.
+fn classify(answer: &Answer) -> ScorerOutcome {
     let score = text(&answer.headers, header::SIGNATURE);
     match (answer.status.as_u16(), &answer.body, score) {
-        (200..=299, Received::Whole(_), Some(score)) => Called::Score(score.to_owned()),
-        (500, _, Some(_)) => Called::Rejected,
-        _ => Called::Failed,
+        (200..=299, Received::Whole(_), Some(score)) => ScorerOutcome::Score(score.to_owned()),
+        (500, _, Some(_)) => ScorerOutcome::Rejected,
+        _ => ScorerOutcome::Failed,
     }
 }
--- a/hibiscusroad-daemon/src/gateway/batches/slot.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/slot.rs
@@ -1,4 +1,4 @@
-//! A place at an engine, and the item that takes it.
+//! Capacity that a running item occupies at an engine.
 
 use super::Batches;
 use hibiscusroad::{
@@ -7,15 +7,15 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// An item's place at an engine, given up when it is dropped.
+/// Capacity of one item at an engine, which is released on drop.
 pub(super) struct Slot {
     batches: Rc<Batches>,
     pub(super) key: EngineKey,
 }
 
 impl Slot {
-    /// Takes a place at an engine.
-    pub(super) fn take(batches: &Rc<Batches>, key: EngineKey) -> Self {
+    /// Occupies capacity at an engine.
+    pub(super) fn occupy(batches: &Rc<Batches>, key: EngineKey) -> Self {
         batches.engines.borrow_mut().start(key);
         Self {
             batches: Rc::clone(batches),
@@ -31,17 +31,17 @@
     }
 }
 
-/// An item that is to run.
+/// The parameters of a run of an item.
 pub(super) struct ItemStart {
     pub(super) index: usize,
     pub(super) slot: Slot,
     pub(super) endpoint: Endpoint,
-    /// The rank of its route.
+    /// Its priority in the queue of the engine.
     pub(super) priority: u8,
-    /// The last event of its text, which it goes on behind.
-    pub(super) before: Option<u64>,
-    /// The only weight version that will do.
-    pub(super) exact: Option<u64>,
-    /// For how long it has waited, and of that for what.
-    pub(super) waited: (Duration, Waited),
+    /// The last event of its text, behind which the run resumes.
+    pub(super) last_event: Option<u64>,
+    /// The only weight version that is allowed.
+    pub(super) exact_version: Option<u64>,
+    /// How long it has waited, and how long for which reason.
+    pub(super) wait_times: (Duration, Waited),
 }
