--- a/hibiscusroad-daemon/tests/gateway_batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_batches.rs
@@ -1,4 +1,4 @@
-//! Batches of trainers, over processes that fail.
+//! Batches of trainers: results, duplicates, weights and drafts when processes fail.
 
 mod gateway_world;
 
@@ -24,11 +24,11 @@
                 .all(|result| result["versions"] == serde_json::json!([1]))
         );
     }
-    // Positions stay as they are, wherever they are read.
+    // Positions are the same at every gateway.
     let (here, there) = (read(&world, 0, "b1", 2), read(&world, 1, "b1", 2));
     assert_eq!(here.json(), there.json());
     assert_eq!(here.json()["next"], 6);
-    // The same submission again, at another gateway: accepted, and nothing runs.
+    // A repeated submission at another gateway is accepted and runs nothing.
     assert_eq!(submit(&world, 1, "b1", &step).status, 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(engine.ran().len(), 6);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn bodies_are_given_until_the_end() {
+fn item_bodies_are_readable_until_the_batch_ends() {
     let (world, _desk, engine) = World::ready("bodies", 2);
     engine.work(Duration::from_millis(200));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
@@ -70,10 +70,9 @@
     assert_eq!(read(&world, 0, "b1", 0).status, 200);
 }
 
-// The trainer ends a batch while its items run: they are cancelled at their
-// engine within moments, by whichever process runs them.
+// A batch that is ended at another process is cancelled by its owner.
 #[test]
-fn ended_batch_stops_at_its_engine() {
+fn ended_batch_is_cancelled_at_its_engine() {
     let (world, _desk, engine) = World::ready("ended", 2);
     engine.work(Duration::from_millis(400));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
@@ -89,13 +88,16 @@
     std::thread::sleep(Duration::from_secs(3));
     let ran = engine.ran();
     assert_eq!(ran.len(), runs, "items were started after the end");
-    assert!(ran.iter().all(|ran| !ran.whole), "the engine worked on");
+    assert!(
+        ran.iter().all(|ran| !ran.whole),
+        "the engine was not cancelled"
+    );
 }
 
-// The store carries writes out and loses the answers, at once or seconds later.
-// Each item still stands at one position, and the batch is accepted once.
+// The store carries writes out and loses the answers. Each item must be listed once, and
+// the batch accepted once.
 #[test]
-fn lost_answers_of_the_store_double_nothing() {
+fn lost_store_answers_cause_no_duplicates() {
     for late in [Duration::ZERO, Duration::from_millis(700)] {
         let (world, _desk, _engine) = World::ready(&format!("lost-{}", late.as_millis()), 2);
         world.store.fail(Faults {
@@ -119,8 +121,7 @@
     }
 }
 
-// The store refuses every write: the trainer is told that nothing runs, and
-// nothing does.
+// If the store refuses every write, the batch is refused and must not run.
 #[test]
 fn refused_batch_never_runs() {
     let (world, _desk, engine) = World::ready("refused", 1);
@@ -131,7 +132,11 @@
     let answer = submit(&world, 0, "b1", &submission(1, 1, 1, 2));
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(read(&world, 0, "b1", 0).status, 503, "nobody can be sure");
+    assert_eq!(
+        read(&world, 0, "b1", 0).status,
+        503,
+        "the outcome is unknown"
+    );
     world.store.fail(Faults::default());
     std::thread::sleep(Duration::from_millis(800));
     assert!(engine.ran().is_empty());
@@ -139,7 +144,7 @@
 }
 
 #[test]
-fn malformed_batch_is_told_so() {
+fn malformed_batch_is_refused() {
     let (world, _desk, _engine) = World::ready("malformed", 1);
     let gateway = &world.gateways[0];
     assert_eq!(
@@ -154,8 +159,7 @@
     assert_eq!(read(&world, 0, "b1", 0).status, 404);
 }
 
-// An engine fails every run of an item by itself: the item is listed as errored
-// after as many runs as its route allows, so that its trainer can go on.
+// The item is errored after its route's maximum of runs, so that the batch can complete.
 #[test]
 fn item_that_always_fails_is_errored() {
     let (world, _desk, engine) = World::ready("errored", 1);
@@ -166,11 +170,10 @@
     assert_eq!(engine.ran().len(), 3);
 }
 
-// A step must not contain text of weights that are too old: an engine that has
-// only those gets nothing of it, until it has loaded the version that the
-// trainer named. One process orders the load, once.
+// Items must not run with weights below the minimum version of their batch. The load of
+// the named version is ordered by one process, once.
 #[test]
-fn items_wait_for_fresh_weights() {
+fn items_wait_for_their_minimum_version() {
     let (world, _desk, engine) = World::ready("weights", 3);
     assert_eq!(submit(&world, 0, "b1", &submission(2, 2, 1, 2)).status, 202);
     std::thread::sleep(Duration::from_millis(600));
@@ -187,15 +190,14 @@
     assert_eq!(engine.holders().len(), 1, "{:?}", engine.holders());
 }
 
-// The holder of the weights' duty is killed. Another takes the lease with a
-// higher number and goes on; no engine sees two holders with one number.
+// The new holder has a higher fencing token; no engine sees one token from two holders.
 #[test]
-fn killed_holders_duty_goes_on_elsewhere() {
+fn weights_duty_of_a_killed_holder_is_taken_over() {
     let (mut world, _desk, engine) = World::ready("holder", 2);
     for version in 2..=3 {
         let named = serde_json::json!({ "model": "guide", "version": version });
         world.store.put("op", "version/guide", &named);
-        until("the engine has it", || {
+        until("the engine has loaded the version", || {
             (engine.version("guide") == version).then_some(())
         });
         if version == 2 {
@@ -210,37 +212,34 @@
     assert!(holders[0].1 < holders[1].1, "{holders:?}");
 }
 
-// Steps of another trainer's batch wait for weights when the holder of the duty is
-// killed. The others know from its signs of life that it is gone, and one of them
-// has the new version loaded in less time than the lease alone would last; the
-// engine was left in peace for long, so nobody's order can cross.
+// Missing heartbeats show that the holder is gone, so that the others don't wait for the
+// lease to end. No order is in flight that could conflict.
 #[test]
-fn killed_holder_is_followed_within_its_lease() {
+fn weights_duty_is_taken_over_before_the_lease_ends() {
     let (mut world, [_desk, engine]) = with_settings("follow", 2, "lease_ms = 4000\n");
-    let name = |store: &Store, version: u64| {
+    let name_version = |store: &Store, version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
         store.put("op", "version/guide", &named);
-        until("the engine has it", || {
+        until("the engine has loaded the version", || {
             (engine.version("guide") == version).then_some(())
         });
     };
-    name(&world.store, 2);
+    name_version(&world.store, 2);
     std::thread::sleep(Duration::from_secs(5));
     let holder = engine.holders()[0].0.clone();
     let n = usize::from(!holder.starts_with("gateway-1"));
     assert_eq!(submit(&world, n, "b1", &submission(3, 3, 1, 2)).status, 202);
     std::thread::sleep(Duration::from_millis(600));
     world.gateways[n].kill();
-    let killed = Instant::now();
-    name(&world.store, 3);
-    let took = killed.elapsed();
-    assert!(took < Duration::from_millis(3_500), "{took:?}");
+    let killed_at = Instant::now();
+    name_version(&world.store, 3);
+    let elapsed = killed_at.elapsed();
+    assert!(elapsed < Duration::from_millis(3_500), "{elapsed:?}");
     assert_eq!(results(&world, 1 - n, "b1", 2).len(), 2);
 }
 
-// All processes are killed and one comes back that hears of the batch before it
-// hears of any configuration. It doesn't know the batch's route then, and must
-// wait for it: the trainer got a whole step of errored items.
+// A process that learns of a batch before its configuration must wait for the route, and
+// not give the items up.
 #[test]
 fn batch_waits_for_a_configuration() {
     let (mut world, _desk, engine) = World::ready("no-config", 1);
@@ -260,8 +259,7 @@
     check_whole(&results(&world, 0, "b1", 3), 8);
 }
 
-// A text is longer than a row of the store may be. The trainer reads it whole,
-// at the process that runs the batch and at the other one.
+// A result that is too long for a row is readable at the owner and at another process.
 #[test]
 fn result_longer_than_a_row_is_read_whole() {
     let (world, [_desk, engine]) = with_settings("long", 2, "row_bytes = 1024\n");
@@ -280,10 +278,9 @@
     );
 }
 
-// Nobody may ask for the batch any more: everything that the store holds of it
-// is removed, or the store would be full some day and refuse every batch.
+// Everything that the store holds of a batch must be removed after its retention.
 #[test]
-fn outlived_batch_is_swept() {
+fn expired_batch_is_swept() {
     let (world, [_desk, _engine]) = with_settings("swept", 2, "keep_s = 1\n");
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
     check_whole(&results(&world, 1, "b1", 2), 8);
@@ -300,36 +297,35 @@
         "it was swept too early"
     );
     until("the batch is swept", || {
-        let left = ["batches", "results", "pieces"].map(|table| world.store.rows(table).len());
-        (left == [0; 3]).then_some(())
+        let row_counts =
+            ["batches", "results", "pieces"].map(|table| world.store.rows(table).len());
+        (row_counts == [0; 3]).then_some(())
     });
-    until("it is denied", || {
+    until("the batch is unknown", || {
         (read(&world, 1, "b1", 0).status == 404).then_some(())
     });
 }
 
-// The lease's row holds what no process can read. Its holder's number is
-// unknown, so the next one has to be above all that may have been given out.
+// The last holder's fencing token is unknown, so the next must exceed all that can have
+// been used.
 #[test]
-fn broken_lease_is_taken_over_with_a_higher_number() {
+fn undecodable_lease_is_taken_over_with_a_higher_fencing_token() {
     let (world, _desk, engine) = World::ready("lease", 1);
     for _ in 0..5 {
         world.store.put_bytes("duties", "weights", b"broken");
     }
     let named = serde_json::json!({ "model": "guide", "version": 2 });
     world.store.put("op", "version/guide", &named);
-    until("the engine has it", || {
+    until("the engine has loaded the version", || {
         (engine.version("guide") == 2).then_some(())
     });
     assert!(engine.holders()[0].1 > 5, "{:?}", engine.holders());
 }
 
-// A route asks for texts of one weight version, and its engine loads another in
-// the middle of a run, between two events. The run looks for a better engine then;
-// that must not drop its text while events go on coming, or the trainer gets a text
-// without its beginning. The text is made anew, whole, under one version.
+// The engine loads new weights between two events of a run on a single-version route. The
+// text must be generated again from its beginning, not lose it.
 #[test]
-fn text_of_one_version_is_whole_over_a_load() {
+fn single_version_text_is_generated_again_after_a_load() {
     let (world, _desk, engine) = World::ready("single", 1);
     let route = serde_json::json!({ "name": "single", "hostname": gateway_world::HOST,
         "prefix": "/lm/one/", "type": "rollout", "timeoutMs": 10000, "priority": 0,
@@ -356,14 +352,12 @@
     );
 }
 
-// A trainer goes on without a group whose last item is long, and asks for the group
-// again two versions later. What there is of the item's text is too old by then.
-// Begun anew, the item takes the whole of that step; so it is drafted under newer
-// weights while the first step still runs, and the later one goes on from there.
+// A long item of a carried group is drafted under newer weights while the first step runs,
+// and the later step resumes its draft.
 #[test]
-fn group_that_comes_again_goes_on_with_its_draft() {
+fn carried_group_resumes_from_its_draft() {
     let (world, _desk, engine) = World::ready("draft", 1);
-    let name = |version: u64| {
+    let name_version = |version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
         world.store.put("op", "version/guide", &named);
         until("the engine has loaded", || {
@@ -373,10 +367,10 @@
     let long = "item-1-1-1";
     let runs = || {
         let ran = engine.ran();
-        let of = ran.into_iter().filter(|ran| ran.id == long);
-        of.map(|ran| ran.after).collect::<Vec<_>>()
+        let matching = ran.into_iter().filter(|ran| ran.id == long);
+        matching.map(|ran| ran.after).collect::<Vec<_>>()
     };
-    name(2);
+    name_version(2);
     engine.work(Duration::from_millis(30));
     engine.events_of(long, 120);
     let mut step = submission(1, 1, 2, 2);
@@ -384,19 +378,19 @@
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
     until("the long item runs", || (runs().len() == 1).then_some(()));
     results(&world, 0, "b1", 3);
-    name(3);
+    name_version(3);
     until("a draft runs", || (runs().len() == 2).then_some(()));
     std::thread::sleep(Duration::from_secs(1));
     let gateway = &world.gateways[0];
     assert_eq!(gateway.call("DELETE", "/lots/b1", "end", b"").status, 200);
-    name(4);
+    name_version(4);
     step["minVersion"] = 3.into();
     step["step"] = 3.into();
     assert_eq!(submit(&world, 0, "b2", &step).status, 202);
     let found = results(&world, 0, "b2", 4);
-    let whole = found.iter().find(|result| result["id"] == long).unwrap();
-    assert_eq!(whole["text"], text(long, 120));
-    let versions = whole["versions"].as_array().unwrap();
+    let result = found.iter().find(|result| result["id"] == long).unwrap();
+    assert_eq!(result["text"], text(long, 120));
+    let versions = result["versions"].as_array().unwrap();
     assert!(versions.iter().all(|version| version.as_u64() >= Some(3)));
     let runs = runs();
     assert_eq!(runs[..2], [None, None]);
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -4,7 +4,7 @@
 
 use gateway_world::{
     Answer, Gateway, HOST, World, ask,
-    batches::{check_whole, results, run_by, submit},
+    batches::{batches_run_by, check_whole, results, submit},
     submission, until,
 };
 use hibiscusroad_standins::{
@@ -369,7 +369,7 @@
     thread::sleep(SPREAD);
     let (before, ends) = (sends(&replicas, "item-1-1-1"), replicas.ends());
     assert!((CRASHES..=MOST_ENDS).contains(&ends), "{ends} ends");
-    let owner = usize::from(run_by(&world, 0).is_empty());
+    let owner = usize::from(batches_run_by(&world, 0).is_empty());
     world.gateways[owner].kill();
     world.gateways[1 - owner].line("A batch is taken over.");
     thread::sleep(SPREAD);
--- a/hibiscusroad-daemon/tests/gateway_owners.rs
+++ b/hibiscusroad-daemon/tests/gateway_owners.rs
@@ -1,10 +1,10 @@
-//! Who runs a batch, over processes that fail.
+//! Ownership of batches when processes fail.
 
 mod gateway_world;
 
 use gateway_world::{
     World,
-    batches::{check_whole, read, results, run_by, submit},
+    batches::{batches_run_by, check_whole, read, results, submit},
     submission, until,
 };
 use hibiscusroad_standins::direct::Faults;
@@ -12,16 +12,14 @@
 use serde_json::Value;
 use std::{collections::BTreeSet, time::Duration};
 
-// The trainer sees every item once, at the position where it was read, though
-// the process that runs the batch is killed in the middle of it. Another takes
-// the batch over, and goes on behind the events that were kept.
+// Another process takes the batch over and resumes its texts behind the saved events.
 #[test]
-fn killed_owners_batch_goes_on_elsewhere() {
+fn batch_of_a_killed_owner_is_resumed_elsewhere() {
     let (mut world, _desk, engine) = World::ready("killed", 2);
     engine.work(Duration::from_millis(100));
     engine.events(40);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 2, 2)).status, 202);
-    until("texts are kept", || {
+    until("texts are saved", || {
         (world.store.rows("pieces").len() >= 4).then_some(())
     });
     world.gateways[0].kill();
@@ -33,20 +31,18 @@
         .iter()
         .filter(|ran| ran.after > Some(2))
         .count();
-    assert!(resumed >= 4, "texts began anew: {:?}", engine.ran());
+    assert!(resumed >= 4, "texts were not resumed: {:?}", engine.ran());
 }
 
-// An owner is killed, and the process that takes its batch over has to wait a second
-// and more for the submission, as when all hosts start together and read theirs at once.
-// It lives and is seen to live meanwhile: were its batch taken by the next process, that
-// one would wait as long, and so on, while the step stands still.
+// The store is slow, so the new owner loads for longer than the heartbeat timeout. Its
+// batch must not be taken over again meanwhile.
 #[test]
-fn a_taker_that_still_loads_is_seen_to_live() {
+fn heartbeats_continue_while_a_takeover_loads() {
     let (mut world, _desk, engine) = World::ready("loads", 4);
     engine.work(Duration::from_millis(100));
     engine.events(20);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
-    until("texts are kept", || {
+    until("texts are saved", || {
         (world.store.rows("pieces").len() >= 2).then_some(())
     });
     world.store.fail(Faults {
@@ -58,14 +54,13 @@
     let lines = world.gateways[1..]
         .iter()
         .flat_map(gateway_world::Gateway::lines);
-    let taken = lines.filter(|line| line["text"] == "A batch is taken over.");
-    assert_eq!(taken.count(), 1);
+    let takeovers = lines.filter(|line| line["text"] == "A batch is taken over.");
+    assert_eq!(takeovers.count(), 1);
 }
 
-// A planned stop loses nothing of what was generated: the process keeps all
-// texts as they are and gives its batches back, and the next owner goes on.
+// A planned stop saves all texts and hands the batches over, so that nothing is lost.
 #[test]
-fn stopped_owners_batch_goes_on_elsewhere() {
+fn batch_of_a_stopped_owner_is_resumed_elsewhere() {
     let (mut world, _desk, engine) = World::ready("stopped", 2);
     engine.work(Duration::from_millis(100));
     engine.events(40);
@@ -83,10 +78,10 @@
     assert_eq!(world.gateways[0].wait().code(), Some(0));
 }
 
-// A batch is accepted while its process is told to stop. It must not run there,
-// or the process would keep all its batches for as long as it takes to end.
+// A stopping process must not run a batch that it accepts, which would delay the batch
+// until the process ends.
 #[test]
-fn batch_accepted_during_a_stop_is_left_to_others() {
+fn batch_accepted_during_a_stop_runs_elsewhere() {
     let (mut world, _desk, engine) = World::ready("late", 2);
     engine.work(Duration::from_millis(50));
     world.store.fail(Faults {
@@ -117,10 +112,9 @@
     assert_eq!(world.gateways[0].wait().code(), Some(0));
 }
 
-// All processes die at once: what was accepted is in the store, and the next
-// lives of the processes finish it.
+// An accepted batch is finished from the store by the next incarnations.
 #[test]
-fn batch_outlives_all_processes() {
+fn batch_survives_a_crash_of_all_processes() {
     let (mut world, _desk, engine) = World::ready("all", 2);
     engine.work(Duration::from_millis(80));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 2, 2)).status, 202);
@@ -134,9 +128,8 @@
     check_whole(&results(&world, 0, "b1", 4), 8);
 }
 
-// The steps of a trainer come at any process. The one that ran the last runs the next,
-// too, since it has connections to the engines and knows how fast they are; every
-// process answers for all of them.
+// A trainer's next step runs at the owner of the last one, which has connections to the
+// engines and knows their paces. Every process answers for all steps.
 #[test]
 fn next_step_goes_to_the_owner_of_the_last() {
     let (world, _desk, engine) = World::ready("next", 2);
@@ -148,15 +141,14 @@
             check_whole(&results(&world, reader, id, 6), 8);
         }
     }
-    assert_eq!(run_by(&world, 0), ["b1", "b2", "b3"]);
-    assert!(run_by(&world, 1).is_empty());
+    assert_eq!(batches_run_by(&world, 0), ["b1", "b2", "b3"]);
+    assert!(batches_run_by(&world, 1).is_empty());
 }
 
-// The owner of the last step is killed, and the next step comes before anybody can have
-// missed it. The trainer has its 202, and the step is nobody's until the owner is seen
-// to be gone; then another runs it whole.
+// A step is given to the last owner before its death is detected. It runs elsewhere once
+// the heartbeat timeout is over.
 #[test]
-fn step_that_goes_to_a_dead_owner_is_taken_over() {
+fn step_given_to_a_dead_owner_is_taken_over() {
     let (mut world, _desk, engine) = World::ready("dead", 2);
     engine.work(Duration::from_millis(40));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
@@ -172,13 +164,12 @@
     );
     world.gateways[1].line("A batch is taken over.");
     check_whole(&results(&world, 1, "b2", 6), 8);
-    assert!(run_by(&world, 1).contains(&"b2".to_owned()));
+    assert!(batches_run_by(&world, 1).contains(&"b2".to_owned()));
 }
 
-// The owner of the last step was gone for long when the next one comes, and then lives
-// anew: neither is given what the other one's trainer submits.
+// A new step must not be given to an owner that is known to be gone.
 #[test]
-fn step_is_run_where_it_comes_if_the_last_owner_is_gone() {
+fn step_runs_where_it_is_submitted_if_the_last_owner_is_gone() {
     let (mut world, _desk, engine) = World::ready("gone", 2);
     engine.work(Duration::from_millis(40));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
@@ -196,12 +187,10 @@
     check_whole(&results(&world, 1, "b2", 6), 8);
 }
 
-// An owner is told to stop. It names another process as the next owner, which goes on
-// with the batch before anybody could have missed the first: within the time between
-// two looks. The other one owned nothing before, as is usual where one process runs the
-// steps of all trainers.
+// A stopping owner makes another process the owner, which continues without waiting for
+// the heartbeat timeout, even if it has owned nothing before.
 #[test]
-fn stopping_owner_names_the_next_one() {
+fn stopping_owner_hands_its_batch_over() {
     let (world, _desk, engine) = World::ready("named", 2);
     engine.work(Duration::from_millis(100));
     engine.events(40);
@@ -209,21 +198,23 @@
     until("items run", || (engine.ran().len() == 3).then_some(()));
     std::thread::sleep(Duration::from_secs(1));
     world.gateways[0].signal(Signal::TERM);
-    let handed = world.gateways[0].line("A batch is handed on.");
-    assert_eq!(handed["batch"], "b0");
-    assert_eq!(handed["done"], true);
-    assert!(handed["to"].as_str().unwrap().starts_with("gateway-2/"));
+    let handover = world.gateways[0].line("A batch is handed on.");
+    assert_eq!(handover["batch"], "b0");
+    assert_eq!(handover["done"], true);
+    assert!(handover["to"].as_str().unwrap().starts_with("gateway-2/"));
     check_whole(&results(&world, 1, "b0", 3), 40);
     let lines = world.gateways[1].lines();
-    let taken = |line: &Value| line["text"] == "A batch is taken over.";
-    assert!(!lines.iter().any(taken), "it was found out, not handed on");
+    let is_takeover = |line: &Value| line["text"] == "A batch is taken over.";
+    assert!(
+        !lines.iter().any(is_takeover),
+        "the batch was taken over, not handed over"
+    );
 }
 
-// The store answers slowly, so that an owner's renewals come late to everybody
-// else. The owner lives: nobody takes its batch, or items would run twice and
-// each change of owner would cost the step seconds.
+// Heartbeats that are late because the store is slow must not cause a takeover, which
+// would run items twice.
 #[test]
-fn slow_store_is_no_silent_owner() {
+fn slow_store_causes_no_takeover() {
     let (world, _desk, engine) = World::ready("slow-store", 3);
     engine.work(Duration::from_millis(120));
     engine.events(45);
@@ -234,21 +225,19 @@
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
     check_whole(&results(&world, 0, "b1", 3), 45);
     for gateway in &world.gateways {
-        let taken = gateway
+        let takeover = gateway
             .lines()
             .into_iter()
             .find(|line| line["text"] == "A batch is taken over.");
-        assert_eq!(taken, None);
+        assert_eq!(takeover, None);
     }
     assert!(engine.ran().iter().all(|ran| ran.after.is_none()));
 }
 
-// The store carries the owner's writes out, and no answer comes for seconds. A
-// trainer reads the results at another process, where they are rows, and then
-// asks the owner, which can't tell yet whether they are listed: what was read
-// once must be there. The owner looks into the store then.
+// The store carries writes out, but its answers are lost. Results that were read at another
+// process must be readable at the owner, which has to look for them in the store.
 #[test]
-fn owner_without_answers_denies_no_result_that_was_read() {
+fn owner_shows_results_of_unconfirmed_writes() {
     let (world, _desk, engine) = World::ready("unsure", 2);
     engine.work(Duration::from_millis(60));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
@@ -257,56 +246,58 @@
         lose: 1_000,
         ..Faults::default()
     });
-    let there = results(&world, 1, "b1", 1);
+    let shown = results(&world, 1, "b1", 1);
     std::thread::sleep(Duration::from_millis(900));
     let answer = read(&world, 0, "b1", 0);
     assert_eq!(answer.status, 200);
-    let here = answer.json()["results"].as_array().unwrap().clone();
+    let listed = answer.json()["results"].as_array().unwrap().clone();
     assert!(
-        here.len() >= there.len(),
-        "{} were read, {} are there",
-        there.len(),
-        here.len()
+        listed.len() >= shown.len(),
+        "{} were read, {} are listed here",
+        shown.len(),
+        listed.len()
     );
-    assert_eq!(here[..there.len()], there[..]);
+    assert_eq!(listed[..shown.len()], shown[..]);
     world.store.fail(Faults::default());
     check_whole(&results(&world, 0, "b1", 3), 8);
 }
 
-// One of two engines is six times slower. The gateway that ran the first step has
-// measured that; the second step comes to another gateway, which has run nothing
-// yet. Its items must not find out anew, each on the slow engine.
+// One of two engines is six times slower, which the first owner has measured. The second
+// owner must not run items there to find out again.
 #[test]
-fn an_owner_knows_slow_engines_from_others() {
+fn owner_learns_slow_engines_from_other_owners() {
     let (world, _desk, fast) = World::ready("paces", 2);
     let slow = world.endpoint("guide-lm", "i-slow", &["guide"]);
     fast.events(14);
     slow.events(14);
     fast.work(Duration::from_millis(15));
     slow.work(Duration::from_millis(90));
-    // Both gateways know the new engine by then.
+    // Long enough for both gateways to learn of the new engine.
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 8, 1)).status, 202);
     results(&world, 0, "b1", 8);
-    assert!(!slow.ran().is_empty(), "the first owner has to find out");
-    until("the paces are told", || {
+    assert!(
+        !slow.ran().is_empty(),
+        "the first owner ran nothing on the slow engine"
+    );
+    until("the paces are shared", || {
         let rows = world.store.rows("paces");
-        let told =
+        let has_slow =
             |row: &(String, String, Vec<u8>)| String::from_utf8_lossy(&row.2).contains("i-slow");
-        rows.iter().any(told).then_some(())
+        rows.iter().any(has_slow).then_some(())
     });
-    let before = slow.ran().len();
+    let previous_runs = slow.ran().len();
     assert_eq!(submit(&world, 1, "b2", &submission(2, 1, 4, 1)).status, 202);
     results(&world, 1, "b2", 4);
-    assert_eq!(slow.ran().len(), before);
+    assert_eq!(slow.ran().len(), previous_runs);
 }
 
-// The owner of a batch is killed while an item's draft grows. The next owner drafts it
-// anew, and keeps that apart: parts of the two would join to a text of two runs.
+// The owner is killed while a draft grows, and the successor makes another draft. Pieces
+// of the two must not be joined to one text.
 #[test]
-fn an_heirs_draft_is_kept_apart() {
+fn draft_of_a_successor_is_saved_separately() {
     let (mut world, _desk, engine) = World::ready("heir-draft", 2);
-    let name = |world: &World, version: u64| {
+    let name_version = |world: &World, version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
         world.store.put("op", "version/guide", &named);
         until("the engine has loaded", || {
@@ -314,10 +305,10 @@
         });
     };
     let long = "item-1-1-1";
-    name(&world, 2);
-    // The other gateway may hold the duty: by how much a step lags is told by what the
-    // one that accepts it has heard.
-    until("the version is heard", || {
+    name_version(&world, 2);
+    // The gateway that accepts the step computes its version lag, and the other one may
+    // hold the duty.
+    until("the version is known at the first gateway", || {
         let mut lines = world.gateways[0].lines().into_iter();
         lines.find(|line| line["text"] == "A weight version was named." && line["version"] == 2)
     });
@@ -327,16 +318,16 @@
     step["targetGroups"] = 1.into();
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
     results(&world, 0, "b1", 3);
-    // The stand-in may leave one of four connections waiting until another ends. An item
-    // that begins under the new weights needs no draft, so it has to begin before.
-    until("the long text has begun", || {
+    // The item must start under the old weights, or it needs no draft. The stand-in may
+    // delay one of four connections until another ends.
+    until("the long text has started", || {
         let rows = world.store.rows("pieces");
         rows.iter()
             .any(|(_, key, _)| key.contains(long))
             .then_some(())
     });
-    name(&world, 3);
-    // The keys of a batch's drafts, without round and event.
+    name_version(&world, 3);
+    // Returns the keys of drafts without round and event.
     let drafts = |world: &World| -> BTreeSet<String> {
         let rows = world.store.rows("pieces").into_iter();
         let keys = rows
@@ -345,11 +336,11 @@
         keys.map(|key| key.rsplitn(3, '/').nth(2).unwrap_or_default().to_owned())
             .collect()
     };
-    until("a draft is kept", || {
+    until("a draft is saved", || {
         (drafts(&world).len() == 1).then_some(())
     });
     world.gateways[0].kill();
-    until("another draft is kept apart", || {
+    until("another draft is saved separately", || {
         (drafts(&world).len() == 2).then_some(())
     });
 }
--- a/hibiscusroad-daemon/tests/gateway_world/batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/batches.rs
@@ -10,12 +10,12 @@
     world.gateways[n].call("POST", "/lm/step", id, body.to_string().as_bytes())
 }
 
-/// Reads results from a position on.
+/// Reads the results of a batch from a position on.
 pub fn read(world: &World, n: usize, id: &str, after: usize) -> Answer {
     world.gateways[n].call("GET", &format!("/lots/{id}?after={after}"), "reader", b"")
 }
 
-/// Waits until a batch has so many results and returns them.
+/// Waits until a batch has at least `count` results and returns them.
 pub fn results(world: &World, n: usize, id: &str, count: usize) -> Vec<Value> {
     until("all results are listed", || {
         let answer = read(world, n, id, 0);
@@ -27,16 +27,16 @@
     })
 }
 
-/// Returns the text that the stand-in of an engine makes of an item.
+/// Returns the text that the stand-in engine generates for an item.
 pub fn text(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|n| format!("{item}-{n}")).collect();
     lines.join("\n")
 }
 
-/// Checks that each item is completed once, with its whole text and score.
+/// Checks that each item is completed once, with its complete text and score.
 pub fn check_whole(results: &[Value], events: u64) {
     let ids: BTreeSet<&str> = results.iter().map(|r| r["id"].as_str().unwrap()).collect();
-    assert_eq!(ids.len(), results.len(), "an item stands at two positions");
+    assert_eq!(ids.len(), results.len(), "an item is listed twice");
     for result in results {
         let id = result["id"].as_str().unwrap();
         assert_eq!(result["state"], "completed");
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns which batches a gateway has said that it runs.
-pub fn run_by(world: &World, n: usize) -> Vec<String> {
+/// Returns the batches that a gateway has run, by its log.
+pub fn batches_run_by(world: &World, n: usize) -> Vec<String> {
     let lines = world.gateways[n].lines();
     let runs = lines
         .iter()
@@ -55,8 +55,8 @@
         .collect()
 }
 
-/// A deployment of gateways with lines added to their settings.
-pub fn with_settings(test: &str, gateways: usize, more: &str) -> (World, [Endpoint; 2]) {
+/// Starts a world of gateways with lines added to their settings.
+pub fn with_settings(test: &str, gateways: usize, extra_settings: &str) -> (World, [Endpoint; 2]) {
     let mut world = World::start(test);
     world.configure(1, &[]);
     let endpoints = [
@@ -64,7 +64,7 @@
         world.endpoint("guide-lm", "i-lm", &["guide"]),
     ];
     for n in 0..gateways {
-        world.gateway_with(more);
+        world.gateway_with(extra_settings);
         world.wait_ready(n);
     }
     (world, endpoints)
