--- a/hibiscusroad-daemon/src/entry/links.rs
+++ b/hibiscusroad-daemon/src/entry/links.rs
@@ -126,7 +126,7 @@
         };
         side.leaving.drained = document.is_drained(&side.name, &side.host, &side.place);
         let (endpoint, open) = (side.endpoint, side.takes_work());
-        self.router.set_open(now, endpoint, open);
+        self.router.set_accepting(now, endpoint, open);
     }
 
     fn welcome(&mut self, now: Instant, key: SideKey, welcome: &Welcome) {
@@ -190,13 +190,13 @@
                 running: load.running,
                 queued: load.queued,
                 limit: load.limit,
-                tokens: load.tokens,
+                pending_tokens: load.tokens,
                 cache_free: load.cache_free,
                 age: Duration::from_millis(load.age_ms.into()),
             };
             self.sides[key].report = report;
             self.sides[key].weights.clone_from(&load.weights);
-            self.router.report(now, endpoint, report);
+            self.router.record_load(now, endpoint, report);
         }
         self.offer_config(key, beat.config_version);
     }
--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -12,10 +12,10 @@
     catalog::{Kind, Route},
     quarantine::Verdict,
     rollout::{
-        batch::Break,
-        engines::{EngineKey, Want},
+        batch::Interruption,
+        engines::{EngineKey, Requirements},
         urgency,
-        waits::Lack,
+        waits::WaitReason,
     },
     roster::Endpoint,
 };
@@ -51,8 +51,10 @@
             }
             let is_waiting = batches
                 .iter()
-                .any(|owned| owned.batch.borrow().waiting() > 0);
-            let is_held = batches.iter().any(|owned| owned.batch.borrow().holds_any());
+                .any(|owned| owned.batch.borrow().waiting_count() > 0);
+            let is_held = batches
+                .iter()
+                .any(|owned| owned.batch.borrow().has_held_items());
             let interval = if is_waiting {
                 START_RETRY_INTERVAL
             } else {
@@ -96,16 +98,16 @@
                 owned
                     .batch
                     .borrow_mut()
-                    .hold(index, now + QUARANTINE_CHECK_INTERVAL);
+                    .hold_until(index, now + QUARANTINE_CHECK_INTERVAL);
                 continue;
             }
             self.discard_unusable_text(owned, &route, index);
             let Some(key) = self.choose_engine(now, owned, &route, index, None) else {
                 let reason = self.wait_reason(owned, &route, index);
-                owned.batch.borrow_mut().lacks(now, reason);
+                owned.batch.borrow_mut().record_wait(now, reason);
                 return;
             };
-            owned.batch.borrow_mut().lacks(now, None);
+            owned.batch.borrow_mut().record_wait(now, None);
             self.start_item(now, owned, &route, index, key);
         }
     }
@@ -127,14 +129,14 @@
     ///
     /// Must not be called while the item runs: the text would lack its beginning.
     fn discard_unusable_text(&self, owned: &OwnedBatch, route: &Route, index: usize) {
-        let required = owned.batch.borrow().pinned(index);
+        let required = owned.batch.borrow().required_version(index);
         let Some((version, model)) = required.zip(owned.submission.model.as_deref()) else {
             return;
         };
         let engines = self.engines.borrow();
         let mut services = route.shares.iter().map(|share| share.service.as_str());
         if !services.any(|service| engines.has_version(service, model, version)) {
-            owned.batch.borrow_mut().restart(index);
+            owned.batch.borrow_mut().discard_text(index);
         }
     }
 
@@ -147,17 +149,17 @@
         index: usize,
         excluded: Option<EngineKey>,
     ) -> Option<EngineKey> {
-        let requirements = Want {
-            not: excluded.or_else(|| owned.avoided_engines.borrow().get(&index).copied()),
+        let requirements = Requirements {
+            excluded: excluded.or_else(|| owned.avoided_engines.borrow().get(&index).copied()),
             ..requirements(owned, route, index)?
         };
         self.engines.borrow().choose(now, &requirements)
     }
 
     /// Returns what an item waits for that can't start now.
-    fn wait_reason(&self, owned: &OwnedBatch, route: &Route, index: usize) -> Option<Lack> {
+    fn wait_reason(&self, owned: &OwnedBatch, route: &Route, index: usize) -> Option<WaitReason> {
         let requirements = requirements(owned, route, index)?;
-        Some(self.engines.borrow().lack(&requirements))
+        Some(self.engines.borrow().wait_reason(&requirements))
     }
 
     /// Returns the roster entry of an engine.
@@ -177,9 +179,9 @@
         min_version: u64,
     ) -> Option<EngineKey> {
         let engines = self.engines.borrow();
-        let requirements = Want {
-            floor: min_version,
-            exact: None,
+        let requirements = Requirements {
+            min_version,
+            exact_version: None,
             ..requirements(owned, route, index)?
         };
         let found = engines.choose(now, &requirements);
@@ -196,13 +198,13 @@
         key: EngineKey,
     ) {
         let Some(endpoint) = self.endpoint(key) else {
-            self.engines.borrow_mut().failed(now, key);
+            self.engines.borrow_mut().record_failure(now, key);
             return;
         };
         let slot = Slot::occupy(self, key);
         owned.avoided_engines.borrow_mut().remove(&index);
-        let exact_version = owned.batch.borrow().pinned(index);
-        let wait_times = owned.batch.borrow().waited(now, index);
+        let exact_version = owned.batch.borrow().required_version(index);
+        let wait_times = owned.batch.borrow().wait_times(now, index);
         let last_event = owned.batch.borrow_mut().start(index);
         let priority = self.item_priority(now, owned, route, &endpoint.service, index);
         let start = ItemStart {
@@ -235,8 +237,11 @@
     ) -> u8 {
         let item = &owned.submission.items[index];
         let hint = item.hint.unwrap_or(0).min(item.tokens);
-        let last_event = owned.batch.borrow().last(index).unwrap_or(0);
-        let expected_duration = self.engines.borrow().expected(service, hint, last_event);
+        let last_event = owned.batch.borrow().last_event(index).unwrap_or(0);
+        let expected_duration = self
+            .engines
+            .borrow()
+            .expected_duration(service, hint, last_event);
         let remaining = owned.due_at.saturating_duration_since(now);
         urgency::rank(
             owned.priority,
@@ -253,28 +258,28 @@
         index: usize,
         key: EngineKey,
         last_event: Option<u64>,
-        cause: Break,
+        cause: Interruption,
     ) {
         let now = Instant::now();
         let mut engines = self.engines.borrow_mut();
         let outcome = match cause {
-            Break::NotRun => "not-run",
-            Break::Lost => "lost",
-            Break::Moved => "moved",
-            Break::Failed => "failed",
-            Break::Never => "never",
+            Interruption::NotRun => "not-run",
+            Interruption::Lost => "lost",
+            Interruption::Moved => "moved",
+            Interruption::Failed => "failed",
+            Interruption::Never => "never",
         };
         self.line.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
-            Break::NotRun => engines.refused(now, key),
-            Break::Lost => engines.failed(now, key),
-            Break::Moved | Break::Failed | Break::Never => {}
+            Interruption::NotRun => engines.record_refusal(now, key),
+            Interruption::Lost => engines.record_failure(now, key),
+            Interruption::Moved | Interruption::Failed | Interruption::Never => {}
         }
         owned
             .batch
             .borrow_mut()
-            .broke(now, index, last_event, cause);
-        if cause == Break::Moved {
+            .record_interruption(now, index, last_event, cause);
+        if cause == Interruption::Moved {
             owned.avoided_engines.borrow_mut().insert(index, key);
         }
         owned.result_ready.notify_one();
@@ -282,15 +287,19 @@
 }
 
 /// Returns what an item requires of an engine.
-fn requirements<'a>(owned: &'a OwnedBatch, route: &'a Route, index: usize) -> Option<Want<'a>> {
+fn requirements<'a>(
+    owned: &'a OwnedBatch,
+    route: &'a Route,
+    index: usize,
+) -> Option<Requirements<'a>> {
     let submission = &owned.submission;
     let group = submission.items[index].group.as_str();
-    Some(Want {
+    Some(Requirements {
         service: drawn_service(route)?,
         model: submission.model.as_deref(),
-        floor: submission.floor,
-        exact: owned.batch.borrow().pinned(index),
+        min_version: submission.min_version,
+        exact_version: owned.batch.borrow().required_version(index),
         group,
-        not: None,
+        excluded: None,
     })
 }
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -73,7 +73,7 @@
     fn unsaved_draft_pieces(&self) -> Vec<(usize, Piece)> {
         let drafts = self.drafts.borrow();
         let found = drafts.iter().filter_map(|(index, draft)| {
-            let piece = draft.text.unkept(0)?;
+            let piece = draft.text.unsaved_piece(0)?;
             Some((*index, piece))
         });
         found.collect()
@@ -82,7 +82,8 @@
     /// Returns whether a draft runs or is not saved whole.
     fn has_open_drafts(&self) -> bool {
         let drafts = self.drafts.borrow();
-        let is_open = |draft: &Draft| !draft.task.is_finished() || draft.text.unkept(0).is_some();
+        let is_open =
+            |draft: &Draft| !draft.task.is_finished() || draft.text.unsaved_piece(0).is_some();
         drafts.values().any(is_open)
     }
 }
@@ -110,7 +111,7 @@
     fn next_min_version(&self, owned: &OwnedBatch) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
         let newest = self.known.named().get(model).copied()?;
-        let initial_version = owned.submission.floor + owned.version_lag;
+        let initial_version = owned.submission.min_version + owned.version_lag;
         (newest > initial_version).then(|| (newest + 1).saturating_sub(owned.version_lag))
     }
 
@@ -154,7 +155,7 @@
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
         for (index, piece) in &pieces {
-            let id = row::draft(
+            let id = row::draft_piece(
                 &owned.id,
                 &owned.submission.items[*index].id,
                 owned.tenure,
@@ -168,7 +169,7 @@
             let mut drafts = owned.drafts.borrow_mut();
             for (index, piece) in &pieces {
                 if let Some(draft) = drafts.get_mut(index) {
-                    draft.text.keep(piece);
+                    draft.text.mark_saved(piece);
                 }
             }
         }
@@ -205,7 +206,7 @@
         let groups: Vec<u32> = items.map(|item| row::group_hash(&item.group)).collect();
         let later = heads
             .values()
-            .filter(|row| row.head.is_kin(own) && row.head.accepted > own.accepted);
+            .filter(|row| row.head.shares_texts_with(own) && row.head.accepted > own.accepted);
         later
             .flat_map(|row| &row.head.groups)
             .any(|group| groups.contains(group))
@@ -248,7 +249,7 @@
         let heads = self.heads.borrow();
         let with = heads.iter().filter(|(known, row)| {
             known.as_str() != id
-                && row.head.is_kin(head)
+                && row.head.shares_texts_with(head)
                 && row.head.accepted <= head.accepted
                 && row.head.groups.contains(&group)
         });
@@ -269,7 +270,7 @@
         };
         let rows = self.store.read_whole(&range).await?.rows;
         let pieces = rows.iter().filter_map(|row| {
-            let name = row::piece_item(&batch, &row.id.key);
+            let name = row::parse_piece_key(&batch, &row.id.key);
             let piece = serde_json::from_slice::<Piece>(&row.value).ok();
             let tenure_piece = name.zip(piece).map(|((_, tenure), piece)| (tenure, piece));
             if tenure_piece.is_none() {
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -21,7 +21,7 @@
 };
 use hibiscusroad::{
     clock::millis,
-    rollout::{Item, batch::Break, engines::EngineKey},
+    rollout::{Item, batch::Interruption, engines::EngineKey},
     roster::Endpoint,
 };
 use hibiscusroad_platform::{
@@ -121,14 +121,14 @@
                 log::error!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
                     error = error.to_string().as_str();
                     "The request of an item could not be built.");
-                Err(Break::Never)
+                Err(Interruption::Never)
             }
         };
         let pace = run.pace.filter(|_| run.event_count > PACE_CHECK_EVENTS);
         if let Some(pace) = pace {
             self.engines
                 .borrow_mut()
-                .paced(Instant::now(), slot.key, pace);
+                .record_pace(Instant::now(), slot.key, pace);
         }
         if let Err(cause) = ended {
             log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
@@ -136,7 +136,7 @@
                 fingerprint = subject.map(|it| it.fingerprint().to_string()),
                 events = run.event_count, pace_us = micros(run.pace),
                 took_ms = millis(start.elapsed()), waited_ms = millis(waited),
-                weights_ms = millis(waits.weights), room_ms = millis(waits.room); "A run of an item broke off.");
+                weights_ms = millis(waits.weights), room_ms = millis(waits.capacity); "A run of an item broke off.");
             self.record_interruption(owned, index, slot.key, last_event, cause);
             return;
         }
@@ -144,15 +144,18 @@
             endpoint = endpoint.id.as_str(), before:? = last_event, events = run.event_count,
             pace_us = micros(run.pace), hint:? = item.hint, took_ms = millis(start.elapsed()),
             waited_ms = millis(waited), weights_ms = millis(waits.weights),
-            room_ms = millis(waits.room), group = item.group.as_str();
+            room_ms = millis(waits.capacity), group = item.group.as_str();
             "The text of an item is whole.");
         let meters = &self.line.meters;
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(slot);
-        let events = owned.batch.borrow().last(index).unwrap_or(0);
-        self.engines.borrow_mut().whole(events, item.hint);
-        let needs_score = owned.batch.borrow_mut().generated(Instant::now(), index);
+        let events = owned.batch.borrow().last_event(index).unwrap_or(0);
+        self.engines.borrow_mut().record_text(events, item.hint);
+        let needs_score = owned
+            .batch
+            .borrow_mut()
+            .complete_text(Instant::now(), index);
         if needs_score {
             self.score_item(owned, index).await;
         } else {
@@ -177,7 +180,7 @@
         let deadline = owned.expires_at.unwrap_or(start + DEFAULT_ITEM_TTL);
         let ended = match build_request(item, owned, LOWEST_PRIORITY, deadline, None, None) {
             Ok(request) => run.generate(&request, &endpoint).await,
-            Err(_unsendable) => Err(Break::Never),
+            Err(_unsendable) => Err(Interruption::Never),
         };
         log::info!(target: BATCHES, batch = owned.id.as_str(), item = item.id.as_str(),
             endpoint = endpoint.id.as_str(), events = run.event_count, ended:? = ended,
@@ -269,9 +272,11 @@
     fn last_event(&self) -> Option<u64> {
         if self.is_draft {
             let drafts = self.owned.drafts.borrow();
-            return drafts.get(&self.index).and_then(|draft| draft.text.last());
+            return drafts
+                .get(&self.index)
+                .and_then(|draft| draft.text.last_event());
         }
-        self.owned.batch.borrow().last(self.index)
+        self.owned.batch.borrow().last_event(self.index)
     }
 
     /// Appends an event to the text; returns `false` if it doesn't follow the last one.
@@ -279,38 +284,45 @@
         if self.is_draft {
             let mut drafts = self.owned.drafts.borrow_mut();
             let draft = drafts.get_mut(&self.index);
-            return draft
-                .is_some_and(|draft| draft.text.extend(event.number, &event.data, self.version));
+            return draft.is_some_and(|draft| {
+                draft
+                    .text
+                    .append_event(event.number, &event.data, self.version)
+            });
         }
         let mut batch = self.owned.batch.borrow_mut();
-        batch.extend(self.index, event.number, &event.data, self.version)
+        batch.append_event(self.index, event.number, &event.data, self.version)
     }
 
     /// Sends the request and reads the response to its end.
-    async fn generate(&mut self, request: &Request, endpoint: &Endpoint) -> Result<(), Break> {
+    async fn generate(
+        &mut self,
+        request: &Request,
+        endpoint: &Endpoint,
+    ) -> Result<(), Interruption> {
         let head = &request.head;
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
-        let mut flight = crashes.watch(&request.subject, target.life());
+        let mut flight = crashes.track(&request.subject, target.life());
         let sent = attempt::request(head, &target, whole(request.body.clone()));
         let channels = &self.batches.line.channels;
-        let sending = channels.send_noting(target.address, sent, || flight.sent());
+        let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
         let sent = self.await_response(sending, head.id.as_str()).await?;
         let (response, channel) = sent.map_err(|fault| {
-            flight.faulted(&fault);
+            flight.record_fault(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
                 endpoint = endpoint.id.as_str(),
                 fingerprint:% = request.subject.fingerprint(), error = fault.to_string().as_str();
                 "An engine did not answer.");
-            Break::Lost
+            Interruption::Lost
         })?;
         if let Err(cause) = self.check_response(head, &response) {
-            flight.dismissed();
+            flight.mark_survived();
             return Err(cause);
         }
         let is_kept = attempt::kept(response.headers());
         self.read_events(response.into_body(), &mut flight).await?;
-        flight.answered();
+        flight.mark_answered();
         channels.give_back(channel, is_kept);
         Ok(())
     }
@@ -320,11 +332,15 @@
     /// Several owners share the engines and know each other's load only from responses, so
     /// a run may get into the queue of a full engine. It leaves that queue as soon as
     /// another engine has capacity.
-    async fn await_response<T>(&self, sent: impl Future<Output = T>, id: &str) -> Result<T, Break> {
+    async fn await_response<T>(
+        &self,
+        sent: impl Future<Output = T>,
+        id: &str,
+    ) -> Result<T, Interruption> {
         let mut sent = pin!(sent);
         let start = Instant::now();
-        let usual_gap = self.batches.engines.borrow().usual(self.service);
-        let mut wait = Duration::from_secs_f64(usual_gap.unwrap_or(DEFAULT_PACE) * QUEUE_FACTOR)
+        let median_pace = self.batches.engines.borrow().median_pace(self.service);
+        let mut wait = Duration::from_secs_f64(median_pace.unwrap_or(DEFAULT_PACE) * QUEUE_FACTOR)
             .max(MIN_QUEUE_WAIT);
         loop {
             if let Ok(answer) = timeout(wait, &mut sent).await {
@@ -332,43 +348,50 @@
             }
             let now = Instant::now();
             if now.saturating_duration_since(start) > RESPONSE_TIMEOUT {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().full(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_queueing(now, self.key);
             if self.other_engine(now).is_some() {
                 log::debug!(target: BATCHES, item = id,
                     waited_ms = millis(start.elapsed());
                     "An item leaves the queue of a full engine.");
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = REPLACEMENT_POLL_INTERVAL;
         }
     }
 
     /// Evaluates the head of a response.
-    fn check_response(&mut self, head: &Head, response: &Response<Incoming>) -> Result<(), Break> {
+    fn check_response(
+        &mut self,
+        head: &Head,
+        response: &Response<Incoming>,
+    ) -> Result<(), Interruption> {
         let headers = response.headers();
         let load = text(headers, header::LOAD).and_then(header::parse_load);
         let mut engines = self.batches.engines.borrow_mut();
         if let Some((running, queued, _)) = load {
-            engines.told(Instant::now(), self.key, running + queued);
+            engines.record_load(Instant::now(), self.key, running + queued);
         }
         let echo = text(headers, header::REQUEST);
         if echo.is_some_and(|echo| echo != head.id) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         let status = response.status().as_u16();
         match status {
             200..=299 if echo.is_some() && headers.contains_key(header::SIGNATURE) => {}
-            _ if headers.contains_key(header::NOT_RUN) => return Err(Break::NotRun),
-            421 => return Err(Break::NotRun),
-            422 => return Err(Break::Never),
-            500 => return Err(Break::Failed),
-            _ => return Err(Break::Lost),
+            _ if headers.contains_key(header::NOT_RUN) => return Err(Interruption::NotRun),
+            421 => return Err(Interruption::NotRun),
+            422 => return Err(Interruption::Never),
+            500 => return Err(Interruption::Failed),
+            _ => return Err(Interruption::Lost),
         }
         self.version = text(headers, header::WEIGHT_VERSIONS).and_then(|v| v.trim().parse().ok());
         if let Some((model, version)) = self.owned.submission.model.as_deref().zip(self.version) {
-            engines.weights(self.key, model, version);
+            engines.record_version(self.key, model, version);
         }
         Ok(())
     }
@@ -378,7 +401,7 @@
         &mut self,
         mut body: Incoming,
         flight: &mut InFlight,
-    ) -> Result<(), Break> {
+    ) -> Result<(), Interruption> {
         let mut events = EventDecoder::new();
         self.last_data_at = Instant::now();
         loop {
@@ -393,14 +416,14 @@
                 match events.next_event() {
                     Ok(Some(event)) => self.handle_event(&event)?,
                     Ok(None) => break,
-                    Err(_garbled) => return Err(Break::Lost),
+                    Err(_garbled) => return Err(Interruption::Lost),
                 }
             }
         }
         if events.is_at_boundary() && self.last_event().is_some() {
             Ok(())
         } else {
-            Err(Break::Lost)
+            Err(Interruption::Lost)
         }
     }
 
@@ -409,9 +432,9 @@
         &mut self,
         body: &mut Incoming,
         flight: &mut InFlight,
-    ) -> Result<Option<Frame<Bytes>>, Break> {
-        let usual_gap = self.batches.engines.borrow().usual(self.service);
-        let stall = Duration::from_secs_f64(usual_gap.unwrap_or(DEFAULT_PACE) * STALL_FACTOR)
+    ) -> Result<Option<Frame<Bytes>>, Interruption> {
+        let median_pace = self.batches.engines.borrow().median_pace(self.service);
+        let stall = Duration::from_secs_f64(median_pace.unwrap_or(DEFAULT_PACE) * STALL_FACTOR)
             .max(MIN_STALL);
         let mut wait = stall;
         loop {
@@ -422,18 +445,21 @@
                     return Ok(Some(frame));
                 }
                 Ok(Some(Err(error))) => {
-                    flight.broke(&error);
-                    return Err(Break::Lost);
+                    flight.record_break(&error);
+                    return Err(Interruption::Lost);
                 }
                 Err(_elapsed) => {}
             }
             let now = Instant::now();
             if now.saturating_duration_since(self.last_data_at) > FRAME_TIMEOUT {
-                return Err(Break::Lost);
+                return Err(Interruption::Lost);
             }
-            self.batches.engines.borrow_mut().stalled(now, self.key);
+            self.batches
+                .engines
+                .borrow_mut()
+                .record_stall(now, self.key);
             if self.other_engine(now).is_some() {
-                return Err(Break::Moved);
+                return Err(Interruption::Moved);
             }
             wait = REPLACEMENT_POLL_INTERVAL;
         }
@@ -450,22 +476,22 @@
     }
 
     /// Appends an event; one that doesn't follow the last ends the run.
-    fn handle_event(&mut self, event: &Event) -> Result<(), Break> {
+    fn handle_event(&mut self, event: &Event) -> Result<(), Interruption> {
         if let Some(version) = event.version {
             self.version = Some(version);
             if let Some(model) = self.owned.submission.model.as_deref() {
                 let mut engines = self.batches.engines.borrow_mut();
-                engines.weights(self.key, model, version);
+                engines.record_version(self.key, model, version);
             }
         }
         if !self.append_event(event) {
-            return Err(Break::Lost);
+            return Err(Interruption::Lost);
         }
         self.measure_pace()
     }
 
     /// Measures the pace, and ends the run if another engine is fast enough to take it over.
-    fn measure_pace(&mut self) -> Result<(), Break> {
+    fn measure_pace(&mut self) -> Result<(), Interruption> {
         let now = Instant::now();
         let gap = now
             .saturating_duration_since(self.last_event_at)
@@ -482,14 +508,17 @@
             return Ok(());
         }
         let pace = self.pace.unwrap_or(gap);
-        self.batches.engines.borrow_mut().paced(now, self.key, pace);
+        self.batches
+            .engines
+            .borrow_mut()
+            .record_pace(now, self.key, pace);
         let Some(other) = self.other_engine(now) else {
             return Ok(());
         };
         let events = self.last_event().unwrap_or(0);
         let engines = self.batches.engines.borrow();
-        if engines.is_better(self.service, pace, events, other) {
-            return Err(Break::Moved);
+        if engines.is_worth_moving(self.service, pace, events, other) {
+            return Err(Interruption::Moved);
         }
         Ok(())
     }
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -34,7 +34,7 @@
         loop {
             let ready = Self::next_results(&owned);
             if ready.is_empty() {
-                if owned.batch.borrow().complete() {
+                if owned.batch.borrow().is_complete() {
                     return;
                 }
                 owned.result_ready.notified().await;
@@ -56,7 +56,7 @@
         let ready = owned
             .batch
             .borrow()
-            .ready(&owned.submission, MAX_ENTRIES / 2 - 1);
+            .ready_results(&owned.submission, MAX_ENTRIES / 2 - 1);
         let mut bytes = 0;
         let mut results = Vec::new();
         for (index, result) in ready {
@@ -112,7 +112,7 @@
         owned
             .batch
             .borrow_mut()
-            .list(results.iter().map(|(index, _)| *index));
+            .mark_listed(results.iter().map(|(index, _)| *index));
         owned
             .listed
             .borrow_mut()
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -26,7 +26,7 @@
         Submission,
         batch::Batch,
         engines::{EngineKey, Engines},
-        presence::{Loss, Presences},
+        presence::{FailureDetector, Loss},
         row::Head,
     },
     roster::EndpointChange,
@@ -87,7 +87,7 @@
     /// When this process last had a batch or the duty.
     last_owned_at: Cell<Option<Instant>>,
     /// Detects processes that are gone by their heartbeats.
-    failure_detector: RefCell<Presences>,
+    failure_detector: RefCell<FailureDetector>,
     /// Notified after each poll of the heartbeats.
     polled: Notify,
     /// Whether the process is stopping: it runs and takes over no more batches.
@@ -173,7 +173,7 @@
             ownership_changed: Notify::new(),
             holds_duty: Cell::new(false),
             last_owned_at: Cell::new(None),
-            failure_detector: RefCell::new(Presences::new()),
+            failure_detector: RefCell::new(FailureDetector::new()),
             polled: Notify::new(),
             is_stopping: Cell::new(false),
         }
@@ -185,7 +185,7 @@
         for change in changes {
             match change {
                 EndpointChange::Updated(endpoint) if !endpoint.weights.is_empty() => {
-                    engines.set(endpoint);
+                    engines.update(endpoint);
                 }
                 EndpointChange::Updated(_) => {}
                 EndpointChange::Removed(id) => engines.remove(id),
@@ -228,7 +228,7 @@
     /// processes. `since` is when this process first saw it hold the duty.
     pub(super) fn loss(&self, incarnation: &str, since: Instant) -> Option<(Loss, usize)> {
         let detector = self.failure_detector.borrow();
-        let loss = detector.lost(incarnation, since)?;
+        let loss = detector.loss(incarnation, since)?;
         Some((loss, detector.count()))
     }
 
@@ -244,7 +244,7 @@
 
     /// Returns how many items of this process run at an engine.
     pub(super) fn running_at(&self, endpoint: &str) -> u32 {
-        self.engines.borrow().mine(endpoint)
+        self.engines.borrow().own_items(endpoint)
     }
 
     /// Returns whether an engine is known to be much slower than its peers.
@@ -256,7 +256,7 @@
     pub(super) fn record_version(&self, endpoint: &str, model: &str, version: u64) {
         let mut engines = self.engines.borrow_mut();
         if let Some(key) = engines.key(endpoint) {
-            engines.weights(key, model, version);
+            engines.record_version(key, model, version);
         }
         drop(engines);
         self.dispatch_needed.notify_one();
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -5,14 +5,14 @@
 //! processes are gone.
 
 use super::{Batches, HeadRow, OwnedBatch};
-use crate::{gateway::peers::presence, logs::BATCHES, platform::Backoff};
+use crate::{gateway::peers::decode_presence, logs::BATCHES, platform::Backoff};
 use futures_util::future::join3;
 use hibiscusroad::{
     clock::millis,
     rollout::{
         Submission,
         batch::Batch,
-        presence::{Loss, RENEWAL, Sign},
+        presence::{HEARTBEAT_INTERVAL, Heartbeat, Loss},
         row::{self, Head, Presence},
         text::{Piece, Text},
     },
@@ -83,7 +83,7 @@
             }
             let presence = self.own_presence();
             let value = serde_json::to_vec(&presence).unwrap_or_default();
-            let change = Change::new().put(row::entry(&self.directory.name), value);
+            let change = Change::new().put(row::process(&self.directory.name), value);
             let done = self.store.transact(&change).await;
             if !matches!(done, Commit::Done { .. }) {
                 sleep(backoff.next_wait(&mut rand::rng())).await;
@@ -91,7 +91,7 @@
             }
             backoff.reset();
             loop {
-                sleep(RENEWAL).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 // Until the store has answered, the clock offset is not known.
                 if self.needs_heartbeat() || presence.offset.is_none() {
                     break;
@@ -114,7 +114,7 @@
 
     fn own_presence(&self) -> Presence {
         Presence {
-            life: self.incarnation.clone(),
+            incarnation: self.incarnation.clone(),
             peer: self.directory.address,
             renewed: millis(self.store.now().unwrap_or_default()),
             memory: self.memory_mb,
@@ -150,14 +150,14 @@
                         let loss = self
                             .failure_detector
                             .borrow()
-                            .lost(&row.head.owner, row.owner_since);
+                            .loss(&row.head.owner, row.owner_since);
                         if let Some(loss) = loss {
                             self.take_over(&id, &row, loss).await;
                         }
                     }
                 }
                 Err(error) => {
-                    self.failure_detector.borrow_mut().blind();
+                    self.failure_detector.borrow_mut().clear();
                     log::debug!(target: BATCHES, error = error.as_str();
                         "The heartbeats of batch owners could not be read.");
                 }
@@ -177,7 +177,7 @@
             let pause = self
                 .failure_detector
                 .borrow()
-                .pause(&self.directory.name, owners);
+                .poll_interval(&self.directory.name, owners);
             let next = polled_at + pause;
             if Instant::now() >= next {
                 return;
@@ -193,7 +193,7 @@
     fn foreign_batches(&self) -> Vec<(String, HeadRow)> {
         let heads = self.heads.borrow();
         let now = millis(self.store.now().unwrap_or_default());
-        let is_open = |row: &HeadRow| !row.head.ended && now < row.head.until;
+        let is_open = |row: &HeadRow| !row.head.ended && now < row.head.runs_until;
         let open = heads.iter().filter(|(_, row)| is_open(row));
         let foreign = open.filter(|(_, row)| row.head.owner != self.incarnation);
         foreign.map(|(id, row)| (id.clone(), row.clone())).collect()
@@ -205,12 +205,12 @@
         let page = self.store.read_whole(&Range::part(row::ENTRIES, "")).await;
         let page = page.map_err(|failure| failure.to_string())?;
         let now = Instant::now();
-        self.directory.hear(&self.store, &page.rows);
+        self.directory.update(&self.store, &page.rows);
         let heartbeats = page.rows.iter().filter_map(heartbeat).collect();
         let latency = now.saturating_duration_since(start);
         self.failure_detector
             .borrow_mut()
-            .seen(now, latency, heartbeats);
+            .record_poll(now, latency, heartbeats);
         self.polled.notify_waiters();
         Ok(())
     }
@@ -280,7 +280,7 @@
 
     /// Reads the state of a batch from the store.
     async fn load(&self, id: &str) -> Result<BatchState, String> {
-        let name = row::object(id);
+        let name = row::submission_object(id);
         let (object, results, pieces) = join3(
             self.store.get_object(&name),
             self.read_results(id, 0),
@@ -324,7 +324,7 @@
         );
         for result in &results {
             match batch::decode_item_id(result) {
-                Ok(item) => batch.restore(&item),
+                Ok(item) => batch.restore_result(&item),
                 Err(error) => log::error!(target: BATCHES, batch = id,
                     error = error.to_string().as_str();
                     "A stored result could not be decoded; it is ignored."),
@@ -332,12 +332,12 @@
         }
         let mut piece_rows = Vec::new();
         for (row, item, piece) in pieces {
-            batch.resume(&item, piece);
+            batch.restore_piece(&item, piece);
             piece_rows.push(row);
         }
         for (item, text) in carried {
-            let (last, versions) = (text.last(), text.versions().to_vec());
-            if batch.carry(&item, text) {
+            let (last, versions) = (text.last_event(), text.versions().to_vec());
+            if batch.carry_over(&item, text) {
                 log::info!(target: BATCHES, batch = id, item = item.as_str(), last:? = last,
                     versions:? = versions; "A text of an earlier batch is carried over.");
             }
@@ -403,7 +403,7 @@
             self.save_new_pieces(&owned).await;
             self.hand_over(&owned.id).await;
         }
-        let change = Change::new().remove(row::entry(&self.directory.name));
+        let change = Change::new().remove(row::process(&self.directory.name));
         let done = self.store.transact(&change).await;
         log::info!(target: BATCHES, done = matches!(done, Commit::Done { .. });
             "All batches are handed over; the heartbeats end.");
@@ -413,7 +413,7 @@
 impl Batches {
     fn successor(&self) -> Option<String> {
         let detector = self.failure_detector.borrow();
-        detector.heir(&self.directory.name).map(str::to_owned)
+        detector.successor(&self.directory.name).map(str::to_owned)
     }
 
     /// Makes another process the owner of a batch.
@@ -443,11 +443,15 @@
 }
 
 /// Decodes a heartbeat row.
-fn heartbeat(row: &Row) -> Option<Sign> {
-    let Presence { life, memory, .. } = presence(row)?;
-    Some(Sign {
+fn heartbeat(row: &Row) -> Option<Heartbeat> {
+    let Presence {
+        incarnation,
+        memory,
+        ..
+    } = decode_presence(row)?;
+    Some(Heartbeat {
         name: row.id.key.clone(),
-        life,
+        incarnation,
         version: row.version,
         memory,
     })
--- a/hibiscusroad-daemon/src/gateway/batches/pieces.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/pieces.rs
@@ -27,7 +27,7 @@
 impl Batches {
     /// Saves texts until the batch is complete.
     pub(super) async fn save_pieces(self: Rc<Self>, owned: Rc<OwnedBatch>) {
-        while !owned.batch.borrow().complete() {
+        while !owned.batch.borrow().is_complete() {
             sleep(SAVE_INTERVAL).await;
             self.save_new_pieces(&owned).await;
             self.save_drafts(&owned).await;
@@ -36,7 +36,7 @@
 
     /// Saves the text that came since the last save.
     pub(super) async fn save_new_pieces(&self, owned: &OwnedBatch) {
-        let mut pieces = owned.batch.borrow().unkept(MAX_ENTRIES / 2);
+        let mut pieces = owned.batch.borrow().unsaved_pieces(MAX_ENTRIES / 2);
         let mut bytes = 0;
         pieces.retain(|(_, piece)| {
             bytes += piece.text.len();
@@ -57,7 +57,7 @@
             Commit::Done { .. } => {
                 let mut batch = owned.batch.borrow_mut();
                 for (index, piece) in &pieces {
-                    batch.keep(*index, piece);
+                    batch.mark_saved(*index, piece);
                 }
                 owned.piece_rows.borrow_mut().extend(rows);
             }
@@ -86,7 +86,7 @@
         };
         let mut found = Vec::new();
         for row in self.store.read_whole(&range).await?.rows {
-            let name = row::piece_item(id, &row.id.key);
+            let name = row::parse_piece_key(id, &row.id.key);
             let piece = serde_json::from_slice(&row.value).ok();
             match name.zip(piece) {
                 // A piece with a tenure belongs to a draft.
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -38,7 +38,7 @@
     pub(super) async fn score_item(&self, owned: &Rc<OwnedBatch>, index: usize) {
         let item = &owned.submission.items[index];
         let Some(scorer) = &item.scorer else {
-            owned.batch.borrow_mut().scored(index, None);
+            owned.batch.borrow_mut().complete_scoring(index, None);
             owned.result_ready.notify_one();
             return;
         };
@@ -55,11 +55,18 @@
                         log::info!(target: BATCHES, batch = owned.id.as_str(),
                             item = item.id.as_str(), scorer = scorer.id.as_str(),
                             took_ms = millis(start.elapsed()); "The text of an item is scored.");
-                        owned.batch.borrow_mut().scored(index, Some(score));
+                        owned
+                            .batch
+                            .borrow_mut()
+                            .complete_scoring(index, Some(score));
                         break;
                     }
                     ScorerOutcome::Rejected => {
-                        if owned.batch.borrow_mut().rejected(index, route.max_attempts) {
+                        if owned
+                            .batch
+                            .borrow_mut()
+                            .record_scorer_failure(index, route.max_attempts)
+                        {
                             log::info!(target: BATCHES, batch = owned.id.as_str(),
                                 item = item.id.as_str(), scorer = scorer.id.as_str();
                                 "The scorer has failed too often; the item is errored.");
--- a/hibiscusroad-daemon/src/gateway/batches/share.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/share.rs
@@ -33,7 +33,7 @@
             }
             let since = Instant::now();
             sleep(SHARE_INTERVAL).await;
-            let services = self.engines.borrow().sampled_since(since);
+            let services = self.engines.borrow().services_sampled_since(since);
             for service in services {
                 self.write_paces(&service, &mut known).await;
             }
@@ -43,7 +43,10 @@
     /// Merges the own paces of a service into its row.
     async fn write_paces(&self, service: &str, known: &mut KnownRows) {
         let Some(now) = self.store.now() else { return };
-        let own = self.engines.borrow().paces_of(Instant::now(), now, service);
+        let own = self
+            .engines
+            .borrow()
+            .own_paces(Instant::now(), now, service);
         let id = row::paces(service);
         // The second try includes what other owners wrote meanwhile.
         for _ in 0..2 {
@@ -91,7 +94,10 @@
             }
         };
         if let Some(now) = self.store.now() {
-            let applied = self.engines.borrow_mut().hear(Instant::now(), now, &paces);
+            let applied = self
+                .engines
+                .borrow_mut()
+                .merge_paces(Instant::now(), now, &paces);
             log::debug!(target: BATCHES, service = row.id.key.as_str(), row = row.version,
                 engines = applied, store_ms = millis(now); "Engine paces are read from the store.");
         }
--- a/hibiscusroad-daemon/src/gateway/batches/slot.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/slot.rs
@@ -2,7 +2,7 @@
 
 use super::Batches;
 use hibiscusroad::{
-    rollout::{engines::EngineKey, waits::Waited},
+    rollout::{engines::EngineKey, waits::WaitTimes},
     roster::Endpoint,
 };
 use std::{rc::Rc, time::Duration};
@@ -16,7 +16,7 @@
 impl Slot {
     /// Occupies capacity at an engine.
     pub(super) fn occupy(batches: &Rc<Batches>, key: EngineKey) -> Self {
-        batches.engines.borrow_mut().start(key);
+        batches.engines.borrow_mut().add_item(key);
         Self {
             batches: Rc::clone(batches),
             key,
@@ -26,7 +26,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.batches.engines.borrow_mut().end(self.key);
+        self.batches.engines.borrow_mut().remove_item(self.key);
         self.batches.dispatch_needed.notify_one();
     }
 }
@@ -43,5 +43,5 @@
     /// The only weight version that is allowed.
     pub(super) exact_version: Option<u64>,
     /// How long it has waited, and how long for which reason.
-    pub(super) wait_times: (Duration, Waited),
+    pub(super) wait_times: (Duration, WaitTimes),
 }
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -10,7 +10,7 @@
 use crate::{
     gateway::{
         answer::{Out, problem, whole},
-        peers::presence,
+        peers::decode_presence,
     },
     logs::BATCHES,
     platform::Backoff,
@@ -135,20 +135,20 @@
             .rows
             .iter()
             .filter_map(|row| {
-                let presence = presence(row)?;
-                let load = owners.get(&presence.life)?;
+                let presence = decode_presence(row)?;
+                let load = owners.get(&presence.incarnation)?;
                 Some(Candidate {
                     presence,
-                    items: load.open_items,
-                    last: load.last_batch_at,
+                    open_items: load.open_items,
+                    last_batch_at: load.last_batch_at,
                 })
             })
             .collect();
         let now = self.store.now().unwrap_or_default();
         let chosen = choice::choose(&candidates, items, self.memory_mb, now);
-        let other = chosen.filter(|found| found.presence.life != self.incarnation);
+        let other = chosen.filter(|found| found.presence.incarnation != self.incarnation);
         other.map_or(own, |found| Owner {
-            incarnation: found.presence.life.clone(),
+            incarnation: found.presence.incarnation.clone(),
             address: found.presence.peer,
         })
     }
@@ -173,7 +173,10 @@
     ) -> Result<(), String> {
         let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         loop {
-            let stored = self.store.put_object(&row::object(id), body.to_vec()).await;
+            let stored = self
+                .store
+                .put_object(&row::submission_object(id), body.to_vec())
+                .await;
             let Err(failure) = stored else {
                 return Ok(());
             };
@@ -236,7 +239,7 @@
         } = new;
         log::info!(target: BATCHES, batch = id, items = submission.items.len(),
             model = submission.model.as_deref(), step = submission.step,
-            floor = submission.floor, groups = head.groups.len(),
+            floor = submission.min_version, groups = head.groups.len(),
             target = submission.target, carried = head.carried, row = version,
             owner = head.owner.as_str(); "A batch is accepted.");
         self.count_event("accepted");
@@ -311,11 +314,12 @@
             host: route.host.clone(),
             path: path.to_owned(),
             accepted,
-            until: accepted + millis(route.item_ttl.or(route.due).unwrap_or(DEFAULT_BATCH_TTL)),
+            runs_until: accepted
+                + millis(route.item_ttl.or(route.due).unwrap_or(DEFAULT_BATCH_TTL)),
             owner,
             total: submission.items.len(),
             ended: false,
-            lag: newest.unwrap_or(1).saturating_sub(submission.floor),
+            lag: newest.unwrap_or(1).saturating_sub(submission.min_version),
             work: submission.items.iter().map(token_limit).sum(),
             carried: self.count_carried(name.as_deref(), model.as_deref(), &groups),
             priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
@@ -378,7 +382,7 @@
 /// Answers a repeated submission: accepted for the client account of the batch, unknown for
 /// all others, as in all calls about batches.
 fn answer_repeated(head: &Head, account: Option<&str>) -> Response<Out> {
-    if head.is_of(account) {
+    if head.is_accessible_to(account) {
         accepted()
     } else {
         problem(ErrorKind::UnknownBatch, Duration::ZERO)
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -52,7 +52,7 @@
         let heads = self.heads.borrow();
         let due = heads.iter().filter(|(_, row)| {
             let age = row.head.age(now);
-            let is_open = !row.head.ended && now < Duration::from_millis(row.head.until);
+            let is_open = !row.head.ended && now < Duration::from_millis(row.head.runs_until);
             age > self.retention + RETENTION_MARGIN && !is_open
         });
         due.map(|(id, row)| (id.clone(), row.clone())).collect()
@@ -78,7 +78,7 @@
                 }
             }
         }
-        self.store.drop_object(&row::object(id)).await?;
+        self.store.drop_object(&row::submission_object(id)).await?;
         let change = Change::new()
             .expect(row::head(id), row.version)
             .remove(row::head(id));
--- a/hibiscusroad-daemon/src/gateway/batches/transfer.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/transfer.rs
@@ -41,7 +41,7 @@
             head: head.encode(),
             submission: submission.to_vec(),
         };
-        if let Err(error) = self.store.peers().give(to, message).await {
+        if let Err(error) = self.store.peers().push_batch(to, message).await {
             log::info!(target: BATCHES, batch = id.as_str(), to = head.owner.as_str(),
                 error = error.to_string().as_str();
                 "A batch could not be sent to its owner, which learns of it from the store.");
--- a/src/rollout/row.rs
+++ b/src/rollout/row.rs
@@ -37,8 +37,8 @@
 /// The table of the paces of engines, by service.
 pub const PACES: &str = "paces";
 
-/// Number of buckets over which batches are spread. Sixteen parts of 300 transactions per
-/// second each exceed what the whole store takes.
+/// Number of buckets over which batches are spread. So many parts take more transactions
+/// than the whole store does.
 const BUCKET_COUNT: u64 = 16;
 
 /// Separates the item from the tenure in the keys of drafts.
@@ -54,7 +54,8 @@
     /// The store's steady clock when it was accepted, in milliseconds.
     pub accepted: u64,
     /// The store's steady clock at which its items stop running, in milliseconds.
-    pub until: u64,
+    #[serde(rename = "until")]
+    pub runs_until: u64,
     /// The process that runs it: the name and the incarnation, separated by a slash.
     pub owner: String,
     /// Number of items.
@@ -98,7 +99,7 @@
     /// Returns whether a caller with this client account may access the batch. A batch
     /// without an account is on a public route or in a deployment without keys.
     #[must_use]
-    pub fn is_of(&self, account: Option<&str>) -> bool {
+    pub fn is_accessible_to(&self, account: Option<&str>) -> bool {
         self.account.is_none() || self.account.as_deref() == account
     }
 
@@ -106,7 +107,7 @@
     /// both have the same client account and model. Callers choose the IDs of items and
     /// groups, and guessing another caller's ID must not give access to its texts.
     #[must_use]
-    pub fn is_kin(&self, other: &Self) -> bool {
+    pub fn shares_texts_with(&self, other: &Self) -> bool {
         self.account == other.account && self.model == other.model
     }
 
@@ -121,7 +122,8 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Presence {
     /// The incarnation of the process.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub incarnation: String,
     /// The address at which it relays other processes' calls to the store, if it does.
     #[serde(default)]
     pub peer: Option<SocketAddr>,
@@ -189,7 +191,7 @@
 /// starts its drafts from the beginning, so the tenure keeps their pieces from being
 /// joined with those of the former owner's runs.
 #[must_use]
-pub fn draft(batch: &str, item: &str, tenure: u64, draft_piece: &Piece) -> RowId {
+pub fn draft_piece(batch: &str, item: &str, tenure: u64, draft_piece: &Piece) -> RowId {
     let item = format!("{item}{DRAFT_SEPARATOR}{tenure:016x}");
     piece(batch, &item, draft_piece)
 }
@@ -197,7 +199,7 @@
 /// Parses the key of a piece into the item and the tenure of its draft. The tenure is
 /// empty for the item's own text.
 #[must_use]
-pub fn piece_item<'a>(batch: &str, key: &'a str) -> Option<(&'a str, &'a str)> {
+pub fn parse_piece_key<'a>(batch: &str, key: &'a str) -> Option<(&'a str, &'a str)> {
     let rest = key.strip_prefix(batch)?.strip_prefix('/')?;
     let item = rest.rsplitn(3, '/').nth(2)?;
     Some(item.split_once(DRAFT_SEPARATOR).unwrap_or((item, "")))
@@ -205,7 +207,7 @@
 
 /// Returns the ID of the heartbeat row of a process.
 #[must_use]
-pub fn entry(name: &str) -> RowId {
+pub fn process(name: &str) -> RowId {
     RowId::new(ENTRIES, "", name)
 }
 
@@ -217,6 +219,6 @@
 
 /// Returns the name of the object that holds a batch's submission.
 #[must_use]
-pub fn object(batch: &str) -> String {
+pub fn submission_object(batch: &str) -> String {
     format!("batch-{batch}")
 }
--- /dev/null
+++ b/src/route/placement.rs
@@ -0,0 +1,308 @@
+//! Placement: chooses an endpoint for each call.
+//!
+//! Each entry sees only its own calls and delayed load reports. If all entries
+//! sent to the endpoint that looks least loaded, they would all choose the same
+//! one. So each call draws two endpoints with free slots at random and takes the
+//! less loaded one. A call with a prompt prefix goes to an endpoint that has the
+//! prefix cached, unless that endpoint has much more work than the others.
+//!
+//! Endpoints with free slots are kept in one pool per tier, so that the cost of a
+//! draw does not depend on the number of endpoints.
+
+use crate::{
+    class::Class,
+    error::ErrorKind,
+    route::{
+        EndpointKey, ServiceKey,
+        retry::RERUN_COST,
+        router::Router,
+        share,
+        spec::Call,
+        table::{CallKey, TIERS},
+    },
+};
+use rand::Rng;
+use std::time::{Duration, Instant};
+
+/// Interval at which queued calls are placed again, because reserved slots become
+/// free without an event.
+pub(super) const DISPATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum draws, if endpoints drawn have no cache memory left for the call.
+const MAX_DRAWS: usize = 8;
+/// Maximum rows that are scanned where no draw fits.
+const MAX_SCANNED: usize = 16;
+/// Recent work of an endpoint, relative to the mean, above which a prefix goes to
+/// the next one on the ring.
+const MAX_WORK_RATIO: f64 = 1.1;
+/// Score above which an endpoint is compared with one of the next tier: a wait
+/// there may take longer than the round trip to another data centre.
+const BUSY_SCORE: f64 = 0.7;
+/// Maximum calls that are preempted for a class at a time.
+const MAX_PREEMPTED: usize = 8;
+/// Preemptions of one call after which it keeps its slot.
+const MAX_PREEMPTIONS: u8 = 2;
+/// Share of an urgent call's service time that it may wait for a slot without
+/// preempting another call.
+const TOLERATED_WAIT_SHARE: f64 = 0.25;
+
+impl Router {
+    /// Places the queued calls of a service on free slots, preempting others where
+    /// a class is below its floor.
+    pub(super) fn dispatch(&mut self, now: Instant, service: ServiceKey) {
+        if self.services[service].queues_empty() {
+            return;
+        }
+        self.place_queued(now, service);
+        if self.preempt(now, service) {
+            self.place_queued(now, service);
+        }
+    }
+
+    fn place_queued(&mut self, now: Instant, service: ServiceKey) {
+        let mut blocked = [false; 3];
+        while let Some(class) = share::next_class(&self.services[service], now, blocked) {
+            let Some((_, first)) = self.services[service].queue(class).first() else {
+                return;
+            };
+            let key = first.call;
+            if !self.can_answer_in_time(now, &self.calls[key].call) {
+                self.record_late(service);
+                self.refuse(now, key, ErrorKind::Saturated);
+                continue;
+            }
+            match self.choose_endpoint(now, key) {
+                Some((endpoint, trial)) => self.start_attempt(now, key, endpoint, trial),
+                None => blocked[class.index()] = true,
+            }
+        }
+    }
+
+    /// Chooses an endpoint and returns whether the call is a trial of it.
+    fn choose_endpoint(&mut self, now: Instant, key: CallKey) -> Option<(EndpointKey, bool)> {
+        let row = &self.calls[key];
+        let (call, last) = (row.call, row.last_endpoint);
+        let first_try = row.is_repeatable() && row.attempts_started == 0;
+        let service = &mut self.services[call.service];
+        if (first_try || service.usable == 0)
+            && let Some(endpoint) = service.awaiting_trial.pop()
+        {
+            return Some((endpoint, true));
+        }
+        let preferred = self.pick_endpoint(now, &call, last);
+        let found = preferred.or_else(|| {
+            self.pick_endpoint(now, &call, None)
+                .filter(|_| last.is_some())
+        });
+        found.map(|endpoint| (endpoint, false))
+    }
+
+    fn pick_endpoint(
+        &mut self,
+        now: Instant,
+        call: &Call,
+        excluded: Option<EndpointKey>,
+    ) -> Option<EndpointKey> {
+        if self.services[call.service].free_slots == 0 {
+            return None;
+        }
+        if let Some(prefix) = call.prefix {
+            let cached = self.pick_cached(now, call, prefix, excluded);
+            if cached.is_some() {
+                return cached;
+            }
+        }
+        let mut best: Option<(EndpointKey, f64)> = None;
+        for tier in 0..TIERS {
+            let Some((key, score)) = self.draw_from_tier(now, call, tier, excluded) else {
+                continue;
+            };
+            if score <= BUSY_SCORE {
+                return Some(key);
+            }
+            if best.is_none_or(|(_, other)| score < other) {
+                best = Some((key, score));
+            }
+        }
+        best.map(|(key, _)| key)
+    }
+
+    /// Picks an endpoint that is likely to have the prefix cached: the first on the
+    /// ring within the bound on recent work, or else the one with the least.
+    fn pick_cached(
+        &mut self,
+        now: Instant,
+        call: &Call,
+        prefix: u64,
+        excluded: Option<EndpointKey>,
+    ) -> Option<EndpointKey> {
+        let mut found = std::mem::take(&mut self.ring_candidates);
+        found.clear();
+        let row = &mut self.services[call.service];
+        row.ring.find(prefix, &mut found);
+        let row = &self.services[call.service];
+        let mean = row.recent_work.value(now) / f64::from(row.usable.max(1));
+        let work = self.estimate(call).map_or(0.0, |e| e.mean);
+        let max_work = mean * MAX_WORK_RATIO + work;
+        // The ring ignores tiers: the round trip to another data centre costs less
+        // than processing the prompt again.
+        let mut best: Option<(EndpointKey, f64)> = None;
+        for key in &found {
+            let row = &self.endpoints[*key];
+            let fits = row.pool_index.is_some()
+                && Some(*key) != excluded
+                && row.has_cache_for(now, call.tokens);
+            let endpoint_work = row.recent_work.value(now);
+            if fits && best.is_none_or(|(_, least_work)| endpoint_work < least_work) {
+                best = Some((*key, endpoint_work));
+            }
+            if fits && endpoint_work <= max_work {
+                break;
+            }
+        }
+        self.ring_candidates = found;
+        best.map(|(key, _)| key)
+    }
+
+    /// Draws two endpoints of a tier and returns the less loaded one.
+    fn draw_from_tier(
+        &mut self,
+        now: Instant,
+        call: &Call,
+        tier: usize,
+        excluded: Option<EndpointKey>,
+    ) -> Option<(EndpointKey, f64)> {
+        let pool = &self.services[call.service].pools[tier];
+        if pool.is_empty() {
+            return None;
+        }
+        let mut best: Option<(EndpointKey, f64)> = None;
+        for _ in 0..MAX_DRAWS {
+            let key = pool[self.rng.random_range(0..pool.len())];
+            let row = &self.endpoints[key];
+            if Some(key) == excluded || !row.has_cache_for(now, call.tokens) {
+                continue;
+            }
+            let score = row.score(now);
+            match best {
+                None => best = Some((key, score)),
+                Some((other, _)) if key == other => {}
+                Some((_, other)) if score < other => return Some((key, score)),
+                found => return found,
+            }
+        }
+        let scan = || pool.iter().take(MAX_SCANNED).copied();
+        let fits = |key: &EndpointKey| {
+            Some(*key) != excluded && self.endpoints[*key].has_cache_for(now, call.tokens)
+        };
+        best.or_else(|| {
+            let key = scan().find(fits)?;
+            Some((key, self.endpoints[key].score(now)))
+        })
+    }
+
+    /// Preempts calls of lower classes for a class that is below its floor, so that
+    /// urgent calls don't wait for rollouts that take minutes.
+    ///
+    /// Only repeatable calls are preempted, the latest first, as they lose the
+    /// least work.
+    fn preempt(&mut self, now: Instant, service: ServiceKey) -> bool {
+        let mut preempted = false;
+        for class in [Class::Interactive, Class::Partner] {
+            for _ in 0..MAX_PREEMPTED {
+                let row = &self.services[service];
+                let waiting = row.queue(class).len();
+                if waiting == 0
+                    || row.free_slots as usize >= waiting
+                    || !share::is_below_floor(row, class)
+                {
+                    break;
+                }
+                let Some(key) = self.find_preemptible(service, class) else {
+                    break;
+                };
+                self.requeue(now, key);
+                self.calls[key].preemptions += 1;
+                preempted = true;
+            }
+        }
+        preempted
+    }
+
+    fn find_preemptible(&self, service: ServiceKey, class: Class) -> Option<CallKey> {
+        let row = &self.services[service];
+        let (_, first) = row.queue(class).first()?;
+        let mut latest = row
+            .preemptible
+            .iter()
+            .rev()
+            .take(MAX_SCANNED)
+            .map(|(_, key)| *key);
+        latest.find(|key| {
+            let call = &self.calls[*key];
+            let lower = call.call.class;
+            let used = f64::from(row.running[lower.index()]);
+            lower > class
+                && !call.committed
+                && call.preemptions < MAX_PREEMPTIONS
+                && used > row.spec.min_shares[lower.index()] * f64::from(row.capacity)
+                && call.work / used > first.work * TOLERATED_WAIT_SHARE
+        })
+    }
+
+    /// Cancels the attempts of a repeatable call and queues it again.
+    pub(super) fn requeue(&mut self, now: Instant, key: CallKey) {
+        for attempt_index in 0..2 {
+            self.cancel_attempt(now, key, attempt_index);
+        }
+        self.enqueue(now, key);
+    }
+
+    /// Starts a second attempt at another endpoint, if the first runs at one that
+    /// seems stuck.
+    ///
+    /// An endpoint that showed activity since the first attempt began is not
+    /// stuck; the call itself is long and would be long elsewhere. A call of which
+    /// an attempt broke is not hedged, because it may have caused the failure.
+    /// Hedges need an empty queue, a tenth of the slots free and retry budget, so
+    /// that they don't displace first attempts.
+    pub(super) fn start_hedge(&mut self, now: Instant, key: CallKey) {
+        let row = &self.calls[key];
+        let call = row.call;
+        let (Some(first), None) = (row.attempts[0], row.attempts[1]) else {
+            return;
+        };
+        let broke_endpoint = matches!(
+            row.run_error,
+            Some(ErrorKind::EndpointBroken | ErrorKind::AnswerShort)
+        );
+        if call.no_hedge || broke_endpoint {
+            return;
+        }
+        let service = &self.services[call.service];
+        let has_slack = service.queues_empty() && service.free_slots * 10 > service.capacity;
+        if !has_slack
+            || !row.can_rerun()
+            || row.attempts_started >= call.max_attempts
+            || !self.can_answer_in_time(now, &call)
+        {
+            return;
+        }
+        let first_endpoint = self.endpoints.get(first.endpoint);
+        let active = first_endpoint.is_some_and(|row| {
+            row.health.is_healthy() && row.health.last_activity.is_some_and(|at| at > first.start)
+        });
+        if active {
+            return;
+        }
+        let Some(endpoint) = self.pick_endpoint(now, &call, Some(first.endpoint)) else {
+            return;
+        };
+        // A call that has run this long takes more than the mean.
+        let cost = self
+            .estimate(&call)
+            .map_or(RERUN_COST, |e| (e.p99 / e.mean).max(RERUN_COST));
+        if self.services[call.service].budget.try_spend(cost) {
+            self.start_attempt(now, key, endpoint, false);
+        }
+    }
+}
--- a/src/route/queue.rs
+++ b/src/route/queue.rs
@@ -1,30 +1,29 @@
-//! The calls of one class that wait for one service.
+//! Queue of one class's calls for one service, earliest deadline first.
 //!
-//! Earliest deadline first: among calls that can all be answered, no other
-//! order answers more of them in time. Its known weakness, that under overload
-//! it spends capacity on what is just about to expire, is kept out by
-//! admission, which lets nothing wait that can't be answered.
+//! Among calls that can all be answered, no other order answers more of them in
+//! time. Under overload it would spend capacity on calls that are about to
+//! expire; admission control prevents that.
 
 use crate::route::table::CallKey;
 use std::{collections::BTreeMap, time::Instant};
 
-/// The place of a call in a queue.
+/// The key that orders calls in a queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Spot {
+pub(super) struct QueueKey {
     pub(super) deadline: Instant,
     pub(super) seq: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedCall {
     pub(super) call: CallKey,
-    /// Expected seconds at an endpoint.
+    /// Expected service time in seconds.
     pub(super) work: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    rows: BTreeMap<Spot, Waiting>,
+    rows: BTreeMap<QueueKey, QueuedCall>,
     work: f64,
 }
 
@@ -37,14 +36,14 @@
         self.rows.is_empty()
     }
 
-    pub(super) fn push(&mut self, spot: Spot, row: Waiting) {
+    pub(super) fn push(&mut self, queue_key: QueueKey, row: QueuedCall) {
         self.work += row.work;
-        self.rows.insert(spot, row);
+        self.rows.insert(queue_key, row);
     }
 
-    pub(super) fn remove(&mut self, spot: Spot) -> Option<Waiting> {
-        let row = self.rows.remove(&spot)?;
-        // An empty queue has no work, whatever rounding left over.
+    pub(super) fn remove(&mut self, queue_key: QueueKey) -> Option<QueuedCall> {
+        let row = self.rows.remove(&queue_key)?;
+        // Removes the rounding error that has accumulated.
         self.work = if self.rows.is_empty() {
             0.0
         } else {
@@ -53,29 +52,30 @@
         Some(row)
     }
 
-    pub(super) fn first(&self) -> Option<(Spot, Waiting)> {
-        self.rows.first_key_value().map(|(spot, row)| (*spot, *row))
+    pub(super) fn first(&self) -> Option<(QueueKey, QueuedCall)> {
+        self.rows
+            .first_key_value()
+            .map(|(queue_key, row)| (*queue_key, *row))
     }
 
-    pub(super) fn last(&self) -> Option<Spot> {
-        self.rows.last_key_value().map(|(spot, _)| *spot)
+    pub(super) fn last(&self) -> Option<QueueKey> {
+        self.rows.last_key_value().map(|(queue_key, _)| *queue_key)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (Spot, Waiting)> {
-        self.rows.iter().map(|(spot, row)| (*spot, *row))
+    pub(super) fn iter(&self) -> impl Iterator<Item = (QueueKey, QueuedCall)> {
+        self.rows.iter().map(|(queue_key, row)| (*queue_key, *row))
     }
 
-    /// Returns the expected seconds of all that waits.
+    /// Returns the expected service time of all queued calls, in seconds.
     pub(super) fn work(&self) -> f64 {
         self.work
     }
 
-    /// Estimates the expected seconds of what is due before `deadline`.
+    /// Estimates the work of the calls that are due before `deadline`, in seconds.
     ///
-    /// An exact sum would read the queue for each arrival; work spread evenly
-    /// between the first and the last deadline is near enough, and exact for
-    /// callers who all wait equally long, as their deadlines come in order.
-    pub(super) fn ahead(&self, deadline: Instant) -> f64 {
+    /// Assumes that the work is spread evenly between the first and the last
+    /// deadline, because an exact sum would read the queue on each arrival.
+    pub(super) fn work_before(&self, deadline: Instant) -> f64 {
         let (Some((first, _)), Some(last)) = (self.first(), self.last()) else {
             return 0.0;
         };
@@ -83,7 +83,7 @@
             return self.work;
         }
         let span = (last.deadline - first.deadline).as_secs_f64();
-        let part = deadline.saturating_duration_since(first.deadline);
-        self.work * part.as_secs_f64() / span
+        let before = deadline.saturating_duration_since(first.deadline);
+        self.work * before.as_secs_f64() / span
     }
 }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -2,7 +2,7 @@
 
 use hibiscusroad::{
     lease::{Holding, Lease, LeaseRow, LeaseTimes, NextAction},
-    rollout::turns::{Turns, VALID},
+    rollout::order_records::{ORDER_TTL, OrderRecords},
 };
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -14,14 +14,14 @@
 #[test]
 fn only_engines_with_recent_orders_are_spared() {
     let now = Duration::from_secs(100);
-    let mut turns = Turns::new();
-    turns.note("e1", "gateway-1/aa", now);
-    let until = turns.barred("e1", "gateway-2/bb", APART).unwrap();
-    assert!(until >= now + VALID + APART, "{until:?}");
-    assert_eq!(turns.barred("e2", "gateway-2/bb", APART), None);
-    assert_eq!(turns.barred("e1", "gateway-1/aa", APART), None);
-    turns.expire(until, APART);
-    assert_eq!(turns, Turns::new());
+    let mut records = OrderRecords::new();
+    records.record("e1", "gateway-1/aa", now);
+    let until = records.blocked_until("e1", "gateway-2/bb", APART).unwrap();
+    assert!(until >= now + ORDER_TTL + APART, "{until:?}");
+    assert_eq!(records.blocked_until("e2", "gateway-2/bb", APART), None);
+    assert_eq!(records.blocked_until("e1", "gateway-1/aa", APART), None);
+    records.expire(until, APART);
+    assert_eq!(records, OrderRecords::new());
 }
 
 // The lease of a suspected holder is taken over before it expires, but only if the
@@ -71,7 +71,7 @@
 struct Store {
     holder: usize,
     version: u64,
-    turns: Turns,
+    records: OrderRecords,
 }
 
 /// The write of an order's record; times are in steps.
@@ -88,7 +88,7 @@
 struct Process {
     /// The version of the lease's row under which it believes to hold the lease.
     lease_version: Option<u64>,
-    turns: Turns,
+    records: OrderRecords,
     write: Option<Write>,
     /// Remaining steps of a freeze.
     frozen_steps: u32,
@@ -120,7 +120,7 @@
     fn new(lease_version: Option<u64>) -> Self {
         Self {
             lease_version,
-            turns: Turns::new(),
+            records: OrderRecords::new(),
             write: None,
             frozen_steps: 0,
         }
@@ -133,8 +133,8 @@
         if write.arrives_at == at && (unconditional || self.lease_version == Some(store.version)) {
             write.applied = true;
             store
-                .turns
-                .note(&write.engine.to_string(), name, STEP * write.sent_at);
+                .records
+                .record(&write.engine.to_string(), name, STEP * write.sent_at);
         }
     }
 
@@ -143,7 +143,7 @@
         let name = n.to_string();
         if let Some(write) = self.write.filter(|write| write.answered_at <= at) {
             self.write = None;
-            let in_time = STEP * at < STEP * write.sent_at + VALID;
+            let in_time = STEP * at < STEP * write.sent_at + ORDER_TTL;
             if !write.applied {
                 self.lease_version = None;
             }
@@ -156,10 +156,12 @@
             store.holder = n;
             store.version += 1;
             self.lease_version = Some(store.version);
-            self.turns = store.turns.clone();
+            self.records = store.records.clone();
             return None;
         }
-        let blocked_until = self.turns.barred(&choices.engine.to_string(), &name, APART);
+        let blocked_until = self
+            .records
+            .blocked_until(&choices.engine.to_string(), &name, APART);
         if self.lease_version.is_some() && blocked_until.is_none_or(|until| until <= STEP * at) {
             let arrives_at = at + 1 + choices.request_latency;
             self.write = Some(Write {
@@ -180,7 +182,7 @@
     let mut store = Store {
         holder: 0,
         version: 1,
-        turns: Turns::new(),
+        records: OrderRecords::new(),
     };
     let lease_version = |n: usize| (n == 0).then_some(1);
     let mut processes: Vec<Process> = (0..HOLDERS)
