--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -60,10 +60,10 @@
             } else {
                 DRAFT_RETRY_INTERVAL
             };
-            let must_retry = is_waiting || is_held || !all_drafted;
             tokio::select! {
                 () = self.dispatch_needed.notified() => {}
-                () = sleep_until((now + interval).into()), if must_retry => {}
+                () = sleep_until((now + interval).into()),
+                    if is_waiting || is_held || !all_drafted => {}
             }
         }
     }
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -178,8 +178,8 @@
     /// Runs the drafts of an ended batch until a later batch carries them over.
     pub(super) async fn finish_drafts(self: Rc<Self>, owned: Rc<OwnedBatch>, version: u64) {
         owned.version.set(version);
-        let end = Instant::now() + DRAFT_TTL;
-        while owned.has_open_drafts() && Instant::now() < end && !self.is_stopping.get() {
+        let deadline = Instant::now() + DRAFT_TTL;
+        while owned.has_open_drafts() && Instant::now() < deadline && !self.is_stopping.get() {
             // Enabled before the save, so that a change during the save is not missed.
             let mut changed = pin!(self.heads_changed.notified());
             changed.as_mut().enable();
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -50,13 +50,13 @@
 /// How long an item may run if its batch does not expire.
 const DEFAULT_ITEM_TTL: Duration = Duration::from_mins(1);
 
-/// An engine is stalled after a gap of so many usual gaps between events. A run is then
-/// better resumed at an engine with capacity.
+/// An engine is stalled when the gap between events exceeds this multiple of the median
+/// pace. A run is then better resumed at an engine with capacity.
 const STALL_FACTOR: f64 = 6.0;
 /// The shortest gap that counts as a stall; queues and quotas on the way cause gaps of
 /// 100 ms.
 const MIN_STALL: Duration = Duration::from_millis(160);
-/// A run is taken to be queued after so many usual gaps without a response.
+/// A run is queued when its response takes longer than this multiple of the median pace.
 const QUEUE_FACTOR: f64 = 3.0;
 /// The shortest wait that counts as queueing.
 const MIN_QUEUE_WAIT: Duration = Duration::from_millis(100);
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -1,8 +1,8 @@
 //! Batches of trainers: accepted once, run by one owner, readable at every process.
 //!
 //! The store holds everything that a trainer may rely on before the trainer is told: the
-//! submission before the 202, a result before it can be read. The owner's memory is only
-//! a cache of the store.
+//! submission before the 202, a result before it can be read. For readers, the owner's
+//! memory is only a cache of the store.
 
 mod dispatch;
 mod draft;
@@ -76,7 +76,7 @@
     submissions: RefCell<Vec<(String, Rc<Submission>)>>,
     /// Wakes the dispatcher: an item may be able to start.
     dispatch_needed: Notify,
-    /// Notified when a head row changes.
+    /// Wakes the watch of owners: a head row has changed.
     owners_changed: Notify,
     /// Notified when a batch is added or changed, or starts to run here.
     heads_changed: Notify,
@@ -196,15 +196,15 @@
     }
 
     /// Returns the head of the newest batch of each model.
-    pub(super) fn needs(&self) -> HashMap<String, Head> {
+    pub(super) fn newest_heads(&self) -> HashMap<String, Head> {
         let heads = self.heads.borrow();
         let mut rows: Vec<&Head> = heads.values().map(|row| &row.head).collect();
         rows.sort_by_key(|head| head.accepted);
-        let needs = rows.into_iter().filter_map(|head| {
+        let newest = rows.into_iter().filter_map(|head| {
             let model = head.model.clone()?;
             Some((model, head.clone()))
         });
-        needs.collect()
+        newest.collect()
     }
 
     /// Returns the directory entry of this process.
--- a/hibiscusroad-daemon/src/gateway/batches/owner.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/owner.rs
@@ -73,7 +73,7 @@
 
 impl Batches {
     /// Renews the heartbeat row of this process while it has batches.
-    pub(in crate::gateway) async fn renew(self: Rc<Self>) {
+    pub(in crate::gateway) async fn renew_heartbeat(self: Rc<Self>) {
         let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         // The first write announces this incarnation and replaces the row of the last one.
         loop {
@@ -137,7 +137,7 @@
     }
 
     /// Polls the heartbeats and takes over batches whose owners are gone.
-    pub(in crate::gateway) async fn watch(self: Rc<Self>) {
+    pub(in crate::gateway) async fn watch_owners(self: Rc<Self>) {
         loop {
             let foreign = self.foreign_batches();
             if foreign.is_empty() || self.is_stopping.get() {
@@ -174,11 +174,11 @@
             let foreign = self.foreign_batches();
             let owners = foreign.iter().map(|(_, row)| row.head.owner.as_str());
             let owners = owners.chain([WEIGHTS_DUTY]);
-            let pause = self
+            let interval = self
                 .failure_detector
                 .borrow()
                 .poll_interval(&self.directory.name, owners);
-            let next = polled_at + pause;
+            let next = polled_at + interval;
             if Instant::now() >= next {
                 return;
             }
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -332,8 +332,8 @@
     spawn_local(async move { probing.probe().await });
     spawn_local(async move { calls.run().await });
     spawn_local(async move { lapsing.run().await });
-    spawn_local(Rc::clone(batches).renew());
-    spawn_local(Rc::clone(batches).watch());
+    spawn_local(Rc::clone(batches).renew_heartbeat());
+    spawn_local(Rc::clone(batches).watch_owners());
     spawn_local(Rc::clone(batches).dispatch());
     spawn_local(Rc::clone(batches).sweep());
     spawn_local(Rc::clone(batches).share_paces());
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -96,7 +96,7 @@
 
     /// Returns the versions that engines should run, and how urgently.
     fn goals(&self) -> Vec<ModelGoal> {
-        let needs = self.batches.needs();
+        let needs = self.batches.newest_heads();
         let goals = self.known.named().into_iter().map(|(model, named)| {
             let need = needs.get(&model);
             ModelGoal {
