--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -174,7 +174,7 @@
         let newest = reported.entry(key).or_default();
         *newest = (*newest).max(version);
         drop(reported);
-        self.batches.saw(endpoint, model, version);
+        self.batches.record_version(endpoint, model, version);
     }
 
     async fn fetch_report(&self, endpoint: &Endpoint) -> Option<Report> {
