--- a/hibiscusroad-daemon/src/entry/claim.rs
+++ b/hibiscusroad-daemon/src/entry/claim.rs
@@ -1,14 +1,14 @@
-//! Calls that carry an idempotency key, on their way to a single run.
+//! Calls with an idempotency key, which run at most once.
 //!
-//! What has to happen is decided by [`KeyedRequest`]; this carries it out. Calls of
-//! one key at this entry take turns: a side has one viewer of an attempt an
-//! entry, and a repeat that waits for the first needs no write at all. When its
-//! turn comes it finds the first one's row and gets its answer from the side.
+//! [`KeyedRequest`] decides each step and this module performs it. Calls with the
+//! same key are queued at this entry: a sidecar sends an attempt's answer to one
+//! call of an entry at a time. A queued call writes nothing while it waits; it
+//! then finds the claim of the first one and reads its answer from the sidecar.
 
 use crate::{
     entry::{
         attempt::{Attempt, Phase, wire_id},
-        call::{CallRow, come_back},
+        call::{CallRow, random_retry_after},
         claims::Write,
         side::{Listing, SideKey},
         tables::Tables,
@@ -25,58 +25,58 @@
 use hibiscusroad_wire::{Seal, to_side::Frame};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A call's claim.
+/// The claim state of a call.
 #[derive(Debug)]
 pub(super) struct Keyed {
-    /// The key of its row.
+    /// The key of its row in the platform's table.
     pub(super) row: String,
     pub(super) request: KeyedRequest,
-    /// The endpoint that the router chose.
-    slot: Option<(EndpointKey, SideKey)>,
+    /// The endpoint that the router selected.
+    selected: Option<(EndpointKey, SideKey)>,
 }
 
 impl Keyed {
     pub(super) fn new(row: &CallRow) -> Option<Self> {
         let request = &row.request;
         let key = request.key.as_ref()?;
-        let print = fingerprint(&request.method, &request.path, &request.body);
+        let digest = fingerprint(&request.method, &request.path, &request.body);
         Some(Self {
             row: row_key(&request.service, key),
-            request: KeyedRequest::new(print),
-            slot: None,
+            request: KeyedRequest::new(digest),
+            selected: None,
         })
     }
 }
 
 impl Tables {
-    /// Puts a call in the row of its key; says whether it is its turn.
-    pub(super) fn line_up(&mut self, call: RequestId, key: &str) -> bool {
-        let line = self.keys.entry(key.to_owned()).or_default();
-        line.push_back(call);
-        line.len() == 1
+    /// Queues a call under its key. Returns whether it is first in the queue.
+    pub(super) fn enqueue_keyed(&mut self, call: RequestId, key: &str) -> bool {
+        let queue = self.key_queues.entry(key.to_owned()).or_default();
+        queue.push_back(call);
+        queue.len() == 1
     }
 
-    /// Says whether a call waits for another of its key.
+    /// Returns whether a call waits for an earlier call with its key.
     pub(super) fn waits_for_key(&self, call: RequestId) -> bool {
         let keyed = self.calls.get(&call).and_then(|row| row.keyed.as_ref());
-        let line = keyed.and_then(|keyed| self.keys.get(&keyed.row));
-        line.is_some_and(|line| line.front() != Some(&call))
+        let queue = keyed.and_then(|keyed| self.key_queues.get(&keyed.row));
+        queue.is_some_and(|queue| queue.front() != Some(&call))
     }
 
-    /// Ends a call's claim and lets the next call of its key go on.
-    pub(super) fn leave_line(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
-        let Some(line) = self.keys.get_mut(&keyed.row) else {
+    /// Removes a closed call from its key's queue and admits the next one.
+    pub(super) fn dequeue_keyed(&mut self, now: Instant, call: RequestId, keyed: Keyed) {
+        let Some(queue) = self.key_queues.get_mut(&keyed.row) else {
             return;
         };
-        let first = line.front() == Some(&call);
-        line.retain(|other| *other != call);
-        let next = line.front().copied().filter(|_| first);
-        if line.is_empty() {
-            self.keys.remove(&keyed.row);
+        let is_first = queue.front() == Some(&call);
+        queue.retain(|other| *other != call);
+        let next = queue.front().copied().filter(|_| is_first);
+        if queue.is_empty() {
+            self.key_queues.remove(&keyed.row);
         }
         if let Some(bytes) = keyed.request.into_stale_row() {
-            // Best done, not needed: see the writer.
-            let _ = self.writes.try_send(Write::Release(keyed.row, bytes));
+            // Best effort; see `Writer::release`.
+            let _ = self.claim_writes.try_send(Write::Release(keyed.row, bytes));
         }
         if let Some(next) = next {
             self.admit(now, next);
@@ -107,22 +107,22 @@
         let Some(keyed) = &mut row.keyed else {
             return;
         };
-        keyed.slot = Some((endpoint, key));
+        keyed.selected = Some((endpoint, key));
         let action = keyed.request.start_claim(claim);
-        self.act(now, call, action);
+        self.perform(now, call, action);
     }
 
-    /// Notes that the router no longer wants a call at its endpoint.
-    pub(super) fn displace(&mut self, call: RequestId) {
+    /// Drops the selected endpoint of a call that the router cancelled there.
+    pub(super) fn release_endpoint(&mut self, call: RequestId) {
         let row = self.calls.get_mut(&call);
         if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
-            keyed.slot = None;
+            keyed.selected = None;
             keyed.request.discard_claim();
         }
     }
 
-    /// Takes in what became of the claim of `attempt`.
-    pub(super) fn claimed(
+    /// Applies the outcome of the claim of `attempt`.
+    pub(super) fn apply_claim_outcome(
         &mut self,
         now: Instant,
         call: RequestId,
@@ -134,28 +134,33 @@
         let keyed = row.and_then(|row| row.keyed.as_mut());
         let action = keyed.and_then(|k| k.request.apply_outcome(attempt, outcome, wall_ms()));
         if let Some(action) = action {
-            self.act(now, call, action);
+            self.perform(now, call, action);
         }
     }
 
-    /// Takes in what the side says of the attempt that a call asked for.
-    pub(super) fn fate(&mut self, now: Instant, call: RequestId, state: ReportedState) {
+    /// Applies the state that a sidecar reports of the attempt that a call queries.
+    pub(super) fn apply_reported_state(
+        &mut self,
+        now: Instant,
+        call: RequestId,
+        state: ReportedState,
+    ) {
         let row = self.calls.get_mut(&call);
         let keyed = row.and_then(|row| row.keyed.as_mut());
         if let Some(action) = keyed.and_then(|keyed| keyed.request.apply_state(state)) {
-            self.act(now, call, action);
+            self.perform(now, call, action);
         }
     }
 
-    fn act(&mut self, now: Instant, call: RequestId, action: Action) {
+    fn perform(&mut self, now: Instant, call: RequestId, action: Action) {
         match action {
             Action::Write(claim, expected) => self.write_claim(now, call, claim, expected),
             Action::Run(claim) => self.run_claim(now, call, &claim),
-            Action::QuerySidecar(claim) => self.ask(now, call, &claim),
-            // The frame that said so asks for the answer.
+            Action::QuerySidecar(claim) => self.query_sidecar(now, call, &claim),
+            // The answer was requested when the state was received.
             Action::Follow(_) => {}
             Action::SelectEndpoint => self.admit(now, call),
-            Action::Refuse(kind) => self.refuse(now, call, kind, come_back()),
+            Action::Refuse(kind) => self.refuse(now, call, kind, random_retry_after()),
         }
     }
 
@@ -177,52 +182,52 @@
             expected,
         });
         if self
-            .writes
+            .claim_writes
             .try_send(Write::Claim(call, claim_write))
             .is_err()
         {
-            self.refuse(now, call, ErrorKind::HandoverFull, come_back());
+            self.refuse(now, call, ErrorKind::HandoverFull, random_retry_after());
         }
     }
 
-    /// Sends the attempt that a claim was won for, to the life of the side that
-    /// the claim names and to no other.
+    /// Starts the attempt of a claim that was won, only at the incarnation of the
+    /// sidecar that the claim names.
     fn run_claim(&mut self, now: Instant, call: RequestId, claim: &Claim) {
         let row = self.calls.get_mut(&call);
         let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) else {
             return;
         };
-        let Some((endpoint, key)) = keyed.slot.take() else {
+        let Some((endpoint, key)) = keyed.selected.take() else {
             return;
         };
         let side = self.sides.get(key);
-        let there = side.is_some_and(|s| s.incarnation == claim.incarnation && s.takes_work());
-        if !there || !self.send_start(now, call, claim.attempt, key) {
-            keyed_not_run(self.calls.get_mut(&call));
+        let reachable = side.is_some_and(|s| s.incarnation == claim.incarnation && s.takes_work());
+        if !reachable || !self.send_start(now, call, claim.attempt, key) {
+            mark_not_run(self.calls.get_mut(&call));
             let outcome = Outcome::NotRun(ErrorKind::EndpointDown);
             return self.router.finish(now, call, endpoint, outcome);
         }
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
     }
 
-    /// Asks the side that another's claim names how its attempt stands.
-    fn ask(&mut self, now: Instant, call: RequestId, claim: &Claim) {
-        // The router placed the call, but it won't run there.
+    /// Queries the sidecar named by another request's claim for its attempt's state.
+    fn query_sidecar(&mut self, now: Instant, call: RequestId, claim: &Claim) {
+        // The router placed the call, but it follows the existing attempt instead.
         self.router.cancel(now, call);
-        self.steps(now);
+        self.apply_router_steps(now);
         let Some(row) = self.calls.get(&call) else {
             return;
         };
         let service = row.request.service.clone();
         let key = self
-            .side(&service, &claim.endpoint)
-            .or_else(|| self.add_guest(now, &service, claim));
+            .find_side(&service, &claim.endpoint)
+            .or_else(|| self.add_query_only(now, &service, claim));
         let Some(key) = key else {
-            return self.fate(now, call, ReportedState::SidecarGone);
+            return self.apply_reported_state(now, call, ReportedState::SidecarGone);
         };
         let side = &self.sides[key];
         if side.link.is_some() && side.incarnation != claim.incarnation {
-            return self.fate(now, call, ReportedState::SidecarGone);
+            return self.apply_reported_state(now, call, ReportedState::SidecarGone);
         }
         let linked = side.link.is_some();
         self.insert_attempt(call, claim.attempt, key, claim.incarnation);
@@ -232,12 +237,12 @@
         }
         if linked {
             let id = Some(wire_id(claim.attempt));
-            self.tell(key, Frame::Seal(Seal { id }));
+            self.send_frame(key, Frame::Seal(Seal { id }));
         }
     }
 
-    /// Adds a side that this entry sends no work to, only to ask it.
-    fn add_guest(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
+    /// Adds a sidecar that is only queried and gets no new work.
+    fn add_query_only(&mut self, now: Instant, service: &str, claim: &Claim) -> Option<SideKey> {
         let host = Host {
             name: String::new(),
             data_centre: String::new(),
@@ -248,30 +253,32 @@
             state: HostState::Leaving,
         };
         self.add_side(now, &host);
-        let key = self.side(service, &claim.endpoint)?;
-        self.sides[key].listing = Listing::Guest;
+        let key = self.find_side(service, &claim.endpoint)?;
+        self.sides[key].listing = Listing::QueryOnly;
         Some(key)
     }
 
-    /// Ends another's attempt that a call asked for or followed.
-    pub(super) fn end_guest(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
+    /// Ends another request's attempt that a call queried or followed.
+    pub(super) fn end_followed(&mut self, now: Instant, attempt: &Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {}
-            Outcome::NotRun(_) => self.fate(now, attempt.call, ReportedState::Sealed),
-            Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, come_back()),
+            Outcome::NotRun(_) => {
+                self.apply_reported_state(now, attempt.call, ReportedState::Sealed);
+            }
+            Outcome::Failed(kind) => self.refuse(now, attempt.call, kind, random_retry_after()),
         }
     }
 }
 
-/// Notes that a call's own attempt surely never runs.
-pub(super) fn keyed_not_run(row: Option<&mut CallRow>) {
+/// Records that the attempt of a call's own claim never runs.
+pub(super) fn mark_not_run(row: Option<&mut CallRow>) {
     if let Some(keyed) = row.and_then(|row| row.keyed.as_mut()) {
         keyed.request.mark_not_run();
     }
 }
 
-/// Milliseconds since 1970. Claims are compared over a day, so that a clock
-/// which is off by seconds does no harm.
+/// Returns the milliseconds since 1970. Claims are compared over a day, so a
+/// clock skew of seconds doesn't matter.
 fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -1,8 +1,7 @@
-//! Writes claims to the platform's table, many at a time.
+//! Writes claims to the platform's table in batches.
 //!
-//! The threads here wait for the table, so that the thread that owns the tables
-//! of the entry never does. What a batch means is decided in
-//! [`hibiscusroad::claim`].
+//! The writer threads block on the table so that the thread that owns the entry's
+//! state never does. [`hibiscusroad::claim`] decides the outcome of a batch.
 
 use crate::{
     entry::event::Event,
@@ -18,53 +17,52 @@
     time::{Duration, Instant},
 };
 
-/// Threads that write. One could gather all, but a slow write would then hold
-/// up every other claim.
-const WRITERS: usize = 2;
+/// Writer threads. More than one, so that a slow write doesn't block every other
+/// claim.
+const WRITER_THREADS: usize = 2;
 
-/// Claims that may wait for a writer.
-const QUEUE: usize = 1024;
+/// Writes that may wait for a writer thread.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// How often a claim is written before the table counts as down. Twice finds
-/// the own row after one lost answer.
-const TRIES: u32 = 3;
+/// Tries of a batch in a row without an answer before the table counts as down.
+/// A second try finds the entry's own row if the first answer was lost.
+const MAX_TRIES: u32 = 3;
 
-/// How long that may take, so that a table which says nothing at all costs a
-/// caller one time limit and not three.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time after which a batch isn't retried, so that an unresponsive table costs a
+/// caller one timeout rather than one per try.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the table counts as down after that without being asked again. A
-/// caller who comes in this time gets its refusal at once instead of waiting
-/// for the same silence.
-const DOWN: Duration = Duration::from_millis(500);
+/// How long the table then counts as down. Claims are refused at once in this
+/// time instead of waiting for another timeout.
+const DOWN_PERIOD: Duration = Duration::from_millis(500);
 
-/// Waits between two tries.
-const FIRST_WAIT: Duration = Duration::from_millis(5);
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+/// Bounds of the backoff between two tries.
+const MIN_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// What is to be written.
+/// A write to the platform's table.
 #[derive(Debug)]
 pub enum Write {
-    /// A claim, for this call.
+    /// Write a claim of this call.
     Claim(RequestId, Box<ClaimWrite>),
-    /// The row of this key is to be removed if it has this content.
+    /// Remove the row of this key if it has this content.
     Release(String, Vec<u8>),
 }
 
-/// Starts the writers and returns the way to them.
+/// Starts the writer threads and returns their queue.
 ///
 /// # Errors
 ///
-/// Returns the system's error if there is no thread to be had.
+/// Returns the system's error if a thread can't be spawned.
 pub fn start(table: &Table, events: &Sender<Event>) -> io::Result<Sender<Write>> {
-    let (sender, queue) = flume::bounded(QUEUE);
-    for _ in 0..WRITERS {
+    let (sender, queue) = flume::bounded(QUEUE_CAPACITY);
+    for _ in 0..WRITER_THREADS {
         let writer = Writer {
             table: table.clone(),
             events: events.clone(),
             queue: queue.clone(),
-            left: Vec::new(),
-            down: None,
+            deferred: Vec::new(),
+            down_until: None,
         };
         thread::Builder::new()
             .name("claims".to_owned())
@@ -77,22 +75,22 @@
     table: Table,
     events: Sender<Event>,
     queue: Receiver<Write>,
-    /// What did not fit into the last batch.
-    left: Vec<Write>,
-    /// Until when the table counts as down.
-    down: Option<Instant>,
+    /// Writes that did not fit into the last batch.
+    deferred: Vec<Write>,
+    /// The instant until which the table counts as down.
+    down_until: Option<Instant>,
 }
 
 impl Writer {
     fn run(mut self) {
-        while let Some(writes) = self.gather() {
+        while let Some(writes) = self.collect_batch() {
             self.write(writes);
         }
     }
 
-    /// Waits for a write, and a moment for others.
-    fn gather(&mut self) -> Option<Vec<Write>> {
-        let mut writes = mem::take(&mut self.left);
+    /// Waits for a write, then up to [`BATCH_DELAY`] for more.
+    fn collect_batch(&mut self) -> Option<Vec<Write>> {
+        let mut writes = mem::take(&mut self.deferred);
         if writes.is_empty() {
             writes.push(self.queue.recv().ok()?);
         }
@@ -115,44 +113,44 @@
                     let attempt = write.claim.attempt;
                     match batch.add(*write) {
                         None => calls.push((attempt, call)),
-                        Some(write) => self.left.push(Write::Claim(call, Box::new(write))),
+                        Some(write) => self.deferred.push(Write::Claim(call, Box::new(write))),
                     }
                 }
                 Write::Release(key, bytes) => self.release(key, bytes),
             }
         }
-        self.settle(batch, &calls);
+        self.commit_batch(batch, &calls);
     }
 
-    /// Writes a batch until each claim in it is decided.
-    fn settle(&mut self, mut batch: Batch, calls: &[(RequestId, RequestId)]) {
+    /// Writes a batch until each of its claims has an outcome.
+    fn commit_batch(&mut self, mut batch: Batch, calls: &[(RequestId, RequestId)]) {
         let start = Instant::now();
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let mut tries = 0;
         while !batch.writes().is_empty() {
             tries += 1;
-            let late = tries > TRIES || start.elapsed() > PATIENCE;
-            let answer = self.say(&batch, late);
+            let timed_out = tries > MAX_TRIES || start.elapsed() > RETRY_TIMEOUT;
+            let answer = self.transact(&batch, timed_out);
             if answer != TableAnswer::Unknown {
                 tries = 0;
             }
-            let unsure = answer == TableAnswer::Unknown;
+            let unknown = answer == TableAnswer::Unknown;
             for (write, outcome) in batch.apply(answer) {
-                self.tell(&write, outcome, calls);
+                self.report_outcome(&write, outcome, calls);
             }
-            if unsure {
+            if unknown {
                 thread::sleep(backoff.next_wait(&mut rand::rng()));
             }
         }
     }
 
-    fn say(&mut self, batch: &Batch, late: bool) -> TableAnswer {
-        if self.down.is_some_and(|until| Instant::now() < until) {
+    fn transact(&mut self, batch: &Batch, timed_out: bool) -> TableAnswer {
+        if self.down_until.is_some_and(|until| Instant::now() < until) {
             return TableAnswer::Down;
         }
-        if late {
-            log::warn!(target: "calls", "The table gives no answer; claims are refused.");
-            self.down = Some(Instant::now() + DOWN);
+        if timed_out {
+            log::warn!(target: "calls", "The table does not respond; claims are refused.");
+            self.down_until = Some(Instant::now() + DOWN_PERIOD);
             return TableAnswer::Down;
         }
         match self.table.transact(&transaction(batch)) {
@@ -161,7 +159,7 @@
                 TableAnswer::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
             }
             Outcome::Unknown(fault) => {
-                log::debug!(target: "calls", "Not known whether claims were written: {fault}.");
+                log::debug!(target: "calls", "It is unknown whether claims were written: {fault}.");
                 TableAnswer::Unknown
             }
             Outcome::NotSent(fault) => {
@@ -171,18 +169,23 @@
         }
     }
 
-    fn tell(&self, write: &ClaimWrite, outcome: ClaimOutcome, calls: &[(RequestId, RequestId)]) {
+    fn report_outcome(
+        &self,
+        write: &ClaimWrite,
+        outcome: ClaimOutcome,
+        calls: &[(RequestId, RequestId)],
+    ) {
         let attempt = write.claim.attempt;
         let call = calls.iter().find(|(other, _)| *other == attempt);
         if let Some((_, call)) = call {
             let event = Event::Claimed(*call, attempt, Box::new(outcome));
-            // The tables are gone only when the process ends.
+            // The receiver closes only when the process ends.
             let _ = self.events.send(event);
         }
     }
 
     /// Removes a row whose attempt never runs. If that fails, the next request
-    /// under the key has the side seal the attempt once more.
+    /// with the key has the sidecar seal the attempt again.
     fn release(&self, key: String, bytes: Vec<u8>) {
         let transaction = Transaction::new()
             .when(Condition::Value(key.clone(), bytes))
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -1,7 +1,7 @@
-//! What an entry answers when an operator asks.
+//! Rows that answer operators' queries from the state of this entry.
 //!
-//! Each row says where it comes from and how old it is, because an entry knows
-//! of the rest only what links and lists last told it.
+//! Each row has its source and age, because an entry knows other processes only
+//! by their last report.
 
 use crate::{
     entry::{
@@ -19,20 +19,19 @@
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, time::Instant};
 
-const REQUEST: &str = "explain/request/";
-const ENDPOINT: &str = "explain/endpoint/";
+const REQUEST_PREFIX: &str = "explain/request/";
+const ENDPOINT_PREFIX: &str = "explain/endpoint/";
 
 impl Tables {
-    /// Answers what an operator asks about `subject`, from what this entry
-    /// knows.
+    /// Answers an operator's query about `subject` from the state of this entry.
     #[must_use]
     pub fn show(&self, now: Instant, subject: &str) -> Shown {
         let rows = match subject {
-            _ if subject.starts_with(REQUEST) => {
-                self.explain_request(now, &subject[REQUEST.len()..])
+            _ if subject.starts_with(REQUEST_PREFIX) => {
+                self.explain_request(now, &subject[REQUEST_PREFIX.len()..])
             }
-            _ if subject.starts_with(ENDPOINT) => {
-                self.explain_endpoint(now, &subject[ENDPOINT.len()..])
+            _ if subject.starts_with(ENDPOINT_PREFIX) => {
+                self.explain_endpoint(now, &subject[ENDPOINT_PREFIX.len()..])
             }
             "endpoints" => self.endpoint_rows(now),
             "services" => self.service_rows(),
@@ -43,7 +42,7 @@
         };
         Shown {
             rows,
-            lacks: Vec::new(),
+            missing: Vec::new(),
             version: self.config.version(),
             peers: self.peers(),
         }
@@ -61,7 +60,7 @@
 
     fn endpoint_rows(&self, now: Instant) -> Vec<Row> {
         let sides = self.sides.values();
-        let known = sides.filter(|side| side.listing != Listing::Guest);
+        let known = sides.filter(|side| side.listing != Listing::QueryOnly);
         let mut rows: Vec<Row> = known.map(|side| self.endpoint_row(now, side)).collect();
         let hosts = self.hosts.iter().filter(|host| host.role == "side");
         let others = hosts.filter(|host| !self.has_side(host));
@@ -70,8 +69,8 @@
     }
 
     fn has_side(&self, host: &Host) -> bool {
-        let key = self.side(&host.service, &host.endpoint);
-        key.is_some_and(|key| self.sides[key].listing != Listing::Guest)
+        let key = self.find_side(&host.service, &host.endpoint);
+        key.is_some_and(|key| self.sides[key].listing != Listing::QueryOnly)
     }
 
     fn endpoint_row(&self, now: Instant, side: &Side) -> Row {
@@ -79,7 +78,7 @@
             ("endpoint", json!(side.name)),
             ("service", json!(side.service)),
             ("host", json!(side.host)),
-            ("place", json!(side.place)),
+            ("place", json!(side.data_centre)),
             ("address", json!(side.address.to_string())),
             ("state", json!(state(side))),
             ("running", json!(side.report.running)),
@@ -88,12 +87,12 @@
             ("mine", json!(side.attempts.len())),
             ("weights", json!(side.weights)),
             ("config", json!(side.config)),
-            ("age_ms", age(now, side.heard)),
+            ("age_ms", age(now, side.last_received)),
             ("source", json!(self.name)),
         ])
     }
 
-    /// The row of an endpoint that is only known from the host list.
+    /// Returns the row of an endpoint that is known only from the host list.
     fn listed_row(&self, now: Instant, host: &Host) -> Row {
         row([
             ("endpoint", json!(host.endpoint)),
@@ -102,12 +101,12 @@
             ("place", json!(host.data_centre)),
             ("address", json!(host.address.to_string())),
             ("state", json!(UNKNOWN)),
-            ("age_ms", age(now, self.listed.unwrap_or(now))),
+            ("age_ms", age(now, self.hosts_received.unwrap_or(now))),
             ("source", json!("host list")),
         ])
     }
 
-    /// Callers in flight, by service and class.
+    /// Returns the counts of calls in flight, by service and class.
     fn caller_rows(&self, now: Instant) -> Vec<Row> {
         let mut groups: BTreeMap<(&str, Class), (usize, usize, Instant)> = BTreeMap::new();
         for call in self.calls.values() {
@@ -157,7 +156,7 @@
         let linked = self.sides.values().filter(|side| side.link.is_some());
         row([
             ("entry", json!(self.name)),
-            ("place", json!(self.place)),
+            ("place", json!(self.data_centre)),
             ("config", json!(self.config.version())),
             ("links", json!(linked.count())),
             ("sides", json!(self.sides.len())),
@@ -181,7 +180,7 @@
     rows.collect()
 }
 
-/// Names the state of an endpoint as this entry sees it.
+/// Returns the state of an endpoint as this entry sees it.
 pub(super) const fn state(side: &Side) -> &'static str {
     let leaving = side.leaving;
     if side.link.is_none() {
@@ -190,7 +189,7 @@
         "silent"
     } else if leaving.drained {
         "drained"
-    } else if leaving.listed || leaving.told {
+    } else if leaving.listed || leaving.reported {
         "leaving"
     } else if side.unreachable {
         "unreachable"
@@ -199,8 +198,8 @@
     }
 }
 
-pub(super) fn age(now: Instant, heard: Instant) -> Value {
-    let ms = now.saturating_duration_since(heard).as_millis();
+pub(super) fn age(now: Instant, since: Instant) -> Value {
+    let ms = now.saturating_duration_since(since).as_millis();
     json!(u64::try_from(ms).unwrap_or(u64::MAX))
 }
 
