--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -9,7 +9,7 @@
 };
 use hibiscusroad_standins::{
     direct::{Crash, CrashManner, Endpoint, Replicas, Restart},
-    http::FREE,
+    http::ANY_LOOPBACK_PORT,
     relay::Relay,
 };
 use serde_json::json;
@@ -270,7 +270,7 @@
 #[test]
 fn gateway_writes_evidence_once_the_store_is_reachable_again() {
     let (mut world, replicas) = start_world("cut-off", 1, CrashManner::Closed);
-    let relay = Relay::start(FREE, world.store.addr()).unwrap();
+    let relay = Relay::start(ANY_LOOPBACK_PORT, world.store.addr()).unwrap();
     let gateway = Gateway::start(&world.dir, "gateway-cut", relay.addr(), "");
     world.gateways.insert(0, gateway);
     world.wait_ready(0);
--- a/hibiscusroad-measure/src/faults/inject.rs
+++ b/hibiscusroad-measure/src/faults/inject.rs
@@ -6,7 +6,7 @@
     interrupt::Interrupt,
 };
 use hibiscusroad_standins::{
-    http::FREE,
+    http::ANY_LOOPBACK_PORT,
     platform::hosts::Target,
     relay::{Direction, Relay},
 };
@@ -52,7 +52,7 @@
 /// Starts a relay before each side.
 pub(super) fn relays(deployment: &Deployment) -> Result<Vec<Relay>, Error> {
     let sides = deployment.sides.iter();
-    let relays = sides.map(|side| Relay::start(FREE, side.daemon.address));
+    let relays = sides.map(|side| Relay::start(ANY_LOOPBACK_PORT, side.daemon.address));
     Ok(relays.collect::<io::Result<_>>()?)
 }
 
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -7,7 +7,7 @@
 use crate::deployment::{Bins, Error, process::Process};
 use hibiscusroad_standins::{
     direct::{Billing, Crash, CrashManner, Endpoint, Faults, Manner, Ran, Store},
-    http::FREE,
+    http::ANY_LOOPBACK_PORT,
     ports,
     relay::{Direction, Relay},
 };
@@ -92,7 +92,7 @@
         store.put("op", "config", &config(1, &keys));
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
-            endpoints.push(endpoint(FREE, &store, n, &format!("e{n}"))?);
+            endpoints.push(endpoint(ANY_LOOPBACK_PORT, &store, n, &format!("e{n}"))?);
         }
         let mut world = Self {
             store,
@@ -117,7 +117,7 @@
 
     fn add(&mut self, n: usize, daemon: &std::path::Path) -> Result<(), Error> {
         let name = format!("gateway-{n}");
-        let relay = Relay::start(FREE, self.store.addr())?;
+        let relay = Relay::start(ANY_LOOPBACK_PORT, self.store.addr())?;
         let [callers, ready, peers] = [ports::choose()?, ports::choose()?, ports::choose()?];
         let file = self.folder.join(format!("{name}.toml"));
         let text = format!(
--- a/hibiscusroad-measure/tests/judge.rs
+++ b/hibiscusroad-measure/tests/judge.rs
@@ -9,7 +9,7 @@
 };
 use hibiscusroad_standins::{
     engine::{self, Engine},
-    http::{Exchange, FREE, Server},
+    http::{ANY_LOOPBACK_PORT, Exchange, Server},
     plain::{Plain, Ran, Settings},
 };
 use std::time::{Duration, Instant};
@@ -100,7 +100,7 @@
     let plain = Plain::start(Settings::default()).unwrap();
     let engine = Engine::start(engine::Settings::default()).unwrap();
     // Answers everybody as if it were request r0.
-    let other = Server::start(FREE, |exchange: Exchange| {
+    let other = Server::start(ANY_LOOPBACK_PORT, |exchange: Exchange| {
         exchange.answer(
             200,
             &serde_json::json!({
--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -1,7 +1,7 @@
 //! The receiver of usage reports, which checks fencing tokens and the reports' consistency.
 
 use crate::{
-    http::{Exchange, FREE, Server},
+    http::{ANY_LOOPBACK_PORT, Exchange, Server},
     relay::Relay,
 };
 use serde::Deserialize;
@@ -77,7 +77,7 @@
             ..Inner::default()
         }));
         let serving = Arc::clone(&inner);
-        let server = Server::start(FREE, move |exchange| serve(&serving, exchange))?;
+        let server = Server::start(ANY_LOOPBACK_PORT, move |exchange| serve(&serving, exchange))?;
         Ok(Self { server, inner })
     }
 
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -2,7 +2,7 @@
 
 use super::Store;
 use crate::{
-    http::{Exchange, FREE, Server},
+    http::{ANY_LOOPBACK_PORT, Exchange, Server},
     relay::Relay,
 };
 use serde::Deserialize;
@@ -133,7 +133,7 @@
     ///
     /// Returns an I/O error if it can't listen.
     pub fn start(store: &Arc<Store>, service: &str, id: &str, models: &[&str]) -> io::Result<Self> {
-        Self::start_at(FREE, store, service, id, models)
+        Self::start_at(ANY_LOOPBACK_PORT, store, service, id, models)
     }
 
     /// Starts an endpoint that listens at `listen`.
--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -110,7 +110,7 @@
         for name in names {
             state.slots.push(Slot {
                 name: (*name).to_owned(),
-                endpoint: spec.start(crate::http::FREE, &format!("{name}-0"))?,
+                endpoint: spec.start(crate::http::ANY_LOOPBACK_PORT, &format!("{name}-0"))?,
                 incarnation: 0,
                 crashed: None,
             });
--- a/hibiscusroad-standins/src/direct/store.rs
+++ b/hibiscusroad-standins/src/direct/store.rs
@@ -1,7 +1,7 @@
 //! The metadata store: versioned rows, transactions, change feeds and objects.
 
 use crate::{
-    http::{Exchange, FREE, Server},
+    http::{ANY_LOOPBACK_PORT, Exchange, Server},
     relay::Relay,
 };
 use base64::{Engine, engine::general_purpose::STANDARD};
@@ -104,7 +104,7 @@
             start: Instant::now(),
         });
         let serving = Arc::clone(&shared);
-        let server = Server::start(FREE, move |exchange| serve(&serving, exchange))?;
+        let server = Server::start(ANY_LOOPBACK_PORT, move |exchange| serve(&serving, exchange))?;
         Ok(Self { server, shared })
     }
 
--- a/hibiscusroad-standins/src/engine/mod.rs
+++ b/hibiscusroad-standins/src/engine/mod.rs
@@ -10,7 +10,7 @@
 mod orders;
 pub mod text;
 
-use crate::http::{Exchange, FREE, Server};
+use crate::http::{ANY_LOOPBACK_PORT, Exchange, Server};
 use batch::{Batch, BatchRequest, Token};
 use flume::{Receiver, RecvTimeoutError};
 use orders::Orders;
@@ -54,7 +54,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            listen: FREE,
+            listen: ANY_LOOPBACK_PORT,
             step_time: Duration::from_millis(5),
             sequence_time: Duration::from_micros(50),
             max_batch: 32,
--- a/hibiscusroad-standins/src/http.rs
+++ b/hibiscusroad-standins/src/http.rs
@@ -16,7 +16,8 @@
 use tiny_http::{Header, Request, Response};
 
 /// The loopback address with port 0, for which the system chooses a free port.
-pub const FREE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+pub const ANY_LOOPBACK_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 const MAX_BODY_BYTES: u64 = 64 << 20;
 /// The maximum number of idle threads. More threads start while requests block, so that
@@ -46,7 +47,7 @@
         listen: SocketAddr,
         handler: impl Fn(Exchange) + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        let listener = relay::bind(FREE)?;
+        let listener = relay::bind(ANY_LOOPBACK_PORT)?;
         let target = listener.local_addr()?;
         let inner = tiny_http::Server::from_listener(listener, None).map_err(io::Error::other)?;
         let shared = Arc::new(Shared {
--- a/hibiscusroad-standins/src/plain.rs
+++ b/hibiscusroad-standins/src/plain.rs
@@ -5,7 +5,7 @@
 //! that started, so that a checker can detect duplicate runs.
 
 use crate::{
-    http::{Exchange, FREE, Server},
+    http::{ANY_LOOPBACK_PORT, Exchange, Server},
     platform::history::epoch_ms,
 };
 use serde::{Deserialize, Serialize};
@@ -39,7 +39,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            listen: FREE,
+            listen: ANY_LOOPBACK_PORT,
             default_work: Duration::from_millis(5),
             max_running: 64,
             log_path: None,
--- a/hibiscusroad-standins/src/platform/mod.rs
+++ b/hibiscusroad-standins/src/platform/mod.rs
@@ -10,7 +10,7 @@
 pub mod table;
 pub mod wire;
 
-use crate::http::{Exchange, FREE, Server};
+use crate::http::{ANY_LOOPBACK_PORT, Exchange, Server};
 use history::History;
 use hosts::{Hosts, Target};
 use objects::Objects;
@@ -43,7 +43,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            listen: FREE,
+            listen: ANY_LOOPBACK_PORT,
             lag: Duration::ZERO,
             rate: 100.0,
             size: 1024,
--- a/hibiscusroad-standins/tests/plain.rs
+++ b/hibiscusroad-standins/tests/plain.rs
@@ -1,7 +1,7 @@
 //! The plain service's log and faults, and the relay in front of it.
 
 use hibiscusroad_standins::{
-    http::FREE,
+    http::ANY_LOOPBACK_PORT,
     plain::{Answer, Faults, Plain, Settings},
     relay::{Direction, Relay},
 };
@@ -75,7 +75,7 @@
 #[test]
 fn silent_connection_stays_silent_and_new_ones_work() {
     let plain = Plain::start(Settings::default()).unwrap();
-    let relay = Relay::start(FREE, plain.addr()).unwrap();
+    let relay = Relay::start(ANY_LOOPBACK_PORT, plain.addr()).unwrap();
     let agent = ureq::agent();
     let url = format!("http://{}/", relay.addr());
     let get = || {
