--- a/hibiscusroad-daemon/tests/gateway_process.rs
+++ b/hibiscusroad-daemon/tests/gateway_process.rs
@@ -213,14 +213,14 @@
 fn unread_output_holds_up_no_request() {
     let (world, _desk, _engine) = World::ready("unread", 1);
     let name = "gateway-unread";
-    let [callers, ready, metrics] = [(); 3].map(|()| ports::choose().unwrap());
+    let [callers, ready, metrics] = [(); 3].map(|()| ports::free_port().unwrap());
     let more = "\n[log]\nlevel = \"debug\"\n";
     let text = settings_text(name, callers, ready, metrics, world.store.addr(), more);
     let file = world.dir.join("unread.toml");
     fs::write(&file, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscusroadd"));
     command.arg(&file).stdout(Stdio::piped());
-    let mut child = ports::apart(|| command.spawn()).unwrap();
+    let mut child = ports::with_spawn_lock(|| command.spawn()).unwrap();
     let call = |id: &str| {
         let headers = [("X-Request-Id", id), ("X-Deadline-Ms", "3000")];
         ask(
--- a/hibiscusroad-daemon/tests/gateway_world/mod.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/mod.rs
@@ -144,7 +144,7 @@
 impl Gateway {
     /// Starts a gateway with lines added to its settings.
     pub fn start(dir: &std::path::Path, name: &str, store: SocketAddr, more: &str) -> Self {
-        let [callers, ready, metrics, peers] = [(); 4].map(|()| ports::choose().unwrap());
+        let [callers, ready, metrics, peers] = [(); 4].map(|()| ports::free_port().unwrap());
         let more = format!("peers = \"{peers}\"\n{more}");
         let settings = dir.join(format!("{name}.toml"));
         fs::write(
@@ -158,7 +158,7 @@
             .arg(&settings)
             .stdout(File::create(&output).unwrap());
         command.stderr(Stdio::inherit());
-        let child = ports::apart(|| command.spawn()).unwrap();
+        let child = ports::with_spawn_lock(|| command.spawn()).unwrap();
         Self {
             name: name.to_owned(),
             callers,
--- a/hibiscusroad-measure/src/deployment/mod.rs
+++ b/hibiscusroad-measure/src/deployment/mod.rs
@@ -169,7 +169,7 @@
                 let folder = &self.folder.path;
                 if self.spec.restarts {
                     // An endpoint that comes back must be found where it was.
-                    args.extend(["--listen".to_owned(), ports::choose()?.to_string()]);
+                    args.extend(["--listen".to_owned(), ports::free_port()?.to_string()]);
                     if service.kind == Kind::Plain {
                         let file = runs_file(folder, &name).display().to_string();
                         args.extend(["--log".to_owned(), file]);
@@ -209,13 +209,13 @@
         };
         let mut daemons = Vec::new();
         for number in 0..self.spec.entries {
-            let ports = [ports::choose()?, ports::choose()?];
+            let ports = [ports::free_port()?, ports::free_port()?];
             daemons.push(generator.entry(number, ports)?);
         }
         let mut addresses = self.addresses().into_iter();
         for service in &self.spec.services {
             for (number, address) in addresses.by_ref().take(service.count).enumerate() {
-                let links = ports::choose()?;
+                let links = ports::free_port()?;
                 daemons.push(generator.side(service, number, links, address)?);
             }
         }
--- a/hibiscusroad-measure/src/deployment/process.rs
+++ b/hibiscusroad-measure/src/deployment/process.rs
@@ -247,7 +247,7 @@
         .stdin(Stdio::null())
         .stdout(output)
         .stderr(log);
-    let child = ports::apart(|| command.spawn());
+    let child = ports::with_spawn_lock(|| command.spawn());
     child.map_err(|error| Error::NotStarted(program.to_owned(), error))
 }
 
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -118,7 +118,11 @@
     fn add(&mut self, n: usize, daemon: &std::path::Path) -> Result<(), Error> {
         let name = format!("gateway-{n}");
         let relay = Relay::start(ANY_LOOPBACK_PORT, self.store.addr())?;
-        let [callers, ready, peers] = [ports::choose()?, ports::choose()?, ports::choose()?];
+        let [callers, ready, peers] = [
+            ports::free_port()?,
+            ports::free_port()?,
+            ports::free_port()?,
+        ];
         let file = self.folder.join(format!("{name}.toml"));
         let text = format!(
             "name = \"{name}\"\nhost = \"{name}\"\nplace = \"senec\"\nregion = \"zapad\"\n\n\
--- a/hibiscusroad-standins/src/ports.rs
+++ b/hibiscusroad-standins/src/ports.rs
@@ -26,7 +26,7 @@
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Runs `start`, which spawns a process, while no port is probed.
-pub fn apart<T>(start: impl FnOnce() -> T) -> T {
+pub fn with_spawn_lock<T>(start: impl FnOnce() -> T) -> T {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     start()
 }
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// Returns an error if no port is free.
-pub fn choose() -> io::Result<SocketAddr> {
+pub fn free_port() -> io::Result<SocketAddr> {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let span = u32::from(MAX_PORT - MIN_PORT);
     // Processes with consecutive ids start at distant ports.
