--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -275,7 +275,7 @@
     world.gateways.insert(0, gateway);
     world.wait_ready(0);
     wait_for_endpoints(&world.gateways[0]);
-    relay.go_dark();
+    relay.drop_traffic();
     let other = world.gateways.pop().unwrap();
     while replicas.ends() < CRASH_LIMIT {
         repeat(
@@ -296,7 +296,7 @@
         count_sends(&replicas, "poison") - before <= MAX_ENDS,
         "repeats still reach endpoints"
     );
-    relay.lighten();
+    relay.restore_traffic();
     world.gateways[0].line("The store answers again.");
     thread::sleep(PROPAGATION_TIME);
     world.gateways.push(other);
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -440,7 +440,7 @@
             }
         }
         CrashManner::Dark => {
-            relay.go_dark();
+            relay.drop_traffic();
             while !relay.is_stopped() {
                 thread::sleep(Duration::from_millis(20));
             }
--- a/hibiscusroad-standins/src/relay.rs
+++ b/hibiscusroad-standins/src/relay.rs
@@ -52,7 +52,7 @@
     /// Connections by the caller's address as the target sees it.
     connections: Mutex<HashMap<SocketAddr, Arc<Connection>>>,
     delay_us: AtomicU64,
-    dark: AtomicBool,
+    drops_traffic: AtomicBool,
     stopping: AtomicBool,
 }
 
@@ -83,7 +83,7 @@
             target,
             connections: Mutex::new(HashMap::new()),
             delay_us: AtomicU64::new(0),
-            dark: AtomicBool::new(false),
+            drops_traffic: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
         });
         let inner = Arc::clone(&shared);
@@ -138,13 +138,13 @@
     }
 
     /// Drops all bytes of current and new connections, which stay open.
-    pub fn go_dark(&self) {
-        self.shared.dark.store(true, Ordering::Relaxed);
+    pub fn drop_traffic(&self) {
+        self.shared.drops_traffic.store(true, Ordering::Relaxed);
     }
 
-    /// Ends the effect of [`go_dark`](Self::go_dark) and closes all connections.
-    pub fn lighten(&self) {
-        self.shared.dark.store(false, Ordering::Relaxed);
+    /// Ends the effect of [`drop_traffic`](Self::drop_traffic) and closes all connections.
+    pub fn restore_traffic(&self) {
+        self.shared.drops_traffic.store(false, Ordering::Relaxed);
         self.cut_all();
     }
 
@@ -242,7 +242,7 @@
             micros => thread::sleep(Duration::from_micros(micros)),
         }
         let silenced = connection.silenced[direction as usize].load(Ordering::Relaxed);
-        if !silenced && !shared.dark.load(Ordering::Relaxed) {
+        if !silenced && !shared.drops_traffic.load(Ordering::Relaxed) {
             to.write_all(&buffer[..count])?;
         }
     }
