--- a/hibiscusroad-daemon/tests/entry_claims.rs
+++ b/hibiscusroad-daemon/tests/entry_claims.rs
@@ -10,7 +10,7 @@
 };
 use hibiscusroad_standins::{
     plain::{self, Plain},
-    platform::{self, Faults, Loss, Platform, hosts::Target},
+    platform::{self, Faults, Loss, Platform, hosts::TargetGroup},
 };
 use std::{
     io::{Read, Write},
@@ -84,7 +84,7 @@
     }
 
     fn list(&self) {
-        let target = |(i, side): (usize, &Handle)| Target {
+        let target = |(i, side): (usize, &Handle)| TargetGroup {
             targets: vec![side.links.to_string()],
             labels: [
                 ("host", format!("host-{i}")),
--- a/hibiscusroad-daemon/tests/host_list.rs
+++ b/hibiscusroad-daemon/tests/host_list.rs
@@ -1,13 +1,13 @@
 //! Client of the host list.
 
 use hibiscusroad_daemon::platform::HostList;
-use hibiscusroad_standins::platform::{Platform, Settings, hosts::Target};
+use hibiscusroad_standins::platform::{Platform, Settings, hosts::TargetGroup};
 use std::collections::BTreeMap;
 
-fn target(address: &str, state: &str) -> Target {
+fn target(address: &str, state: &str) -> TargetGroup {
     let labels = [("role", "side"), ("endpoint", "a"), ("state", state)];
     let labels = labels.map(|(name, value)| (name.to_owned(), value.to_owned()));
-    Target {
+    TargetGroup {
         targets: vec![address.to_owned()],
         labels: BTreeMap::from(labels),
     }
--- a/hibiscusroad-daemon/tests/world/mod.rs
+++ b/hibiscusroad-daemon/tests/world/mod.rs
@@ -9,7 +9,7 @@
 };
 use hibiscusroad_standins::{
     plain::{self, Plain},
-    platform::{self, Platform, hosts::Target},
+    platform::{self, Platform, hosts::TargetGroup},
 };
 use serde_json::{Map, Value, json};
 use std::{
@@ -180,7 +180,7 @@
     endpoint: &str,
     data_centre: &str,
     address: SocketAddr,
-) -> Target {
+) -> TargetGroup {
     let labels = [
         ("host", format!("host-{endpoint}")),
         ("place", data_centre.to_owned()),
@@ -189,7 +189,7 @@
         ("endpoint", endpoint.to_owned()),
         ("state", "live".to_owned()),
     ];
-    Target {
+    TargetGroup {
         targets: vec![address.to_string()],
         labels: labels.map(|(name, value)| (name.to_owned(), value)).into(),
     }
--- a/hibiscusroad-measure/src/deployment/mod.rs
+++ b/hibiscusroad-measure/src/deployment/mod.rs
@@ -13,7 +13,7 @@
 pub use spec::{Kind, Service, Spec};
 
 use crate::interrupt::Interrupt;
-use hibiscusroad_standins::{plain::Ran, platform::hosts::Target, ports};
+use hibiscusroad_standins::{plain::Ran, platform::hosts::TargetGroup, ports};
 use process::Process;
 use settings::{Daemon, Generator, endpoint_args};
 use std::{
@@ -261,7 +261,7 @@
     /// Returns an error if the platform gives no answer.
     pub fn put_hosts(&self, state: &str) -> Result<(), Error> {
         let members = self.entries.iter().chain(&self.sides);
-        let list: Vec<Target> = members.map(|member| member.daemon.target(state)).collect();
+        let list: Vec<TargetGroup> = members.map(|member| member.daemon.target(state)).collect();
         let url = format!("http://{}/hosts", self.platform);
         let body = serde_json::to_string(&list).map_err(io::Error::other)?;
         put(&url, &body)
--- a/hibiscusroad-measure/src/deployment/settings.rs
+++ b/hibiscusroad-measure/src/deployment/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files of the daemons, and the host list.
 
 use super::{Error, Spec, spec::Kind};
-use hibiscusroad_standins::platform::hosts::Target;
+use hibiscusroad_standins::platform::hosts::TargetGroup;
 use serde::Serialize;
 use std::{
     collections::BTreeMap,
@@ -69,7 +69,7 @@
 impl Daemon {
     /// Returns its row of the host list.
     #[must_use]
-    pub fn target(&self, state: &str) -> Target {
+    pub fn target(&self, state: &str) -> TargetGroup {
         let (role, service, endpoint) = match &self.endpoint {
             Some((service, endpoint)) => ("side", service.as_str(), endpoint.as_str()),
             None => ("entry", "", self.name.as_str()),
@@ -83,7 +83,7 @@
             ("state", state),
         ];
         let labels = labels.map(|(name, value)| (name.to_owned(), value.to_owned()));
-        Target {
+        TargetGroup {
             targets: vec![self.operators.to_string()],
             labels: BTreeMap::from(labels),
         }
--- a/hibiscusroad-measure/src/faults/inject.rs
+++ b/hibiscusroad-measure/src/faults/inject.rs
@@ -7,7 +7,7 @@
 };
 use hibiscusroad_standins::{
     http::ANY_LOOPBACK_PORT,
-    platform::hosts::Target,
+    platform::hosts::TargetGroup,
     relay::{Direction, Relay},
 };
 use serde_json::json;
@@ -67,11 +67,11 @@
         .sides
         .iter()
         .zip(relays)
-        .map(|(side, relay)| Target {
+        .map(|(side, relay)| TargetGroup {
             targets: vec![relay.addr().to_string()],
             ..side.daemon.target(state)
         });
-    let list: Vec<Target> = entries.chain(sides).collect();
+    let list: Vec<TargetGroup> = entries.chain(sides).collect();
     let body = serde_json::to_string(&list).map_err(io::Error::other)?;
     put(&format!("http://{}/hosts", deployment.platform), &body)
 }
--- a/hibiscusroad-standins/src/platform/hosts.rs
+++ b/hibiscusroad-standins/src/platform/hosts.rs
@@ -8,7 +8,7 @@
 
 /// Endpoints that share their labels, in the form of HTTP service discovery.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Target {
+pub struct TargetGroup {
     /// The addresses, as `IP:PORT`.
     pub targets: Vec<String>,
     /// The labels that these endpoints share.
@@ -19,7 +19,7 @@
 /// The published host lists, as far back as readers may still see them.
 #[derive(Debug)]
 pub struct Hosts {
-    lists: VecDeque<(Instant, Vec<Target>)>,
+    lists: VecDeque<(Instant, Vec<TargetGroup>)>,
     lag: Duration,
 }
 
@@ -39,12 +39,12 @@
     }
 
     /// Publishes a list that replaces the previous one.
-    pub fn publish(&mut self, now: Instant, list: Vec<Target>) {
+    pub fn publish(&mut self, now: Instant, list: Vec<TargetGroup>) {
         self.lists.push_back((now, list));
     }
 
     /// Returns the list that readers see at `now`.
-    pub fn visible(&mut self, now: Instant) -> Vec<Target> {
+    pub fn visible(&mut self, now: Instant) -> Vec<TargetGroup> {
         let is_visible = |at: Instant, lag: Duration| now.saturating_duration_since(at) >= lag;
         while self.lists.len() > 1 && is_visible(self.lists[1].0, self.lag) {
             self.lists.pop_front();
--- a/hibiscusroad-standins/src/platform/mod.rs
+++ b/hibiscusroad-standins/src/platform/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::http::{ANY_LOOPBACK_PORT, Exchange, Server};
 use history::History;
-use hosts::{Hosts, Target};
+use hosts::{Hosts, TargetGroup};
 use objects::Objects;
 use rate::Rate;
 use serde::{Deserialize, Serialize};
@@ -182,7 +182,7 @@
     }
 
     /// Publishes a host list.
-    pub fn set_hosts(&self, list: Vec<Target>) {
+    pub fn set_hosts(&self, list: Vec<TargetGroup>) {
         self.state.lock().hosts.publish(Instant::now(), list);
     }
 
@@ -247,7 +247,7 @@
             };
             send_list(exchange, &list);
         }
-        "PUT" => match exchange.json::<Vec<Target>>() {
+        "PUT" => match exchange.json::<Vec<TargetGroup>>() {
             Ok(list) => {
                 state.lock().hosts.publish(Instant::now(), list);
                 exchange.answer(200, &serde_json::json!({}));
@@ -259,7 +259,7 @@
 }
 
 /// Sends the list, or 304 if the caller's `If-None-Match` matches it.
-fn send_list(exchange: Exchange, list: &[Target]) {
+fn send_list(exchange: Exchange, list: &[TargetGroup]) {
     let body = serde_json::to_vec(list).unwrap_or_default();
     let etag = format!("\"{:016x}\"", xxh3_64(&body));
     if exchange.header("If-None-Match") == Some(etag.as_str()) {
