--- a/hibiscusroad-measure/src/demo.rs
+++ b/hibiscusroad-measure/src/demo.rs
@@ -8,7 +8,7 @@
     load::{self, Counters, Made},
 };
 use hibiscusroad::Class;
-use hibiscusroad_standins::{plain::Ran, platform::history::epoch_ms};
+use hibiscusroad_standins::{plain::LogEntry, platform::history::epoch_ms};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::{
@@ -135,7 +135,7 @@
     calls.len() - names.len()
 }
 
-fn begun_after(log: &[Ran], drained: u64) -> usize {
+fn begun_after(log: &[LogEntry], drained: u64) -> usize {
     log.iter()
         .filter(|ran| ran.at_ms > drained + DRAIN_MS)
         .count()
--- a/hibiscusroad-measure/src/deployment/mod.rs
+++ b/hibiscusroad-measure/src/deployment/mod.rs
@@ -13,7 +13,7 @@
 pub use spec::{Kind, Service, Spec};
 
 use crate::interrupt::Interrupt;
-use hibiscusroad_standins::{plain::Ran, platform::hosts::TargetGroup, ports};
+use hibiscusroad_standins::{plain::LogEntry, platform::hosts::TargetGroup, ports};
 use process::Process;
 use settings::{Daemon, Generator, endpoint_args};
 use std::{
@@ -278,7 +278,7 @@
     /// # Errors
     ///
     /// Returns an error if one gives none.
-    pub fn logs(&self) -> Result<Vec<Vec<Ran>>, Error> {
+    pub fn logs(&self) -> Result<Vec<Vec<LogEntry>>, Error> {
         let plain = self.endpoints.iter().filter(|e| e.kind == Kind::Plain);
         plain.map(|endpoint| log(endpoint.address)).collect()
     }
@@ -288,7 +288,7 @@
     /// # Errors
     ///
     /// Returns the system's error if a log can't be read.
-    pub fn runs(&self) -> Result<BTreeMap<String, Vec<Ran>>, Error> {
+    pub fn runs(&self) -> Result<BTreeMap<String, Vec<LogEntry>>, Error> {
         let plain = self.endpoints.iter().filter(|e| e.kind == Kind::Plain);
         let mut runs = BTreeMap::new();
         for endpoint in plain {
@@ -360,7 +360,7 @@
 // More than any log of a test or measurement has.
 const LOG_LIMIT: u64 = 1 << 30;
 
-fn log(address: SocketAddr) -> Result<Vec<Ran>, Error> {
+fn log(address: SocketAddr) -> Result<Vec<LogEntry>, Error> {
     let mut answer = ureq::get(format!("http://{address}/control/log")).call()?;
     let body = answer
         .body_mut()
--- a/hibiscusroad-measure/src/faults/check.rs
+++ b/hibiscusroad-measure/src/faults/check.rs
@@ -12,7 +12,7 @@
     load::Made,
 };
 use hibiscusroad::ErrorKind;
-use hibiscusroad_standins::plain::Ran;
+use hibiscusroad_standins::plain::LogEntry;
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -34,7 +34,7 @@
     /// Watchers of the entries, in their order.
     pub seen: Vec<Vec<Seen>>,
     /// Endpoints, by name.
-    pub runs: BTreeMap<String, Vec<Ran>>,
+    pub runs: BTreeMap<String, Vec<LogEntry>>,
     /// The audit trail.
     pub trail: Vec<Row>,
     /// Faults.
--- a/hibiscusroad-measure/src/judge.rs
+++ b/hibiscusroad-measure/src/judge.rs
@@ -4,7 +4,7 @@
     caller::{Ending, GRACE, Work},
     load::Made,
 };
-use hibiscusroad_standins::plain::Ran;
+use hibiscusroad_standins::plain::LogEntry;
 use std::collections::BTreeMap;
 
 /// Counts over all calls of a load.
@@ -45,7 +45,7 @@
 
 /// Judges calls, and the logs of the plain services that they may have reached.
 #[must_use]
-pub fn judge(made: &[Made], logs: &[Vec<Ran>]) -> Verdict {
+pub fn judge(made: &[Made], logs: &[Vec<LogEntry>]) -> Verdict {
     let mut verdict = Verdict::default();
     for made in made {
         count(made, &mut verdict);
@@ -94,7 +94,7 @@
 
 // All calls with one key carry the same request name as well, and endpoints
 // log the name even where the key isn't passed on to them.
-fn runs(made: &[Made], logs: &[Vec<Ran>], verdict: &mut Verdict) {
+fn runs(made: &[Made], logs: &[Vec<LogEntry>], verdict: &mut Verdict) {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     let writes = logs.iter().flatten().filter(|ran| ran.method == "POST");
     for name in writes.filter_map(|ran| ran.request.as_deref()) {
--- a/hibiscusroad-measure/tests/judge.rs
+++ b/hibiscusroad-measure/tests/judge.rs
@@ -10,7 +10,7 @@
 use hibiscusroad_standins::{
     engine::{self, Engine},
     http::{ANY_LOOPBACK_PORT, Exchange, Server},
-    plain::{Plain, Ran, Settings},
+    plain::{LogEntry, Plain, Settings},
 };
 use std::time::{Duration, Instant};
 
@@ -42,8 +42,8 @@
     }
 }
 
-fn ran(key: Option<&str>, request: &str) -> Ran {
-    Ran {
+fn ran(key: Option<&str>, request: &str) -> LogEntry {
+    LogEntry {
         seq: 1,
         method: "POST".to_owned(),
         path: "/a".to_owned(),
--- a/hibiscusroad-standins/src/plain.rs
+++ b/hibiscusroad-standins/src/plain.rs
@@ -71,7 +71,7 @@
 
 /// The log entry of a request that started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ran {
+pub struct LogEntry {
     /// The sequence number, from 1.
     pub seq: u64,
     /// The method.
@@ -118,7 +118,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    log: Vec<Ran>,
+    log: Vec<LogEntry>,
     file: Option<File>,
     faults: Faults,
     running: usize,
@@ -176,7 +176,7 @@
 
     /// Returns the log of requests.
     #[must_use]
-    pub fn log(&self) -> Vec<Ran> {
+    pub fn log(&self) -> Vec<LogEntry> {
         self.state.lock().log.clone()
     }
 
@@ -283,7 +283,7 @@
 fn log_request(state: &State, exchange: &Exchange, body: &[u8]) -> u64 {
     let mut inner = state.lock();
     let seq = inner.log.len() as u64 + 1;
-    let ran = Ran {
+    let ran = LogEntry {
         seq,
         method: exchange.method(),
         path: exchange.path().to_owned(),
