--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -8,7 +8,7 @@
     config, submission, until,
 };
 use hibiscusroad_standins::{
-    direct::{Endpoint, Faults, Ran},
+    direct::{Endpoint, ExecutedRequest, Faults},
     relay::Relay,
 };
 use serde_json::{Value, json};
@@ -76,7 +76,7 @@
     ask(method, gateway.callers, path, &headers, body, PATIENCE).expect("an answer")
 }
 
-fn find_run(endpoint: &Endpoint, id: &str) -> Option<Ran> {
+fn find_run(endpoint: &Endpoint, id: &str) -> Option<ExecutedRequest> {
     endpoint.ran().into_iter().find(|ran| ran.id == id)
 }
 
--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -4,7 +4,7 @@
     keys::CALLERS,
     world::{DESKS, ENDPOINTS, LEASE_MS, World},
 };
-use hibiscusroad_standins::direct::Ran;
+use hibiscusroad_standins::direct::ExecutedRequest;
 use serde_json::Value;
 use std::{
     collections::{BTreeMap, HashSet},
@@ -164,7 +164,7 @@
 }
 
 /// Checks for which account endpoints ran a request, and that they saw no key.
-fn account(check: &Check, ran: &Ran) {
+fn account(check: &Check, ran: &ExecutedRequest) {
     let expected = match ran.id.split_once('-') {
         Some(("crash" | "desk" | "once", _)) => Some(CALLERS),
         Some(("score", _)) => None,
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -6,7 +6,7 @@
 };
 use crate::deployment::{Bins, Error, process::Process};
 use hibiscusroad_standins::{
-    direct::{Billing, Crash, CrashManner, Endpoint, Faults, Manner, Ran, Store},
+    direct::{Billing, Crash, CrashManner, Endpoint, ExecutedRequest, Faults, Manner, Store},
     http::ANY_LOOPBACK_PORT,
     ports,
     relay::{Direction, Relay},
@@ -65,7 +65,7 @@
     pub(super) store: Arc<Store>,
     pub(super) endpoints: Vec<Endpoint>,
     /// What plain endpoints ran that have crashed, and how many have.
-    past: Vec<Ran>,
+    past: Vec<ExecutedRequest>,
     pub(super) crashes: usize,
     /// Who takes reports of usage.
     pub(super) billing: Billing,
@@ -277,7 +277,7 @@
     }
 
     /// Returns what all endpoints ran, those that have crashed included.
-    pub(super) fn ran(&self) -> Vec<Ran> {
+    pub(super) fn ran(&self) -> Vec<ExecutedRequest> {
         let now = self.endpoints.iter().flat_map(Endpoint::ran);
         self.past.iter().cloned().chain(now).collect()
     }
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -67,7 +67,7 @@
 
 /// A request that an endpoint started to run.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ran {
+pub struct ExecutedRequest {
     /// The request's id.
     pub id: String,
     /// Its path.
@@ -94,7 +94,7 @@
     weights: BTreeMap<String, u64>,
     orders: u64,
     fence: u64,
-    ran: Vec<Ran>,
+    ran: Vec<ExecutedRequest>,
     holders: Vec<(String, u64)>,
     crash: Option<Crash>,
     crashed: bool,
@@ -237,7 +237,7 @@
 
     /// Returns the requests that it started to run.
     #[must_use]
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn ran(&self) -> Vec<ExecutedRequest> {
         self.shared.lock().ran.clone()
     }
 
@@ -347,7 +347,7 @@
     let after = exchange
         .header("Last-Event-Id")
         .and_then(|n| n.parse().ok());
-    let ran = Ran {
+    let ran = ExecutedRequest {
         id: id.clone(),
         path: exchange.path().to_owned(),
         after,
--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -4,7 +4,7 @@
 //! crashed incarnation stays in the store for a while, like a row that expires because it
 //! is no longer renewed.
 
-use super::{Crash, Endpoint, Ran, Store};
+use super::{Crash, Endpoint, ExecutedRequest, Store};
 use std::{
     io,
     net::SocketAddr,
@@ -69,7 +69,7 @@
 struct State {
     slots: Vec<Slot>,
     /// Requests of earlier incarnations.
-    past_runs: Vec<Ran>,
+    past_runs: Vec<ExecutedRequest>,
     crash_count: usize,
 }
 
@@ -133,7 +133,7 @@
 
     /// Returns the requests that all incarnations started to run.
     #[must_use]
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn ran(&self) -> Vec<ExecutedRequest> {
         let state = lock(&self.state);
         let current = state.slots.iter().flat_map(|slot| slot.endpoint.ran());
         state.past_runs.iter().cloned().chain(current).collect()
