--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -8,7 +8,7 @@
     submission, until,
 };
 use hibiscusroad_standins::{
-    direct::{Crash, CrashManner, Endpoint, Replicas, Restart},
+    direct::{Crash, CrashMode, Endpoint, Replicas, Restart},
     http::ANY_LOOPBACK_PORT,
     relay::Relay,
 };
@@ -32,10 +32,10 @@
 const REPLICA_NAMES: [&str; 6] = ["r0", "r1", "r2", "r3", "r4", "r5"];
 
 /// Starts gateways and crashing replicas of a request-response service.
-fn start_world(test: &str, gateways: usize, manner: CrashManner) -> (World, Replicas) {
+fn start_world(test: &str, gateways: usize, mode: CrashMode) -> (World, Replicas) {
     let mut world = World::start(test);
     world.configure(1, &[]);
-    let replicas = start_replicas(&world, "hut-desk", &[], manner);
+    let replicas = start_replicas(&world, "hut-desk", &[], mode);
     for _ in 0..gateways {
         world.gateway();
     }
@@ -47,10 +47,10 @@
 }
 
 /// Starts six replicas of a service that crash on bodies with the marker.
-fn start_replicas(world: &World, service: &str, models: &[&str], manner: CrashManner) -> Replicas {
+fn start_replicas(world: &World, service: &str, models: &[&str], mode: CrashMode) -> Replicas {
     let crash = Crash {
         marker: CRASH_MARKER.to_vec(),
-        manner,
+        mode,
     };
     let restart = Restart::default();
     Replicas::start(
@@ -145,7 +145,7 @@
 // Guards against repeats of a request that crash one endpoint after the other.
 #[test]
 fn request_that_crashes_endpoints_is_quarantined() {
-    let (world, replicas) = start_world("crashes", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("crashes", 3, CrashMode::ProcessExit);
     let answers = check_quarantined(&world, &replicas, "/desk/x", "poison");
     assert!(replicas.ends() <= MAX_ENDS, "{} ends", replicas.ends());
     assert!(
@@ -168,7 +168,7 @@
 // Guards against missing crashes in the middle of an answer.
 #[test]
 fn request_that_crashes_endpoints_during_the_answer_is_quarantined() {
-    let (world, replicas) = start_world("tears", 3, CrashManner::Torn);
+    let (world, replicas) = start_world("tears", 3, CrashMode::Truncated);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
 }
 
@@ -176,21 +176,21 @@
 // loses power.
 #[test]
 fn request_that_crashes_hosts_is_quarantined() {
-    let (world, replicas) = start_world("darkens", 3, CrashManner::Dark);
+    let (world, replicas) = start_world("darkens", 3, CrashMode::PowerLoss);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
 }
 
 // Guards against missing crashes of a request that is sent at most once under each ID.
 #[test]
 fn request_that_is_not_retried_is_quarantined() {
-    let (world, replicas) = start_world("once-only", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("once-only", 3, CrashMode::ProcessExit);
     check_quarantined(&world, &replicas, "/once/x", "poison");
 }
 
 // Guards against a gateway that starts after the crashes and lacks their evidence.
 #[test]
 fn gateway_that_starts_later_applies_the_quarantine() {
-    let (mut world, replicas) = start_world("later", 2, CrashManner::Closed);
+    let (mut world, replicas) = start_world("later", 2, CrashMode::ProcessExit);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
     let before = count_sends(&replicas, "poison");
     world.gateway();
@@ -240,7 +240,7 @@
 fn expired_evidence_is_removed() {
     let mut world = World::start("removed");
     world.configure(1, &[]);
-    let replicas = start_replicas(&world, "hut-desk", &[], CrashManner::Closed);
+    let replicas = start_replicas(&world, "hut-desk", &[], CrashMode::ProcessExit);
     world.gateway_with("quarantine_s = 2\n");
     world.wait_ready(0);
     wait_for_endpoints(&world.gateways[0]);
@@ -269,7 +269,7 @@
 // Guards against losing evidence that was collected while the store was unreachable.
 #[test]
 fn gateway_writes_evidence_once_the_store_is_reachable_again() {
-    let (mut world, replicas) = start_world("cut-off", 1, CrashManner::Closed);
+    let (mut world, replicas) = start_world("cut-off", 1, CrashMode::ProcessExit);
     let relay = Relay::start(ANY_LOOPBACK_PORT, world.store.addr()).unwrap();
     let gateway = Gateway::start(&world.dir, "gateway-cut", relay.addr(), "");
     world.gateways.insert(0, gateway);
@@ -323,7 +323,7 @@
 // endpoints, or that share its path.
 #[test]
 fn requests_beside_one_that_crashes_endpoints_are_served() {
-    let (world, replicas) = start_world("neighbours", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("neighbours", 3, CrashMode::ProcessExit);
     let stopped = AtomicBool::new(false);
     let send_until_stopped = |n: usize| {
         let mut answers = Vec::new();
@@ -369,7 +369,7 @@
         "resumable": true });
     world.configure(1, &[route]);
     let scorer = world.endpoint("hut-desk", "i-desk", &[]);
-    let replicas = start_replicas(&world, "guide-lm", &["guide"], CrashManner::Closed);
+    let replicas = start_replicas(&world, "guide-lm", &["guide"], CrashMode::ProcessExit);
     for _ in 0..gateways {
         world.gateway();
     }
@@ -411,7 +411,7 @@
 // Guards against a reward call that is retried without limit.
 #[test]
 fn reward_call_that_crashes_endpoints_is_quarantined() {
-    let (world, replicas) = start_world("rewards", 2, CrashManner::Closed);
+    let (world, replicas) = start_world("rewards", 2, CrashMode::ProcessExit);
     let _engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     let mut step = submission(1, 1, 2, 3);
     step["requests"][4]["scorer"]["body"] = "Y3Jhc2g=".into();
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -6,7 +6,7 @@
 };
 use crate::deployment::{Bins, Error, process::Process};
 use hibiscusroad_standins::{
-    direct::{Billing, Crash, CrashManner, Endpoint, ExecutedRequest, Faults, Manner, Store},
+    direct::{Billing, Crash, CrashMode, Endpoint, ExecutedRequest, Faults, Manner, Store},
     http::ANY_LOOPBACK_PORT,
     ports,
     relay::{Direction, Relay},
@@ -340,7 +340,7 @@
     endpoint.events(20);
     endpoint.crash_on(Crash {
         marker: CRASHING.to_vec(),
-        manner: CrashManner::Closed,
+        mode: CrashMode::ProcessExit,
     });
     Ok(endpoint)
 }
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -40,13 +40,13 @@
 
 /// How an endpoint crashes while it runs a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CrashManner {
+pub enum CrashMode {
     /// The process exits: connections close and new ones are refused.
-    Closed,
-    /// Like `Closed`, but in the middle of the answer.
-    Torn,
+    ProcessExit,
+    /// Like `ProcessExit`, but in the middle of the answer.
+    Truncated,
     /// The host loses power: connections stay open without traffic.
-    Dark,
+    PowerLoss,
 }
 
 /// Which requests crash an endpoint, and how.
@@ -55,7 +55,7 @@
     /// Bytes that the bodies of these requests contain.
     pub marker: Vec<u8>,
     /// How the endpoint crashes.
-    pub manner: CrashManner,
+    pub mode: CrashMode,
 }
 
 impl Crash {
@@ -366,7 +366,7 @@
     if let Some(crash) = crash.filter(|crash| crash.matches(&body)) {
         work_while_open(work, &is_open);
         if is_open() {
-            crash_during(shared, exchange, &id, crash.manner);
+            crash_during(shared, exchange, &id, crash.mode);
         }
         return;
     }
@@ -421,15 +421,15 @@
 }
 
 /// Crashes the endpoint while it runs the request `id`.
-fn crash_during(shared: &Arc<Shared>, exchange: Exchange, id: &str, manner: CrashManner) {
+fn crash_during(shared: &Arc<Shared>, exchange: Exchange, id: &str, mode: CrashMode) {
     shared.lock().crashed = true;
     let relay = exchange.relay().clone();
-    match manner {
-        CrashManner::Closed => {
+    match mode {
+        CrashMode::ProcessExit => {
             relay.stop();
             exchange.cut();
         }
-        CrashManner::Torn => {
+        CrashMode::Truncated => {
             let stamp = format!("stamp-{id}");
             let headers = [("X-Request-Id", id), ("X-Server-Stamp", &stamp)];
             if let Ok(mut events) = exchange.stream_with(&headers) {
@@ -439,7 +439,7 @@
                 events.abandon();
             }
         }
-        CrashManner::Dark => {
+        CrashMode::PowerLoss => {
             relay.drop_traffic();
             while !relay.is_stopped() {
                 thread::sleep(Duration::from_millis(20));
--- a/hibiscusroad-standins/src/direct/mod.rs
+++ b/hibiscusroad-standins/src/direct/mod.rs
@@ -12,7 +12,7 @@
 
 pub use self::{
     billing::{Billing, Reply, Report},
-    endpoint::{Crash, CrashManner, Endpoint, ExecutedRequest, Manner},
+    endpoint::{Crash, CrashMode, Endpoint, ExecutedRequest, Manner},
     replicas::{Replicas, Restart},
     store::{Faults, Store},
 };
