--- a/hibiscusroad-daemon/tests/gateway_batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_batches.rs
@@ -7,7 +7,7 @@
     batches::{check_whole, read, results, submit, text, with_settings},
     submission, until,
 };
-use hibiscusroad_standins::direct::{Faults, Manner, Store};
+use hibiscusroad_standins::direct::{Behaviour, Faults, Store};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -163,7 +163,7 @@
 #[test]
 fn item_that_always_fails_is_errored() {
     let (world, _desk, engine) = World::ready("errored", 1);
-    engine.behave(Manner::Failing);
+    engine.set_behaviour(Behaviour::Failing);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 1)).status, 202);
     let found = results(&world, 0, "b1", 1);
     assert_eq!(found[0]["state"], "errored");
--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{HOST, World, ask, raw, until};
-use hibiscusroad_standins::direct::{Faults, Manner};
+use hibiscusroad_standins::direct::{Behaviour, Faults};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -30,8 +30,8 @@
         let answer = world.gateways[0].call("POST", "/desk/x", "warm", b"");
         answer.text().starts_with("i-sound").then_some(())
     });
-    for manner in [Manner::Foreign, Manner::Unsigned, Manner::Torn] {
-        desk.behave(manner);
+    for manner in [Behaviour::Foreign, Behaviour::Unsigned, Behaviour::Torn] {
+        desk.set_behaviour(manner);
         for n in 0..6 {
             let id = format!("{manner:?}-{n}");
             let answer = world.gateways[0].call("POST", "/desk/x", &id, b"");
@@ -53,8 +53,8 @@
 fn once_only_request_is_not_repeated_after_a_torn_answer() {
     let (world, desk, _engine) = World::ready("once", 1);
     let other = world.endpoint("hut-desk", "i-other", &[]);
-    desk.behave(Manner::Torn);
-    other.behave(Manner::Torn);
+    desk.set_behaviour(Behaviour::Torn);
+    other.set_behaviour(Behaviour::Torn);
     let answer = world.gateways[0].call("POST", "/once/book", "once-1", b"");
     assert_eq!(answer.status, 502, "{}", answer.text());
     let ran = desk.ran().into_iter().chain(other.ran());
@@ -66,7 +66,7 @@
 #[test]
 fn refusal_by_full_endpoints_names_a_time_to_return() {
     let (world, desk, _engine) = World::ready("full", 1);
-    desk.behave(Manner::Refusing);
+    desk.set_behaviour(Behaviour::Refusing);
     let start = Instant::now();
     let answer = world.gateways[0].call("POST", "/once/book", "full-1", b"");
     assert_eq!(answer.status, 503, "{}", answer.text());
@@ -109,7 +109,7 @@
 #[test]
 fn silent_endpoint_is_given_up_at_the_routes_time_limit() {
     let (world, desk, _engine) = World::ready("silent", 1);
-    desk.behave(Manner::Silent);
+    desk.set_behaviour(Behaviour::Silent);
     let start = Instant::now();
     let headers = [("X-Request-Id", "silent-1"), ("X-Deadline-Ms", "60000")];
     let callers = world.gateways[0].callers;
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -6,7 +6,7 @@
 use gateway_world::{PATIENCE, World, ask, submission, until};
 use hibiscusroad_cli::trace::Logs;
 use hibiscusroad_daemon::gateway::meters;
-use hibiscusroad_standins::direct::Manner;
+use hibiscusroad_standins::direct::Behaviour;
 use std::{collections::BTreeSet, fs, path::Path, time::Duration};
 
 /// Tells the story of an id once it has this sentence.
@@ -25,7 +25,7 @@
 #[test]
 fn refused_request_leads_to_its_endpoint() {
     let (world, desk, _engine) = World::ready("explain-refused", 1);
-    desk.behave(Manner::Refusing);
+    desk.set_behaviour(Behaviour::Refusing);
     let answer = world.gateways[0].call("POST", "/once/book", "refused-1", b"");
     assert_eq!(answer.status, 503);
     let story = story(&world, "refused-1", "A request is refused.");
@@ -42,7 +42,7 @@
 #[test]
 fn errored_item_leads_to_its_engine() {
     let (world, _desk, engine) = World::ready("explain-errored", 1);
-    engine.behave(Manner::Failing);
+    engine.set_behaviour(Behaviour::Failing);
     let body = submission(1, 1, 1, 1).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{Answer, Gateway, PATIENCE, World, ask, config, until};
-use hibiscusroad_standins::direct::{Billing, Endpoint, Faults, Manner, Reply};
+use hibiscusroad_standins::direct::{Behaviour, Billing, Endpoint, Faults, Reply};
 use serde_json::json;
 use std::{
     collections::BTreeMap,
@@ -123,12 +123,12 @@
 #[test]
 fn only_requests_that_endpoints_started_count() {
     let deployment = start_deployment("began", 1, true);
-    deployment.endpoint.behave(Manner::Refusing);
+    deployment.endpoint.set_behaviour(Behaviour::Refusing);
     for n in 0..5 {
         assert_eq!(deployment.call(0, "school", &format!("no{n}")).status, 503);
     }
     assert_eq!(deployment.call(0, "nobody", "denied").status, 401);
-    deployment.endpoint.behave(Manner::Sound);
+    deployment.endpoint.set_behaviour(Behaviour::Sound);
     deployment.endpoint.work(Duration::from_millis(700));
     let key = [
         ("X-Request-Id", "left"),
--- a/hibiscusroad-measure/src/soak/plan.rs
+++ b/hibiscusroad-measure/src/soak/plan.rs
@@ -2,7 +2,7 @@
 
 use super::Options;
 use hibiscusroad_standins::{
-    direct::{Faults, Manner},
+    direct::{Behaviour, Faults},
     relay::Direction,
 };
 use rand::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
     CutStore(usize, Duration),
     DelayStore(usize, Duration),
     ResetStore,
-    Endpoint(usize, Manner, Duration),
+    Endpoint(usize, Behaviour, Duration),
     SilenceEndpoint(usize, Direction),
     Leave(usize),
     Config,
@@ -103,10 +103,10 @@
         16 => Fault::ResetStore,
         17 => {
             let manners = [
-                Manner::Foreign,
-                Manner::Torn,
-                Manner::Refusing,
-                Manner::Unsigned,
+                Behaviour::Foreign,
+                Behaviour::Torn,
+                Behaviour::Refusing,
+                Behaviour::Unsigned,
             ];
             Fault::Endpoint(endpoint, manners[rng.random_range(0..manners.len())], time)
         }
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -6,7 +6,7 @@
 };
 use crate::deployment::{Bins, Error, process::Process};
 use hibiscusroad_standins::{
-    direct::{Billing, Crash, CrashMode, Endpoint, ExecutedRequest, Faults, Manner, Store},
+    direct::{Behaviour, Billing, Crash, CrashMode, Endpoint, ExecutedRequest, Faults, Store},
     http::ANY_LOOPBACK_PORT,
     ports,
     relay::{Direction, Relay},
@@ -191,7 +191,7 @@
             }
             Fault::ResetStore => self.store.relay().cut_all(),
             Fault::Endpoint(n, manner, time) => {
-                self.endpoints[n].behave(manner);
+                self.endpoints[n].set_behaviour(manner);
                 self.undo.push((now + time, Undo::Manner(n)));
             }
             Fault::SilenceEndpoint(n, way) => self.endpoints[n].relay().silence(way),
@@ -256,7 +256,7 @@
                 self.gateways[*n].relay.set_delay(Duration::ZERO);
                 self.gateways[*n].relay.cut_all();
             }
-            Undo::Manner(n) => self.endpoints[*n].behave(Manner::Sound),
+            Undo::Manner(n) => self.endpoints[*n].set_behaviour(Behaviour::Sound),
             Undo::Return(n) if self.endpoints[*n].is_down() => {}
             Undo::Return(n) => self.endpoints[*n].register("ready"),
             Undo::Restart(n) => self.restart(*n)?,
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -21,7 +21,7 @@
 
 /// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Manner {
+pub enum Behaviour {
     /// It answers correctly.
     Sound,
     /// Its answers carry the id of another request.
@@ -84,7 +84,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    manner: Manner,
+    behaviour: Behaviour,
     /// The duration of a plain request, and the delay before each event.
     work_duration: Duration,
     /// The number of events of a generated text.
@@ -152,7 +152,7 @@
             id: id.to_owned(),
             service: service.to_owned(),
             inner: Mutex::new(Inner {
-                manner: Manner::Sound,
+                behaviour: Behaviour::Sound,
                 work_duration: Duration::from_millis(5),
                 event_count: 8,
                 item_events: BTreeMap::new(),
@@ -191,8 +191,8 @@
     }
 
     /// Sets how later requests are handled.
-    pub fn behave(&self, manner: Manner) {
-        self.shared.lock().manner = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.lock().behaviour = behaviour;
     }
 
     /// Makes it crash on some requests.
@@ -333,14 +333,14 @@
     {
         return exchange.answer_bytes(421, &[("X-Instance-Id", &shared.id)], Vec::new());
     }
-    let (manner, work) = {
+    let (behaviour, work) = {
         let inner = shared.lock();
-        (inner.manner, inner.work_duration)
+        (inner.behaviour, inner.work_duration)
     };
     let Ok(body) = exchange.body() else {
         return exchange.cut();
     };
-    if manner == Manner::Refusing {
+    if behaviour == Behaviour::Refusing {
         let headers = [("X-Not-Executed", "1"), ("X-Request-Id", id.as_str())];
         return exchange.answer_bytes(503, &headers, Vec::new());
     }
@@ -370,7 +370,7 @@
         }
         return;
     }
-    if let Some(model) = model.filter(|_| manner == Manner::Sound) {
+    if let Some(model) = model.filter(|_| behaviour == Behaviour::Sound) {
         return generate(shared, exchange, &id, &model, after, index);
     }
     work_while_open(work, &is_open);
@@ -379,35 +379,35 @@
     }
     shared.lock().ran[index].whole = true;
     let stamp = format!("stamp-{id}");
-    match manner {
-        Manner::Silent => {
+    match behaviour {
+        Behaviour::Silent => {
             while is_open() {
                 thread::sleep(Duration::from_millis(20));
             }
             exchange.cut();
         }
-        Manner::Failing => {
+        Behaviour::Failing => {
             let headers = [("X-Request-Id", id.as_str()), ("X-Server-Stamp", &stamp)];
             exchange.answer_bytes(500, &headers, b"failed".to_vec());
         }
-        Manner::Foreign => {
+        Behaviour::Foreign => {
             let headers = [
                 ("X-Request-Id", "another"),
                 ("X-Server-Stamp", "stamp-another"),
             ];
             exchange.answer_bytes(200, &headers, b"another's".to_vec());
         }
-        Manner::Unsigned => {
+        Behaviour::Unsigned => {
             exchange.answer_bytes(200, &[("X-Request-Id", &id)], body);
         }
-        Manner::Torn => {
+        Behaviour::Torn => {
             let headers = [("X-Request-Id", id.as_str()), ("X-Server-Stamp", &stamp)];
             if let Ok(mut events) = exchange.stream_with(&headers) {
                 let _disconnected = events.send("a part").is_err();
                 events.abandon();
             }
         }
-        Manner::Sound | Manner::Refusing => {
+        Behaviour::Sound | Behaviour::Refusing => {
             let mut answer = format!("{} answers ", shared.id).into_bytes();
             answer.extend(body);
             let headers = [
--- a/hibiscusroad-standins/src/direct/mod.rs
+++ b/hibiscusroad-standins/src/direct/mod.rs
@@ -12,7 +12,7 @@
 
 pub use self::{
     billing::{Billing, Reply, Report},
-    endpoint::{Crash, CrashMode, Endpoint, ExecutedRequest, Manner},
+    endpoint::{Behaviour, Crash, CrashMode, Endpoint, ExecutedRequest},
     replicas::{Replicas, Restart},
     store::{Faults, Store},
 };
