--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{Answer, Gateway, PATIENCE, World, ask, config, until};
-use hibiscusroad_standins::direct::{Behaviour, Billing, Endpoint, Faults, Reply};
+use hibiscusroad_standins::direct::{Behaviour, Billing, Endpoint, Faults, ReplyMode};
 use serde_json::json;
 use std::{
     collections::BTreeMap,
@@ -154,16 +154,16 @@
 #[test]
 fn lost_answers_and_refusals_of_the_platform_change_no_report() {
     let deployment = start_deployment("lost", 2, true);
-    for (n, reply) in [Reply::Lost, Reply::Busy, Reply::Sound]
+    for (n, reply) in [ReplyMode::LostAnswer, ReplyMode::Busy, ReplyMode::Normal]
         .into_iter()
         .enumerate()
     {
-        deployment.billing.reply(reply);
+        deployment.billing.set_reply_mode(reply);
         for m in 0..20 {
             deployment.call(m % 2, "charity", &format!("l{n}-{m}"));
             thread::sleep(Duration::from_millis(60));
         }
-        if reply == Reply::Lost {
+        if reply == ReplyMode::LostAnswer {
             let before = deployment.billing.taken().len();
             until("an answer is lost", || {
                 (deployment.billing.taken().len() > before).then_some(())
--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -17,16 +17,16 @@
 
 /// How the receiver answers a report.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Reply {
+pub enum ReplyMode {
     /// Reports are accepted and acknowledged.
     #[default]
-    Sound,
+    Normal,
     /// Every call is refused with status 429.
     Busy,
     /// Reports are accepted, but the connection closes without an answer.
-    Lost,
-    /// Like `Lost`, but reports are accepted only after this delay.
-    Late(Duration),
+    LostAnswer,
+    /// Like `LostAnswer`, but reports are accepted only after this delay.
+    Delayed(Duration),
 }
 
 /// An accepted report.
@@ -46,7 +46,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    reply: Reply,
+    reply_mode: ReplyMode,
     checks_fence: bool,
     accepted: Vec<Report>,
     refused: u32,
@@ -94,8 +94,8 @@
     }
 
     /// Sets how later reports are answered.
-    pub fn reply(&self, reply: Reply) {
-        lock(&self.inner).reply = reply;
+    pub fn set_reply_mode(&self, mode: ReplyMode) {
+        lock(&self.inner).reply_mode = mode;
     }
 
     /// Returns all accepted reports, including duplicates.
@@ -197,14 +197,14 @@
         counts: report.counts,
         at: Instant::now(),
     };
-    let reply = lock(inner).reply;
-    match reply {
-        Reply::Busy => exchange.refuse(429, "busy"),
-        Reply::Lost => {
+    let mode = lock(inner).reply_mode;
+    match mode {
+        ReplyMode::Busy => exchange.refuse(429, "busy"),
+        ReplyMode::LostAnswer => {
             accept(inner, report);
             exchange.cut();
         }
-        Reply::Late(delay) => {
+        ReplyMode::Delayed(delay) => {
             let inner = Arc::clone(inner);
             thread::spawn(move || {
                 thread::sleep(delay);
@@ -213,7 +213,7 @@
             });
             exchange.cut();
         }
-        Reply::Sound => {
+        ReplyMode::Normal => {
             if accept(inner, report) {
                 exchange.answer(200, &json!({}));
             } else {
--- a/hibiscusroad-standins/src/direct/mod.rs
+++ b/hibiscusroad-standins/src/direct/mod.rs
@@ -11,7 +11,7 @@
 mod store;
 
 pub use self::{
-    billing::{Billing, Reply, Report},
+    billing::{Billing, ReplyMode, Report},
     endpoint::{Behaviour, Crash, CrashMode, Endpoint, ExecutedRequest},
     replicas::{Replicas, Restart},
     store::{Faults, Store},
