--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -110,7 +110,7 @@
 /// Returns the answers to these further repeats.
 fn check_quarantined(world: &World, replicas: &Replicas, path: &str, prefix: &str) -> Vec<Answer> {
     let start = Instant::now();
-    while replicas.ends() < CRASH_LIMIT {
+    while replicas.crash_count() < CRASH_LIMIT {
         assert!(
             start.elapsed() < PROPAGATION_TIME * 4,
             "too few endpoints have ended"
@@ -124,7 +124,7 @@
     assert!(
         late_sends <= MAX_LATE_SENDS,
         "{late_sends} sends after {} ends",
-        replicas.ends()
+        replicas.crash_count()
     );
     answers
 }
@@ -147,7 +147,11 @@
 fn request_that_crashes_endpoints_is_quarantined() {
     let (world, replicas) = start_world("crashes", 3, CrashMode::ProcessExit);
     let answers = check_quarantined(&world, &replicas, "/desk/x", "poison");
-    assert!(replicas.ends() <= MAX_ENDS, "{} ends", replicas.ends());
+    assert!(
+        replicas.crash_count() <= MAX_ENDS,
+        "{} ends",
+        replicas.crash_count()
+    );
     assert!(
         problem_codes(&answers)
             .iter()
@@ -250,7 +254,7 @@
         "poison",
         Instant::now() + PROPAGATION_TIME / 6,
     );
-    assert!(replicas.ends() > 0);
+    assert!(replicas.crash_count() > 0);
     let table_empty = |world: &World| world.store.rows("crashes").is_empty().then_some(());
     until("evidence is written", || {
         table_empty(&world).is_none().then_some(())
@@ -277,7 +281,7 @@
     wait_for_endpoints(&world.gateways[0]);
     relay.drop_traffic();
     let other = world.gateways.pop().unwrap();
-    while replicas.ends() < CRASH_LIMIT {
+    while replicas.crash_count() < CRASH_LIMIT {
         repeat(
             &world,
             "/desk/x",
@@ -398,7 +402,7 @@
     let read = results(&world, 1, "b1", 5);
     check_whole(&read, 8);
     thread::sleep(PROPAGATION_TIME);
-    let (before, ends) = (count_sends(&replicas, "item-1-1-1"), replicas.ends());
+    let (before, ends) = (count_sends(&replicas, "item-1-1-1"), replicas.crash_count());
     assert!((CRASH_LIMIT..=MAX_ENDS).contains(&ends), "{ends} ends");
     let owner = usize::from(batches_run_by(&world, 0).is_empty());
     world.gateways[owner].kill();
@@ -418,11 +422,15 @@
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
     check_whole(&results(&world, 1, "b1", 5), 8);
     until("endpoints have ended", || {
-        (replicas.ends() >= CRASH_LIMIT).then_some(())
+        (replicas.crash_count() >= CRASH_LIMIT).then_some(())
     });
     thread::sleep(PROPAGATION_TIME);
     let before = count_sends(&replicas, "score-item-1-1-1");
     thread::sleep(PROPAGATION_TIME);
     assert_eq!(count_sends(&replicas, "score-item-1-1-1"), before);
-    assert!(replicas.ends() <= MAX_ENDS, "{} ends", replicas.ends());
+    assert!(
+        replicas.crash_count() <= MAX_ENDS,
+        "{} ends",
+        replicas.crash_count()
+    );
 }
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -54,7 +54,7 @@
         });
     }
     until("a gateway reports", || {
-        (!deployment.billing.taken().is_empty()).then_some(())
+        (!deployment.billing.accepted_reports().is_empty()).then_some(())
     });
     deployment
 }
@@ -83,12 +83,12 @@
         // Later reports must not add to the totals.
         thread::sleep(Duration::from_millis(1_500));
         assert_eq!(self.billing.totals(), started);
-        assert_eq!(self.billing.broken(LEASE), Vec::<String>::new());
+        assert_eq!(self.billing.violations(LEASE), Vec::<String>::new());
     }
 
     /// Returns the index of the gateway that sent the last report.
     fn holder(&self) -> usize {
-        let last = self.billing.taken().pop().unwrap();
+        let last = self.billing.accepted_reports().pop().unwrap();
         let gateways = &self.world.gateways;
         gateways.iter().position(|g| g.name == last.holder).unwrap()
     }
@@ -164,14 +164,14 @@
             thread::sleep(Duration::from_millis(60));
         }
         if reply == ReplyMode::LostAnswer {
-            let before = deployment.billing.taken().len();
+            let before = deployment.billing.accepted_reports().len();
             until("an answer is lost", || {
-                (deployment.billing.taken().len() > before).then_some(())
+                (deployment.billing.accepted_reports().len() > before).then_some(())
             });
         }
     }
     deployment.check_totals();
-    let taken = deployment.billing.taken();
+    let taken = deployment.billing.accepted_reports();
     let repeated = taken
         .iter()
         .any(|report| taken.iter().filter(|r| r.window == report.window).count() > 1);
@@ -224,9 +224,9 @@
         thread::sleep(Duration::from_millis(500));
         let holder = deployment.holder();
         deployment.world.gateways.remove(holder).kill();
-        let before = deployment.billing.taken().len();
+        let before = deployment.billing.accepted_reports().len();
         until("another gateway reports", || {
-            (deployment.billing.taken().len() > before + 1).then_some(())
+            (deployment.billing.accepted_reports().len() > before + 1).then_some(())
         });
     }
     deployment.check_totals();
@@ -246,10 +246,10 @@
         thread::sleep(Duration::from_millis(500));
         let holder = &deployment.world.gateways[deployment.holder()];
         holder.signal(Signal::STOP);
-        let before = deployment.billing.taken().len();
+        let before = deployment.billing.accepted_reports().len();
         let start = Instant::now();
         until("another gateway reports", || {
-            let taken = deployment.billing.taken();
+            let taken = deployment.billing.accepted_reports();
             (taken.len() > before + 1).then_some(())
         });
         assert!(start.elapsed() > Duration::from_millis(500));
--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -155,10 +155,10 @@
 
 /// Checks that no window was reported with two contents, nor by holders that mix.
 pub(super) fn reports(check: &Check, world: &World) {
-    for broken in world.billing.broken(Duration::from_millis(LEASE_MS)) {
-        check.broke(&broken);
+    for violations in world.billing.violations(Duration::from_millis(LEASE_MS)) {
+        check.broke(&violations);
     }
-    for _ in world.billing.taken() {
+    for _ in world.billing.accepted_reports() {
         check.count("reports");
     }
 }
--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -100,7 +100,7 @@
 
     /// Returns all accepted reports, including duplicates.
     #[must_use]
-    pub fn taken(&self) -> Vec<Report> {
+    pub fn accepted_reports(&self) -> Vec<Report> {
         lock(&self.inner).accepted.clone()
     }
 
@@ -114,7 +114,7 @@
     #[must_use]
     pub fn totals(&self) -> BTreeMap<String, u64> {
         let windows: BTreeMap<u64, _> = self
-            .taken()
+            .accepted_reports()
             .into_iter()
             .map(|report| (report.window, report.counts))
             .collect();
@@ -129,7 +129,7 @@
     ///
     /// A holder that lost the lease to another must not report again within `apart`.
     #[must_use]
-    pub fn broken(&self, apart: Duration) -> Vec<String> {
+    pub fn violations(&self, apart: Duration) -> Vec<String> {
         let inner = lock(&self.inner);
         let mut violations = Vec::new();
         let mut windows: BTreeMap<u64, &Report> = BTreeMap::new();
--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -141,7 +141,7 @@
 
     /// Returns how many crashes there were.
     #[must_use]
-    pub fn ends(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         lock(&self.state).crash_count
     }
 
