--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -77,7 +77,7 @@
 }
 
 fn find_run(endpoint: &Endpoint, id: &str) -> Option<ExecutedRequest> {
-    endpoint.ran().into_iter().find(|ran| ran.id == id)
+    endpoint.runs().into_iter().find(|ran| ran.id == id)
 }
 
 #[test]
@@ -169,7 +169,7 @@
 #[test]
 fn batches_are_accessible_to_all_keys_of_their_account_only() {
     let (world, _endpoint, engine) = start_world("owned", 2);
-    engine.work(Duration::from_millis(60));
+    engine.set_work_duration(Duration::from_millis(60));
     let body = submission(1, 1, 1, 2).to_string();
     let submit = |n: usize, key: &str| {
         let gateway = &world.gateways[n];
@@ -222,7 +222,7 @@
         );
         (answer.json()["results"].as_array()?.len() == 2).then_some(())
     });
-    let ran = engine.ran();
+    let ran = engine.runs();
     assert!(!ran.is_empty());
     for ran in ran {
         assert_eq!(ran.account.as_deref(), Some("charity"));
@@ -236,7 +236,7 @@
 #[test]
 fn batch_keeps_its_account_after_a_takeover() {
     let (mut world, endpoint, engine) = start_world("moved", 2);
-    engine.work(Duration::from_millis(120));
+    engine.set_work_duration(Duration::from_millis(120));
     let body = submission(1, 1, 1, 2).to_string();
     let answer = call_with_keys(
         &world.gateways[0],
@@ -247,7 +247,7 @@
         &[CHARITY_KEY_1],
     );
     assert_eq!(answer.status, 202);
-    until("items run", || (engine.ran().len() == 2).then_some(()));
+    until("items run", || (engine.runs().len() == 2).then_some(()));
     world.gateways[0].kill();
     until("all results are read", || {
         let answer = call_with_keys(
@@ -260,11 +260,11 @@
         );
         (answer.json()["results"].as_array()?.len() == 2).then_some(())
     });
-    let ran = engine.ran();
+    let ran = engine.runs();
     assert!(ran.len() > 2, "nothing was taken over");
     assert!(ran.iter().all(|r| r.account.as_deref() == Some("charity")));
     let scored = endpoint
-        .ran()
+        .runs()
         .into_iter()
         .filter(|r| r.id.starts_with("score-"));
     assert!(scored.into_iter().all(|r| r.account.is_none() && !r.keyed));
@@ -352,9 +352,9 @@
         "{:?}",
         start.elapsed()
     );
-    let before = endpoint.ran().len();
+    let before = endpoint.runs().len();
     assert_eq!(call(first, "/desk/a", "late", &[CHARITY_KEY_1]).status, 401);
-    assert_eq!(endpoint.ran().len(), before);
+    assert_eq!(endpoint.runs().len(), before);
 }
 
 // Guards against final refusals by a gateway that can reach neither the store nor a peer: a key
@@ -377,12 +377,12 @@
     until("no key is accepted any more", || {
         (call(first, "/desk/a", "expired", &[CHARITY_KEY_2]).status == 503).then_some(())
     });
-    let before = endpoint.ran().len();
+    let before = endpoint.runs().len();
     assert_eq!(
         call(first, "/desk/a", "after", &[CHARITY_KEY_1]).status,
         503
     );
-    assert_eq!(endpoint.ran().len(), before);
+    assert_eq!(endpoint.runs().len(), before);
     assert_eq!(call(first, "/open/a", "public", &[]).status, 200);
 }
 
--- a/hibiscusroad-daemon/tests/gateway_batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_batches.rs
@@ -31,9 +31,9 @@
     // A repeated submission at another gateway is accepted and runs nothing.
     assert_eq!(submit(&world, 1, "b1", &step).status, 202);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(engine.ran().len(), 6);
+    assert_eq!(engine.runs().len(), 6);
     let scored = desk
-        .ran()
+        .runs()
         .iter()
         .filter(|ran| ran.id.starts_with("score-"))
         .count();
@@ -43,7 +43,7 @@
 #[test]
 fn item_bodies_are_readable_until_the_batch_ends() {
     let (world, _desk, engine) = World::ready("bodies", 2);
-    engine.work(Duration::from_millis(200));
+    engine.set_work_duration(Duration::from_millis(200));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
     for n in 0..2 {
         let gateway = &world.gateways[n];
@@ -74,9 +74,9 @@
 #[test]
 fn ended_batch_is_cancelled_at_its_engine() {
     let (world, _desk, engine) = World::ready("ended", 2);
-    engine.work(Duration::from_millis(400));
+    engine.set_work_duration(Duration::from_millis(400));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
-    until("items run", || (engine.ran().len() == 3).then_some(()));
+    until("items run", || (engine.runs().len() == 3).then_some(()));
     assert_eq!(
         world.gateways[1]
             .call("DELETE", "/lots/b1", "end", b"")
@@ -84,9 +84,9 @@
         200
     );
     std::thread::sleep(Duration::from_millis(800));
-    let runs = engine.ran().len();
+    let runs = engine.runs().len();
     std::thread::sleep(Duration::from_secs(3));
-    let ran = engine.ran();
+    let ran = engine.runs();
     assert_eq!(ran.len(), runs, "items were started after the end");
     assert!(
         ran.iter().all(|ran| !ran.whole),
@@ -139,7 +139,7 @@
     );
     world.store.fail(Faults::default());
     std::thread::sleep(Duration::from_millis(800));
-    assert!(engine.ran().is_empty());
+    assert!(engine.runs().is_empty());
     assert_eq!(read(&world, 0, "b1", 0).status, 404);
 }
 
@@ -167,7 +167,7 @@
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 1)).status, 202);
     let found = results(&world, 0, "b1", 1);
     assert_eq!(found[0]["state"], "errored");
-    assert_eq!(engine.ran().len(), 3);
+    assert_eq!(engine.runs().len(), 3);
 }
 
 // Items must not run with weights below the minimum version of their batch. The load of
@@ -177,7 +177,7 @@
     let (world, _desk, engine) = World::ready("weights", 3);
     assert_eq!(submit(&world, 0, "b1", &submission(2, 2, 1, 2)).status, 202);
     std::thread::sleep(Duration::from_millis(600));
-    assert!(engine.ran().is_empty());
+    assert!(engine.runs().is_empty());
     let named = serde_json::json!({ "model": "guide", "version": 2 });
     world.store.put("op", "version/guide", &named);
     let found = results(&world, 1, "b1", 2);
@@ -187,7 +187,12 @@
             .all(|result| result["versions"] == serde_json::json!([2]))
     );
     assert_eq!(engine.version("guide"), 2);
-    assert_eq!(engine.holders().len(), 1, "{:?}", engine.holders());
+    assert_eq!(
+        engine.order_holders().len(),
+        1,
+        "{:?}",
+        engine.order_holders()
+    );
 }
 
 // The new holder has a higher fencing token; no engine sees one token from two holders.
@@ -201,12 +206,12 @@
             (engine.version("guide") == version).then_some(())
         });
         if version == 2 {
-            let holder = engine.holders()[0].0.clone();
+            let holder = engine.order_holders()[0].0.clone();
             let n = usize::from(!holder.starts_with("gateway-1"));
             world.gateways[n].kill();
         }
     }
-    let holders = engine.holders();
+    let holders = engine.order_holders();
     assert_eq!(holders.len(), 2);
     assert_ne!(holders[0].0, holders[1].0);
     assert!(holders[0].1 < holders[1].1, "{holders:?}");
@@ -226,7 +231,7 @@
     };
     name_version(&world.store, 2);
     std::thread::sleep(Duration::from_secs(5));
-    let holder = engine.holders()[0].0.clone();
+    let holder = engine.order_holders()[0].0.clone();
     let n = usize::from(!holder.starts_with("gateway-1"));
     assert_eq!(submit(&world, n, "b1", &submission(3, 3, 1, 2)).status, 202);
     std::thread::sleep(Duration::from_millis(600));
@@ -243,7 +248,7 @@
 #[test]
 fn batch_waits_for_a_configuration() {
     let (mut world, _desk, engine) = World::ready("no-config", 1);
-    engine.work(Duration::from_millis(100));
+    engine.set_work_duration(Duration::from_millis(100));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
     world.gateways[0].kill();
     world.gateways.clear();
@@ -263,8 +268,8 @@
 #[test]
 fn result_longer_than_a_row_is_read_whole() {
     let (world, [_desk, engine]) = with_settings("long", 2, "row_bytes = 1024\n");
-    engine.work(Duration::from_millis(1));
-    engine.events(200);
+    engine.set_work_duration(Duration::from_millis(1));
+    engine.set_event_count(200);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
     for n in 0..2 {
         check_whole(&results(&world, n, "b1", 3), 200);
@@ -319,7 +324,11 @@
     until("the engine has loaded the version", || {
         (engine.version("guide") == 2).then_some(())
     });
-    assert!(engine.holders()[0].1 > 5, "{:?}", engine.holders());
+    assert!(
+        engine.order_holders()[0].1 > 5,
+        "{:?}",
+        engine.order_holders()
+    );
 }
 
 // The engine loads new weights between two events of a run on a single-version route. The
@@ -332,14 +341,14 @@
         "service": "guide-lm", "maxAttempts": 3, "dueMs": 7500, "itemTtlS": 30,
         "singleVersion": true });
     world.configure(2, &[route]);
-    engine.work(Duration::from_millis(450));
-    engine.events(8);
+    engine.set_work_duration(Duration::from_millis(450));
+    engine.set_event_count(8);
     let body = submission(1, 1, 1, 2).to_string();
     let gateway = &world.gateways[0];
     std::thread::sleep(Duration::from_millis(300));
     let answer = gateway.call("POST", "/lm/one/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
-    until("items run", || (engine.ran().len() == 2).then_some(()));
+    until("items run", || (engine.runs().len() == 2).then_some(()));
     std::thread::sleep(Duration::from_millis(900));
     let named = serde_json::json!({ "model": "guide", "version": 2 });
     world.store.put("op", "version/guide", &named);
@@ -366,13 +375,13 @@
     };
     let long = "item-1-1-1";
     let runs = || {
-        let ran = engine.ran();
+        let ran = engine.runs();
         let matching = ran.into_iter().filter(|ran| ran.id == long);
         matching.map(|ran| ran.after).collect::<Vec<_>>()
     };
     name_version(2);
-    engine.work(Duration::from_millis(30));
-    engine.events_of(long, 120);
+    engine.set_work_duration(Duration::from_millis(30));
+    engine.set_item_event_count(long, 120);
     let mut step = submission(1, 1, 2, 2);
     step["targetGroups"] = 1.into();
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -14,7 +14,7 @@
     assert_eq!(answer.text(), "i-desk answers two nights");
     assert_eq!(answer.header("x-server-stamp"), Some("stamp-id-1"));
     assert_eq!(answer.header("x-request-id"), Some("id-1"));
-    let ran = desk.ran();
+    let ran = desk.runs();
     let ran = ran.iter().find(|ran| ran.id == "id-1").unwrap();
     assert_eq!(ran.path, "/desk/4/a");
 }
@@ -44,7 +44,7 @@
             );
         }
     }
-    assert!(!sound.ran().is_empty());
+    assert!(!sound.runs().is_empty());
 }
 
 // The caller of a request that must not run twice gets "unknown", not another
@@ -57,7 +57,7 @@
     other.set_behaviour(Behaviour::Torn);
     let answer = world.gateways[0].call("POST", "/once/book", "once-1", b"");
     assert_eq!(answer.status, 502, "{}", answer.text());
-    let ran = desk.ran().into_iter().chain(other.ran());
+    let ran = desk.runs().into_iter().chain(other.runs());
     assert_eq!(ran.filter(|ran| ran.id == "once-1").count(), 1);
 }
 
@@ -73,7 +73,7 @@
     let after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(after > 0.0);
     assert!(start.elapsed() < Duration::from_secs(4));
-    assert!(desk.ran().iter().all(|ran| ran.id != "full-1"));
+    assert!(desk.runs().iter().all(|ran| ran.id != "full-1"));
 }
 
 // A parent puts the phone away while the answer is awaited: the connection
@@ -82,24 +82,24 @@
 #[test]
 fn work_of_a_caller_that_left_is_cancelled() {
     let (world, desk, _engine) = World::ready("left", 1);
-    desk.work(Duration::from_secs(8));
+    desk.set_work_duration(Duration::from_secs(8));
     let head = format!(
         "POST /desk/slow HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: left-1\r\n\
          X-Deadline-Ms: 9000\r\nContent-Length: 0\r\n\r\n"
     );
     let stream = raw(world.gateways[0].callers, head.as_bytes());
     until("the endpoint has it", || {
-        desk.ran()
+        desk.runs()
             .iter()
             .any(|ran| ran.id == "left-1")
             .then_some(())
     });
     drop(stream);
     std::thread::sleep(Duration::from_millis(600));
-    desk.work(Duration::from_millis(5));
+    desk.set_work_duration(Duration::from_millis(5));
     let answer = world.gateways[0].call("POST", "/desk/next", "next-1", b"");
     assert_eq!(answer.status, 200);
-    let ran = desk.ran();
+    let ran = desk.runs();
     let left = ran.iter().find(|ran| ran.id == "left-1").unwrap();
     assert!(!left.whole, "the endpoint worked on");
 }
@@ -165,12 +165,12 @@
     });
     desk.register("draining");
     std::thread::sleep(Duration::from_millis(300));
-    let before = desk.ran().len();
+    let before = desk.runs().len();
     for n in 0..10 {
         let answer = world.gateways[0].call("POST", "/desk/x", &format!("l-{n}"), b"");
         assert!(answer.text().starts_with("i-other"));
     }
-    assert_eq!(desk.ran().len(), before);
+    assert_eq!(desk.runs().len(), before);
     drop(other);
 }
 
@@ -181,7 +181,7 @@
     let route = serde_json::json!({ "name": "stream", "hostname": HOST, "prefix": "/stream/",
         "type": "streaming", "timeoutMs": 9000, "service": "guide-lm", "maxAttempts": 1 });
     world.configure(2, &[route]);
-    engine.work(Duration::from_millis(150));
+    engine.set_work_duration(Duration::from_millis(150));
     let head = format!(
         "POST /stream/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: s-1\r\nX-Model: guide\r\n\
          X-Deadline-Ms: 9000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -255,7 +255,7 @@
             "resumable": resumable })
     };
     world.configure(2, &[route("again", true), route("single", false)]);
-    engine.work(Duration::from_millis(120));
+    engine.set_work_duration(Duration::from_millis(120));
     for path in ["/again/y", "/single/y"] {
         until("the route is known", || {
             let answer = world.gateways[0].call("GET", path, "warm", b"");
@@ -272,7 +272,7 @@
         .collect();
     assert!(places.is_sorted(), "{whole}");
     assert!(whole.ends_with("0\r\n\r\n"), "the end is missing: {whole}");
-    let ran = engine.ran().into_iter().filter(|ran| ran.id == "s-1");
+    let ran = engine.runs().into_iter().filter(|ran| ran.id == "s-1");
     let after: Vec<Option<u64>> = ran.map(|ran| ran.after).collect();
     assert!(after.len() == 2 && after[1] >= Some(3), "{after:?}");
     let torn = read_stream(&world, "/single/x", "s-2", || engine.relay().cut_all());
@@ -280,5 +280,8 @@
         !torn.contains("s-2-8") && !torn.ends_with("0\r\n\r\n"),
         "{torn}"
     );
-    assert_eq!(engine.ran().iter().filter(|ran| ran.id == "s-2").count(), 1);
+    assert_eq!(
+        engine.runs().iter().filter(|ran| ran.id == "s-2").count(),
+        1
+    );
 }
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -80,12 +80,12 @@
 
 /// Returns how often requests with this prefix of their IDs reached an endpoint.
 fn count_sends(replicas: &Replicas, prefix: &str) -> usize {
-    let ran = replicas.ran();
+    let ran = replicas.runs();
     ran.iter().filter(|ran| ran.id.starts_with(prefix)).count()
 }
 
 fn count_sends_to(endpoint: &Endpoint, id: &str) -> usize {
-    let ran = endpoint.ran();
+    let ran = endpoint.runs();
     ran.iter().filter(|ran| ran.id == id).count()
 }
 
@@ -215,7 +215,7 @@
 #[test]
 fn end_of_a_draining_endpoint_is_no_crash() {
     let (world, endpoint, _engine) = World::ready("leaves", 1);
-    endpoint.work(Duration::from_secs(2));
+    endpoint.set_work_duration(Duration::from_secs(2));
     let gateway = &world.gateways[0];
     thread::scope(|scope| {
         let response = scope.spawn(|| gateway.call("POST", "/once/x", "cut", b""));
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -66,8 +66,8 @@
 #[test]
 fn late_step_leads_to_its_lost_owner() {
     let (mut world, _desk, engine) = World::ready("explain-late", 2);
-    engine.work(Duration::from_millis(60));
-    engine.events(30);
+    engine.set_work_duration(Duration::from_millis(60));
+    engine.set_event_count(30);
     let body = submission(1, 1, 1, 2).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
--- a/hibiscusroad-daemon/tests/gateway_owners.rs
+++ b/hibiscusroad-daemon/tests/gateway_owners.rs
@@ -16,8 +16,8 @@
 #[test]
 fn batch_of_a_killed_owner_is_resumed_elsewhere() {
     let (mut world, _desk, engine) = World::ready("killed", 2);
-    engine.work(Duration::from_millis(100));
-    engine.events(40);
+    engine.set_work_duration(Duration::from_millis(100));
+    engine.set_event_count(40);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 2, 2)).status, 202);
     until("texts are saved", || {
         (world.store.rows("pieces").len() >= 4).then_some(())
@@ -27,11 +27,11 @@
     check_whole(&found, 40);
     world.gateways[1].line("A batch is taken over.");
     let resumed = engine
-        .ran()
+        .runs()
         .iter()
         .filter(|ran| ran.after > Some(2))
         .count();
-    assert!(resumed >= 4, "texts were not resumed: {:?}", engine.ran());
+    assert!(resumed >= 4, "texts were not resumed: {:?}", engine.runs());
 }
 
 // The store is slow, so the new owner loads for longer than the heartbeat timeout. Its
@@ -39,8 +39,8 @@
 #[test]
 fn heartbeats_continue_while_a_takeover_loads() {
     let (mut world, _desk, engine) = World::ready("loads", 4);
-    engine.work(Duration::from_millis(100));
-    engine.events(20);
+    engine.set_work_duration(Duration::from_millis(100));
+    engine.set_event_count(20);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
     until("texts are saved", || {
         (world.store.rows("pieces").len() >= 2).then_some(())
@@ -62,19 +62,19 @@
 #[test]
 fn batch_of_a_stopped_owner_is_resumed_elsewhere() {
     let (mut world, _desk, engine) = World::ready("stopped", 2);
-    engine.work(Duration::from_millis(100));
-    engine.events(40);
+    engine.set_work_duration(Duration::from_millis(100));
+    engine.set_event_count(40);
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
-    until("items run", || (engine.ran().len() == 3).then_some(()));
+    until("items run", || (engine.runs().len() == 3).then_some(()));
     std::thread::sleep(Duration::from_secs(1));
     world.gateways[0].signal(Signal::TERM);
     check_whole(&results(&world, 1, "b1", 3), 40);
     let resumed = engine
-        .ran()
+        .runs()
         .iter()
         .filter(|ran| ran.after > Some(5))
         .count();
-    assert_eq!(resumed, 3, "{:?}", engine.ran());
+    assert_eq!(resumed, 3, "{:?}", engine.runs());
     assert_eq!(world.gateways[0].wait().code(), Some(0));
 }
 
@@ -83,7 +83,7 @@
 #[test]
 fn batch_accepted_during_a_stop_runs_elsewhere() {
     let (mut world, _desk, engine) = World::ready("late", 2);
-    engine.work(Duration::from_millis(50));
+    engine.set_work_duration(Duration::from_millis(50));
     world.store.fail(Faults {
         silent: true,
         ..Faults::default()
@@ -116,7 +116,7 @@
 #[test]
 fn batch_survives_a_crash_of_all_processes() {
     let (mut world, _desk, engine) = World::ready("all", 2);
-    engine.work(Duration::from_millis(80));
+    engine.set_work_duration(Duration::from_millis(80));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 2, 2)).status, 202);
     world
         .gateways
@@ -133,7 +133,7 @@
 #[test]
 fn next_step_goes_to_the_owner_of_the_last() {
     let (world, _desk, engine) = World::ready("next", 2);
-    engine.work(Duration::from_millis(40));
+    engine.set_work_duration(Duration::from_millis(40));
     for (n, id) in ["b1", "b2", "b3"].into_iter().enumerate() {
         let body = submission(n as u64 + 1, 1, 2, 3);
         assert_eq!(submit(&world, n % 2, id, &body).status, 202);
@@ -150,7 +150,7 @@
 #[test]
 fn step_given_to_a_dead_owner_is_taken_over() {
     let (mut world, _desk, engine) = World::ready("dead", 2);
-    engine.work(Duration::from_millis(40));
+    engine.set_work_duration(Duration::from_millis(40));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
     results(&world, 0, "b1", 2);
     world.gateways[0].kill();
@@ -171,7 +171,7 @@
 #[test]
 fn step_runs_where_it_is_submitted_if_the_last_owner_is_gone() {
     let (mut world, _desk, engine) = World::ready("gone", 2);
-    engine.work(Duration::from_millis(40));
+    engine.set_work_duration(Duration::from_millis(40));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 2)).status, 202);
     results(&world, 0, "b1", 2);
     world.gateways[0].kill();
@@ -192,10 +192,10 @@
 #[test]
 fn stopping_owner_hands_its_batch_over() {
     let (world, _desk, engine) = World::ready("named", 2);
-    engine.work(Duration::from_millis(100));
-    engine.events(40);
+    engine.set_work_duration(Duration::from_millis(100));
+    engine.set_event_count(40);
     assert_eq!(submit(&world, 0, "b0", &submission(1, 1, 1, 3)).status, 202);
-    until("items run", || (engine.ran().len() == 3).then_some(()));
+    until("items run", || (engine.runs().len() == 3).then_some(()));
     std::thread::sleep(Duration::from_secs(1));
     world.gateways[0].signal(Signal::TERM);
     let handover = world.gateways[0].line("A batch is handed on.");
@@ -216,8 +216,8 @@
 #[test]
 fn slow_store_causes_no_takeover() {
     let (world, _desk, engine) = World::ready("slow-store", 3);
-    engine.work(Duration::from_millis(120));
-    engine.events(45);
+    engine.set_work_duration(Duration::from_millis(120));
+    engine.set_event_count(45);
     world.store.fail(Faults {
         slow: Duration::from_millis(800),
         ..Faults::default()
@@ -231,7 +231,7 @@
             .find(|line| line["text"] == "A batch is taken over.");
         assert_eq!(takeover, None);
     }
-    assert!(engine.ran().iter().all(|ran| ran.after.is_none()));
+    assert!(engine.runs().iter().all(|ran| ran.after.is_none()));
 }
 
 // The store carries writes out, but its answers are lost. Results that were read at another
@@ -239,9 +239,9 @@
 #[test]
 fn owner_shows_results_of_unconfirmed_writes() {
     let (world, _desk, engine) = World::ready("unsure", 2);
-    engine.work(Duration::from_millis(60));
+    engine.set_work_duration(Duration::from_millis(60));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
-    until("items run", || (engine.ran().len() == 3).then_some(()));
+    until("items run", || (engine.runs().len() == 3).then_some(()));
     world.store.fail(Faults {
         lose: 1_000,
         ..Faults::default()
@@ -268,16 +268,16 @@
 fn owner_learns_slow_engines_from_other_owners() {
     let (world, _desk, fast) = World::ready("paces", 2);
     let slow = world.endpoint("guide-lm", "i-slow", &["guide"]);
-    fast.events(14);
-    slow.events(14);
-    fast.work(Duration::from_millis(15));
-    slow.work(Duration::from_millis(90));
+    fast.set_event_count(14);
+    slow.set_event_count(14);
+    fast.set_work_duration(Duration::from_millis(15));
+    slow.set_work_duration(Duration::from_millis(90));
     // Long enough for both gateways to learn of the new engine.
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 8, 1)).status, 202);
     results(&world, 0, "b1", 8);
     assert!(
-        !slow.ran().is_empty(),
+        !slow.runs().is_empty(),
         "the first owner ran nothing on the slow engine"
     );
     until("the paces are shared", || {
@@ -286,10 +286,10 @@
             |row: &(String, String, Vec<u8>)| String::from_utf8_lossy(&row.2).contains("i-slow");
         rows.iter().any(has_slow).then_some(())
     });
-    let previous_runs = slow.ran().len();
+    let previous_runs = slow.runs().len();
     assert_eq!(submit(&world, 1, "b2", &submission(2, 1, 4, 1)).status, 202);
     results(&world, 1, "b2", 4);
-    assert_eq!(slow.ran().len(), previous_runs);
+    assert_eq!(slow.runs().len(), previous_runs);
 }
 
 // The owner is killed while a draft grows, and the successor makes another draft. Pieces
@@ -312,8 +312,8 @@
         let mut lines = world.gateways[0].lines().into_iter();
         lines.find(|line| line["text"] == "A weight version was named." && line["version"] == 2)
     });
-    engine.work(Duration::from_millis(40));
-    engine.events_of(long, 250);
+    engine.set_work_duration(Duration::from_millis(40));
+    engine.set_item_event_count(long, 250);
     let mut step = submission(1, 1, 2, 2);
     step["targetGroups"] = 1.into();
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
--- a/hibiscusroad-daemon/tests/gateway_peers.rs
+++ b/hibiscusroad-daemon/tests/gateway_peers.rs
@@ -32,7 +32,7 @@
 #[test]
 fn batch_is_pushed_to_its_owner() {
     let (world, relay, [_endpoint, engine]) = start_world("given");
-    engine.work(Duration::from_millis(20));
+    engine.set_work_duration(Duration::from_millis(20));
     let submit = |n: usize, id: &str, step: u64| {
         let body = submission(step, 1, 1, 3).to_string();
         let answer = world.gateways[n].call("POST", "/lm/step", id, body.as_bytes());
@@ -50,7 +50,7 @@
     relay.silence(Direction::Back);
     let start = Instant::now();
     submit(1, "b2", 2);
-    until("items run", || (engine.ran().len() == 6).then_some(()));
+    until("items run", || (engine.runs().len() == 6).then_some(()));
     let elapsed = start.elapsed();
     assert!(elapsed < Duration::from_millis(600), "{elapsed:?}");
     assert!(!has_logged(&world.gateways[1], "A batch is taken over."));
@@ -71,7 +71,7 @@
 #[test]
 fn owner_that_is_cut_off_from_the_store_keeps_its_batch() {
     let (world, relay, [_endpoint, engine]) = start_world("turned-away");
-    engine.work(Duration::from_millis(150));
+    engine.set_work_duration(Duration::from_millis(150));
     let step = submission(1, 1, 2, 3).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", step.as_bytes());
     assert_eq!(answer.status, 202);
--- a/hibiscusroad-daemon/tests/gateway_process.rs
+++ b/hibiscusroad-daemon/tests/gateway_process.rs
@@ -70,7 +70,7 @@
 #[test]
 fn planned_stop_answers_what_was_read() {
     let (mut world, desk, _engine) = World::ready("stop", 1);
-    desk.work(Duration::from_millis(1_200));
+    desk.set_work_duration(Duration::from_millis(1_200));
     let callers = world.gateways[0].callers;
     let slow = thread::spawn(move || {
         let headers = [("X-Request-Id", "slow-1"), ("X-Deadline-Ms", "5000")];
@@ -84,7 +84,7 @@
         )
     });
     until("the endpoint has it", || {
-        desk.ran()
+        desk.runs()
             .iter()
             .any(|ran| ran.id == "slow-1")
             .then_some(())
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -67,7 +67,7 @@
     /// Returns how many requests the endpoint started, by account.
     fn started_requests(&self) -> BTreeMap<String, u64> {
         let mut started = BTreeMap::new();
-        for ran in self.endpoint.ran() {
+        for ran in self.endpoint.runs() {
             *started.entry(ran.account.unwrap()).or_default() += 1;
         }
         started
@@ -129,7 +129,9 @@
     }
     assert_eq!(deployment.call(0, "nobody", "denied").status, 401);
     deployment.endpoint.set_behaviour(Behaviour::Sound);
-    deployment.endpoint.work(Duration::from_millis(700));
+    deployment
+        .endpoint
+        .set_work_duration(Duration::from_millis(700));
     let key = [
         ("X-Request-Id", "left"),
         ("Authorization", "Bearer school-key"),
@@ -144,7 +146,9 @@
         Duration::from_millis(250),
     );
     assert!(answer.is_none());
-    deployment.endpoint.work(Duration::from_millis(5));
+    deployment
+        .endpoint
+        .set_work_duration(Duration::from_millis(5));
     assert_eq!(deployment.started_requests()["school"], 1);
     deployment.check_totals();
 }
--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -155,8 +155,8 @@
 
 /// Checks that no window was reported with two contents, nor by holders that mix.
 pub(super) fn reports(check: &Check, world: &World) {
-    for violations in world.billing.violations(Duration::from_millis(LEASE_MS)) {
-        check.broke(&violations);
+    for violation in world.billing.violations(Duration::from_millis(LEASE_MS)) {
+        check.broke(&violation);
     }
     for _ in world.billing.accepted_reports() {
         check.count("reports");
@@ -201,7 +201,7 @@
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
     for endpoint in &world.endpoints[DESKS..ENDPOINTS] {
         let mut last = 0;
-        for (holder, fence) in endpoint.holders() {
+        for (holder, fence) in endpoint.order_holders() {
             let known = holders.entry(fence).or_insert_with(|| holder.clone());
             if *known != holder {
                 check.broke(&format!(
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -272,13 +272,13 @@
         let next = endpoint(before.addr(), &self.store, n, &id)?;
         let before = std::mem::replace(&mut self.endpoints[n], next);
         self.store.remove("servers", before.id());
-        self.past.extend(before.ran());
+        self.past.extend(before.runs());
         Ok(())
     }
 
     /// Returns what all endpoints ran, those that have crashed included.
     pub(super) fn ran(&self) -> Vec<ExecutedRequest> {
-        let now = self.endpoints.iter().flat_map(Endpoint::ran);
+        let now = self.endpoints.iter().flat_map(Endpoint::runs);
         self.past.iter().cloned().chain(now).collect()
     }
 
@@ -336,8 +336,8 @@
         ("lm", &MODELS[..])
     };
     let endpoint = Endpoint::start_at(listen, store, service, id, models)?;
-    endpoint.work(Duration::from_millis(25));
-    endpoint.events(20);
+    endpoint.set_work_duration(Duration::from_millis(25));
+    endpoint.set_event_count(20);
     endpoint.crash_on(Crash {
         marker: CRASHING.to_vec(),
         mode: CrashMode::ProcessExit,
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -94,8 +94,8 @@
     weights: BTreeMap<String, u64>,
     orders: u64,
     fence: u64,
-    ran: Vec<ExecutedRequest>,
-    holders: Vec<(String, u64)>,
+    runs: Vec<ExecutedRequest>,
+    order_holders: Vec<(String, u64)>,
     crash: Option<Crash>,
     crashed: bool,
 }
@@ -159,8 +159,8 @@
                 weights: models.iter().map(|m| ((*m).to_owned(), 1)).collect(),
                 orders: 0,
                 fence: 0,
-                ran: Vec::new(),
-                holders: Vec::new(),
+                runs: Vec::new(),
+                order_holders: Vec::new(),
                 crash: None,
                 crashed: false,
             }),
@@ -218,17 +218,17 @@
     }
 
     /// Sets how long a request runs, or how long each event takes.
-    pub fn work(&self, work: Duration) {
+    pub fn set_work_duration(&self, work: Duration) {
         self.shared.lock().work_duration = work;
     }
 
     /// Sets how many events a generated text has.
-    pub fn events(&self, events: u64) {
+    pub fn set_event_count(&self, events: u64) {
         self.shared.lock().event_count = events;
     }
 
     /// Sets how many events the text for the request with id `item` has.
-    pub fn events_of(&self, item: &str, events: u64) {
+    pub fn set_item_event_count(&self, item: &str, events: u64) {
         self.shared
             .lock()
             .item_events
@@ -237,14 +237,14 @@
 
     /// Returns the requests that it started to run.
     #[must_use]
-    pub fn ran(&self) -> Vec<ExecutedRequest> {
-        self.shared.lock().ran.clone()
+    pub fn runs(&self) -> Vec<ExecutedRequest> {
+        self.shared.lock().runs.clone()
     }
 
     /// Returns the lease holder and fencing token of each accepted order.
     #[must_use]
-    pub fn holders(&self) -> Vec<(String, u64)> {
-        self.shared.lock().holders.clone()
+    pub fn order_holders(&self) -> Vec<(String, u64)> {
+        self.shared.lock().order_holders.clone()
     }
 
     /// Returns the weight version of a model.
@@ -307,7 +307,7 @@
     }
     inner.fence = order.fence;
     inner.orders += 1;
-    inner.holders.push((order.holder, order.fence));
+    inner.order_holders.push((order.holder, order.fence));
     inner.weights.insert(order.model, order.version);
     drop(inner);
     let key = shared.id.clone();
@@ -347,7 +347,7 @@
     let after = exchange
         .header("Last-Event-Id")
         .and_then(|n| n.parse().ok());
-    let ran = ExecutedRequest {
+    let run = ExecutedRequest {
         id: id.clone(),
         path: exchange.path().to_owned(),
         after,
@@ -357,8 +357,8 @@
     };
     let index = {
         let mut inner = shared.lock();
-        inner.ran.push(ran);
-        inner.ran.len() - 1
+        inner.runs.push(run);
+        inner.runs.len() - 1
     };
     let model = exchange.header("X-Model").map(str::to_owned);
     let is_open = exchange.watch();
@@ -377,7 +377,7 @@
     if !is_open() {
         return;
     }
-    shared.lock().ran[index].whole = true;
+    shared.lock().runs[index].whole = true;
     let stamp = format!("stamp-{id}");
     match behaviour {
         Behaviour::Silent => {
@@ -492,7 +492,7 @@
             return;
         }
     }
-    shared.lock().ran[index].whole = true;
+    shared.lock().runs[index].whole = true;
 }
 
 /// Sleeps for `work`, or until the caller disconnects.
--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -51,7 +51,7 @@
     fn start(&self, listen: SocketAddr, id: &str) -> io::Result<Endpoint> {
         let models: Vec<&str> = self.models.iter().map(String::as_str).collect();
         let endpoint = Endpoint::start_at(listen, &self.store, &self.service, id, &models)?;
-        endpoint.work(self.restart.work);
+        endpoint.set_work_duration(self.restart.work);
         endpoint.crash_on(self.crash.clone());
         Ok(endpoint)
     }
@@ -133,9 +133,9 @@
 
     /// Returns the requests that all incarnations started to run.
     #[must_use]
-    pub fn ran(&self) -> Vec<ExecutedRequest> {
+    pub fn runs(&self) -> Vec<ExecutedRequest> {
         let state = lock(&self.state);
-        let current = state.slots.iter().flat_map(|slot| slot.endpoint.ran());
+        let current = state.slots.iter().flat_map(|slot| slot.endpoint.runs());
         state.past_runs.iter().cloned().chain(current).collect()
     }
 
@@ -186,7 +186,7 @@
                 };
                 let previous = std::mem::replace(&mut slot.endpoint, next);
                 spec.store.remove("servers", previous.id());
-                self.past_runs.extend(previous.ran());
+                self.past_runs.extend(previous.runs());
                 slot.incarnation += 1;
                 slot.crashed = None;
             }
