--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -38,7 +38,9 @@
 /// Starts a deployment with client accounts.
 fn start_world(test: &str, gateways: usize) -> (World, Endpoint, Endpoint) {
     let mut world = World::start(test);
-    world.store.put("op", "config", &account_config(1, &[1, 2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(1, &[1, 2]));
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     for _ in 0..gateways {
@@ -147,7 +149,9 @@
 #[test]
 fn revoked_key_is_refused() {
     let (world, endpoint, _engine) = start_world("revoked", 2);
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     for gateway in &world.gateways {
         until("the new key is known", || {
             let answer = call(gateway, "/desk/a", "new", &["Bearer charity-key-3"]);
@@ -179,7 +183,9 @@
         call_with_keys(&world.gateways[n], method, path, "reader", b"", keys).status
     };
     assert_eq!(submit(0, CHARITY_KEY_1).status, 202);
-    world.store.put("op", "config", &account_config(2, &[2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2]));
     until("the first key is revoked", || {
         (0..2)
             .all(|n| status_of(n, "GET", "/lots/b1?after=0", &[CHARITY_KEY_1]) == 401)
@@ -294,7 +300,9 @@
     relay.set_delay(Duration::from_millis(70));
     // Longer than a long poll, since one that began earlier is not delayed.
     thread::sleep(Duration::from_millis(2_500));
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     let answer = call(
         &world.gateways[0],
         "/desk/a",
@@ -341,7 +349,9 @@
 fn revocation_arrives_through_a_peer() {
     let (world, relay, endpoint) = start_relayed_world("cut-store", "");
     relay.stop();
-    world.store.put("op", "config", &account_config(2, &[2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2]));
     let start = Instant::now();
     let first = &world.gateways[0];
     until("the old key is refused", || {
@@ -365,7 +375,9 @@
     let (mut world, relay, endpoint) = start_relayed_world("cut-all", "trust_ms = 4500\n");
     world.gateways[1].kill();
     relay.stop();
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     let first = &world.gateways[0];
     assert_eq!(
         call(first, "/desk/a", "still", &[CHARITY_KEY_2]).status,
@@ -391,7 +403,7 @@
 #[test]
 fn known_keys_are_accepted_during_an_outage_of_the_store() {
     let (world, _endpoint, _engine) = start_world("away", 1);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         silent: true,
         ..Faults::default()
     });
@@ -408,7 +420,9 @@
 /// returned relay.
 fn start_relayed_world(test: &str, settings: &str) -> (World, Relay, Endpoint) {
     let mut world = World::start(test);
-    world.store.put("op", "config", &account_config(1, &[1, 2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(1, &[1, 2]));
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let any_port = "127.0.0.1:0".parse().unwrap();
     let relay = Relay::start(any_port, world.store.addr()).unwrap();
--- a/hibiscusroad-daemon/tests/gateway_batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_batches.rs
@@ -100,7 +100,7 @@
 fn lost_store_answers_cause_no_duplicates() {
     for late in [Duration::ZERO, Duration::from_millis(700)] {
         let (world, _desk, _engine) = World::ready(&format!("lost-{}", late.as_millis()), 2);
-        world.store.fail(Faults {
+        world.store.set_faults(Faults {
             lose: 3,
             late,
             ..Faults::default()
@@ -109,7 +109,7 @@
         until("the batch is accepted", || {
             (submit(&world, 0, "b1", &step).status == 202).then_some(())
         });
-        world.store.fail(Faults {
+        world.store.set_faults(Faults {
             lose: 3,
             late,
             ..Faults::default()
@@ -125,7 +125,7 @@
 #[test]
 fn refused_batch_never_runs() {
     let (world, _desk, engine) = World::ready("refused", 1);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
@@ -137,7 +137,7 @@
         503,
         "the outcome is unknown"
     );
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     std::thread::sleep(Duration::from_millis(800));
     assert!(engine.runs().is_empty());
     assert_eq!(read(&world, 0, "b1", 0).status, 404);
@@ -179,7 +179,7 @@
     std::thread::sleep(Duration::from_millis(600));
     assert!(engine.runs().is_empty());
     let named = serde_json::json!({ "model": "guide", "version": 2 });
-    world.store.put("op", "version/guide", &named);
+    world.store.put_json("op", "version/guide", &named);
     let found = results(&world, 1, "b1", 2);
     assert!(
         found
@@ -201,7 +201,7 @@
     let (mut world, _desk, engine) = World::ready("holder", 2);
     for version in 2..=3 {
         let named = serde_json::json!({ "model": "guide", "version": version });
-        world.store.put("op", "version/guide", &named);
+        world.store.put_json("op", "version/guide", &named);
         until("the engine has loaded the version", || {
             (engine.version("guide") == version).then_some(())
         });
@@ -224,7 +224,7 @@
     let (mut world, [_desk, engine]) = with_settings("follow", 2, "lease_ms = 4000\n");
     let name_version = |store: &Store, version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
-        store.put("op", "version/guide", &named);
+        store.put_json("op", "version/guide", &named);
         until("the engine has loaded the version", || {
             (engine.version("guide") == version).then_some(())
         });
@@ -320,7 +320,7 @@
         world.store.put_bytes("duties", "weights", b"broken");
     }
     let named = serde_json::json!({ "model": "guide", "version": 2 });
-    world.store.put("op", "version/guide", &named);
+    world.store.put_json("op", "version/guide", &named);
     until("the engine has loaded the version", || {
         (engine.version("guide") == 2).then_some(())
     });
@@ -351,7 +351,7 @@
     until("items run", || (engine.runs().len() == 2).then_some(()));
     std::thread::sleep(Duration::from_millis(900));
     let named = serde_json::json!({ "model": "guide", "version": 2 });
-    world.store.put("op", "version/guide", &named);
+    world.store.put_json("op", "version/guide", &named);
     let found = results(&world, 0, "b1", 2);
     check_whole(&found, 8);
     assert!(
@@ -368,7 +368,7 @@
     let (world, _desk, engine) = World::ready("draft", 1);
     let name_version = |version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
-        world.store.put("op", "version/guide", &named);
+        world.store.put_json("op", "version/guide", &named);
         until("the engine has loaded", || {
             (engine.version("guide") == version).then_some(())
         });
--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -136,7 +136,7 @@
     let (world, _desk, _engine) = World::ready("outage", 1);
     let gateway = &world.gateways[0];
     assert_eq!(gateway.call("POST", "/nowhere/x", "n-1", b"").status, 404);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         silent: true,
         ..Faults::default()
     });
@@ -146,7 +146,7 @@
     });
     assert_eq!(gateway.call("POST", "/desk/x", "o-1", b"").status, 200);
     world.wait_ready(0);
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     until("the configuration is sure again", || {
         let answer = gateway.call("POST", "/nowhere/x", "n-3", b"");
         (answer.status == 404).then_some(())
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -263,8 +263,8 @@
     // An expired row whose writer no longer runs, and a row that can't be decoded.
     let value = json!({ "endpoint": "e0", "born": null, "at_ms": 1, "path": "/desk/x" });
     let key = format!("{}/e0", "0".repeat(32));
-    world.store.put("crashes", &key, &value);
-    world.store.put("crashes", "odd", &value);
+    world.store.put_json("crashes", &key, &value);
+    world.store.put_json("crashes", "odd", &value);
     world.gateways[0].kill();
     world.gateway_with("quarantine_s = 2\n");
     until("a gateway that starts removes them", || table_empty(&world));
--- a/hibiscusroad-daemon/tests/gateway_owners.rs
+++ b/hibiscusroad-daemon/tests/gateway_owners.rs
@@ -45,7 +45,7 @@
     until("texts are saved", || {
         (world.store.rows("pieces").len() >= 2).then_some(())
     });
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         objects: Duration::from_millis(1_300),
         ..Faults::default()
     });
@@ -84,7 +84,7 @@
 fn batch_accepted_during_a_stop_runs_elsewhere() {
     let (mut world, _desk, engine) = World::ready("late", 2);
     engine.set_work_duration(Duration::from_millis(50));
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         silent: true,
         ..Faults::default()
     });
@@ -98,7 +98,7 @@
     std::thread::sleep(Duration::from_millis(300));
     world.gateways[0].signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(100));
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     let answer = submitting.join().unwrap().expect("an answer");
     if answer.status == 202 {
         check_whole(&results(&world, 1, "b1", 2), 8);
@@ -218,7 +218,7 @@
     let (world, _desk, engine) = World::ready("slow-store", 3);
     engine.set_work_duration(Duration::from_millis(120));
     engine.set_event_count(45);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         slow: Duration::from_millis(800),
         ..Faults::default()
     });
@@ -242,7 +242,7 @@
     engine.set_work_duration(Duration::from_millis(60));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 3)).status, 202);
     until("items run", || (engine.runs().len() == 3).then_some(()));
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         lose: 1_000,
         ..Faults::default()
     });
@@ -258,7 +258,7 @@
         listed.len()
     );
     assert_eq!(listed[..shown.len()], shown[..]);
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     check_whole(&results(&world, 0, "b1", 3), 8);
 }
 
@@ -299,7 +299,7 @@
     let (mut world, _desk, engine) = World::ready("heir-draft", 2);
     let name_version = |world: &World, version: u64| {
         let named = serde_json::json!({ "model": "guide", "version": version });
-        world.store.put("op", "version/guide", &named);
+        world.store.put_json("op", "version/guide", &named);
         until("the engine has loaded", || {
             (engine.version("guide") == version).then_some(())
         });
--- a/hibiscusroad-daemon/tests/gateway_peers.rs
+++ b/hibiscusroad-daemon/tests/gateway_peers.rs
@@ -42,7 +42,7 @@
     until("all results are read", || {
         (count_results(&world, 1, "b1") == Some(3)).then_some(())
     });
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         objects: Duration::from_millis(1_300),
         ..Faults::default()
     });
@@ -113,12 +113,12 @@
 #[test]
 fn gateways_recover_from_an_outage_of_the_store() {
     let (world, _relay, _endpoints) = start_world("all-away");
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         busy: true,
         ..Faults::default()
     });
     std::thread::sleep(Duration::from_secs(1));
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     let step = submission(1, 1, 1, 2).to_string();
     for n in 0..2 {
         let id = format!("b{n}");
--- a/hibiscusroad-daemon/tests/gateway_process.rs
+++ b/hibiscusroad-daemon/tests/gateway_process.rs
@@ -38,7 +38,7 @@
 fn hangup_reads_the_settings_again() {
     let (mut world, _desk, _engine) = World::ready("hangup", 1);
     let other = std::sync::Arc::new(Store::start().unwrap());
-    other.put("op", "config", &config(9, &[]));
+    other.put_json("op", "config", &config(9, &[]));
     let gateway = &mut world.gateways[0];
     let text = settings_text(
         &gateway.name,
@@ -182,7 +182,7 @@
         let mut lines = gateway.lines().into_iter();
         lines.find(|line| line["part"] == "config" && line["version"] == 5)
     });
-    world.store.put(
+    world.store.put_json(
         "op",
         "config",
         &serde_json::json!({ "version": 3, "routes": [] }),
@@ -198,9 +198,9 @@
     let (world, _desk, _engine) = World::ready("history", 1);
     let route = serde_json::json!({ "name": "late", "hostname": HOST, "prefix": "/late/",
         "type": "idempotent", "timeoutMs": 2000, "service": "hut-desk", "maxAttempts": 2 });
-    world.store.forget_history();
+    world.store.compact_log();
     world.configure(2, &[route]);
-    world.store.forget_history();
+    world.store.compact_log();
     until("the new route is served", || {
         let answer = world.gateways[0].call("POST", "/late/x", "late-1", b"");
         (answer.status == 200).then_some(())
@@ -296,7 +296,7 @@
     let gateway = &world.gateways[0];
     world.configure(5, &[]);
     let named = serde_json::json!({ "model": "guide", "version": 2 });
-    world.store.put("op", "version/guide", &named);
+    world.store.put_json("op", "version/guide", &named);
     until("the engine has loaded", || {
         (engine.version("guide") == 2).then_some(())
     });
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -29,7 +29,7 @@
         { "name": "charity", "apiKeys": ["charity-key"] },
         { "name": "school", "apiKeys": ["school-key"] },
     ]);
-    world.store.put("op", "config", &config);
+    world.store.put_json("op", "config", &config);
     let billing = Billing::start(checks_fence).unwrap();
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let settings = format!(
@@ -199,7 +199,7 @@
             },
             _ => Faults::default(),
         };
-        deployment.world.store.fail(faults);
+        deployment.world.store.set_faults(faults);
         for m in 0..20 {
             deployment.call(m % 2, "school", &format!("s{round}-{m}"));
             thread::sleep(Duration::from_millis(60));
--- a/hibiscusroad-daemon/tests/gateway_world/mod.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/mod.rs
@@ -108,7 +108,7 @@
 
     /// Writes a configuration with the routes that all tests have, and more.
     pub fn configure(&self, version: u64, more: &[Value]) {
-        self.store.put("op", "config", &config(version, more));
+        self.store.put_json("op", "config", &config(version, more));
     }
 
     /// Starts another gateway.
--- a/hibiscusroad-measure/src/soak/clients.rs
+++ b/hibiscusroad-measure/src/soak/clients.rs
@@ -267,7 +267,7 @@
             self.step += 1;
             let named = json!({ "model": self.model, "version": self.step });
             self.store
-                .put("op", &format!("version/{}", self.model), &named);
+                .put_json("op", &format!("version/{}", self.model), &named);
         }
     }
 
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -89,7 +89,7 @@
         fs::create_dir_all(&folder)?;
         let store = Arc::new(Store::start()?);
         let keys = Keys::new();
-        store.put("op", "config", &config(1, &keys));
+        store.put_json("op", "config", &config(1, &keys));
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
             endpoints.push(endpoint(ANY_LOOPBACK_PORT, &store, n, &format!("e{n}"))?);
@@ -173,10 +173,10 @@
                 gateway.stopping.get_or_insert(now + GRACE);
             }
             Fault::Store(faults, time) => {
-                self.store.fail(faults);
+                self.store.set_faults(faults);
                 self.undo.push((now + time, Undo::Store));
             }
-            Fault::Forget => self.store.forget_history(),
+            Fault::Forget => self.store.compact_log(),
             Fault::SilenceStore(n, way) => self.gateways[n].relay.silence(way),
             Fault::CutStore(n, time) => {
                 self.gateways[n].relay.cut_all();
@@ -204,7 +204,7 @@
                 self.version += 3;
                 self.keys.turn();
                 let config = config(self.version, &self.keys);
-                self.store.put("op", "config", &config);
+                self.store.put_json("op", "config", &config);
             }
         }
         Ok(())
@@ -251,7 +251,7 @@
     fn undo(&mut self, undo: &Undo) -> Result<(), Error> {
         match undo {
             Undo::Thaw(n) => self.gateways[*n].process.thaw()?,
-            Undo::Store => self.store.fail(Faults::default()),
+            Undo::Store => self.store.set_faults(Faults::default()),
             Undo::Delay(n) => {
                 self.gateways[*n].relay.set_delay(Duration::ZERO);
                 self.gateways[*n].relay.cut_all();
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -264,7 +264,7 @@
         let row = json!({ "service": self.service, "address": addr.to_string(),
             "zone": "senec", "version": "v1", "slots": 8, "state": state,
             "coldRemainingMs": 0, "models": models, "seq": 1 });
-        self.store.put("servers", &self.id, &row);
+        self.store.put_json("servers", &self.id, &row);
     }
 
     fn models(&self) -> Vec<serde_json::Value> {
@@ -317,7 +317,7 @@
         && let Ok(mut row) = serde_json::from_slice::<serde_json::Value>(&value)
     {
         row["models"] = shared.models().into();
-        shared.store.put("servers", &key, &row);
+        shared.store.put_json("servers", &key, &row);
     }
     exchange.answer(202, &json!({}));
 }
--- a/hibiscusroad-standins/src/direct/store.rs
+++ b/hibiscusroad-standins/src/direct/store.rs
@@ -121,7 +121,7 @@
     }
 
     /// Writes a JSON value as a row.
-    pub fn put(&self, table: &str, key: &str, value: &Value) {
+    pub fn put_json(&self, table: &str, key: &str, value: &Value) {
         let key = (table.to_owned(), String::new(), key.to_owned());
         self.shared.write(key, value.to_string().into_bytes());
     }
@@ -150,13 +150,13 @@
     }
 
     /// Replaces the active faults.
-    pub fn fail(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.shared.lock().faults = faults;
         self.shared.changed.notify_all();
     }
 
     /// Drops the log of changes; feeds that continue from an earlier version are refused.
-    pub fn forget_history(&self) {
+    pub fn compact_log(&self) {
         let mut inner = self.shared.lock();
         inner.version += 1;
         inner.compacted = inner.version;
