--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -97,7 +97,10 @@
         assert_eq!(call(gateway, path, id, keys).status, 200, "{id}");
         let ran = find_run(&endpoint, id).unwrap();
         assert_eq!(ran.account.as_deref(), account, "{id}");
-        assert!(!ran.keyed, "the endpoint received the key of {id}");
+        assert!(
+            !ran.has_authorization,
+            "the endpoint received the key of {id}"
+        );
     }
 }
 
@@ -232,7 +235,7 @@
     assert!(!ran.is_empty());
     for ran in ran {
         assert_eq!(ran.account.as_deref(), Some("charity"));
-        assert!(!ran.keyed);
+        assert!(!ran.has_authorization);
     }
     assert_eq!(status_of(1, "DELETE", "/lots/b1", &[CHARITY_KEY_2]), 200);
 }
@@ -273,7 +276,11 @@
         .runs()
         .into_iter()
         .filter(|r| r.id.starts_with("score-"));
-    assert!(scored.into_iter().all(|r| r.account.is_none() && !r.keyed));
+    assert!(
+        scored
+            .into_iter()
+            .all(|r| r.account.is_none() && !r.has_authorization)
+    );
 }
 
 // Guards against changed headers in a deployment without client accounts.
@@ -286,7 +293,7 @@
         200
     );
     let ran = find_run(&endpoint, "n1").unwrap();
-    assert!(ran.keyed);
+    assert!(ran.has_authorization);
     assert_eq!(ran.account.as_deref(), Some("somebody"));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 1)).status, 202);
     assert_eq!(read(&world, 0, "b1", 0).status, 200);
--- a/hibiscusroad-daemon/tests/gateway_batches.rs
+++ b/hibiscusroad-daemon/tests/gateway_batches.rs
@@ -89,7 +89,7 @@
     let ran = engine.runs();
     assert_eq!(ran.len(), runs, "items were started after the end");
     assert!(
-        ran.iter().all(|ran| !ran.whole),
+        ran.iter().all(|ran| !ran.is_complete),
         "the engine was not cancelled"
     );
 }
@@ -377,7 +377,7 @@
     let runs = || {
         let ran = engine.runs();
         let matching = ran.into_iter().filter(|ran| ran.id == long);
-        matching.map(|ran| ran.after).collect::<Vec<_>>()
+        matching.map(|ran| ran.last_event_id).collect::<Vec<_>>()
     };
     name_version(2);
     engine.set_work_duration(Duration::from_millis(30));
--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -101,7 +101,7 @@
     assert_eq!(answer.status, 200);
     let ran = desk.runs();
     let left = ran.iter().find(|ran| ran.id == "left-1").unwrap();
-    assert!(!left.whole, "the endpoint worked on");
+    assert!(!left.is_complete, "the endpoint worked on");
 }
 
 // The caller gets its answer at its route's time limit, not at its own far
@@ -273,7 +273,7 @@
     assert!(places.is_sorted(), "{whole}");
     assert!(whole.ends_with("0\r\n\r\n"), "the end is missing: {whole}");
     let ran = engine.runs().into_iter().filter(|ran| ran.id == "s-1");
-    let after: Vec<Option<u64>> = ran.map(|ran| ran.after).collect();
+    let after: Vec<Option<u64>> = ran.map(|ran| ran.last_event_id).collect();
     assert!(after.len() == 2 && after[1] >= Some(3), "{after:?}");
     let torn = read_stream(&world, "/single/x", "s-2", || engine.relay().cut_all());
     assert!(
--- a/hibiscusroad-daemon/tests/gateway_owners.rs
+++ b/hibiscusroad-daemon/tests/gateway_owners.rs
@@ -29,7 +29,7 @@
     let resumed = engine
         .runs()
         .iter()
-        .filter(|ran| ran.after > Some(2))
+        .filter(|ran| ran.last_event_id > Some(2))
         .count();
     assert!(resumed >= 4, "texts were not resumed: {:?}", engine.runs());
 }
@@ -72,7 +72,7 @@
     let resumed = engine
         .runs()
         .iter()
-        .filter(|ran| ran.after > Some(5))
+        .filter(|ran| ran.last_event_id > Some(5))
         .count();
     assert_eq!(resumed, 3, "{:?}", engine.runs());
     assert_eq!(world.gateways[0].wait().code(), Some(0));
@@ -231,7 +231,7 @@
             .find(|line| line["text"] == "A batch is taken over.");
         assert_eq!(takeover, None);
     }
-    assert!(engine.runs().iter().all(|ran| ran.after.is_none()));
+    assert!(engine.runs().iter().all(|ran| ran.last_event_id.is_none()));
 }
 
 // The store carries writes out, but its answers are lost. Results that were read at another
--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -174,7 +174,7 @@
     if ran.account.as_deref() != expected {
         check.broke(&format!("{} ran for {:?}", ran.id, ran.account));
     }
-    if ran.keyed {
+    if ran.has_authorization {
         check.broke(&format!("{} was passed on with its key", ran.id));
     }
 }
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -73,13 +73,13 @@
     /// Its path.
     pub path: String,
     /// The last event that the caller has received (`Last-Event-Id`).
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The client account, from `X-Tenant`.
     pub account: Option<String>,
     /// Whether it carried an `Authorization` header, which endpoints must not receive.
-    pub keyed: bool,
+    pub has_authorization: bool,
     /// Whether it ran to completion.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 #[derive(Debug)]
@@ -344,16 +344,16 @@
         let headers = [("X-Not-Executed", "1"), ("X-Request-Id", id.as_str())];
         return exchange.answer_bytes(503, &headers, Vec::new());
     }
-    let after = exchange
+    let last_event_id = exchange
         .header("Last-Event-Id")
         .and_then(|n| n.parse().ok());
     let run = ExecutedRequest {
         id: id.clone(),
         path: exchange.path().to_owned(),
-        after,
+        last_event_id,
         account: exchange.header("X-Tenant").map(str::to_owned),
-        keyed: exchange.header("Authorization").is_some(),
-        whole: false,
+        has_authorization: exchange.header("Authorization").is_some(),
+        is_complete: false,
     };
     let index = {
         let mut inner = shared.lock();
@@ -371,13 +371,13 @@
         return;
     }
     if let Some(model) = model.filter(|_| behaviour == Behaviour::Sound) {
-        return generate(shared, exchange, &id, &model, after, index);
+        return generate(shared, exchange, &id, &model, last_event_id, index);
     }
     work_while_open(work, &is_open);
     if !is_open() {
         return;
     }
-    shared.lock().runs[index].whole = true;
+    shared.lock().runs[index].is_complete = true;
     let stamp = format!("stamp-{id}");
     match behaviour {
         Behaviour::Silent => {
@@ -455,7 +455,7 @@
     exchange: Exchange,
     id: &str,
     model: &str,
-    after: Option<u64>,
+    last_event_id: Option<u64>,
     index: usize,
 ) {
     let (work, events) = {
@@ -478,7 +478,7 @@
     let Ok(mut stream) = exchange.stream_with(&headers) else {
         return;
     };
-    for number in after.map_or(1, |after| after + 1)..=events {
+    for number in last_event_id.map_or(1, |id| id + 1)..=events {
         thread::sleep(work);
         let current = shared.lock().weights.get(model).copied().unwrap_or(0);
         let version_line = if current == version {
@@ -492,7 +492,7 @@
             return;
         }
     }
-    shared.lock().runs[index].whole = true;
+    shared.lock().runs[index].is_complete = true;
 }
 
 /// Sleeps for `work`, or until the caller disconnects.
