--- a/hibiscusroad-standins/src/direct/replicas.rs
+++ b/hibiscusroad-standins/src/direct/replicas.rs
@@ -22,19 +22,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
     /// How long a crashed replica stays down.
-    pub down: Duration,
+    pub downtime: Duration,
     /// How long the row of a crashed replica stays in the store.
-    pub lapse: Duration,
+    pub row_lifetime: Duration,
     /// How long a request runs.
-    pub work: Duration,
+    pub work_duration: Duration,
 }
 
 impl Default for Restart {
     fn default() -> Self {
         Self {
-            down: Duration::from_millis(1_200),
-            lapse: Duration::from_secs(2),
-            work: Duration::from_millis(30),
+            downtime: Duration::from_millis(1_200),
+            row_lifetime: Duration::from_secs(2),
+            work_duration: Duration::from_millis(30),
         }
     }
 }
@@ -51,7 +51,7 @@
     fn start(&self, listen: SocketAddr, id: &str) -> io::Result<Endpoint> {
         let models: Vec<&str> = self.models.iter().map(String::as_str).collect();
         let endpoint = Endpoint::start_at(listen, &self.store, &self.service, id, &models)?;
-        endpoint.set_work_duration(self.restart.work);
+        endpoint.set_work_duration(self.restart.work_duration);
         endpoint.crash_on(self.crash.clone());
         Ok(endpoint)
     }
@@ -173,11 +173,11 @@
                 None => continue,
             };
             slot.crashed = Some((since, listed));
-            if listed && now >= since + spec.restart.lapse {
+            if listed && now >= since + spec.restart.row_lifetime {
                 spec.store.remove("servers", slot.endpoint.id());
                 slot.crashed = Some((since, false));
             }
-            if now >= since + spec.restart.down {
+            if now >= since + spec.restart.downtime {
                 slot.endpoint.stop();
                 let id = format!("{}-{}", slot.name, slot.incarnation + 1);
                 // The old listener may still hold the address; the next poll tries again.
