--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -127,9 +127,9 @@
 
     /// Lists violations of the reporting protocol.
     ///
-    /// A holder that lost the lease to another must not report again within `apart`.
+    /// A holder that lost the lease to another must not report again within `min_gap`.
     #[must_use]
-    pub fn violations(&self, apart: Duration) -> Vec<String> {
+    pub fn violations(&self, min_gap: Duration) -> Vec<String> {
         let inner = lock(&self.inner);
         let mut violations = Vec::new();
         let mut windows: BTreeMap<u64, &Report> = BTreeMap::new();
@@ -149,12 +149,12 @@
             }
             highest = highest.max(report.fence);
         }
-        violations.extend(premature_returns(&inner.accepted, apart));
+        violations.extend(premature_returns(&inner.accepted, min_gap));
         violations
     }
 }
 
-/// Lists reports whose holder had reported within `apart`, with another holder in between.
+/// Lists reports whose holder had reported within `min_gap`, with another holder in between.
 fn premature_returns(reports: &[Report], min_gap: Duration) -> Vec<String> {
     let mut violations = Vec::new();
     for (index, last) in reports.iter().enumerate() {
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -76,7 +76,8 @@
     pub last_event_id: Option<u64>,
     /// The client account, from `X-Tenant`.
     pub account: Option<String>,
-    /// Whether it carried an `Authorization` header, which endpoints must not receive.
+    /// Whether it carried an `Authorization` header, which a gateway must remove in a
+    /// deployment with client accounts.
     pub has_authorization: bool,
     /// Whether it ran to completion.
     pub is_complete: bool,
