--- a/src/rollout/presence.rs
+++ b/src/rollout/presence.rs
@@ -16,7 +16,7 @@
 
 /// Time between two renewals of a row, and between two polls of a watcher.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// An owner whose row is unchanged for this time is taken to be dead: it has missed
+/// An owner whose row is unchanged for this time is considered dead: it has missed
 /// three renewals.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Number of store latencies added to [`HEARTBEAT_TIMEOUT`]. A slow store delays the
@@ -34,7 +34,7 @@
 /// An owner without a row is given this time to write its first.
 const FIRST_ROW_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Why an owner is taken to be gone.
+/// Why an owner is considered lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
     /// Its row is missing: it gave its batches back, or never wrote one.
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Returns why an owner is taken to be gone, if it is.
+    /// Returns why an owner is considered lost, if it is.
     ///
     /// `owner` is the name of its process and its incarnation, separated by a slash;
     /// this process has known of it since `since`. Polls from before then are about
