--- a/hibiscusroad-daemon/src/side/link.rs
+++ b/hibiscusroad-daemon/src/side/link.rs
@@ -43,8 +43,8 @@
 /// that has no open stream.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Maximum size of a frame, in bytes. It is larger than the largest request body
-/// that an entry accepts.
+/// Maximum size of a frame, in bytes. It is far above the default limit of a
+/// request body.
 const MAX_FRAME_SIZE: usize = 64 << 20;
 
 /// The thread that accepts streams.
