--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -1,9 +1,9 @@
 //! Watching and changing the configuration in the platform's table.
 //!
-//! The rows: `config/current` holds the document, `command/ID` the version that
-//! a command made, `audit/VERSION` the line of the trail. All three are written
-//! in one transaction, on the condition that the document's row still is the
-//! one that the change was planned on and that the command has no row yet.
+//! Row `config/current` holds the document, `command/ID` the version that a
+//! command created, `audit/VERSION` an entry of the audit trail. A transaction
+//! writes all three if the document is unchanged since the change was planned and
+//! the command has no row yet.
 
 use crate::platform::{Backoff, Condition, Op, Outcome, PlatformError, Row, Table, Transaction};
 use hibiscusroad::config::{
@@ -16,36 +16,36 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-const CURRENT: &str = "config/current";
-const COMMANDS: &str = "command/";
-const TRAIL: &str = "audit/";
+const DOCUMENT_KEY: &str = "config/current";
+const COMMAND_PREFIX: &str = "command/";
+const AUDIT_PREFIX: &str = "audit/";
 
-/// Time between two looks at the document's row.
+/// Time between two polls of the document's row.
 ///
-/// 360 entries then read 360 times a second, within the thousand that all may;
-/// the aim is a change in force everywhere within 2 s.
-pub const POLL: Duration = Duration::from_secs(1);
+/// Short enough for a change to apply everywhere within 2 s, long enough for the
+/// polls of all entries to stay within the table's read limit.
+pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest wait between looks while the table is down, so that news spreads
-/// soon after it is back.
-const LONGEST_POLL: Duration = Duration::from_secs(5);
+/// Maximum backoff between polls while the table is down.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long an operator waits for a verdict. After that the outcome is unknown
-/// and the command may be repeated under its id.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a command is tried. Afterwards its outcome may be unknown, and it can
+/// be repeated with the same id.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What became of a command, as far as this entry can tell.
+/// The outcome of a command, as far as this entry knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It is decided for good; with the document, if this call wrote it.
+    /// The final outcome, with the document if this call wrote it.
     Decided(CommandOutcome, Option<Box<Document>>),
-    /// Nothing was written, because the table gave no answer.
+    /// Nothing was written, because the table is unavailable.
     Down(PlatformError),
-    /// It may or may not have been accepted.
+    /// The command may or may not have been accepted.
     Unknown(PlatformError),
 }
 
-/// Makes a command's change, once.
+/// Applies a command's change exactly once, retrying for up to
+/// [`COMMIT_TIMEOUT`].
 #[must_use]
 pub fn commit(table: &Table, command: &Command, origin: &str) -> Reply {
     let start = Instant::now();
@@ -55,11 +55,11 @@
     loop {
         match step(table, &command.id, &mut attempt) {
             Ok(reply) => return reply,
-            Err(fault) if start.elapsed() > PATIENCE => {
+            Err(error) if start.elapsed() > COMMIT_TIMEOUT => {
                 return if attempt.is_uncertain() {
-                    Reply::Unknown(fault)
+                    Reply::Unknown(error)
                 } else {
-                    Reply::Down(fault)
+                    Reply::Down(error)
                 };
             }
             Err(_) => thread::sleep(backoff.next_wait(&mut rng)),
@@ -67,11 +67,11 @@
     }
 }
 
-/// Takes one step: read, decide, write. An error means "look again".
+/// Reads, decides and writes once. An error means that the step may be retried.
 fn step(table: &Table, id: &str, attempt: &mut Attempt) -> Result<Reply, PlatformError> {
     let rows = read(table, id)?;
     let plan = match attempt.next_step(&rows, now_ms()) {
-        NextStep::Answer(verdict) => return Ok(Reply::Decided(verdict, None)),
+        NextStep::Answer(outcome) => return Ok(Reply::Decided(outcome, None)),
         NextStep::Write(plan) => *plan,
         NextStep::Wait => {
             return Err(PlatformError::InvalidResponse(
@@ -81,42 +81,42 @@
     };
     match table.transact(&transaction(&plan)) {
         Outcome::Committed(_) => {
-            let verdict = CommandOutcome::Done(plan.next.version);
-            Ok(Reply::Decided(verdict, Some(Box::new(plan.next))))
+            let outcome = CommandOutcome::Done(plan.next.version);
+            Ok(Reply::Decided(outcome, Some(Box::new(plan.next))))
         }
         Outcome::Conflict(_) => Err(PlatformError::InvalidResponse(
             "another change came first".to_owned(),
         )),
-        Outcome::NotSent(fault) => Err(fault),
-        Outcome::Unknown(fault) => {
+        Outcome::NotSent(error) => Err(error),
+        Outcome::Unknown(error) => {
             attempt.record_lost_answer(plan);
-            Err(fault)
+            Err(error)
         }
     }
 }
 
 fn transaction(plan: &Plan) -> Transaction {
-    let command = format!("{COMMANDS}{}", plan.audit.command);
-    let trail = trail_key(plan.audit.version);
+    let command = format!("{COMMAND_PREFIX}{}", plan.audit.command);
+    let audit = audit_key(plan.audit.version);
     let version = plan.next.version.to_string();
     Transaction::new()
-        .when(Condition::Version(CURRENT.to_owned(), plan.base))
+        .when(Condition::Version(DOCUMENT_KEY.to_owned(), plan.base))
         .when(Condition::Version(command.clone(), 0))
-        .then(Op::Put(CURRENT.to_owned(), json(&plan.next)))
+        .then(Op::Put(DOCUMENT_KEY.to_owned(), json(&plan.next)))
         .then(Op::Put(command, version.into_bytes()))
-        .then(Op::Put(trail, json(&plan.audit)))
+        .then(Op::Put(audit, json(&plan.audit)))
 }
 
-/// The key of the line that tells of a version; keys sort as versions do.
-fn trail_key(version: u64) -> String {
-    format!("{TRAIL}{version:020}")
+/// Returns the key of a version's audit entry; keys sort by version.
+fn audit_key(version: u64) -> String {
+    format!("{AUDIT_PREFIX}{version:020}")
 }
 
 fn read(table: &Table, command: &str) -> Result<Rows, PlatformError> {
-    let command = format!("{COMMANDS}{command}");
+    let command = format!("{COMMAND_PREFIX}{command}");
     let mut rows = Rows::default();
-    for row in table.read(&[CURRENT, &command])? {
-        if row.key == CURRENT {
+    for row in table.read(&[DOCUMENT_KEY, &command])? {
+        if row.key == DOCUMENT_KEY {
             rows.document = parse(&row)?;
         } else {
             rows.committed = Some(parse(&row)?);
@@ -125,49 +125,49 @@
     Ok(rows)
 }
 
-/// Reads the newest lines of the audit trail, oldest first.
+/// Reads the newest entries of the audit trail, oldest first.
 ///
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table gave no usable answer.
-pub fn trail(table: &Table) -> Result<Vec<Audit>, PlatformError> {
-    table.list(TRAIL, 0)?.iter().map(parse).collect()
+pub fn read_audit(table: &Table) -> Result<Vec<Audit>, PlatformError> {
+    table.list(AUDIT_PREFIX, 0)?.iter().map(parse).collect()
 }
 
-/// Reads the line of the audit trail that tells of one version.
+/// Reads the audit entry of one version.
 ///
 /// # Errors
 ///
 /// Returns a [`PlatformError`] if the table gave no usable answer.
-pub fn line(table: &Table, version: u64) -> Result<Option<Audit>, PlatformError> {
+pub fn read_audit_entry(table: &Table, version: u64) -> Result<Option<Audit>, PlatformError> {
     table
-        .get(&trail_key(version))?
+        .get(&audit_key(version))?
         .as_ref()
         .map(parse)
         .transpose()
 }
 
-/// Looks at the document's row for as long as `news` returns true.
+/// Polls the document's row until `on_document` returns false.
 ///
-/// `news` gets every document that was written since the last look.
-pub fn watch(table: &Table, mut news: impl FnMut(Document) -> bool) {
+/// `on_document` gets the newest document if it was written since the last poll.
+pub fn watch(table: &Table, mut on_document: impl FnMut(Document) -> bool) {
     let mut rng = Pcg64Mcg::from_os_rng();
-    let mut backoff = Backoff::new(POLL, LONGEST_POLL);
+    let mut backoff = Backoff::new(POLL_INTERVAL, MAX_POLL_INTERVAL);
     let mut revision = 0;
     loop {
-        let wait = match look(table, revision) {
+        let wait = match poll(table, revision) {
             Ok(found) => {
                 backoff.reset();
                 if let Some((at, document)) = found {
                     revision = at + 1;
-                    if !news(document) {
+                    if !on_document(document) {
                         return;
                     }
                 }
-                POLL
+                POLL_INTERVAL
             }
-            Err(fault) => {
-                log::debug!(target: "config", "No news from the table: {fault}.");
+            Err(error) => {
+                log::debug!(target: "config", "The configuration can't be read from the table: {error}.");
                 backoff.next_wait(&mut rng)
             }
         };
@@ -175,8 +175,8 @@
     }
 }
 
-fn look(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, PlatformError> {
-    let Some(row) = table.get_since(CURRENT, revision)? else {
+fn poll(table: &Table, revision: u64) -> Result<Option<(u64, Document)>, PlatformError> {
+    let Some(row) = table.get_since(DOCUMENT_KEY, revision)? else {
         return Ok(None);
     };
     Ok(Some((row.revision, parse(&row)?)))
--- a/hibiscusroad-daemon/src/entry/hosts.rs
+++ b/hibiscusroad-daemon/src/entry/hosts.rs
@@ -1,9 +1,9 @@
-//! Sides come and go by the platform's host list.
+//! Adds and updates sidecars by the platform's host list.
 //!
-//! The list lags. A process that it no longer names may be serving, so a side
-//! is kept until its link is silent too; one that it names may be gone, which
-//! its link shows. Only "leaving" is taken at its word at once: to stop sending
-//! work to a host that stays costs nothing.
+//! The list lags behind the processes. A sidecar that it no longer names may still
+//! serve, so it is kept until its connection is lost too. One that it names may
+//! have exited, which its connection shows. Only "leaving" takes effect at once,
+//! because sending no work to a host that stays is harmless.
 
 use crate::{
     entry::{
@@ -26,17 +26,17 @@
     time::{Duration, Instant},
 };
 
-/// Time between two looks at the list.
-const POLL: Duration = Duration::from_secs(2);
+/// Time between two fetches of the list.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two looks while none has succeeded yet.
-const FIRST_POLL: Duration = Duration::from_millis(200);
+/// Time between two fetches until the first succeeds.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts the thread that polls the host list.
 ///
 /// # Errors
 ///
-/// Returns the system's error if there is no thread to be had.
+/// Returns the system's error if the thread can't be spawned.
 pub fn watch(list: HostList, budget: Arc<Budget>, events: Sender<Event>) -> io::Result<()> {
     thread::Builder::new()
         .name("hosts".to_owned())
@@ -45,34 +45,34 @@
 }
 
 fn poll(list: &HostList, budget: &Budget, events: &Sender<Event>) {
-    let mut wait = FIRST_POLL;
+    let mut interval = INITIAL_POLL_INTERVAL;
     loop {
         match list.fetch() {
             Ok(hosts) => {
-                wait = POLL;
+                interval = POLL_INTERVAL;
                 budget.set_processes(hosts.iter().filter(|host| host.role == "entry").count());
                 if events.send(Event::Hosts(hosts)).is_err() {
                     return;
                 }
             }
-            Err(e) => log::warn!(target: "hosts", "The host list can't be had: {e}."),
+            Err(e) => log::warn!(target: "hosts", "The host list can't be fetched: {e}."),
         }
-        thread::sleep(wait);
+        thread::sleep(interval);
     }
 }
 
 impl Tables {
-    /// Takes in a host list.
-    pub(super) fn hosts(&mut self, now: Instant, hosts: Vec<Host>) {
-        self.take_hosts(now, &hosts);
+    /// Applies a new host list.
+    pub(super) fn apply_hosts(&mut self, now: Instant, hosts: Vec<Host>) {
+        self.update_sides(now, &hosts);
         self.hosts = hosts;
-        self.listed = Some(now);
+        self.hosts_received = Some(now);
     }
 
-    fn take_hosts(&mut self, now: Instant, hosts: &[Host]) {
+    fn update_sides(&mut self, now: Instant, hosts: &[Host]) {
         for side in self.sides.values_mut() {
             if side.listing == Listing::Listed {
-                side.listing = Listing::Absent;
+                side.listing = Listing::Unlisted;
             }
         }
         let mut services: BTreeMap<&str, Vec<&Host>> = BTreeMap::new();
@@ -93,33 +93,33 @@
                 data_centre: &host.data_centre,
             })
             .collect();
-        for i in choose(&self.name, &self.place, &candidates, self.subset) {
+        for i in choose(&self.name, &self.data_centre, &candidates, self.subset) {
             let host = hosts[i];
-            match self.side(&host.service, &host.endpoint) {
-                Some(key) => self.listed(now, key, host),
+            match self.find_side(&host.service, &host.endpoint) {
+                Some(key) => self.update_listed(now, key, host),
                 None => self.add_side(now, host),
             }
         }
     }
 
-    pub(super) fn side(&self, service: &str, name: &str) -> Option<SideKey> {
+    pub(super) fn find_side(&self, service: &str, name: &str) -> Option<SideKey> {
         let mut sides = self.sides.iter();
         sides
             .find(|(_, side)| side.name == name && side.service == service)
             .map(|(key, _)| key)
     }
 
-    fn listed(&mut self, now: Instant, key: SideKey, host: &Host) {
+    fn update_listed(&mut self, now: Instant, key: SideKey, host: &Host) {
         let side = &mut self.sides[key];
         side.listing = Listing::Listed;
         side.leaving.listed = host.state == HostState::Leaving;
         if side.address != host.address && side.link.is_none() {
-            // Its host was replaced. While a link stands, the list is behind.
+            // Its host was replaced. While it is connected, the list is outdated.
             side.address = host.address;
             side.opening = None;
-            side.retry = now;
+            side.next_connect = now;
         }
-        self.set_open(now, key);
+        self.update_accepting(now, key);
     }
 
     pub(super) fn add_side(&mut self, now: Instant, host: &Host) {
@@ -132,17 +132,17 @@
         side.leaving.listed = host.state == HostState::Leaving;
         let key = self.sides.insert(side);
         self.endpoints.insert(endpoint, key);
-        self.set_open(now, key);
+        self.update_accepting(now, key);
     }
 
-    /// Forgets a side that is gone.
+    /// Removes a sidecar and fails its attempts.
     pub(super) fn remove_side(&mut self, now: Instant, key: SideKey) {
         let attempts: Vec<_> = self.sides[key].attempts.iter().copied().collect();
         for id in attempts {
-            self.lose(now, id);
+            self.fail_lost(now, id);
         }
         if let Some(side) = self.sides.remove(key) {
-            log::info!(target: "hosts", "{} is gone.", side.name);
+            log::info!(target: "hosts", "{} is removed.", side.name);
             self.endpoints.remove(&side.endpoint);
             self.router.remove_endpoint(now, side.endpoint);
         }
--- a/hibiscusroad-daemon/src/entry/tables.rs
+++ b/hibiscusroad-daemon/src/entry/tables.rs
@@ -1,8 +1,8 @@
 //! The tables of an entry and the systems that run over them.
 //!
-//! A call is what a caller asked for; an attempt is one try to run it at one
-//! endpoint. The router decides where calls run; these tables carry it out and
-//! keep account of what each caller may be told.
+//! A call is a caller's request; an attempt is one run of it at one endpoint. The
+//! router decides where calls run. These tables perform its steps and track
+//! whether a call may have run.
 
 use crate::{
     entry::{
@@ -17,7 +17,7 @@
     },
     metrics::Metrics,
     platform::Host,
-    settings::{Entry as Part, Settings},
+    settings::{Entry as EntrySettings, Settings},
 };
 use flume::Sender;
 use hibiscusroad::{
@@ -35,108 +35,107 @@
 /// Time between two runs of the systems when no deadline passes.
 pub const TICK: Duration = Duration::from_millis(25);
 
-/// All that an entry knows.
+/// The state of an entry.
 #[derive(Debug)]
 pub struct Tables {
     pub(super) name: String,
-    pub(super) place: String,
+    pub(super) data_centre: String,
     pub(super) subset: usize,
     pub(super) ids: Arc<Ids>,
     pub(super) dialer: Dialer,
     pub(super) router: Router,
     pub(super) config: Register,
     pub(super) sides: SlotMap<SideKey, Side>,
-    /// The last host list, and when it came.
+    /// The last host list; `hosts_received` is when it was fetched.
     pub(super) hosts: Vec<Host>,
-    pub(super) listed: Option<Instant>,
+    pub(super) hosts_received: Option<Instant>,
     pub(super) endpoints: HashMap<EndpointKey, SideKey>,
     pub(super) calls: HashMap<RequestId, CallRow>,
     pub(super) attempts: HashMap<RequestId, Attempt>,
     pub(super) crashes: Crashes,
-    pub(super) ticked: Instant,
+    pub(super) last_tick: Instant,
     pub(super) metrics: Metrics,
-    pub(super) reported: Instant,
+    pub(super) last_report: Instant,
     pub(super) trace: Trace,
-    pub(super) writes: Sender<Write>,
-    /// Calls of each key, in their turn.
-    pub(super) keys: HashMap<String, VecDeque<RequestId>>,
-    /// How long callers wait who don't say, of a service without a rule.
-    pub(super) patience: Duration,
+    pub(super) claim_writes: Sender<Write>,
+    /// Open calls by the row of their idempotency key, in order of arrival.
+    pub(super) key_queues: HashMap<String, VecDeque<RequestId>>,
+    /// Timeout of calls that set none, for services without a rule.
+    pub(super) default_timeout: Duration,
     pub(super) deadlines: BTreeSet<(Instant, RequestId)>,
     stopping: bool,
 }
 
 impl Tables {
-    /// Creates the tables of an entry that knows no side yet.
+    /// Creates the tables of an entry without sidecars.
     #[must_use]
     pub fn new(
         settings: &Settings,
-        part: &Part,
+        entry_settings: &EntrySettings,
         ids: Arc<Ids>,
         dialer: Dialer,
-        writes: Sender<Write>,
+        claim_writes: Sender<Write>,
         metrics: Metrics,
     ) -> Self {
         let seed = ids.origin().0;
         Self {
             name: settings.name.clone(),
-            place: settings.data_centre.clone(),
-            subset: part.subset,
+            data_centre: settings.data_centre.clone(),
+            subset: entry_settings.subset,
             ids,
             dialer,
             router: Router::new(&settings.data_centre, seed),
             config: Register::new(),
             sides: SlotMap::with_key(),
             hosts: Vec::new(),
-            listed: None,
+            hosts_received: None,
             endpoints: HashMap::new(),
             calls: HashMap::new(),
             attempts: HashMap::new(),
             crashes: Crashes::new(Instant::now()),
-            ticked: Instant::now(),
+            last_tick: Instant::now(),
             metrics,
-            reported: Instant::now(),
+            last_report: Instant::now(),
             trace: Trace::default(),
-            writes,
-            keys: HashMap::new(),
-            patience: Duration::from_millis(part.deadline_ms),
+            claim_writes,
+            key_queues: HashMap::new(),
+            default_timeout: Duration::from_millis(entry_settings.deadline_ms),
             deadlines: BTreeSet::new(),
             stopping: false,
         }
     }
 
-    /// Takes in one event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Arrive(arrival) => self.arrive(now, *arrival),
-            Event::Taken(id) => self.acknowledge_call(id),
-            Event::Left(id) => self.left(now, id),
+            Event::Arrive(arrival) => self.accept_call(now, *arrival),
+            Event::Delivered(id) => self.acknowledge_call(id),
+            Event::CallerGone(id) => self.caller_gone(now, id),
             Event::Link(side, epoch, LinkEvent::Frame(frame)) => {
-                self.frame(now, side, epoch, frame);
+                self.handle_frame(now, side, epoch, frame);
             }
             Event::Link(side, epoch, LinkEvent::Down(reason)) => {
                 self.link_down(now, side, epoch, &reason);
             }
-            Event::Hosts(hosts) => self.hosts(now, hosts),
-            Event::Claimed(call, attempt, verdict) => {
-                self.claimed(now, call, attempt, *verdict);
+            Event::Hosts(hosts) => self.apply_hosts(now, hosts),
+            Event::Claimed(call, attempt, outcome) => {
+                self.apply_claim_outcome(now, call, attempt, *outcome);
             }
-            Event::Config(document) => self.adopt(now, *document),
-            Event::Ask(subject, reply) => {
+            Event::Config(document) => self.apply_config(now, *document),
+            Event::Query(subject, reply) => {
                 let _ = reply.try_send(self.show(now, &subject));
             }
             Event::Stop => self.stopping = true,
         }
-        self.steps(now);
+        self.apply_router_steps(now);
     }
 
-    /// Runs the systems over the tables, if it is time.
+    /// Runs the time-driven systems if a deadline or [`TICK`] has passed.
     ///
-    /// Events come thousands of times a second; what waits for time alone need
-    /// not be looked at with each of them.
+    /// They don't run after every event, of which there may be thousands a second.
     pub fn tick(&mut self, now: Instant) {
         let due = self.next_due().is_some_and(|due| due <= now);
-        if !due && now < self.ticked + TICK {
+        if !due && now < self.last_tick + TICK {
             return;
         }
         self.expire(now);
@@ -144,12 +143,12 @@
         self.acknowledge_all();
         self.tick_sides(now);
         self.router.tick(now);
-        self.report_numbers(now);
+        self.report_gauges(now);
         self.trace_endpoints(now);
-        self.steps(now);
+        self.apply_router_steps(now);
     }
 
-    /// Says when [`Tables::tick`] has something to do at the latest.
+    /// Returns the earliest deadline of the calls and the router.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
@@ -159,20 +158,20 @@
             .min()
     }
 
-    /// Says whether the process is to stop.
+    /// Returns whether the process was asked to stop.
     #[must_use]
     pub const fn stopping(&self) -> bool {
         self.stopping
     }
 
-    /// Returns how many calls have no final answer yet.
+    /// Returns the number of calls without a final answer.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
-    pub fn adopt(&mut self, now: Instant, document: Document) {
+    /// Applies a configuration if it is newer than the current one.
+    pub fn apply_config(&mut self, now: Instant, document: Document) {
         if !self.config.offer(document) {
             return;
         }
@@ -183,18 +182,18 @@
         }
         let keys: Vec<SideKey> = self.sides.keys().collect();
         for key in keys {
-            self.set_open(now, key);
-            // Not left to the next heartbeat: news is to be everywhere at once.
+            self.update_accepting(now, key);
+            // Sent before the next heartbeat, so that it spreads at once.
             self.offer_config(key, self.sides[key].config);
         }
     }
 
-    /// Carries out what the router decided.
-    pub(super) fn steps(&mut self, now: Instant) {
+    /// Performs the steps that the router decided.
+    pub(super) fn apply_router_steps(&mut self, now: Instant) {
         while let Some(step) = self.router.next_step() {
             match step {
-                Step::Start { id, endpoint, .. } => self.start(now, id, endpoint),
-                Step::Cancel { id, endpoint } => self.cancel(id, endpoint),
+                Step::Start { id, endpoint, .. } => self.start_attempt(now, id, endpoint),
+                Step::Cancel { id, endpoint } => self.cancel_attempt(id, endpoint),
                 Step::Refuse {
                     id,
                     kind,
@@ -204,8 +203,8 @@
         }
     }
 
-    /// Finds a service, unless the configuration in force has none of this name.
-    pub(super) fn known(&self, name: &str) -> Option<ServiceKey> {
+    /// Finds a service, unless the current configuration has none of this name.
+    pub(super) fn find_service(&self, name: &str) -> Option<ServiceKey> {
         let document = self.config.newest();
         if document.version > 0 && !document.services.contains_key(name) {
             return None;
@@ -213,8 +212,8 @@
         self.router.service(name)
     }
 
-    /// A name can be said to be unknown only by an entry that knows names: one
-    /// that has just started must not turn callers away for good.
+    /// Returns the error for a service that isn't found. An entry that has just
+    /// started knows no services yet and must not refuse callers permanently.
     pub(super) fn unknown_service(&self) -> ErrorKind {
         if self.sides.is_empty() && self.config.version() == 0 {
             ErrorKind::NoConfig
@@ -223,20 +222,20 @@
         }
     }
 
-    pub(super) fn repeat(&self, request: &Inbound) -> Repeat {
+    pub(super) fn repeat_policy(&self, request: &Inbound) -> Repeat {
         let document = self.config.newest();
-        let model = match document.services.get(&request.service) {
+        let is_model = match document.services.get(&request.service) {
             Some(service) => service.kind == Kind::Model,
             None => request.prompt.is_some(),
         };
-        if request.idempotent || model {
+        if request.idempotent || is_model {
             Repeat::Idempotent
         } else {
             Repeat::Once
         }
     }
 
-    /// Adds a service that a host list names and no configuration does.
+    /// Adds a service of the host list that no configuration defines.
     pub(super) fn ensure_service(&mut self, now: Instant, name: &str) {
         if self.router.service(name).is_none() {
             self.router.set_service(now, name, ServiceSpec::new());
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -159,8 +159,8 @@
     }));
     if let Some(peers) = peers {
         let batches = Rc::clone(&gateway.batches);
-        let take = move |batch| batches.take(batch);
-        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take));
+        let receive = move |batch| batches.receive(batch);
+        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), receive));
         let store = Rc::clone(&gateway.store);
         spawn_local(peers::poll_peers(
             store,
@@ -332,8 +332,8 @@
     spawn_local(async move { probing.probe().await });
     spawn_local(async move { calls.run().await });
     spawn_local(async move { lapsing.run().await });
-    spawn_local(Rc::clone(batches).renew());
-    spawn_local(Rc::clone(batches).watch());
+    spawn_local(Rc::clone(batches).renew_heartbeat());
+    spawn_local(Rc::clone(batches).watch_owners());
     spawn_local(Rc::clone(batches).dispatch());
     spawn_local(Rc::clone(batches).sweep());
     spawn_local(Rc::clone(batches).share_paces());
