--- a/hibiscusroad-daemon/src/gateway/answer.rs
+++ b/hibiscusroad-daemon/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that this process gives its callers.
+//! Responses to callers, and their bodies.
 
 use super::attempt::Guard;
 use futures_util::stream::Stream;
@@ -17,30 +17,30 @@
     time::Duration,
 };
 
-/// The body of an answer.
+/// The body of a response to a caller.
 pub(super) enum Out {
-    /// All of it is there.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// It is passed on as it comes.
+    /// An endpoint's body that is passed on as it arrives.
     Flow(Box<Flow>),
-    /// Its events may come from several endpoints.
+    /// A stream of events that may come from several endpoints.
     Resumed(Resumed),
 }
 
-/// The body of an answer that may come from several endpoints.
+/// A stream of events that may come from several endpoints.
 pub(super) type Resumed = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
 
-/// An endpoint's answer on its way.
+/// An endpoint's body that is passed on as it arrives.
 pub(super) struct Flow {
     pub(super) first: VecDeque<Bytes>,
     pub(super) rest: Incoming,
-    /// Ends the attempt when the body is dropped or read to its end.
+    /// Reports the end of the attempt when the body is read to its end or dropped.
     pub(super) guard: Guard,
 }
 
-/// The answer breaks off: its reader must not take it for whole.
+/// The answer ended early; the caller's connection is closed so that it shows.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("the answer ended early")]
 pub(super) struct Broken;
 
 impl Body for Out {
@@ -94,15 +94,15 @@
             }
             Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                 Ok(data) => Poll::Ready(Some(Ok(Frame::data(data)))),
-                // Trailers concern the connection that they came on.
+                // Trailers are hop-by-hop here and end the body.
                 Err(_trailers) => {
                     self.guard.complete();
                     Poll::Ready(None)
                 }
             },
             Poll::Ready(Some(Err(error))) => {
-                self.guard.failed(&error);
-                self.guard.broke(&error.to_string());
+                self.guard.record_error(&error);
+                self.guard.abort(&error.to_string());
                 Poll::Ready(Some(Err(Broken)))
             }
         }
@@ -118,17 +118,17 @@
     }
 }
 
-/// Builds an answer with a whole body.
+/// Builds a response with a complete body; an empty `content_type` sets no header.
 pub(super) fn whole(
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> Response<Out> {
     let mut response = Response::new(Out::Whole(Full::new(body.into())));
     *response.status_mut() = status;
-    if !kind.is_empty() {
-        let kind = HeaderValue::from_static(kind);
-        response.headers_mut().insert(CONTENT_TYPE, kind);
+    if !content_type.is_empty() {
+        let value = HeaderValue::from_static(content_type);
+        response.headers_mut().insert(CONTENT_TYPE, value);
     }
     response
 }
@@ -140,11 +140,11 @@
     status: u16,
 }
 
-/// Builds the answer that the table of kinds has for `kind`.
+/// Builds the problem response of an error kind.
 ///
-/// `after` is when it makes sense to come back; it is told where the kind says
-/// that the request did not run.
-pub(super) fn problem(kind: ErrorKind, after: Duration) -> Response<Out> {
+/// `retry_after` is sent with status 429 and 503, which say that the request did
+/// not run.
+pub(super) fn problem(kind: ErrorKind, retry_after: Duration) -> Response<Out> {
     let answer = kind.answer();
     let body = serde_json::to_vec(&Problem {
         r#type: answer.problem,
@@ -159,7 +159,7 @@
         response.headers_mut().insert(WWW_AUTHENTICATE, scheme);
     }
     if matches!(answer.status, 429 | 503) {
-        let secs = millis(after.max(LEAST_WAIT)) as f64 / 1000.0;
+        let secs = millis(retry_after.max(MIN_RETRY_AFTER)) as f64 / 1000.0;
         if let Ok(value) = HeaderValue::from_str(&format!("{secs:.3}")) {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
@@ -167,5 +167,5 @@
     response
 }
 
-/// A caller that comes back sooner finds what it left.
-const LEAST_WAIT: Duration = Duration::from_millis(20);
+/// The smallest `Retry-After` value that is sent.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -1,15 +1,15 @@
 //! One attempt to run a request at one endpoint.
 //!
-//! What an endpoint answers is believed only if it is a whole answer to this
-//! request: the id must be the one that was sent, a success must bear the
-//! endpoint's signature, and the body must reach its declared end. Faulty
-//! endpoints send torn, late and additional answers on kept connections, and a
-//! caller would otherwise get another caller's answer.
+//! An endpoint's answer is accepted only if it is a complete answer to this
+//! request: its id must match, a success must carry the endpoint's signature, and
+//! the body must reach its declared end. Faulty endpoints send truncated, late and
+//! duplicate answers on kept-alive connections; without these checks a caller
+//! could get another caller's answer.
 
 use super::{
     calls::{Calls, Target, Ticket},
     crashes::{Crashes, InFlight},
-    http::{Channel, Channels, Fault, Sent},
+    http::{Channel, Channels, Fault, RequestBody},
     meters::Meters,
     subject::Subject,
     usage::Usage,
@@ -32,59 +32,60 @@
     time::{Duration, Instant},
 };
 
-/// Answers up to this size are read whole before any of them is passed on, so
-/// that a torn one can still be tried elsewhere. Larger ones would cost memory:
-/// a process with 160 MB holds a few hundred of these.
-const WHOLE: usize = 256 << 10;
+/// Answers up to this size are buffered before they are passed on, so that a
+/// truncated one can be retried elsewhere. Buffering larger ones would take too
+/// much memory.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// A request as it is sent to endpoints, without its body.
+/// The method, target and headers of a request for an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Head {
     pub(super) method: Method,
     pub(super) target: Uri,
     pub(super) headers: HeaderMap,
-    /// The caller's id of this request.
+    /// The request id that the caller chose.
     pub(super) id: String,
     pub(super) deadline: Instant,
-    /// The account that it counts for.
+    /// The client account that is charged for the request.
     pub(super) account: Option<Rc<str>>,
 }
 
-/// An answer of an endpoint.
+/// An endpoint's answer.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Received,
-    /// The endpoint that gave it.
+    /// The id of the endpoint.
     pub(super) endpoint: Rc<str>,
 }
 
 /// The body of an answer.
 pub(super) enum Received {
+    /// The complete body.
     Whole(Bytes),
+    /// A body that is passed on as it arrives.
     Flow(Box<Flowing>),
 }
 
-/// An answer of which only the beginning was read.
+/// The body of an answer that is still arriving.
 pub(super) struct Flowing {
     first: VecDeque<Bytes>,
     rest: Incoming,
-    /// The connection that it comes on.
     channel: Channel,
-    flight: InFlight,
+    in_flight: InFlight,
 }
 
 /// How an attempt ended.
 pub(super) enum Done {
-    /// The endpoint answered, or began to.
+    /// The endpoint answered; the body may be incomplete yet.
     Answer(Answer),
-    /// It surely did not run.
+    /// The request did not run.
     NotRun(ErrorKind),
-    /// It may have run; the endpoint's own failure, if it told one.
+    /// The request may have run; with the endpoint's error response, if it sent one.
     Failed(ErrorKind, Option<Answer>),
 }
 
-/// What attempts need of the process.
+/// The parts of the process that attempts use.
 #[derive(Clone)]
 pub(super) struct Line {
     pub(super) calls: Rc<Calls>,
@@ -94,19 +95,19 @@
     pub(super) crashes: Rc<Crashes>,
 }
 
-/// Ends an attempt whose answer is passed on as it comes.
+/// Reports the end of an attempt whose answer is passed on as it arrives.
 pub(super) struct Guard {
     line: Line,
     ticket: Ticket,
     endpoint: EndpointKey,
     channel: Option<Channel>,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     id: String,
-    flight: InFlight,
+    in_flight: InFlight,
 }
 
 impl Flowing {
-    /// Returns what was read, the rest, and who ends the attempt.
+    /// Splits into the parts read so far, the unread rest, and the attempt's guard.
     pub(super) fn split(
         self,
         line: &Line,
@@ -119,68 +120,76 @@
             ticket,
             endpoint,
             channel: Some(self.channel),
-            keep: kept(headers),
+            keep_alive: keep_alive(headers),
             id: head.id.clone(),
-            flight: self.flight,
+            in_flight: self.in_flight,
         };
         (self.first, self.rest, guard)
     }
 }
 
 impl Guard {
-    /// Notes that the answer was read to its end.
+    /// Records that the answer was read to its end.
     pub(super) fn complete(&mut self) {
         self.ticket.finish(self.endpoint, Outcome::Answered);
-        self.flight.answered();
+        self.in_flight.answered();
         if let Some(channel) = self.channel.take() {
-            self.line.channels.give_back(channel, self.keep);
+            self.line.channels.give_back(channel, self.keep_alive);
         }
     }
 
-    /// Notes why the connection broke.
-    pub(super) fn failed(&mut self, error: &hyper::Error) {
-        self.flight.broke(error);
+    /// Records the connection error that ended the answer.
+    pub(super) fn record_error(&mut self, error: &hyper::Error) {
+        self.in_flight.broke(error);
     }
 
-    /// Notes that the answer broke off.
-    pub(super) fn broke(&mut self, error: &str) {
+    /// Ends the attempt because its answer is incomplete.
+    pub(super) fn abort(&mut self, error: &str) {
         log::warn!(target: CALLS, id = self.id.as_str(), error = error;
-            "An answer broke off midway.");
+            "An answer broke off before its end.");
         let outcome = Outcome::Failed(ErrorKind::AnswerShort);
         self.ticket.finish(self.endpoint, outcome);
         self.channel = None;
     }
 }
 
-/// Builds the request for an endpoint.
-pub(super) fn request(head: &Head, target: &Target, body: Sent) -> Request<Sent> {
+/// Builds the HTTP request for an endpoint.
+pub(super) fn build_request(
+    head: &Head,
+    target: &Target,
+    body: RequestBody,
+) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = head.target.clone();
     *request.headers_mut() = head.headers.clone();
-    let left = head.deadline.saturating_duration_since(Instant::now());
+    let remaining = head.deadline.saturating_duration_since(Instant::now());
     let headers = request.headers_mut();
-    set(headers, header::DEADLINE, &left.as_millis().to_string());
+    set(
+        headers,
+        header::DEADLINE,
+        &remaining.as_millis().to_string(),
+    );
     set(headers, header::EXPECT_ENDPOINT, &target.id);
     request
 }
 
-/// Sets a header; a value that no header can hold is left out.
+/// Sets a header; does nothing if the value is invalid in a header.
 pub(super) fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Reads a header as text.
+/// Returns a header's value if it is visible ASCII text.
 pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Removes headers that concern one connection only.
-pub(super) fn strip(headers: &mut HeaderMap) {
-    let named = headers.get_all("connection").iter();
-    let named: Vec<String> = named
+/// Removes hop-by-hop headers.
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let values = headers.get_all("connection").iter();
+    let named: Vec<String> = values
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
@@ -188,72 +197,72 @@
     for name in named {
         headers.remove(name.as_str());
     }
-    // The route was found by the host, and endpoints are told it as well.
-    let hops = headers
+    // Endpoints get the host that the route was found by.
+    let hop_by_hop = headers
         .keys()
         .filter(|name| *name != HOST && is_hop_by_hop(name.as_str()));
-    for name in hops.cloned().collect::<Vec<_>>() {
+    for name in hop_by_hop.cloned().collect::<Vec<_>>() {
         headers.remove(name);
     }
 }
 
-/// A request as one attempt sends it.
-pub(super) struct Sending {
+/// The request of one attempt.
+pub(super) struct AttemptRequest {
     pub(super) head: Rc<Head>,
     pub(super) subject: Rc<Subject>,
-    pub(super) body: Sent,
-    /// The answer is passed on from its head.
-    pub(super) flow: bool,
+    pub(super) body: RequestBody,
+    /// Whether the answer's body is passed on as it arrives.
+    pub(super) streams: bool,
 }
 
 /// Runs one attempt.
 pub(super) async fn run(
     line: Line,
-    sending: Sending,
+    request: AttemptRequest,
     endpoint: EndpointKey,
     target: Target,
 ) -> Done {
-    let Sending {
+    let AttemptRequest {
         head,
         subject,
         body,
-        flow,
-    } = sending;
-    let mut begun = line.usage.watch(head.account.as_ref());
-    let mut flight = line.crashes.watch(&subject, target.life());
-    let sent = request(&head, &target, body);
-    let sending = || {
-        begun.sent();
-        flight.sent();
+        streams,
+    } = request;
+    let mut usage = line.usage.watch(head.account.as_ref());
+    let mut in_flight = line.crashes.watch(&subject, target.life());
+    let request = build_request(&head, &target, body);
+    let on_send = || {
+        usage.sent();
+        in_flight.sent();
     };
     let answer = line
         .channels
-        .send_noting(target.address, sent, sending)
+        .send_noting(target.address, request, on_send)
         .await;
     let (response, channel) = match answer {
         Ok(answer) => answer,
         Err(fault) => {
-            if fault.unsent() {
-                begun.not_run();
+            if fault.is_unsent() {
+                usage.not_run();
             }
-            flight.faulted(&fault);
-            return faulted(&head, &subject, &target, &fault);
+            in_flight.faulted(&fault);
+            return unanswered(&head, &subject, &target, &fault);
         }
     };
-    let told = text(response.headers(), header::LOAD).and_then(header::parse_load);
-    if let Some((running, queued, slots)) = told {
+    let load = text(response.headers(), header::LOAD).and_then(header::parse_load);
+    if let Some((running, queued, slots)) = load {
         line.calls.told(endpoint, running, queued, slots);
     }
-    let arrival = Arrival {
+    let exchange = Exchange {
         response,
         channel,
-        flight,
+        in_flight,
     };
-    let done = received(&line, &head, &target, arrival, flow).await;
+    let done = read_answer(&line, &head, &target, exchange, streams).await;
     let outcome = match &done {
         Done::Answer(_) => "answered",
         Done::NotRun(_) => {
-            begun.not_run();
+            usage.not_run();
             "not-run"
         }
         Done::Failed(..) => "failed",
@@ -267,41 +276,48 @@
     done
 }
 
-fn faulted(head: &Head, subject: &Subject, target: &Target, fault: &Fault) -> Done {
+fn unanswered(head: &Head, subject: &Subject, target: &Target, fault: &Fault) -> Done {
     log::info!(target: CALLS, id = head.id.as_str(), endpoint = &*target.id,
         path = subject.path(), fingerprint:% = subject.fingerprint(), error = fault.to_string().as_str(); "An endpoint did not answer.");
-    if fault.unsent() {
+    if fault.is_unsent() {
         Done::NotRun(ErrorKind::EndpointDown)
     } else {
         Done::Failed(ErrorKind::EndpointBroken, None)
     }
 }
 
-/// The head of an answer, and what it came on.
-struct Arrival {
+/// An answer's head and the connection that its body arrives on.
+struct Exchange {
     response: Response<Incoming>,
     channel: Channel,
-    flight: InFlight,
+    in_flight: InFlight,
 }
 
-async fn received(line: &Line, head: &Head, target: &Target, arrival: Arrival, flow: bool) -> Done {
-    let Arrival {
+/// Validates an answer and reads its body.
+async fn read_answer(
+    line: &Line,
+    head: &Head,
+    target: &Target,
+    exchange: Exchange,
+    streams: bool,
+) -> Done {
+    let Exchange {
         response,
         channel,
-        mut flight,
-    } = arrival;
+        mut in_flight,
+    } = exchange;
     let (mut parts, body) = response.into_parts();
     let echo = text(&parts.headers, header::REQUEST);
-    let foreign = echo.is_some_and(|echo| echo != head.id);
-    if foreign {
-        flight.dismissed();
-        // Late for an earlier request: the connection is out of step.
+    let is_foreign = echo.is_some_and(|echo| echo != head.id);
+    if is_foreign {
+        in_flight.dismissed();
+        // A late answer to an earlier request: the connection can't be reused.
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
     let status = parts.status;
     if parts.headers.contains_key(header::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
-        flight.dismissed();
-        // Its body says no more, but has to be read to keep the connection.
+        in_flight.dismissed();
+        // The body is read only to reuse the connection.
         drain(line, body, channel, &parts.headers).await;
         return Done::NotRun(match status {
             StatusCode::MISDIRECTED_REQUEST => ErrorKind::Stopping,
@@ -309,19 +325,19 @@
         });
     }
     let signed = parts.headers.contains_key(header::SIGNATURE);
-    let whole = echo.is_some() && signed && !parts.headers.contains_key(CONTENT_ENCODING);
-    if status.is_success() && !whole {
-        flight.dismissed();
+    let is_verified = echo.is_some() && signed && !parts.headers.contains_key(CONTENT_ENCODING);
+    if status.is_success() && !is_verified {
+        in_flight.dismissed();
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
-    let keep = kept(&parts.headers);
-    let received = match read(body, flow && status.is_success()).await {
+    let keep_alive = keep_alive(&parts.headers);
+    let received = match read(body, streams && status.is_success()).await {
         Ok((first, None)) => {
-            line.channels.give_back(channel, keep);
+            line.channels.give_back(channel, keep_alive);
             if status.is_server_error() {
-                flight.dismissed();
+                in_flight.dismissed();
             } else {
-                flight.answered();
+                in_flight.answered();
             }
             Received::Whole(join(first))
         }
@@ -329,16 +345,16 @@
             first,
             rest,
             channel,
-            flight,
+            in_flight,
         })),
         Err(error) => {
-            flight.broke(&error);
+            in_flight.broke(&error);
             log::info!(target: CALLS, id = head.id.as_str(), error = error.to_string().as_str();
-                "An answer is not whole.");
+                "Reading the body of an answer failed.");
             return Done::Failed(ErrorKind::AnswerShort, None);
         }
     };
-    strip(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     if matches!(received, Received::Whole(_)) {
         parts.headers.remove(CONTENT_LENGTH);
     }
@@ -354,14 +370,14 @@
     Done::Answer(answer)
 }
 
-/// Reads a body whole, or its beginning if it is long or passed on as it comes.
+/// Reads a body; returns the unread rest if the body is long or `streams` is set.
 async fn read(
     mut body: Incoming,
-    flow: bool,
+    streams: bool,
 ) -> Result<(VecDeque<Bytes>, Option<Incoming>), hyper::Error> {
     let mut first = VecDeque::new();
     let mut length = 0;
-    if flow || body.size_hint().lower() > WHOLE as u64 {
+    if streams || body.size_hint().lower() > MAX_BUFFERED_BYTES as u64 {
         return Ok((first, Some(body)));
     }
     while let Some(frame) = body.frame().await {
@@ -370,7 +386,7 @@
         };
         length += data.len();
         first.push_back(data);
-        if length > WHOLE {
+        if length > MAX_BUFFERED_BYTES {
             return Ok((first, Some(body)));
         }
     }
@@ -385,14 +401,14 @@
 }
 
 async fn drain(line: &Line, body: Incoming, channel: Channel, headers: &HeaderMap) {
-    let keep = kept(headers);
+    let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
-        line.channels.give_back(channel, keep);
+        line.channels.give_back(channel, keep_alive);
     }
 }
 
-/// Reads how long an endpoint keeps an idle connection.
-pub(super) fn kept(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the timeout of the `Keep-Alive` header.
+pub(super) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = text(headers, "keep-alive")?;
     let timeout = value
         .split(',')
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -14,7 +14,7 @@
         attempt::{self, Head, set, text},
         calls::Target,
         crashes::InFlight,
-        http::whole,
+        http::full_body,
         request::{name_account, own_head},
         subject::Subject,
     },
@@ -283,7 +283,7 @@
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
         let mut flight = crashes.watch(&request.subject, target.life());
-        let sent = attempt::request(head, &target, whole(request.body.clone()));
+        let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
         let channels = &self.batches.line.channels;
         let sending = channels.send_noting(target.address, sent, || flight.sent());
         let sent = self.queue(sending, head.id.as_str()).await?;
@@ -299,7 +299,7 @@
             flight.dismissed();
             return Err(cause);
         }
-        let keep = attempt::kept(response.headers());
+        let keep = attempt::keep_alive(response.headers());
         self.read(response.into_body(), &mut flight).await?;
         flight.answered();
         channels.give_back(channel, keep);
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -8,7 +8,7 @@
     gateway::{
         attempt::{Answer, Received, text},
         calls::drawn_service,
-        forward::{Content, Ended, Forward, ended},
+        forward::{Content, Ended, Forward, run_to_end},
         request::own_head,
         subject::Subject,
     },
@@ -96,10 +96,10 @@
             class: Class::Partner,
             kind: Kind::Idempotent,
             // Each failure is counted by itself, so a call is not repeated.
-            attempts: 1,
+            max_attempts: 1,
             tokens: 0,
         };
-        match ended(&self.line, request).await {
+        match run_to_end(&self.line, request).await {
             Ended::Answer(answer, _) => judge(&answer),
             Ended::Refused(..) => Called::Failed,
         }
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -1,8 +1,8 @@
 //! The router of this process and the requests that wait for its steps.
 //!
-//! A request hands its call over and gets the router's steps for it, one after
-//! the other, through a queue of its own. Dropped, it takes its call back, so
-//! that a caller that leaves frees what it held at once.
+//! A request submits a call and receives the router's steps for it through a
+//! channel of its own. Dropping its [`Ticket`] cancels the call, so the slot of a
+//! caller that disconnects is free at once.
 
 use crate::logs::CALLS;
 use hibiscusroad::{
@@ -30,12 +30,12 @@
     time::sleep_until,
 };
 
-/// An endpoint that the router may name.
+/// The address of an endpoint that the router may choose.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
     pub(super) id: Rc<str>,
     pub(super) address: SocketAddr,
-    /// When this life of it began, where that is told.
+    /// Start time of this incarnation, if the endpoint reports it.
     pub(super) born: Option<u64>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Names this life of it.
+    /// Returns this incarnation of the endpoint.
     pub(super) fn life(&self) -> EndpointIncarnation {
         EndpointIncarnation {
             endpoint: self.id.to_string(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The router and those who wait for it.
+/// The router and the requests that wait for it.
 #[derive(Debug)]
 pub(super) struct Calls {
     router: RefCell<Router>,
@@ -65,56 +65,56 @@
     keys: RefCell<HashMap<String, EndpointKey>>,
     targets: RefCell<HashMap<EndpointKey, Target>>,
     changed: Notify,
-    life: Incarnation,
+    incarnation: Incarnation,
     seq: Cell<u64>,
 }
 
-/// One request's place at the router.
+/// A request's call at the router; dropping it cancels the call.
 #[derive(Debug)]
 pub(super) struct Ticket {
     calls: Rc<Calls>,
     id: RequestId,
     steps: UnboundedReceiver<Step>,
-    over: bool,
+    is_ended: bool,
 }
 
-/// Draws one of a route's services, by their weights.
+/// Picks one of a route's services at random, by weight.
 pub(super) fn drawn_service(route: &Route) -> Option<&str> {
     let draw = f64::from(rand::random::<u32>()) / f64::from(u32::MAX);
     route.service(draw)
 }
 
 impl Calls {
-    pub(super) fn new(place: &str, life: Incarnation) -> Self {
+    pub(super) fn new(data_centre: &str, incarnation: Incarnation) -> Self {
         Self {
-            router: RefCell::new(Router::new(place, life.0)),
+            router: RefCell::new(Router::new(data_centre, incarnation.0)),
             waiting: RefCell::default(),
             keys: RefCell::default(),
             targets: RefCell::default(),
             changed: Notify::new(),
-            life,
+            incarnation,
             seq: Cell::new(0),
         }
     }
 
-    /// Takes in the services of a configuration.
+    /// Adds the services of a configuration to the router.
     pub(super) fn configure(&self, catalog: &Catalog) {
         let now = Instant::now();
         for service in catalog.services() {
-            self.service(now, &service.name);
+            self.ensure_service(now, &service.name);
         }
         self.flush();
     }
 
-    /// Takes in changes of the roster, in their order.
+    /// Applies changes of the roster in order.
     ///
-    /// Endpoints that become known together are taken in together. A process that starts
-    /// before a thousand of them was busy for seconds with each one's place among all.
-    pub(super) fn roster(&self, news: &[EndpointChange]) {
+    /// Consecutive updates are added to the router as one group: adding a thousand
+    /// endpoints one by one takes seconds.
+    pub(super) fn apply_roster(&self, changes: &[EndpointChange]) {
         let now = Instant::now();
-        let mut rest = news;
+        let mut rest = changes;
         while let Some(first) = rest.first() {
-            let seen = rest.iter().map_while(EndpointChange::updated).count();
+            let count = rest.iter().map_while(EndpointChange::updated).count();
             if let EndpointChange::Removed(id) = first {
                 if let Some(key) = self.keys.borrow_mut().remove(id) {
                     self.router.borrow_mut().remove_endpoint(now, key);
@@ -122,26 +122,26 @@
                 rest = &rest[1..];
                 continue;
             }
-            let (together, after) = rest.split_at(seen);
-            self.add_unknown(now, together);
-            for endpoint in together.iter().filter_map(EndpointChange::updated) {
-                self.seen(now, endpoint);
+            let (updates, after) = rest.split_at(count);
+            self.add_unknown(now, updates);
+            for endpoint in updates.iter().filter_map(EndpointChange::updated) {
+                self.update(now, endpoint);
             }
             rest = after;
         }
         self.flush();
     }
 
-    /// Adds the endpoints that the router doesn't know, by services.
-    fn add_unknown(&self, now: Instant, news: &[EndpointChange]) {
+    /// Adds the endpoints that the router doesn't know yet, grouped by service.
+    fn add_unknown(&self, now: Instant, changes: &[EndpointChange]) {
         let mut services: BTreeMap<&str, BTreeMap<&str, &Endpoint>> = BTreeMap::new();
-        let unknown = news.iter().filter_map(EndpointChange::updated);
-        for endpoint in unknown.filter(|e| !self.keys.borrow().contains_key(&e.id)) {
+        let endpoints = changes.iter().filter_map(EndpointChange::updated);
+        for endpoint in endpoints.filter(|e| !self.keys.borrow().contains_key(&e.id)) {
             let service = services.entry(&endpoint.service).or_default();
             service.insert(&endpoint.id, endpoint);
         }
         for (name, endpoints) in services {
-            let service = self.service(now, name);
+            let service = self.ensure_service(now, name);
             let specs = endpoints
                 .values()
                 .map(|e| EndpointSpec::new(&e.id, &e.data_centre).limit(e.slots));
@@ -151,7 +151,7 @@
         }
     }
 
-    fn seen(&self, now: Instant, endpoint: &Endpoint) {
+    fn update(&self, now: Instant, endpoint: &Endpoint) {
         let Some(key) = self.keys.borrow().get(&endpoint.id).copied() else {
             return;
         };
@@ -161,41 +161,41 @@
             .set_open(now, key, !endpoint.leaving);
     }
 
-    fn service(&self, now: Instant, name: &str) -> ServiceKey {
+    fn ensure_service(&self, now: Instant, name: &str) -> ServiceKey {
         let mut router = self.router.borrow_mut();
-        let known = router.service(name);
-        known.unwrap_or_else(|| router.set_service(now, name, ServiceSpec::new()))
+        let existing = router.service(name);
+        existing.unwrap_or_else(|| router.set_service(now, name, ServiceSpec::new()))
     }
 
-    /// Hands a call over; `shape` completes it.
-    pub(super) fn arrive(
+    /// Submits a call to the router; `configure` sets its optional parts.
+    pub(super) fn submit(
         self: &Rc<Self>,
         service: &str,
         class: Class,
         deadline: Instant,
-        shape: impl FnOnce(Call) -> Call,
+        configure: impl FnOnce(Call) -> Call,
     ) -> Ticket {
         let now = Instant::now();
-        let key = self.service(now, service);
+        let key = self.ensure_service(now, service);
         self.seq.set(self.seq.get() + 1);
         let id = RequestId {
-            origin: self.life,
+            origin: self.incarnation,
             seq: self.seq.get(),
         };
         let (sender, steps) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
-        let call = shape(Call::new(id, key, class, deadline));
+        let call = configure(Call::new(id, key, class, deadline));
         self.router.borrow_mut().arrive(now, call);
         self.flush();
         Ticket {
             calls: Rc::clone(self),
             id,
             steps,
-            over: false,
+            is_ended: false,
         }
     }
 
-    /// Takes in the load that an endpoint told.
+    /// Passes the load that an endpoint reported to the router.
     pub(super) fn told(&self, endpoint: EndpointKey, running: u32, queued: u32, slots: u32) {
         let report = LoadReport {
             running,
@@ -209,12 +209,12 @@
         self.flush();
     }
 
-    /// Returns where an endpoint is.
+    /// Returns the target of an endpoint.
     pub(super) fn target(&self, key: EndpointKey) -> Option<Target> {
         self.targets.borrow().get(&key).cloned()
     }
 
-    /// Runs what the router has to do at a time of its own.
+    /// Runs the router's timers.
     pub(super) async fn run(&self) {
         loop {
             let due = self.router.borrow().next_due();
@@ -234,14 +234,15 @@
         }
     }
 
+    /// Delivers the router's pending steps to the requests that wait for them.
     fn flush(&self) {
         loop {
             let step = self.router.borrow_mut().next_step();
             let Some(step) = step else { break };
             let (Step::Start { id, .. } | Step::Cancel { id, .. } | Step::Refuse { id, .. }) = step;
             if let Some(sender) = self.waiting.borrow().get(&id) {
-                // A request that is gone has taken its call back already.
-                let _gone = sender.send(step).is_err();
+                // A request whose receiver is dropped cancels its own call.
+                let _closed = sender.send(step).is_err();
             }
         }
         self.changed.notify_one();
@@ -249,7 +250,7 @@
 }
 
 impl Ticket {
-    /// Waits for the router's next step.
+    /// Waits for the router's next step for this call.
     pub(super) async fn next(&mut self) -> Step {
         let refused = Step::Refuse {
             id: self.id,
@@ -258,15 +259,15 @@
         };
         let step = self.steps.recv().await.unwrap_or(refused);
         if let Step::Refuse { kind, after, .. } = step {
-            self.over = true;
-            log::debug!(target: CALLS, after_ms = millis(after); "The router refuses: {kind}.");
+            self.is_ended = true;
+            log::debug!(target: CALLS, after_ms = millis(after); "The router refuses a call: {kind}.");
         }
         step
     }
 
-    /// Tells how an attempt ended.
+    /// Reports the outcome of an attempt to the router.
     pub(super) fn finish(&mut self, endpoint: EndpointKey, outcome: Outcome) {
-        self.over |= outcome == Outcome::Answered;
+        self.is_ended |= outcome == Outcome::Answered;
         let now = Instant::now();
         self.calls
             .router
@@ -275,7 +276,7 @@
         self.calls.flush();
     }
 
-    /// Tells that the caller has got a part of this attempt's answer.
+    /// Reports that part of this attempt's answer was passed on to the caller.
     pub(super) fn commit(&mut self, endpoint: EndpointKey) {
         let now = Instant::now();
         self.calls
@@ -289,7 +290,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         self.calls.waiting.borrow_mut().remove(&self.id);
-        if !self.over {
+        if !self.is_ended {
             self.calls
                 .router
                 .borrow_mut()
--- a/hibiscusroad-daemon/src/gateway/exposition.rs
+++ b/hibiscusroad-daemon/src/gateway/exposition.rs
@@ -12,7 +12,9 @@
     pub(super) fn exposition(&self) -> Response<Out> {
         let meters = &self.meters;
         let count = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
-        meters.connections.set(count(self.line.channels.opened()));
+        meters
+            .connections
+            .set(count(self.line.channels.opened_count()));
         meters.dropped.set(count(dropped_lines()));
         let version = self.known.catalog().map_or(0, |catalog| catalog.version);
         meters.config.set(count(version));
--- a/hibiscusroad-daemon/src/gateway/failure.rs
+++ b/hibiscusroad-daemon/src/gateway/failure.rs
@@ -1,17 +1,17 @@
-//! Why a call to the store gave no usable answer.
+//! The error of a call to the store.
 
-use hibiscusroad_platform::Error as Odd;
+use hibiscusroad_platform::Error as PlatformError;
 
-/// Why a call gave no usable answer.
+/// Why a call to the store has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Failure {
-    /// It was surely not carried out.
+    /// The call was not executed.
     #[error("refused: {0}")]
     Refused(String),
-    /// No answer came; it may have been carried out.
+    /// No answer arrived; the call may have been executed.
     #[error("no answer: {0}")]
     Lost(String),
-    /// The answer isn't what the call asks for.
-    #[error("odd answer: {0}")]
-    Odd(#[from] Odd),
+    /// The answer is malformed or unexpected.
+    #[error("unexpected answer: {0}")]
+    Unexpected(#[from] PlatformError),
 }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -1,14 +1,14 @@
-//! The path of one request from its caller to an endpoint and back.
+//! Runs a request at endpoints until it is answered or refused.
 //!
-//! The router says where it starts, where it starts again, and when there is no
-//! point in going on; this module carries that out, with two attempts under way
-//! at the most. Dropped, it drops the attempts and with them their connections:
-//! that is how the work of a caller that has left is cancelled.
+//! The router decides where to start an attempt, when to start or cancel another,
+//! and when to give up; this module carries out its steps, with at most two
+//! attempts in flight. Dropping the future drops the attempts with their
+//! connections, which cancels the work of a caller that has disconnected.
 
 use super::{
-    attempt::{Answer, Done, Head, Line, Received, Sending, run},
+    attempt::{Answer, AttemptRequest, Done, Head, Line, Received, run},
     calls::Ticket,
-    http::{Rest, Sent, whole as whole_body},
+    http::{PartialBody, RequestBody, full_body},
     subject::Subject,
 };
 use crate::logs::CALLS;
@@ -22,18 +22,18 @@
 use hyper::body::{Body, Bytes};
 use std::{future::poll_fn, pin::Pin, rc::Rc, task::Poll, time::Duration};
 
-/// A request's body, as far as it can be sent again.
+/// A request's body.
 pub(super) enum Content {
-    /// All of it; can be sent any number of times.
+    /// A complete body, which can be sent any number of times.
     Whole(Bytes),
-    /// It comes while it is sent; can be sent once.
-    Once(Option<Box<Rest>>),
+    /// A body that is still arriving, which can be sent once; `None` after that.
+    Once(Option<Box<PartialBody>>),
 }
 
 impl Content {
-    /// Returns as much of it as is there before it is sent, and the length of all of it,
-    /// if that is told.
-    pub(super) fn known(&self) -> (Bytes, Option<u64>) {
+    /// Returns the part that has been read, and the length of the whole body if the
+    /// caller declared it.
+    pub(super) fn prefix(&self) -> (Bytes, Option<u64>) {
         match self {
             Self::Whole(body) => (body.clone(), Some(body.len() as u64)),
             Self::Once(None) => (Bytes::new(), None),
@@ -44,15 +44,16 @@
         }
     }
 
-    fn send(&mut self) -> Option<Sent> {
+    /// Returns the body for the next attempt; `None` if it can't be sent again.
+    fn take(&mut self) -> Option<RequestBody> {
         match self {
-            Self::Whole(body) => Some(whole_body(body.clone())),
+            Self::Whole(body) => Some(full_body(body.clone())),
             Self::Once(rest) => rest.take().map(|rest| Either::Right(*rest)),
         }
     }
 }
 
-/// A request that is to be run.
+/// A request to run at a service.
 pub(super) struct Forward {
     pub(super) head: Rc<Head>,
     pub(super) subject: Rc<Subject>,
@@ -60,77 +61,77 @@
     pub(super) service: String,
     pub(super) class: Class,
     pub(super) kind: Kind,
-    pub(super) attempts: u32,
+    pub(super) max_attempts: u32,
     pub(super) tokens: u32,
 }
 
 /// How a request ended.
 pub(super) enum Ended {
-    /// With an endpoint's answer; the ticket if more of it is to come.
+    /// With an endpoint's answer; the ticket and endpoint if its body is still arriving.
     Answer(Box<Answer>, Option<(Ticket, EndpointKey)>),
-    /// Without one.
+    /// With a refusal and the delay after which to retry.
     Refused(ErrorKind, Duration),
 }
 
 type Running = (EndpointKey, Pin<Box<dyn Future<Output = Done>>>);
 
 /// Runs a request until it is answered or refused.
-pub(super) async fn ended(line: &Line, mut request: Forward) -> Ended {
+pub(super) async fn run_to_end(line: &Line, mut request: Forward) -> Ended {
     let repeat = match request.kind {
         Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
     };
-    let alone = match line.crashes.verdict(&request.subject) {
+    let runs_alone = match line.crashes.verdict(&request.subject) {
         Verdict::Clear => false,
         Verdict::Suspect => true,
-        Verdict::Quarantined(left) => return stopped(&request, None, false, left),
+        Verdict::Quarantined(left) => return end_quarantined(&request, None, false, left),
     };
-    let flow = matches!(request.kind, Kind::Stream { .. });
-    let tries = u8::try_from(request.attempts).unwrap_or(u8::MAX);
+    let streams = matches!(request.kind, Kind::Stream { .. });
+    let max_tries = u8::try_from(request.max_attempts).unwrap_or(u8::MAX);
     let deadline = request.head.deadline;
-    let shape = |call: hibiscusroad::route::Call| {
-        let call = call.repeat(repeat).tries(tries).tokens(request.tokens);
-        call.alone(alone)
+    let configure = |call: hibiscusroad::route::Call| {
+        let call = call.repeat(repeat).tries(max_tries).tokens(request.tokens);
+        call.alone(runs_alone)
     };
     let mut ticket = line
         .calls
-        .arrive(&request.service, request.class, deadline, shape);
+        .submit(&request.service, request.class, deadline, configure);
     let mut running: Vec<Running> = Vec::new();
-    // What an endpoint told of its own failure, if nothing better comes.
-    let mut told = None;
-    // Attempts that run or may have run.
-    let mut begun = 0_u32;
+    // An endpoint's error response, passed on if no attempt succeeds.
+    let mut error_answer = None;
+    // Number of attempts that run or may have run.
+    let mut may_run = 0_u32;
     loop {
         tokio::select! {
             step = ticket.next() => match step {
                 Step::Start { endpoint, .. } => {
                     if let Verdict::Quarantined(left) = line.crashes.verdict(&request.subject) {
-                        return stopped(&request, told, begun > 0, left);
+                        return end_quarantined(&request, error_answer, may_run > 0, left);
                     }
                     let target = line.calls.target(endpoint);
-                    let (Some(target), Some(body)) = (target, request.content.send()) else {
+                    let (Some(target), Some(body)) = (target, request.content.take()) else {
                         ticket.finish(endpoint, Outcome::NotRun(ErrorKind::NoEndpoint));
                         continue;
                     };
-                    let sending = Sending {
+                    let attempt = AttemptRequest {
                         head: Rc::clone(&request.head),
                         subject: Rc::clone(&request.subject),
                         body,
-                        flow,
+                        streams,
                     };
-                    let attempt = run(line.clone(), sending, endpoint, target);
+                    let attempt = run(line.clone(), attempt, endpoint, target);
                     running.push((endpoint, Box::pin(attempt)));
-                    begun += 1;
+                    may_run += 1;
                 }
                 Step::Cancel { endpoint, .. } => running.retain(|(key, _)| *key != endpoint),
                 Step::Refuse { kind, after, .. } => {
-                    return match told {
+                    return match error_answer {
                         Some(answer) => Ended::Answer(Box::new(answer), None),
                         None => Ended::Refused(kind, after),
                     };
                 }
             },
-            (endpoint, done) = first(&mut running) => match done {
+            (endpoint, done) = next_done(&mut running) => match done {
                 Done::Answer(answer) if matches!(answer.body, Received::Whole(_)) => {
                     ticket.finish(endpoint, Outcome::Answered);
                     return Ended::Answer(Box::new(answer), None);
@@ -140,11 +141,12 @@
                     return Ended::Answer(Box::new(answer), Some((ticket, endpoint)));
                 }
                 Done::NotRun(kind) => {
-                    begun -= 1;
+                    may_run -= 1;
                     ticket.finish(endpoint, Outcome::NotRun(kind));
                 }
                 Done::Failed(kind, answer) => {
-                    told = answer.filter(|a| matches!(a.body, Received::Whole(_))).or(told);
+                    let answer = answer.filter(|a| matches!(a.body, Received::Whole(_)));
+                    error_answer = answer.or(error_answer);
                     ticket.finish(endpoint, Outcome::Failed(kind));
                 }
             },
@@ -152,20 +154,25 @@
     }
 }
 
-/// Ends a request that is in quarantine; `begun` if an attempt of it may have run.
-fn stopped(request: &Forward, told: Option<Answer>, begun: bool, left: Duration) -> Ended {
+/// Ends a request that is in quarantine; `may_have_run` if it had an attempt.
+fn end_quarantined(
+    request: &Forward,
+    error_answer: Option<Answer>,
+    may_have_run: bool,
+    left: Duration,
+) -> Ended {
     log::info!(target: CALLS, id = request.head.id.as_str(), path = request.subject.path(),
-        fingerprint:% = request.subject.fingerprint(), begun = begun;
+        fingerprint:% = request.subject.fingerprint(), begun = may_have_run;
         "A request in quarantine is not run.");
-    match told {
+    match error_answer {
         Some(answer) => Ended::Answer(Box::new(answer), None),
-        None if begun => Ended::Refused(ErrorKind::EndpointBroken, Duration::ZERO),
+        None if may_have_run => Ended::Refused(ErrorKind::EndpointBroken, Duration::ZERO),
         None => Ended::Refused(ErrorKind::Quarantined, left),
     }
 }
 
-/// Waits for the first attempt that ends; for ever if there is none.
-async fn first(running: &mut Vec<Running>) -> (EndpointKey, Done) {
+/// Waits for the first attempt to end; never returns if there is none.
+async fn next_done(running: &mut Vec<Running>) -> (EndpointKey, Done) {
     poll_fn(|cx| {
         for n in 0..running.len() {
             if let Poll::Ready(done) = running[n].1.as_mut().poll(cx) {
--- a/hibiscusroad-daemon/src/gateway/front.rs
+++ b/hibiscusroad-daemon/src/gateway/front.rs
@@ -1,11 +1,12 @@
-//! Callers' connections: what may be sent, how long it may take, how it ends.
+//! Accepts callers' connections and enforces their time limits.
 //!
-//! hyper reads and writes HTTP/1.1. It drops the work on a request when the
-//! caller closes the connection, which cancels it; `tiny_http`, which the role
-//! entry uses, can't tell before it writes. Two limits are kept here: how long
-//! a caller may take to send headers, and how long a connection may be idle.
-//! hyper has one limit for both, and closing an idle connection that early would
-//! cross with callers' next requests.
+//! hyper reads and writes HTTP/1.1. It drops a request's future when the caller
+//! closes the connection, which cancels the request. `tiny_http`, which the role
+//! entry uses, detects a closed connection only when it writes.
+//!
+//! This module enforces two timeouts: one for the headers of a request, and a
+//! longer one for idle connections. hyper has a single timeout for both, and
+//! closing idle connections that early would race with callers' next requests.
 
 use super::{
     Gateway,
@@ -38,60 +39,60 @@
     time::{sleep, sleep_until},
 };
 
-/// Pause after accepting failed, for want of descriptors as a rule.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The least buffer that hyper takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Delay after a failed accept, which usually means too few file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The smallest buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// What a connection is doing, seen from its bytes and its requests.
+/// The state of a connection that its timeouts depend on.
 #[derive(Debug, Default)]
-struct Watch {
-    /// Requests that are being worked on.
-    busy: Cell<u32>,
-    /// Whether a request ever came.
+struct Activity {
+    /// Number of requests in progress.
+    active: Cell<u32>,
+    /// Whether the connection has had a request.
     used: Cell<bool>,
-    /// When the connection became idle, or was opened.
-    idle: Cell<Option<Instant>>,
-    /// When the first byte of a request came that isn't read whole yet.
-    reading: Cell<Option<Instant>>,
+    /// When the connection became idle or was opened.
+    idle_since: Cell<Option<Instant>>,
+    /// When the first byte of a request arrived whose headers are incomplete.
+    reading_since: Cell<Option<Instant>>,
 }
 
-impl Watch {
-    fn began(&self) {
-        self.busy.set(self.busy.get() + 1);
+impl Activity {
+    fn start_request(&self) {
+        self.active.set(self.active.get() + 1);
         self.used.set(true);
-        self.reading.set(None);
+        self.reading_since.set(None);
     }
 
-    fn ended(&self) {
-        self.busy.set(self.busy.get() - 1);
-        self.idle.set(Some(Instant::now()));
+    fn finish_request(&self) {
+        self.active.set(self.active.get() - 1);
+        self.idle_since.set(Some(Instant::now()));
     }
 
-    /// Says when the connection is to be closed, unless something happens.
-    fn due(&self, limits: &Limits) -> Instant {
+    /// Returns when the connection times out if its state doesn't change.
+    fn close_at(&self, limits: &Limits) -> Instant {
         let now = Instant::now();
-        match (self.reading.get(), self.busy.get()) {
+        match (self.reading_since.get(), self.active.get()) {
             (Some(since), 0) => since + limits.header_timeout,
-            (None, 0) => self.idle.get().unwrap_or(now) + limits.idle_timeout,
+            (None, 0) => self.idle_since.get().unwrap_or(now) + limits.idle_timeout,
             (_, _) => now + limits.header_timeout.min(limits.idle_timeout),
         }
     }
 
-    fn read(&self) {
-        if self.busy.get() == 0 && self.reading.get().is_none() {
-            self.reading.set(Some(Instant::now()));
+    fn record_read(&self) {
+        if self.active.get() == 0 && self.reading_since.get().is_none() {
+            self.reading_since.set(Some(Instant::now()));
         }
     }
 }
 
-/// A connection whose reads are watched.
-struct Watched {
+/// A connection that records its reads.
+struct WatchedStream {
     stream: TcpStream,
-    watch: Rc<Watch>,
+    activity: Rc<Activity>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WatchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -100,13 +101,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.watch.read();
+            self.activity.record_read();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WatchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -136,7 +137,7 @@
     }
 }
 
-/// Accepts callers until the process ends.
+/// Accepts callers' connections until the process ends.
 pub(super) async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -145,75 +146,75 @@
             }
             Err(error) => {
                 log::warn!(target: CALLERS, error = error.to_string().as_str();
-                    "A connection could not be accepted.");
-                sleep(ACCEPT_PAUSE).await;
+                    "Accepting a connection failed.");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
-    let _open = gateway.stop.hold();
+    let _open = gateway.stop.track_connection();
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(target: CALLERS, error = error.to_string().as_str();
-            "A connection may delay small packets.");
+            "TCP_NODELAY could not be set on a connection.");
     }
-    let watch = Rc::new(Watch::default());
-    watch.idle.set(Some(Instant::now()));
+    let activity = Rc::new(Activity::default());
+    activity.idle_since.set(Some(Instant::now()));
     let limits = gateway
         .known
         .catalog()
         .map(|c| c.limits)
         .unwrap_or_default();
     let service = {
-        let (gateway, watch) = (Rc::clone(&gateway), Rc::clone(&watch));
-        service_fn(move |request| work(Rc::clone(&gateway), Rc::clone(&watch), request))
+        let (gateway, activity) = (Rc::clone(&gateway), Rc::clone(&activity));
+        service_fn(move |request| handle(Rc::clone(&gateway), Rc::clone(&activity), request))
     };
-    let io = TokioIo::new(Watched {
+    let io = TokioIo::new(WatchedStream {
         stream,
-        watch: Rc::clone(&watch),
+        activity: Rc::clone(&activity),
     });
     let connection = http1::Builder::new()
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     let mut connection = pin!(connection);
-    let mut timer = pin!(sleep_until(watch.due(&limits).into()));
+    let mut timer = pin!(sleep_until(activity.close_at(&limits).into()));
     let mut closing = false;
     loop {
-        // The connection may have read the beginning of a request: then less
-        // time is left than the timer was set for.
-        let step = poll_fn(|cx| {
+        // Polling may read the first bytes of a request, whose timeout ends before
+        // the timer does.
+        let progress = poll_fn(|cx| {
             if let Poll::Ready(ended) = connection.as_mut().poll(cx) {
                 return Poll::Ready(Some(ended));
             }
-            let due = watch.due(&limits).into();
+            let due = activity.close_at(&limits).into();
             if due < timer.deadline() {
                 timer.as_mut().reset(due);
             }
             timer.as_mut().poll(cx).map(|()| None)
         });
         tokio::select! {
-            stepped = step => {
-                if let Some(ended) = stepped {
+            polled = progress => {
+                if let Some(ended) = polled {
                     if let Err(error) = ended {
                         log::debug!(target: CALLERS, error = error.to_string().as_str();
                             "A caller's connection ended.");
                     }
                     return;
                 }
-                let due = watch.due(&limits);
+                let due = activity.close_at(&limits);
                 if due <= Instant::now() {
-                    // Nothing of a request was read whole: this cuts off nobody.
-                    log::debug!(target: CALLERS, reading = watch.reading.get().is_some();
-                        "A connection is closed for its limits.");
+                    // No complete request has been read, so none is lost.
+                    log::debug!(target: CALLERS, reading = activity.reading_since.get().is_some();
+                        "A connection timed out and is closed.");
                     return;
                 }
                 timer.as_mut().reset(due.into());
             }
             () = gateway.stop.closing(), if !closing => {
                 closing = true;
-                // hyper would wait for the first request of such a connection.
-                if !watch.used.get() && watch.reading.get().is_none() {
+                // hyper's graceful shutdown waits for a connection's first request.
+                if !activity.used.get() && activity.reading_since.get().is_none() {
                     return;
                 }
                 connection.as_mut().graceful_shutdown();
@@ -222,22 +223,22 @@
     }
 }
 
-/// Marks a request as being worked on for as long as it lives.
-struct Busy(Rc<Watch>);
+/// Counts a request as in progress until it is dropped.
+struct RequestGuard(Rc<Activity>);
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.ended();
+        self.0.finish_request();
     }
 }
 
-/// An answer's body; the connection is busy until it is sent or given up.
-struct Held {
-    out: Out,
-    _busy: Busy,
+/// An answer's body; its request is in progress until the body is dropped.
+struct GuardedBody {
+    body: Out,
+    _guard: RequestGuard,
 }
 
-impl Body for Held {
+impl Body for GuardedBody {
     type Data = Bytes;
     type Error = Broken;
 
@@ -245,29 +246,32 @@
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        Pin::new(&mut self.get_mut().out).poll_frame(cx)
+        Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.out.is_end_stream()
+        self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.out.size_hint()
+        self.body.size_hint()
     }
 }
 
-async fn work(
+async fn handle(
     gateway: Rc<Gateway>,
-    watch: Rc<Watch>,
+    activity: Rc<Activity>,
     request: Request<Incoming>,
-) -> Result<Response<Held>, Infallible> {
-    watch.began();
-    let busy = Busy(watch);
+) -> Result<Response<GuardedBody>, Infallible> {
+    activity.start_request();
+    let guard = RequestGuard(activity);
     let mut response = gateway.answer(request).await;
     if gateway.stop.is_stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    Ok(response.map(|out| Held { out, _busy: busy }))
+    Ok(response.map(|body| GuardedBody {
+        body,
+        _guard: guard,
+    }))
 }
--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -1,12 +1,12 @@
 //! Connections from this process to endpoints and to the store.
 //!
-//! One request runs on a connection at a time. Whoever sends gets the answer
-//! together with the connection, and gives it back once the answer was read to
-//! its end; one that is dropped instead is closed, which is how work that is no
-//! longer wanted is cancelled at its endpoint. What comes on an idle connection
-//! belongs to nobody: hyper closes it then.
+//! A connection carries one request at a time. The sender receives the answer
+//! together with the connection, and returns the connection to the pool after
+//! reading the answer to its end. Dropping the connection closes it, which cancels
+//! the request at its endpoint. hyper closes an idle connection on which
+//! unrequested data arrives.
 
-use hibiscusroad_platform::request::Request as Call;
+use hibiscusroad_platform::request::Request as PlatformRequest;
 use http_body_util::{Either, Full};
 use hyper::{
     Request, Response,
@@ -30,30 +30,29 @@
     time::timeout,
 };
 
-/// A connection that isn't there by then won't be: hosts are some milliseconds
-/// apart, and a lost first packet is sent again after a second.
-const CONNECT: Duration = Duration::from_millis(600);
-/// Bytes that were sent and not acknowledged for so long mean a host without
-/// power or behind a partition, which never answers.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
-/// Idle connections kept to one address. More are needed only in bursts.
-const KEPT: usize = 16;
-/// Idle connections are kept so long if the other side doesn't say: a trainer's
-/// steps are seconds apart, and each reuses the connections of the one before.
-const KEEP: Duration = Duration::from_secs(9);
+/// Timeout for opening a connection; shorter than the retransmission of a lost
+/// first packet, which takes a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// `TCP_USER_TIMEOUT`: data unacknowledged for this long means that the host is
+/// down or partitioned.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum number of idle connections to one address.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// How long an idle connection is kept if the server sends no keep-alive timeout;
+/// longer than the seconds between a trainer's steps.
+const DEFAULT_IDLE_TTL: Duration = Duration::from_secs(9);
 
-/// The body of a request: whole, or what was read of it and the rest as it
-/// comes.
-pub(super) type Sent = Either<Full<Bytes>, Rest>;
+/// The body of a request: complete, or partly read.
+pub(super) type RequestBody = Either<Full<Bytes>, PartialBody>;
 
-/// A body of which the first part was read.
+/// A body whose first part has been read.
 #[derive(Debug)]
-pub(super) struct Rest {
+pub(super) struct PartialBody {
     pub(super) first: Option<Bytes>,
     pub(super) rest: Incoming,
 }
 
-impl Body for Rest {
+impl Body for PartialBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -83,70 +82,70 @@
     }
 }
 
-/// Wraps bytes as a request's body.
-pub(super) fn whole(body: Bytes) -> Sent {
+/// Builds a request body from bytes.
+pub(super) fn full_body(body: Bytes) -> RequestBody {
     Either::Left(Full::new(body))
 }
 
-/// Makes an HTTP request of a call that the platform's crate described.
+/// Converts a request of the platform crate to an HTTP request.
 ///
 /// # Errors
 ///
-/// Returns an error if the call holds what HTTP can't carry.
+/// Returns an error if the target or a header is invalid in HTTP.
 pub(super) fn encode(
-    call: &Call,
+    request: &PlatformRequest,
     address: SocketAddr,
-) -> Result<Request<Sent>, hyper::http::Error> {
-    let mut request = Request::builder()
-        .method(call.method)
-        .uri(call.target.as_str())
+) -> Result<Request<RequestBody>, hyper::http::Error> {
+    let mut http = Request::builder()
+        .method(request.method)
+        .uri(request.target.as_str())
         .header("host", address.to_string());
-    for (name, value) in &call.headers {
-        request = request.header(name.as_ref(), value);
+    for (name, value) in &request.headers {
+        http = http.header(name.as_ref(), value);
     }
-    request.body(whole(call.body.clone().into()))
+    http.body(full_body(request.body.clone().into()))
 }
 
-/// Why no connection could be had.
+/// Why no connection is available.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Unreached {
-    /// It was not there in time.
-    #[error("no connection in time")]
-    Late,
-    /// The system can't connect.
+    /// Connecting timed out.
+    #[error("connecting timed out")]
+    Timeout,
+    /// The system reported an error.
     #[error("{0}")]
     Connect(#[from] io::Error),
-    /// It was closed before anything was sent.
+    /// The connection closed before anything was sent.
     #[error("{0}")]
     Closed(hyper::Error),
 }
 
 impl Unreached {
-    /// Says whether nobody listens at the address, as after the end of a process.
+    /// Returns whether the connection was refused, as after the end of a process.
     pub(super) fn is_refusal(&self) -> bool {
         matches!(self, Self::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// Why no answer came.
+/// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Fault {
-    /// No connection could be had, or it was closed before anything was sent.
-    #[error("not reached: {0}")]
+    /// There was no connection, or it closed before anything was sent.
+    #[error("connection failed: {0}")]
     Unreached(Unreached),
-    /// The request was sent, at least in part.
-    #[error("broken: {0}")]
+    /// The connection broke after at least part of the request was sent.
+    #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
 impl Fault {
-    /// Says whether nothing of the request can have arrived.
-    pub(super) const fn unsent(&self) -> bool {
+    /// Returns whether no part of the request was sent.
+    pub(super) const fn is_unsent(&self) -> bool {
         matches!(self, Self::Unreached(_))
     }
 }
 
-/// The task that drives a connection; dropped, it closes it.
+/// The task that drives a connection; dropping it closes the connection.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -156,24 +155,24 @@
     }
 }
 
-/// A connection on which one request runs.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub(super) struct Channel {
-    sender: SendRequest<Sent>,
+    sender: SendRequest<RequestBody>,
     _driver: Driver,
     address: SocketAddr,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleChannel {
     channel: Channel,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Connections to many addresses, kept while they are of use.
+/// A pool of connections to many addresses.
 #[derive(Debug, Default)]
 pub(super) struct Channels {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleChannel>>>,
     opened: Cell<u64>,
 }
 
@@ -182,8 +181,8 @@
         Self::default()
     }
 
-    /// Returns how many connections were opened.
-    pub(super) fn opened(&self) -> u64 {
+    /// Returns the number of connections opened so far.
+    pub(super) fn opened_count(&self) -> u64 {
         self.opened.get()
     }
 
@@ -191,30 +190,32 @@
     pub(super) async fn send(
         &self,
         address: SocketAddr,
-        request: Request<Sent>,
+        request: Request<RequestBody>,
     ) -> Result<(Response<Incoming>, Channel), Fault> {
         self.send_noting(address, request, || {}).await
     }
 
-    /// Sends a request and waits for the head of its answer; calls `sent` when it goes
-    /// out on an open connection, again if that one had just been closed.
+    /// Sends a request and waits for the head of its answer.
+    ///
+    /// Calls `on_send` before each send on an open connection. There is a second
+    /// send if a pooled connection turns out to be closed.
     pub(super) async fn send_noting(
         &self,
         address: SocketAddr,
-        mut request: Request<Sent>,
-        mut sent: impl FnMut(),
+        mut request: Request<RequestBody>,
+        mut on_send: impl FnMut(),
     ) -> Result<(Response<Incoming>, Channel), Fault> {
         loop {
-            let (mut channel, kept) = match self.take(address) {
+            let (mut channel, pooled) = match self.take_idle(address) {
                 Some(channel) => (channel, true),
                 None => (self.open(address).await?, false),
             };
-            sent();
+            on_send();
             match channel.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, channel)),
                 Err(mut error) => match error.take_message() {
-                    // A kept connection was closed meanwhile: nothing was sent.
-                    Some(back) if kept => request = back,
+                    // A pooled connection had been closed: nothing was sent.
+                    Some(unsent) if pooled => request = unsent,
                     Some(_) => {
                         let closed = Unreached::Closed(error.into_error());
                         return Err(Fault::Unreached(closed));
@@ -225,28 +226,31 @@
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
-    pub(super) fn give_back(&self, channel: Channel, keep: Option<Duration>) {
+    /// Returns a connection to the pool after its answer was read to the end.
+    pub(super) fn give_back(&self, channel: Channel, keep_alive: Option<Duration>) {
         if channel.sender.is_closed() {
             return;
         }
-        let keep = keep.map_or(KEEP, |told| told.mul_f64(0.8));
-        let until = Instant::now() + keep;
+        let idle_ttl = keep_alive.map_or(DEFAULT_IDLE_TTL, |timeout| timeout.mul_f64(0.8));
+        let expires_at = Instant::now() + idle_ttl;
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(channel.address).or_default();
         kept.retain(|idle| !idle.channel.sender.is_closed());
-        if kept.len() < KEPT {
-            kept.push(Idle { channel, until });
+        if kept.len() < MAX_IDLE_CONNECTIONS {
+            kept.push(IdleChannel {
+                channel,
+                expires_at,
+            });
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Channel> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Channel> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
-        // The one that was used last is the least likely to have been closed.
+        // The most recently used one is the least likely to have been closed.
         while let Some(found) = kept.pop() {
-            if now < found.until && found.channel.sender.is_ready() {
+            if now < found.expires_at && found.channel.sender.is_ready() {
                 return Some(found.channel);
             }
         }
@@ -255,19 +259,19 @@
 
     async fn open(&self, address: SocketAddr) -> Result<Channel, Fault> {
         self.opened.set(self.opened.get() + 1);
-        let unreached = |error: io::Error| Fault::Unreached(Unreached::Connect(error));
-        let stream = timeout(CONNECT, TcpStream::connect(address))
+        let connect_error = |error: io::Error| Fault::Unreached(Unreached::Connect(error));
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_elapsed| Fault::Unreached(Unreached::Late))?
-            .map_err(unreached)?;
-        stream.set_nodelay(true).map_err(unreached)?;
+            .map_err(|_elapsed| Fault::Unreached(Unreached::Timeout))?
+            .map_err(connect_error)?;
+        stream.set_nodelay(true).map_err(connect_error)?;
         SockRef::from(&stream)
-            .set_tcp_user_timeout(Some(UNACKNOWLEDGED))
-            .map_err(unreached)?;
+            .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
+            .map_err(connect_error)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let driver = Driver(spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!(target: crate::logs::CALLS, "A connection to {address} ended: {error}.");
+                log::debug!(target: crate::logs::CALLS, "A connection to {address} failed: {error}.");
             }
         }));
         Ok(Channel {
--- a/hibiscusroad-daemon/src/gateway/looks.rs
+++ b/hibiscusroad-daemon/src/gateway/looks.rs
@@ -54,7 +54,7 @@
 
     /// Brings what is known up to what the store has at `since` or later; `false` if the
     /// store doesn't tell.
-    pub(super) async fn bring_up(&self, since: Instant) -> bool {
+    pub(super) async fn refresh_since(&self, since: Instant) -> bool {
         let mut last = self.last.lock().await;
         if let Some(look) = last.filter(|look| look.began >= since) {
             return look.told;
--- a/hibiscusroad-daemon/src/gateway/meters.rs
+++ b/hibiscusroad-daemon/src/gateway/meters.rs
@@ -222,8 +222,13 @@
         Ok(text)
     }
 
-    /// Notes how a caller's request ended, and after which time.
-    pub(super) fn answered(&self, status: StatusCode, problem: Option<&str>, took: Duration) {
+    /// Counts a response to a caller and records its latency.
+    pub(super) fn record_response(
+        &self,
+        status: StatusCode,
+        problem: Option<&str>,
+        elapsed: Duration,
+    ) {
         let class = match status.as_u16() {
             200..=299 => "2xx",
             300..=399 => "3xx",
@@ -233,6 +238,6 @@
         self.answers
             .with_label_values(&[problem.unwrap_or(class)])
             .inc();
-        self.answer_seconds.observe(took.as_secs_f64());
+        self.answer_seconds.observe(elapsed.as_secs_f64());
     }
 }
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -105,7 +105,7 @@
 /// All parts of a gateway.
 struct Gateway {
     known: Rc<Known>,
-    looks: Looks,
+    refresher: Looks,
     line: Line,
     store: Rc<Store>,
     batches: Rc<Batches>,
@@ -224,7 +224,7 @@
         let hearer = Weak::clone(gateway);
         let members = Rc::new(Members::new(Rc::clone(&counts), move |news| {
             if let Some(gateway) = hearer.upgrade() {
-                gateway.line.calls.roster(news);
+                gateway.line.calls.apply_roster(news);
                 gateway.line.crashes.roster(news);
                 gateway.batches.roster(news);
                 gateway.weights.roster(news);
@@ -272,10 +272,10 @@
             meters: Rc::clone(&counts),
         };
         let weights = Rc::new(Weights::new(own.fences, parts));
-        let looks = Looks::new(Rc::clone(&store), Rc::clone(&known), calls);
+        let refresher = Looks::new(Rc::clone(&store), Rc::clone(&known), calls);
         Gateway {
             known,
-            looks,
+            refresher,
             line,
             store,
             batches,
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -1,13 +1,13 @@
-//! What a caller's request is, and who answers it.
+//! Checks callers' requests against the configuration and dispatches them.
 
 use super::{
     Gateway,
     answer::{Out, problem, whole},
-    attempt::{Head, set, strip, text},
+    attempt::{Head, set, strip_hop_by_hop, text},
     calls::drawn_service,
     forward::{Content, Forward},
-    http::Rest,
-    respond::answered,
+    http::PartialBody,
+    respond::run_for_caller,
     subject::Subject,
 };
 use crate::logs::CALLS;
@@ -30,56 +30,55 @@
     time::{Duration, Instant},
 };
 
-/// Bodies up to this size are read whole, so that they can be sent again. One
-/// of 33 MB would be a fifth of a small host's memory.
-const WHOLE: usize = 256 << 10;
-/// Submissions are read whole in any case: a thousand items of 1 KiB each, three
-/// times over for their encoding.
-const SUBMISSION: usize = 8 << 20;
-/// Bytes of a refused body that are read at most, and for how long: enough for
-/// a body that is somewhat too large, and no burden.
-const SKIPPED: usize = 4 << 20;
-const SKIPPING: Duration = Duration::from_millis(500);
-/// How long a caller waits who names no deadline.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// When callers come back to a process that knows nothing yet: it asks the
-/// store several times a second.
-const UNKNOWING: Duration = Duration::from_millis(300);
+/// Bodies up to this size are buffered, so that attempts can be repeated; larger
+/// ones are passed on as they arrive and sent once.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Maximum size of a submission, which is always buffered.
+const MAX_SUBMISSION_BYTES: usize = 8 << 20;
+/// Maximum number of bytes to discard of a body that is too large.
+const MAX_DISCARDED_BYTES: usize = 4 << 20;
+/// Maximum time to spend discarding a body that is too large.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a request without a deadline header.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The `Retry-After` value while the process lacks a configuration or is stopping.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What a request is for.
+/// What a request addresses.
 enum Target<'a> {
-    /// A batch that was accepted before.
+    /// A batch that was accepted earlier.
     Batch(batch::BatchRequest),
+    /// A route of the configuration.
     Route(&'a Route),
 }
 
-/// A request that the configuration allows.
+/// The target and account of a request that the configuration allows.
 struct Permitted<'a> {
     target: Target<'a>,
     account: Option<&'a Account>,
 }
 
 impl Gateway {
-    /// Answers a caller's request, and counts it.
+    /// Answers a caller's request and records it in the metrics.
     pub(super) async fn answer(self: &Rc<Self>, request: Request<Incoming>) -> Response<Out> {
         let now = Instant::now();
         let response = self.respond(now, request).await;
         let problem = response.extensions().get::<ErrorKind>();
         let problem = problem.map(|kind| kind.answer().problem);
         self.meters
-            .answered(response.status(), problem, now.elapsed());
+            .record_response(response.status(), problem, now.elapsed());
         response
     }
 
     async fn respond(self: &Rc<Self>, now: Instant, request: Request<Incoming>) -> Response<Out> {
         let (parts, body) = request.into_parts();
-        let catalog = match self.judged(now, &parts).await {
+        let catalog = match self.authorizing_catalog(now, &parts).await {
             Ok(catalog) => catalog,
-            Err(kind) => return problem(kind, UNKNOWING),
+            Err(kind) => return problem(kind, UNAVAILABLE_RETRY_DELAY),
         };
-        let Permitted { target, account } = match self.permitted(now, &catalog, &parts) {
+        let Permitted { target, account } = match self.authorize(now, &catalog, &parts) {
             Ok(permitted) => permitted,
-            Err(kind) => return problem(kind, UNKNOWING),
+            Err(kind) => return problem(kind, UNAVAILABLE_RETRY_DELAY),
         };
         let route = match target {
             Target::Route(route) => route,
@@ -101,12 +100,12 @@
             Ok(deadline) => deadline,
             Err(kind) => return problem(kind, Duration::ZERO),
         };
-        let content = match content(body, catalog.limits, deadline).await {
+        let content = match read_content(body, catalog.limits, deadline).await {
             Ok(content) => content,
             Err(kind) => return problem(kind, Duration::ZERO),
         };
         let Some(service) = drawn_service(route) else {
-            return problem(ErrorKind::NoEndpoint, UNKNOWING);
+            return problem(ErrorKind::NoEndpoint, UNAVAILABLE_RETRY_DELAY);
         };
         let tokens = text(&parts.headers, header::TOKENS).and_then(header::parse_tokens);
         let head = head(parts, id, deadline, &catalog, account);
@@ -114,45 +113,49 @@
             service: service.to_owned(),
             class: class(route),
             kind: route.kind,
-            attempts: route.max_attempts,
+            max_attempts: route.max_attempts,
             tokens: tokens.unwrap_or(0),
             subject: Subject::new(&head, head.account.as_deref(), &content),
             content,
             head: Rc::new(head),
         };
-        answered(&self.line, request).await
+        run_for_caller(&self.line, request).await
     }
 
-    /// Returns the configuration that a request is judged by: the one that is known, if
-    /// that allows it, else the one that the store has now.
+    /// Returns a configuration that allows the request: the known one, or else the
+    /// one that is now in the store.
     ///
     /// # Errors
     ///
-    /// Returns the kind of the refusal of a request that isn't allowed, or of which
-    /// nobody can say now whether it is.
-    async fn judged(&self, now: Instant, parts: &Parts) -> Result<Rc<Catalog>, ErrorKind> {
+    /// Returns the kind of the refusal if neither allows the request, or
+    /// [`ErrorKind::NoConfig`] if the store can't be read.
+    async fn authorizing_catalog(
+        &self,
+        now: Instant,
+        parts: &Parts,
+    ) -> Result<Rc<Catalog>, ErrorKind> {
         let known = self.known.catalog().ok_or(ErrorKind::NoConfig)?;
-        if self.permitted(now, &known, parts).is_ok() {
+        if self.authorize(now, &known, parts).is_ok() {
             return Ok(known);
         }
-        let told = self.looks.bring_up(now).await;
+        let refreshed = self.refresher.refresh_since(now).await;
         let catalog = self.known.catalog().ok_or(ErrorKind::NoConfig)?;
-        let Err(kind) = self.permitted(Instant::now(), &catalog, parts) else {
+        let Err(kind) = self.authorize(Instant::now(), &catalog, parts) else {
             return Ok(catalog);
         };
         let id = text(&parts.headers, header::REQUEST);
         log::info!(target: CALLS, id = id, path = parts.uri.path(), kind = kind.answer().problem,
-            version = catalog.version, current = told;
+            version = catalog.version, current = refreshed;
             "A request is not allowed by the configuration that is known.");
-        Err(if told { kind } else { ErrorKind::NoConfig })
+        Err(if refreshed { kind } else { ErrorKind::NoConfig })
     }
 
-    /// Finds what a request is for, and for which account.
+    /// Finds the target and the account of a request.
     ///
     /// # Errors
     ///
     /// Returns the kind of the refusal if the configuration doesn't allow it.
-    fn permitted<'a>(
+    fn authorize<'a>(
         &self,
         now: Instant,
         catalog: &'a Catalog,
@@ -171,9 +174,9 @@
             Target::Route(route) => route.public,
         };
         let values = parts.headers.get_all(header::AUTHORIZATION).iter();
-        let shown = header::parse_credential(values.map(HeaderValue::as_bytes));
-        let account = catalog.admit(public, shown)?;
-        // A key may have been taken away since the configuration was confirmed.
+        let credential = header::parse_credential(values.map(HeaderValue::as_bytes));
+        let account = catalog.admit(public, credential)?;
+        // The key may have been revoked since the configuration was confirmed.
         if account.is_some() && self.known.is_expired(now) {
             return Err(ErrorKind::NoConfig);
         }
@@ -192,17 +195,17 @@
         if parts.method != hyper::Method::POST {
             return problem(ErrorKind::BadMethod, Duration::ZERO);
         }
-        let most = limits.body_bytes.min(SUBMISSION);
-        let body = match read(body, most).await {
+        let max_bytes = limits.body_bytes.min(MAX_SUBMISSION_BYTES);
+        let body = match read(body, max_bytes).await {
             Ok((body, None)) => body,
             Ok((_, Some(rest))) => {
-                skip(rest).await;
+                discard(rest).await;
                 return problem(ErrorKind::BodyTooLarge, Duration::ZERO);
             }
             Err(kind) => return problem(kind, Duration::ZERO),
         };
         if self.stop.is_stopping() {
-            return problem(ErrorKind::Stopping, UNKNOWING);
+            return problem(ErrorKind::Stopping, UNAVAILABLE_RETRY_DELAY);
         }
         let path = parts.uri.path();
         self.batches.submit(id, path, route, account, body).await
@@ -214,19 +217,22 @@
     Some(host.split_once(':').map_or(host, |(name, _)| name))
 }
 
-/// The earliest of what the caller, the operator and common sense allow.
+/// Returns the earlier of the caller's deadline and the route's timeout.
 fn deadline(now: Instant, headers: &HeaderMap, route: &Route) -> Result<Instant, ErrorKind> {
-    let told = match text(headers, header::DEADLINE) {
+    let requested = match text(headers, header::DEADLINE) {
         Some(ms) => {
-            let ms: f64 = ms.trim().parse().map_err(|_odd| ErrorKind::BadDeadline)?;
-            Duration::try_from_secs_f64(ms / 1000.0).map_err(|_odd| ErrorKind::BadDeadline)?
+            let ms: f64 = ms
+                .trim()
+                .parse()
+                .map_err(|_invalid| ErrorKind::BadDeadline)?;
+            Duration::try_from_secs_f64(ms / 1000.0).map_err(|_invalid| ErrorKind::BadDeadline)?
         }
-        None => PATIENCE,
+        None => DEFAULT_TIMEOUT,
     };
-    Ok(now + told.min(route.timeout.unwrap_or(told)))
+    Ok(now + requested.min(route.timeout.unwrap_or(requested)))
 }
 
-/// Callers of routes that rank high wait in person; the others are systems.
+/// Returns the class of a route: a person waits on all routes but those of rollouts.
 const fn class(route: &Route) -> Class {
     match route.kind {
         Kind::Rollout => Class::Rollout,
@@ -241,7 +247,7 @@
     catalog: &Catalog,
     account: Option<&Account>,
 ) -> Head {
-    strip(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     if catalog.has_accounts() {
         let name = account.map(|account| account.name.as_str());
         name_account(&mut parts.headers, name);
@@ -256,8 +262,8 @@
     }
 }
 
-/// Names the account that a request is for, whatever its caller said of that, and takes
-/// out the key: an endpoint that had it could act for the account.
+/// Sets the account header, replacing any value from the caller, and removes the
+/// credential: an endpoint that had it could act for the account.
 pub(super) fn name_account(headers: &mut HeaderMap, account: Option<&str>) {
     headers.remove(AUTHORIZATION);
     headers.remove(header::ACCOUNT);
@@ -266,7 +272,7 @@
     }
 }
 
-/// Builds the head of a request that this process makes itself.
+/// Builds the head of a request that this process originates.
 pub(super) fn own_head(
     host: &str,
     path: &str,
@@ -286,55 +292,65 @@
     })
 }
 
-async fn content(body: Incoming, limits: Limits, deadline: Instant) -> Result<Content, ErrorKind> {
+async fn read_content(
+    body: Incoming,
+    limits: Limits,
+    deadline: Instant,
+) -> Result<Content, ErrorKind> {
     if body.size_hint().lower() > limits.body_bytes as u64 {
-        skip(body).await;
+        discard(body).await;
         return Err(ErrorKind::BodyTooLarge);
     }
-    let whole = WHOLE.min(limits.body_bytes);
-    let read = tokio::time::timeout_at(deadline.into(), read(body, whole));
+    let max_bytes = MAX_BUFFERED_BYTES.min(limits.body_bytes);
+    let read = tokio::time::timeout_at(deadline.into(), read(body, max_bytes));
     let (first, rest) = read.await.map_err(|_elapsed| ErrorKind::Expired)??;
     Ok(match rest {
         None => Content::Whole(first),
-        Some(rest) => Content::Once(Some(Box::new(Rest {
+        Some(rest) => Content::Once(Some(Box::new(PartialBody {
             first: Some(first),
             rest,
         }))),
     })
 }
 
-/// Reads some of a body that nobody wants: a connection that is closed with
-/// bytes unread is reset, and its caller never sees the answer.
-async fn skip(mut body: Incoming) {
+/// Reads and discards part of a refused body: closing a connection with unread
+/// bytes resets it, and the caller would not see the answer.
+async fn discard(mut body: Incoming) {
     let mut length = 0;
     let reading = async {
         while let Some(Ok(frame)) = body.frame().await {
             length += frame.data_ref().map_or(0, Bytes::len);
-            if length > SKIPPED {
+            if length > MAX_DISCARDED_BYTES {
                 return;
             }
         }
     };
-    if tokio::time::timeout(SKIPPING, reading).await.is_err() {
-        log::debug!(target: CALLS, "A body that is too large came slowly; the rest is cut off.");
+    if tokio::time::timeout(DISCARD_TIMEOUT, reading)
+        .await
+        .is_err()
+    {
+        log::debug!(target: CALLS, "Discarding a body that is too large timed out.");
     }
 }
 
-/// Reads a body up to `most` bytes; returns the rest if it is longer.
-async fn read(mut body: Incoming, most: usize) -> Result<(Bytes, Option<Incoming>), ErrorKind> {
+/// Reads a body; one longer than `max_bytes` is read in part, and the rest is returned.
+async fn read(
+    mut body: Incoming,
+    max_bytes: usize,
+) -> Result<(Bytes, Option<Incoming>), ErrorKind> {
     let mut parts = VecDeque::new();
     let mut length = 0;
-    while length <= most {
+    while length <= max_bytes {
         let Some(frame) = body.frame().await else {
-            let whole = match parts.len() {
+            let body = match parts.len() {
                 1 => parts.pop_front().unwrap_or_default(),
                 _ => parts.into_iter().flatten().collect(),
             };
-            return Ok((whole, None));
+            return Ok((body, None));
         };
         let frame = frame.map_err(|error| {
             log::info!(target: CALLS, error = error.to_string().as_str();
-                "A request's body is not whole.");
+                "Reading the body of a request failed.");
             ErrorKind::BadBody
         })?;
         if let Ok(data) = frame.into_data() {
@@ -345,7 +361,7 @@
     Ok((parts.into_iter().flatten().collect(), Some(body)))
 }
 
-/// Answers the balancer: whether this process takes callers.
+/// Answers the load balancer's readiness check.
 pub(super) fn readiness(gateway: &Gateway) -> Response<Out> {
     let ready = gateway.known.catalog().is_some() && !gateway.stop.is_stopping();
     let status = if ready {
--- a/hibiscusroad-daemon/src/gateway/respond.rs
+++ b/hibiscusroad-daemon/src/gateway/respond.rs
@@ -1,11 +1,11 @@
-//! The answer of a request that was run, as its caller gets it.
+//! Runs a request and builds the response for its caller.
 
 use super::{
     answer::{Flow, Out, problem, whole},
     attempt::{Answer, Head, Line, Received, text},
     calls::Ticket,
-    forward::{Ended, Forward, ended},
-    resume::{Again, resumed},
+    forward::{Ended, Forward, run_to_end},
+    resume::{ResumableRequest, resumed},
 };
 use crate::logs::CALLS;
 use hibiscusroad::{ErrorKind, clock::millis, route::EndpointKey};
@@ -15,18 +15,18 @@
     time::{Duration, Instant},
 };
 
-/// Runs a request and returns its answer for the caller.
-pub(super) async fn answered(line: &Line, request: Forward) -> Response<Out> {
+/// Runs a request and returns the response for its caller.
+pub(super) async fn run_for_caller(line: &Line, request: Forward) -> Response<Out> {
     let head = Rc::clone(&request.head);
-    let again = Again::of(&request);
+    let resumable = ResumableRequest::of(&request);
     let (start, service) = (Instant::now(), request.service.clone());
-    match ended(line, request).await {
-        Ended::Answer(answer, more) => {
+    match run_to_end(line, request).await {
+        Ended::Answer(answer, run) => {
             log::info!(target: CALLS, id = head.id.as_str(), service = service.as_str(),
                 endpoint = &*answer.endpoint, status = answer.status.as_u16(),
-                streams = more.is_some(), took_ms = millis(start.elapsed());
+                streams = run.is_some(), took_ms = millis(start.elapsed());
                 "A request is answered.");
-            respond(line, &head, *answer, more, again)
+            build_response(line, &head, *answer, run, resumable)
         }
         Ended::Refused(kind, after) => {
             log::info!(target: CALLS, id = head.id.as_str(), kind = kind.answer().problem,
@@ -36,21 +36,23 @@
     }
 }
 
-fn respond(
+/// Builds the response from an endpoint's answer; `run` is set if its body is still
+/// arriving.
+fn build_response(
     line: &Line,
     head: &Head,
     answer: Answer,
-    more: Option<(Ticket, EndpointKey)>,
-    again: Option<Again>,
+    run: Option<(Ticket, EndpointKey)>,
+    resumable: Option<ResumableRequest>,
 ) -> Response<Out> {
-    let mut response = match (answer.body, more) {
+    let mut response = match (answer.body, run) {
         (Received::Whole(body), _) => whole(answer.status, "", body),
-        (Received::Flow(flowing), Some(place)) => {
-            let (first, rest, guard) = flowing.split(line, place, head, &answer.headers);
-            let events = text(&answer.headers, CONTENT_TYPE.as_str())
-                .is_some_and(|kind| kind.starts_with("text/event-stream"));
-            let body = match again.filter(|_| events && first.is_empty()) {
-                Some(again) => Out::Resumed(resumed(line, again, rest, guard)),
+        (Received::Flow(flowing), Some(run)) => {
+            let (first, rest, guard) = flowing.split(line, run, head, &answer.headers);
+            let is_event_stream = text(&answer.headers, CONTENT_TYPE.as_str())
+                .is_some_and(|value| value.starts_with("text/event-stream"));
+            let body = match resumable.filter(|_| is_event_stream && first.is_empty()) {
+                Some(request) => Out::Resumed(resumed(line, request, rest, guard)),
                 None => Out::Flow(Box::new(Flow { first, rest, guard })),
             };
             let mut response = Response::new(body);
--- a/hibiscusroad-daemon/src/gateway/resume.rs
+++ b/hibiscusroad-daemon/src/gateway/resume.rs
@@ -1,19 +1,17 @@
-//! A stream that goes on at another endpoint when its own breaks off.
+//! Resumes an event stream at another endpoint when its connection breaks.
 //!
-//! Where the route allows it, an endpoint that is asked with the number of the last
-//! event goes on behind it. So the caller's answer need not end with the endpoint
-//! that began it: whole events are passed on as they come, and behind the last one
-//! the request is run again, as often as the route allows. The caller sees one
-//! answer, with the head of the first endpoint.
+//! On resumable routes an endpoint continues after the event number that the
+//! request names. Complete events are passed on as they arrive, and the request is
+//! repeated after the last one, within the attempts of the route. The caller sees
+//! one answer, with the head of the first endpoint's.
 //!
-//! An event of which only a part came is not passed on: it comes whole from the
-//! next endpoint. The price is that an event leaves here when its last byte has
-//! come, not its first. Dropped, the stream drops what runs for it.
+//! A partial event is not passed on, since the next endpoint sends it again; the
+//! cost is that an event is delayed until its last byte has arrived.
 
 use super::{
     answer::{Broken, Resumed},
     attempt::{Answer, Guard, Head, Line, Received, set},
-    forward::{Content, Ended, Forward, ended},
+    forward::{Content, Ended, Forward, run_to_end},
     subject::Subject,
 };
 use crate::logs::CALLS;
@@ -24,9 +22,9 @@
 use hyper::body::{Bytes, Incoming};
 use std::{collections::VecDeque, rc::Rc, time::Instant};
 
-/// What it takes to run a request again.
+/// What is needed to repeat a streaming request.
 #[derive(Clone)]
-pub(super) struct Again {
+pub(super) struct ResumableRequest {
     head: Rc<Head>,
     subject: Rc<Subject>,
     body: Bytes,
@@ -34,12 +32,12 @@
     class: Class,
     kind: Kind,
     tokens: u32,
-    /// Runs that are left.
-    left: u32,
+    /// Number of runs left.
+    runs_left: u32,
 }
 
-impl Again {
-    /// Keeps what is needed of a request; `None` if it can't be run again.
+impl ResumableRequest {
+    /// Copies what is needed of a request; `None` if it can't be resumed.
     pub(super) fn of(request: &Forward) -> Option<Self> {
         let (Kind::Stream { resumable: true }, Content::Whole(body)) =
             (request.kind, &request.content)
@@ -54,13 +52,13 @@
             class: request.class,
             kind: request.kind,
             tokens: request.tokens,
-            left: request.attempts.saturating_sub(1),
+            runs_left: request.max_attempts.saturating_sub(1),
         })
     }
 
-    /// Describes the run behind an event.
-    fn forward(&mut self, last: Option<u64>) -> Option<Forward> {
-        self.left = self.left.checked_sub(1)?;
+    /// Builds the request that continues after an event; `None` if no run is left.
+    fn next_run(&mut self, last: Option<u64>) -> Option<Forward> {
+        self.runs_left = self.runs_left.checked_sub(1)?;
         let mut head = (*self.head).clone();
         if let Some(last) = last {
             set(&mut head.headers, header::LAST_EVENT, &last.to_string());
@@ -72,29 +70,34 @@
             service: self.service.clone(),
             class: self.class,
             kind: self.kind,
-            attempts: self.left + 1,
+            max_attempts: self.runs_left + 1,
             tokens: self.tokens,
         })
     }
 }
 
-/// A stream under way.
+/// The state of a stream that is being passed on.
 struct State {
     line: Line,
-    again: Again,
+    request: ResumableRequest,
     events: EventDecoder,
-    /// The last event that was passed on.
+    /// Number of the last event that was passed on.
     last: Option<u64>,
     ready: VecDeque<Bytes>,
-    /// Where events come from; nothing more comes without it.
+    /// The body that events are read from; `None` after the end of the stream.
     source: Option<(Incoming, Guard)>,
 }
 
-/// Passes a stream on, and goes on with it elsewhere when it breaks off.
-pub(super) fn resumed(line: &Line, again: Again, rest: Incoming, guard: Guard) -> Resumed {
+/// Passes a stream on and resumes it at another endpoint when it breaks.
+pub(super) fn resumed(
+    line: &Line,
+    request: ResumableRequest,
+    rest: Incoming,
+    guard: Guard,
+) -> Resumed {
     let state = State {
         line: line.clone(),
-        again,
+        request,
         events: EventDecoder::new(),
         last: None,
         ready: VecDeque::new(),
@@ -107,21 +110,21 @@
 }
 
 impl State {
-    /// Returns the next whole event, an error where the stream breaks off for good,
-    /// and `None` behind its end.
+    /// Returns the next complete event, an error if the stream can't be resumed, and
+    /// `None` after its end.
     async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Some(Ok(event));
             }
             let (rest, guard) = self.source.as_mut()?;
-            let broke = match rest.frame().await {
+            let is_broken = match rest.frame().await {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
                     self.events.push(&data);
-                    !self.take_whole()
+                    !self.take_events()
                 }
                 None if self.events.is_at_boundary() => {
                     guard.complete();
@@ -130,18 +133,18 @@
                 }
                 None => true,
                 Some(Err(error)) => {
-                    guard.failed(&error);
+                    guard.record_error(&error);
                     true
                 }
             };
-            if broke && !self.go_on().await {
+            if is_broken && !self.resume().await {
                 return Some(Err(Broken));
             }
         }
     }
 
-    /// Takes all whole events; `false` if one doesn't follow the last.
-    fn take_whole(&mut self) -> bool {
+    /// Queues all complete events; returns `false` if one is malformed or out of order.
+    fn take_events(&mut self) -> bool {
         loop {
             match self.events.next_raw() {
                 Ok(Some((number, bytes))) => {
@@ -152,46 +155,46 @@
                     self.ready.push_back(bytes.into());
                 }
                 Ok(None) => return true,
-                Err(_garbled) => return false,
+                Err(_malformed) => return false,
             }
         }
     }
 
-    /// Finds another endpoint behind the last event.
-    async fn go_on(&mut self) -> bool {
-        let id = self.again.head.id.clone();
+    /// Continues after the last event at another endpoint; returns whether it succeeded.
+    async fn resume(&mut self) -> bool {
+        let id = self.request.head.id.clone();
         if let Some((_, mut guard)) = self.source.take() {
-            guard.broke("its events end or don't follow");
+            guard.abort("the event stream ended early or is out of order");
         }
         self.events = EventDecoder::new();
-        while Instant::now() < self.again.head.deadline {
-            let Some(request) = self.again.forward(self.last) else {
+        while Instant::now() < self.request.head.deadline {
+            let Some(forward) = self.request.next_run(self.last) else {
                 break;
             };
-            let head = Rc::clone(&request.head);
-            match ended(&self.line, request).await {
-                Ended::Answer(answer, Some(place)) if answer.status.is_success() => {
+            let head = Rc::clone(&forward.head);
+            match run_to_end(&self.line, forward).await {
+                Ended::Answer(answer, Some(run)) if answer.status.is_success() => {
                     let Answer { headers, body, .. } = *answer;
                     let Received::Flow(flowing) = body else {
                         break;
                     };
-                    let (first, rest, guard) = flowing.split(&self.line, place, &head, &headers);
+                    let (first, rest, guard) = flowing.split(&self.line, run, &head, &headers);
                     for part in first {
                         self.events.push(&part);
                     }
                     self.source = Some((rest, guard));
                     log::info!(target: CALLS, id = id.as_str(), after:? = self.last,
-                        left = self.again.left; "A stream goes on at another endpoint.");
+                        left = self.request.runs_left; "A stream is resumed at another endpoint.");
                     return true;
                 }
                 Ended::Answer(answer, _) => {
                     log::info!(target: CALLS, id = id.as_str(), after:? = self.last,
-                        status = answer.status.as_u16(); "A stream can't go on there.");
+                        status = answer.status.as_u16(); "An endpoint did not resume a stream.");
                 }
                 Ended::Refused(kind, after) => {
                     log::info!(target: CALLS, id = id.as_str(), after:? = self.last,
                         kind = kind.answer().problem, after_ms = millis(after);
-                        "A stream can't go on.");
+                        "A stream can't be resumed.");
                     break;
                 }
             }
--- a/hibiscusroad-daemon/src/gateway/stopping.rs
+++ b/hibiscusroad-daemon/src/gateway/stopping.rs
@@ -57,7 +57,7 @@
     }
 
     /// Counts a connection until the value that is returned is dropped.
-    pub(super) fn hold(&self) -> Open {
+    pub(super) fn track_connection(&self) -> Open {
         self.open.set(self.open.get() + 1);
         Open {
             open: Rc::clone(&self.open),
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -199,7 +199,7 @@
             .paced(wire::transaction_request(change), &self.writes)
             .await
         {
-            Ok((status, body)) => wire::decode_commit(status, &body).map_err(Failure::Odd),
+            Ok((status, body)) => wire::decode_commit(status, &body).map_err(Failure::Unexpected),
             Err(failure) => Err(failure),
         };
         match answer {
--- a/hibiscusroad-daemon/src/gateway/subject.rs
+++ b/hibiscusroad-daemon/src/gateway/subject.rs
@@ -1,4 +1,4 @@
-//! A request as all its repeats have it.
+//! The parts of a request that identify it across repeats.
 
 use super::{
     attempt::{Head, text},
@@ -14,16 +14,16 @@
     rc::Rc,
 };
 
-/// What of a request is the same in each of its repeats.
+/// The parts of a request that are the same in each of its repeats.
 #[derive(Debug)]
 pub(super) struct Subject {
     method: String,
     host: String,
     path: String,
     account: Option<String>,
-    /// All of its content, or as much as is there before it is sent.
+    /// The content, or the part of it that was read before the request is sent.
     body: Bytes,
-    /// Bytes of all of its content, if that is told.
+    /// Length of the whole content in bytes, if the caller declared it.
     length: Option<u64>,
     fingerprint: OnceCell<Fingerprint>,
     answered: Cell<bool>,
@@ -31,7 +31,7 @@
 
 impl Subject {
     pub(super) fn new(head: &Head, account: Option<&str>, content: &Content) -> Rc<Self> {
-        let (body, length) = content.known();
+        let (body, length) = content.prefix();
         let path = head.target.path_and_query();
         Rc::new(Self {
             method: head.method.as_str().to_owned(),
@@ -45,8 +45,8 @@
         })
     }
 
-    /// Returns what is the same in all runs of an item, drafts and runs of other owners
-    /// included.
+    /// Builds the subject of an item, which all its runs share: drafts too, and runs by
+    /// other owners.
     pub(super) fn of_item(host: &str, item: &Item, account: Option<&str>) -> Rc<Self> {
         Rc::new(Self {
             method: Method::POST.as_str().to_owned(),
@@ -60,12 +60,12 @@
         })
     }
 
-    /// Notes that an endpoint answered the request.
+    /// Records that an endpoint answered the request.
     pub(super) fn set_answered(&self) {
         self.answered.set(true);
     }
 
-    /// Says whether an endpoint has answered the request.
+    /// Returns whether an endpoint has answered the request.
     pub(super) fn is_answered(&self) -> bool {
         self.answered.get()
     }
@@ -75,7 +75,7 @@
         &self.path
     }
 
-    /// Returns the request's fingerprint; most requests never need one.
+    /// Returns the request's fingerprint, which is computed on first use.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             Fingerprint::of(&Identity {
