--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -81,7 +81,7 @@
                 }
             }
         }
-        self.store.drop_object(&row::object(id)).await?;
+        self.store.delete_object(&row::object(id)).await?;
         let change = Change::new()
             .expect(row::head(id), row.version)
             .remove(row::head(id));
--- a/hibiscusroad-daemon/src/gateway/boot.rs
+++ b/hibiscusroad-daemon/src/gateway/boot.rs
@@ -1,13 +1,13 @@
-//! Instants that go on while the machine is suspended.
+//! A monotonic clock that includes the time that the machine is suspended.
 //!
-//! `Instant` stands still then. A holder that was suspended past the end of its
-//! lease would go on giving orders beside its successor; on this clock its
-//! lease is over when it wakes.
+//! `Instant` excludes that time, so a lease holder that was suspended past the end of
+//! its lease would continue to act beside its successor. On this clock its lease has
+//! expired when it resumes.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::{Duration, Instant};
 
-/// A clock that counts from its creation, suspensions included.
+/// A monotonic clock that includes suspensions.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BootClock {
     base: Instant,
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Returns the present instant of this clock; compare it only with others
-    /// of the same clock.
+    /// Returns the current instant of this clock, which is comparable only with other
+    /// instants of the same clock.
     pub(super) fn now(&self) -> Instant {
         self.base + boot_time().saturating_sub(self.boot)
     }
--- a/hibiscusroad-daemon/src/gateway/known.rs
+++ b/hibiscusroad-daemon/src/gateway/known.rs
@@ -1,9 +1,8 @@
-//! What this process knows of the operator's wishes, and since when.
+//! The operator's configuration as this process knows it.
 //!
-//! Only a newer version replaces what is known, so nothing that is read late or
-//! twice takes this process back. How long ago the store last confirmed it
-//! tells whether a missing route is surely missing: without that a process that
-//! was cut off would answer "not found" to a caller whose route was just added.
+//! Only a newer version replaces the known one, so a late or repeated read never
+//! reverts it. The time since the store last confirmed the configuration says
+//! whether it may be out of date.
 
 use hibiscusroad::catalog::Catalog;
 use std::{
@@ -13,24 +12,24 @@
     time::{Duration, Instant},
 };
 
-/// The store confirms what is known at least this often while it is reached:
-/// the longest wait for changes, and the time limit of the answer.
-const CONFIRMED: Duration = Duration::from_millis(2_900);
+/// How long a confirmation by the store counts as current: the longest wait for
+/// changes and the timeout of its answer.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(2_900);
 
 /// The configuration and the named weight versions.
 #[derive(Debug, Default)]
 pub(super) struct Known {
     catalog: RefCell<Option<Rc<Catalog>>>,
-    confirmed: Cell<Option<Instant>>,
-    /// How long keys are taken without a word of the store, if there is a limit.
-    trust: Option<Duration>,
-    named: RefCell<BTreeMap<String, u64>>,
+    confirmed_at: Cell<Option<Instant>>,
+    /// Maximum age of the confirmation with which keys are accepted, if limited.
+    max_age: Option<Duration>,
+    named_versions: RefCell<BTreeMap<String, u64>>,
 }
 
 impl Known {
-    pub(super) fn new(trust: Option<Duration>) -> Self {
+    pub(super) fn new(max_age: Option<Duration>) -> Self {
         Self {
-            trust,
+            max_age,
             ..Self::default()
         }
     }
@@ -40,8 +39,8 @@
         self.catalog.borrow().clone()
     }
 
-    /// Takes a configuration; `true` if it is newer and now in force.
-    pub(super) fn offer(&self, catalog: Catalog) -> bool {
+    /// Replaces the configuration if the new one is newer; returns whether it is.
+    pub(super) fn update_catalog(&self, catalog: Catalog) -> bool {
         let mut known = self.catalog.borrow_mut();
         let newer = known
             .as_ref()
@@ -52,41 +51,41 @@
         newer
     }
 
-    /// Notes that the store has told all there is.
+    /// Records that the store confirmed the configuration.
     pub(super) fn confirm(&self, now: Instant) {
-        self.confirmed.set(Some(now));
+        self.confirmed_at.set(Some(now));
     }
 
-    /// Says whether nothing newer can have been accepted long ago.
+    /// Returns whether the store confirmed the configuration recently.
     pub(super) fn is_current(&self, now: Instant) -> bool {
-        let confirmed = self.confirmed.get();
-        confirmed.is_some_and(|at| now.saturating_duration_since(at) < CONFIRMED)
+        let confirmed = self.confirmed_at.get();
+        confirmed.is_some_and(|at| now.saturating_duration_since(at) < CONFIRMATION_TTL)
     }
 
-    /// Says whether the configuration was confirmed so long ago that no key may be
-    /// taken on its word: it may have been taken away since.
+    /// Returns whether the last confirmation is too old to accept keys, which may have
+    /// been revoked since.
     ///
-    /// Where the operator sets no limit a process that the store has left goes on
-    /// serving callers by what it knows last.
+    /// Without a limit in the settings, a process that can't reach the store serves
+    /// callers with its last configuration indefinitely.
     pub(super) fn is_expired(&self, now: Instant) -> bool {
-        let Some(trust) = self.trust else {
+        let Some(max_age) = self.max_age else {
             return false;
         };
-        let confirmed = self.confirmed.get();
-        confirmed.is_none_or(|at| now.saturating_duration_since(at) >= trust)
+        let confirmed = self.confirmed_at.get();
+        confirmed.is_none_or(|at| now.saturating_duration_since(at) >= max_age)
     }
 
-    /// Takes a model's named version; `true` if it is newer.
-    pub(super) fn name(&self, model: &str, version: u64) -> bool {
-        let mut named = self.named.borrow_mut();
+    /// Sets a model's named weight version if it is newer; returns whether it is.
+    pub(super) fn name_version(&self, model: &str, version: u64) -> bool {
+        let mut named = self.named_versions.borrow_mut();
         let known = named.entry(model.to_owned()).or_default();
         let newer = version > *known;
         *known = version.max(*known);
         newer
     }
 
-    /// Returns all named versions.
+    /// Returns the named weight version of each model.
     pub(super) fn named(&self) -> BTreeMap<String, u64> {
-        self.named.borrow().clone()
+        self.named_versions.borrow().clone()
     }
 }
--- a/hibiscusroad-daemon/src/gateway/meters.rs
+++ b/hibiscusroad-daemon/src/gateway/meters.rs
@@ -1,8 +1,7 @@
-//! Counters and latencies of a gateway, served as text to whoever asks.
+//! The metrics of a gateway, served in the Prometheus text format.
 //!
-//! The role entry pushes its metrics by cadence. Here the users' on-call
-//! engineers fetch them from an address of the settings, which is why a registry
-//! with an exposition takes cadence's place.
+//! The role entry pushes its metrics with `cadence`. A gateway's are scraped from an
+//! address in the settings, so they need a registry instead.
 
 use hyper::StatusCode;
 use prometheus::{
@@ -11,12 +10,12 @@
 };
 use std::time::Duration;
 
-/// Bounds of latencies, in seconds: from a lookup's best to a step's longest.
-const SECONDS: &[f64] = &[
+/// Upper bounds of the buckets of latencies, in seconds.
+const LATENCY_BUCKETS: &[f64] = &[
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// All metrics: name, kind, label, meaning. The operations page has the same.
+/// All metrics: name, kind, label and help text, as the operations page lists them.
 pub const NAMES: &[(&str, &str, &str, &str)] = &[
     (
         "gateway_answers_total",
@@ -162,15 +161,15 @@
     /// Returns the registry's error if two metrics have one name.
     pub(super) fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
-        let counters = |n: usize| -> prometheus::Result<IntCounterVec> {
+        let counter_vec = |n: usize| -> prometheus::Result<IntCounterVec> {
             let (name, _, label, help) = NAMES[n];
             let counters = IntCounterVec::new(Opts::new(name, help), &[label])?;
             registry.register(Box::new(counters.clone()))?;
             Ok(counters)
         };
-        let seconds = |n: usize| -> prometheus::Result<Histogram> {
+        let histogram = |n: usize| -> prometheus::Result<Histogram> {
             let (name, _, _, help) = NAMES[n];
-            let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
             let histogram = Histogram::with_opts(opts)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok(histogram)
@@ -188,24 +187,24 @@
             Ok(counter)
         };
         Ok(Self {
-            answers: counters(0)?,
-            answer_seconds: seconds(1)?,
-            attempts: counters(2)?,
-            batches: counters(3)?,
-            runs: counters(4)?,
-            run_seconds: seconds(5)?,
+            answers: counter_vec(0)?,
+            answer_seconds: histogram(1)?,
+            attempts: counter_vec(2)?,
+            batches: counter_vec(3)?,
+            runs: counter_vec(4)?,
+            run_seconds: histogram(5)?,
             results: counter(6)?,
             running: gauge(7)?,
-            loads: counters(8)?,
-            load_seconds: seconds(9)?,
-            store_calls: counters(10)?,
+            loads: counter_vec(8)?,
+            load_seconds: histogram(9)?,
+            store_calls: counter_vec(10)?,
             connections: gauge(11)?,
             config: gauge(12)?,
             dropped: gauge(13)?,
-            detours: counters(14)?,
+            detours: counter_vec(14)?,
             broken_entries: counter(15)?,
-            reports: counters(16)?,
-            crashes: counters(17)?,
+            reports: counter_vec(16)?,
+            crashes: counter_vec(17)?,
             quarantined: gauge(18)?,
             registry,
         })
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -1,36 +1,34 @@
-//! The role gateway: callers on one side, endpoints on the other, and what must
-//! last in the platform's store.
+//! The gateway role: forwards callers' requests to endpoints and keeps durable state
+//! in the platform's store.
 //!
-//! A gateway is for deployments in which endpoints can be called directly and
-//! say themselves whether a request ran. No side stands between then, and
-//! several gateways share the endpoints without talking to each other: what
-//! they have to agree on, who runs a batch and who orders weights, goes through
-//! the store.
+//! A gateway is for deployments whose endpoints can be called directly and report
+//! whether a request ran, so there is no sidecar. Several gateways share the
+//! endpoints. They agree on who runs a batch and who orders weights through the
+//! store; directly, they only relay store calls and hand over batches.
 //!
 //! # Threads
 //!
-//! One. A gateway has a small part of a core, where threads only take turns and
-//! each hand-over costs a wake-up of its own. All tasks run on one tokio
-//! runtime, which hyper needs in any case; state is plain tables in cells that
-//! no task holds across a wait. Timers and feeds wake it, nothing polls.
+//! A gateway has a fraction of a core, so it uses a single thread: more would only
+//! add context switches. All tasks run on one tokio runtime. State is in cells that
+//! no task borrows across an await point.
 //!
 //! # Layout
 //!
-//! * [`front`], [`request`], [`forward`], [`attempt`], [`respond`], [`answer`]: a
-//!   request's way, from its caller to an endpoint and back.
-//! * [`subject`]: what is the same in all repeats of a request.
+//! * [`front`], [`request`], [`forward`], [`attempt`], [`respond`], [`answer`]: the
+//!   path of a request from its caller to an endpoint and back.
+//! * [`subject`]: the parts of a request that identify it across repeats.
 //! * [`crashes`]: requests that crash endpoints, and their quarantine.
-//! * [`resume`]: streams that go on at another endpoint.
-//! * [`calls`]: the router, and the requests that wait for it.
-//! * [`batches`]: batches of trainers. [`weights`]: what engines load.
-//! * [`usage`]: what accounts use, and its reports.
-//! * [`duty`]: who acts for all gateways.
-//! * [`store`], [`failure`], [`sync`], [`known`], [`looks`]: the store, and what is known
-//!   from it.
-//! * [`peers`]: calls to the store that gateways carry out for each other.
+//! * [`resume`]: streams that are resumed at another endpoint.
+//! * [`calls`]: the router and the requests that wait for it.
+//! * [`batches`]: batches of trainers. [`weights`]: the weights that engines load.
+//! * [`usage`]: the usage of client accounts and its reports.
+//! * [`duty`]: the lease of the gateway that acts for all.
+//! * [`store`], [`failure`], [`sync`], [`known`], [`refresh`]: the store's client and the
+//!   state that follows its tables.
+//! * [`peers`]: calls to the store that gateways relay for each other.
 //! * [`http`]: connections to endpoints and to the store.
 //! * [`stopping`], [`ready`], [`boot`], [`times`]: planned stops, readiness, clocks.
-//! * [`meters`], [`exposition`]: counters and latencies, and who fetches them.
+//! * [`meters`], [`exposition`]: metrics and their exposition.
 
 mod answer;
 mod attempt;
@@ -45,10 +43,10 @@
 mod front;
 mod http;
 mod known;
-mod looks;
 pub mod meters;
 mod peers;
 mod ready;
+mod refresh;
 mod request;
 mod respond;
 mod resume;
@@ -68,9 +66,9 @@
     duty::Duty,
     http::Channels,
     known::Known,
-    looks::Looks,
     meters::Meters,
     peers::Directory,
+    refresh::CatalogRefresher,
     stopping::Stop,
     store::Store,
     sync::Members,
@@ -97,15 +95,15 @@
     time::{interval, timeout},
 };
 
-/// How often the settings file is looked at for a change without a signal.
-const LOOK: Duration = Duration::from_secs(5);
-/// How long giving up duties may take of a planned stop.
-const LEAVING: Duration = Duration::from_millis(1_500);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Timeout of handing over batches and releasing the lease in a planned stop.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// All parts of a gateway.
+/// The parts of a gateway.
 struct Gateway {
     known: Rc<Known>,
-    refresher: Looks,
+    refresher: CatalogRefresher,
     line: Line,
     store: Rc<Store>,
     batches: Rc<Batches>,
@@ -118,7 +116,7 @@
     stop: Stop,
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until it receives a termination signal.
 ///
 /// # Errors
 ///
@@ -151,7 +149,7 @@
         settings.clone(),
         Rc::clone(&gateway),
     ));
-    follow(&gateway);
+    spawn_tasks(&gateway);
     let accepting = spawn_local(front::accept(Rc::clone(&gateway), callers));
     spawn_local(ready::serve(ready, {
         let gateway = Rc::clone(&gateway);
@@ -159,8 +157,8 @@
     }));
     if let Some(peers) = peers {
         let batches = Rc::clone(&gateway.batches);
-        let take = move |batch| batches.take(batch);
-        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take));
+        let take_batch = move |batch| batches.take(batch);
+        spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take_batch));
         let store = Rc::clone(&gateway.store);
         spawn_local(peers::meet(store, gateway.batches.directory().clone()));
     }
@@ -174,26 +172,26 @@
     }
     log::info!(target: PROCESS, deadline_s = settings.stop.deadline_s; "A planned stop begins.");
     gateway.stop.begin();
-    let leaving = async {
+    let handover = async {
         gateway.batches.leave().await;
-        gateway.duty.leave().await;
+        gateway.duty.release().await;
     };
-    if timeout(LEAVING, leaving).await.is_err() {
-        log::warn!(target: PROCESS, "Duties could not be given back; they lapse.");
+    if timeout(HANDOVER_TIMEOUT, handover).await.is_err() {
+        log::warn!(target: PROCESS, "Handing over the duties timed out; their leases expire.");
     }
     let grace = Duration::from_secs(settings.stop.deadline_s);
-    gateway.stop.carry_out(grace).await;
+    gateway.stop.run_phases(grace).await;
     accepting.abort();
     gateway.usage.leave().await;
     logs::flush_now();
     Ok(())
 }
 
-fn assemble(settings: &Settings, own: &GatewaySettings, counts: Rc<Meters>) -> Rc<Gateway> {
+fn assemble(settings: &Settings, own: &GatewaySettings, meters: Rc<Meters>) -> Rc<Gateway> {
     let incarnation = Incarnation::draw();
     let holder = format!("{}/{incarnation}", settings.name);
     let known = Rc::new(Known::new(own.trust_ms.map(Duration::from_millis)));
-    let store = Rc::new(Store::new(own.store, Rc::clone(&counts)));
+    let store = Rc::new(Store::new(own.store, Rc::clone(&meters)));
     let calls = Rc::new(Calls::new(&settings.data_centre, incarnation));
     let channels = Rc::new(Channels::new());
     let windows = own.usage.as_ref().map(|usage| {
@@ -211,23 +209,23 @@
         own.crash_limit,
         Duration::from_secs(own.quarantine_s),
         Rc::clone(&store),
-        Rc::clone(&counts),
+        Rc::clone(&meters),
     ));
     let line = Line {
         crashes,
         calls: Rc::clone(&calls),
         channels: Rc::clone(&channels),
-        meters: Rc::clone(&counts),
+        meters: Rc::clone(&meters),
         usage: Rc::clone(&usage),
     };
     Rc::new_cyclic(|gateway: &Weak<Gateway>| {
-        let hearer = Weak::clone(gateway);
-        let members = Rc::new(Members::new(Rc::clone(&counts), move |news| {
-            if let Some(gateway) = hearer.upgrade() {
-                gateway.line.calls.apply_roster(news);
-                gateway.line.crashes.roster(news);
-                gateway.batches.roster(news);
-                gateway.weights.roster(news);
+        let listener = Weak::clone(gateway);
+        let members = Rc::new(Members::new(Rc::clone(&meters), move |changes| {
+            if let Some(gateway) = listener.upgrade() {
+                gateway.line.calls.apply_roster(changes);
+                gateway.line.crashes.roster(changes);
+                gateway.batches.roster(changes);
+                gateway.weights.roster(changes);
             }
         }));
         let directory = Directory {
@@ -259,7 +257,7 @@
                 Rc::clone(&store),
                 times.clone(),
                 Rc::clone(&known),
-                Rc::clone(&counts),
+                Rc::clone(&meters),
             ))
         });
         let parts = Parts {
@@ -269,10 +267,10 @@
             members: Rc::clone(&members),
             batches: Rc::clone(&batches),
             channels,
-            meters: Rc::clone(&counts),
+            meters: Rc::clone(&meters),
         };
         let weights = Rc::new(Weights::new(own.fences, parts));
-        let refresher = Looks::new(Rc::clone(&store), Rc::clone(&known), calls);
+        let refresher = CatalogRefresher::new(Rc::clone(&store), Rc::clone(&known), calls);
         Gateway {
             known,
             refresher,
@@ -284,14 +282,14 @@
             usage,
             reporter,
             members,
-            meters: counts,
+            meters,
             stop: Stop::new(),
         }
     })
 }
 
-/// Starts the tasks that keep a gateway up to date and carry out its duties.
-fn follow(gateway: &Rc<Gateway>) {
+/// Starts the gateway's background tasks.
+fn spawn_tasks(gateway: &Rc<Gateway>) {
     let Gateway {
         known,
         line,
@@ -304,17 +302,17 @@
         members,
         ..
     } = &**gateway;
-    store.on_return({
+    store.on_recovery({
         let members = Rc::clone(members);
-        move || members.store_back()
+        move || members.record_recovery()
     });
     let wake = {
         let weights = Rc::clone(weights);
         move || weights.wake()
     };
     let sinks = [
-        sync::operator(Rc::clone(known), Rc::clone(&line.calls), wake),
-        sync::endpoints(Rc::clone(members), {
+        sync::operator_sink(Rc::clone(known), Rc::clone(&line.calls), wake),
+        sync::endpoints_sink(Rc::clone(members), {
             let crashes = Rc::clone(&line.crashes);
             move || crashes.confirm()
         }),
@@ -324,11 +322,11 @@
     for sink in sinks {
         spawn_local(sync::follow(Rc::clone(store), sink));
     }
-    let (calls, lapsing) = (Rc::clone(&line.calls), Rc::clone(members));
-    let probing = Rc::clone(store);
-    spawn_local(async move { probing.probe().await });
+    let (calls, expiring) = (Rc::clone(&line.calls), Rc::clone(members));
+    let prober = Rc::clone(store);
+    spawn_local(async move { prober.run_probes().await });
     spawn_local(async move { calls.run().await });
-    spawn_local(async move { lapsing.run().await });
+    spawn_local(async move { expiring.run_expiry().await });
     spawn_local(Rc::clone(batches).renew());
     spawn_local(Rc::clone(batches).watch());
     spawn_local(Rc::clone(batches).dispatch());
@@ -339,8 +337,8 @@
     spawn_local(Rc::clone(&line.crashes).keep());
     spawn_local(Rc::clone(&line.crashes).sweep());
     if let Some(reporter) = reporter {
-        let back = Rc::clone(reporter);
-        store.on_return(move || back.store_back());
+        let recovered = Rc::clone(reporter);
+        store.on_recovery(move || recovered.store_back());
         spawn_local(Rc::clone(reporter).run());
     }
     let (weights, reporter) = (Rc::clone(weights), reporter.clone());
@@ -353,27 +351,29 @@
     spawn_local(Rc::clone(duty).run(needed));
 }
 
-/// Reads the settings again when a signal says that they changed, or they did.
+/// Reloads the settings on `SIGHUP` and when the file has changed.
 async fn reload(file: std::path::PathBuf, mut settings: Settings, gateway: Rc<Gateway>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        log::error!(target: PROCESS, "Signals of changed settings can't be caught.");
+        log::error!(target: PROCESS, "Catching SIGHUP failed; changed settings are not read.");
         return;
     };
-    let mut looks = interval(LOOK);
+    let mut poll = interval(SETTINGS_POLL_INTERVAL);
     loop {
-        let told = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = hangup.recv() => true,
-            _ = looks.tick() => false,
+            _ = poll.tick() => false,
         };
         match Settings::load(&file) {
             Ok(new) if new != settings => {
                 apply(&settings, &new, &gateway);
                 settings = new;
             }
-            Ok(_) if told => log::info!(target: PROCESS, "The settings are read again: no change."),
+            Ok(_) if is_signalled => {
+                log::info!(target: PROCESS, "The settings were reloaded without changes.");
+            }
             Ok(_) => {}
             Err(error) => log::error!(target: PROCESS, error = error.to_string().as_str();
-                "Changed settings are broken; those before stay in force."),
+                "Changed settings are broken; the previous ones stay in force."),
         }
     }
 }
@@ -384,7 +384,7 @@
         return;
     };
     gateway.store.set_address(own.store);
-    let bound = before.callers != own.callers || before.ready != own.ready;
-    log::info!(target: PROCESS, store = own.store.to_string().as_str(), restart = bound;
-        "Changed settings are in force; what listens changes with a restart.");
+    let needs_restart = before.callers != own.callers || before.ready != own.ready;
+    log::info!(target: PROCESS, store = own.store.to_string().as_str(), restart = needs_restart;
+        "Changed settings are in force; listening addresses need a restart.");
 }
--- a/hibiscusroad-daemon/src/gateway/peers/server.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/server.rs
@@ -100,7 +100,7 @@
 }
 
 async fn carry(store: Rc<Store>, call: Call, limit: Duration, reply: oneshot::Sender<Outcome>) {
-    let outcome = match store.carry_for_peer(&call, limit).await {
+    let outcome = match store.relay_for_peer(&call, limit).await {
         Ok((status, body)) => Outcome::Answered(Answered {
             status: u32::from(status),
             body: body.to_vec(),
--- a/hibiscusroad-daemon/src/gateway/ready.rs
+++ b/hibiscusroad-daemon/src/gateway/ready.rs
@@ -1,5 +1,4 @@
-//! Answers short questions that need no waiting: whether this process takes
-//! callers, and its metrics.
+//! Serves readiness checks and metrics.
 
 use super::answer::Out;
 use crate::logs::CALLERS;
@@ -12,19 +11,19 @@
     time::{sleep, timeout},
 };
 
-/// Pause after accepting failed.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A connection that asks nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum lifetime of a connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers until the process ends.
+/// Answers all requests with `answer` until the process ends.
 pub(super) async fn serve(
     listener: TcpListener,
     answer: impl Fn() -> Response<Out> + Clone + 'static,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
@@ -34,9 +33,9 @@
                 async move { Ok::<_, Infallible>(answer) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            if let Ok(Err(error)) = timeout(IDLE, connection).await {
+            if let Ok(Err(error)) = timeout(CONNECTION_TIMEOUT, connection).await {
                 log::debug!(target: CALLERS, error = error.to_string().as_str();
-                    "A question ended early.");
+                    "A connection for readiness or metrics failed.");
             }
         });
     }
--- /dev/null
+++ b/hibiscusroad-daemon/src/gateway/refresh.rs
@@ -0,0 +1,82 @@
+//! Reads the configuration from the store before a request is refused.
+//!
+//! Clients don't retry after "not found" or "unknown key", so a gateway that learns of
+//! a new route or key later than its peers must not refuse it. A request that the known
+//! configuration doesn't allow is checked against one that was read after it arrived.
+//! Invalid requests can't overload the store: waiting requests share one read at a
+//! time, and reads are at least [`MIN_REFRESH_INTERVAL`] apart.
+
+use super::{calls::Calls, known::Known, store::Store, sync};
+use hibiscusroad::table::RowId;
+use hibiscusroad_platform::table;
+use std::{
+    rc::Rc,
+    time::{Duration, Instant},
+};
+use tokio::{
+    sync::Mutex,
+    time::{sleep_until, timeout},
+};
+
+/// Minimum time between the starts of two reads.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a read, for which a caller waits.
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// A finished read of the configuration.
+#[derive(Clone, Copy)]
+struct Refresh {
+    started_at: Instant,
+    /// Whether the read succeeded.
+    succeeded: bool,
+}
+
+/// Refreshes the known configuration on demand.
+pub(super) struct CatalogRefresher {
+    store: Rc<Store>,
+    known: Rc<Known>,
+    calls: Rc<Calls>,
+    last: Mutex<Option<Refresh>>,
+}
+
+impl CatalogRefresher {
+    pub(super) fn new(store: Rc<Store>, known: Rc<Known>, calls: Rc<Calls>) -> Self {
+        Self {
+            store,
+            known,
+            calls,
+            last: Mutex::default(),
+        }
+    }
+
+    /// Ensures that the configuration was read at `since` or later; returns whether the
+    /// read succeeded.
+    pub(super) async fn refresh_since(&self, since: Instant) -> bool {
+        let mut last = self.last.lock().await;
+        if let Some(refresh) = last.filter(|refresh| refresh.started_at >= since) {
+            return refresh.succeeded;
+        }
+        if let Some(refresh) = *last {
+            sleep_until((refresh.started_at + MIN_REFRESH_INTERVAL).into()).await;
+        }
+        let started_at = Instant::now();
+        let succeeded = self.read().await;
+        if succeeded {
+            self.known.confirm(started_at);
+        }
+        *last = Some(Refresh {
+            started_at,
+            succeeded,
+        });
+        succeeded
+    }
+
+    async fn read(&self) -> bool {
+        let id = RowId::new(table::OPERATOR_TABLE, "", table::CONFIG_KEY);
+        let Ok(Ok(Some(row))) = timeout(READ_TIMEOUT, self.store.read_row(&id)).await else {
+            return false;
+        };
+        sync::apply_operator_row(&self.known, &self.calls, &row);
+        true
+    }
+}
--- a/hibiscusroad-daemon/src/gateway/stopping.rs
+++ b/hibiscusroad-daemon/src/gateway/stopping.rs
@@ -1,10 +1,10 @@
-//! A planned stop, in three phases.
+//! The phases of a planned stop.
 //!
-//! * Stopping: not ready any more; each answer closes its connection. The
-//!   balancer needs two of its questions, a second apart, to notice, and sends
-//!   callers here until then: they are served.
-//! * Closing: idle connections are closed, nothing is accepted.
-//! * Over: what is still under way is cut, because the process would be killed.
+//! * Stopping: the process is not ready, and each answer closes its connection. The
+//!   load balancer notices after two failed checks, a second apart; callers that it
+//!   sends until then are served.
+//! * Closing: idle connections are closed, and so are new ones.
+//! * After the grace period the remaining connections are closed.
 
 use std::{
     cell::Cell,
@@ -13,10 +13,10 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// The balancer's two questions and the way of the last callers.
-const NOTICED: Duration = Duration::from_millis(3_500);
-/// Time left at the end to leave before being killed.
-const RESERVE: Duration = Duration::from_millis(700);
+/// Time for the load balancer to notice, and for the last callers to arrive.
+const STOPPING_DURATION: Duration = Duration::from_millis(3_500);
+/// Time reserved at the end for the process to exit before it is killed.
+const EXIT_RESERVE: Duration = Duration::from_millis(700);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq, PartialOrd)]
 enum Phase {
@@ -25,25 +25,27 @@
     Closing,
 }
 
-/// How far a planned stop is.
+/// The state of a planned stop and the open connections.
 #[derive(Debug)]
 pub(super) struct Stop {
     phase: watch::Sender<Phase>,
+    /// Number of open connections.
     open: Rc<Cell<usize>>,
-    fewer: Rc<Notify>,
+    /// Notified when a connection closes.
+    closed: Rc<Notify>,
 }
 
-/// Counts a connection while it lives.
+/// Counts a connection as open until it is dropped.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct ConnectionGuard {
     open: Rc<Cell<usize>>,
-    fewer: Rc<Notify>,
+    closed: Rc<Notify>,
 }
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.open.set(self.open.get() - 1);
-        self.fewer.notify_one();
+        self.closed.notify_one();
     }
 }
 
@@ -52,16 +54,16 @@
         Self {
             phase: watch::Sender::new(Phase::Serving),
             open: Rc::default(),
-            fewer: Rc::default(),
+            closed: Rc::default(),
         }
     }
 
-    /// Counts a connection until the value that is returned is dropped.
-    pub(super) fn track_connection(&self) -> Open {
+    /// Counts a connection as open until the returned guard is dropped.
+    pub(super) fn track_connection(&self) -> ConnectionGuard {
         self.open.set(self.open.get() + 1);
-        Open {
+        ConnectionGuard {
             open: Rc::clone(&self.open),
-            fewer: Rc::clone(&self.fewer),
+            closed: Rc::clone(&self.closed),
         }
     }
 
@@ -73,31 +75,31 @@
         self.phase.send_replace(Phase::Stopping);
     }
 
-    /// Waits until idle connections are to be closed.
+    /// Waits for the closing phase.
     pub(super) async fn closing(&self) {
-        self.reached(Phase::Closing).await;
+        self.wait_for(Phase::Closing).await;
     }
 
-    async fn reached(&self, phase: Phase) {
+    async fn wait_for(&self, phase: Phase) {
         let mut changes = self.phase.subscribe();
         // The sender lives as long as `self`.
-        let _closed = changes.wait_for(|now| *now >= phase).await.is_err();
+        let _closed = changes.wait_for(|current| *current >= phase).await.is_err();
     }
 
-    /// Goes through the phases; returns when the process may end.
-    pub(super) async fn carry_out(&self, grace: Duration) {
-        let end = Instant::now() + grace.saturating_sub(RESERVE);
-        tokio::time::sleep(NOTICED.min(grace / 2)).await;
+    /// Runs the phases; returns when the process may exit.
+    pub(super) async fn run_phases(&self, grace: Duration) {
+        let end = Instant::now() + grace.saturating_sub(EXIT_RESERVE);
+        tokio::time::sleep(STOPPING_DURATION.min(grace / 2)).await;
         self.phase.send_replace(Phase::Closing);
         while self.open.get() > 0 && Instant::now() < end {
             tokio::select! {
-                () = self.fewer.notified() => {}
+                () = self.closed.notified() => {}
                 () = tokio::time::sleep_until(end.into()) => {}
             }
         }
         if self.open.get() > 0 {
             log::warn!(target: crate::logs::PROCESS, open = self.open.get();
-                "Connections are cut: the time to stop is over.");
+                "The grace period ended; open connections are closed.");
         }
     }
 }
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -1,10 +1,9 @@
-//! The client of the store: one request a call, with time limits.
+//! The client of the platform's store.
 //!
-//! It tells apart what callers must tell apart: a call that was surely not
-//! carried out, and one that may have been. It never repeats a call that may
-//! have been carried out, since only the caller knows whether that is safe. One
-//! that surely wasn't, because the store turned this process away, goes to a
-//! peer at once ([`hibiscusroad::store_path`]).
+//! It distinguishes calls that were not executed from those that may have been.
+//! It never repeats a call that may have been executed, since only the caller knows
+//! whether that is safe. A call that was not executed because the store refused it
+//! or can't be reached is relayed by a peer ([`hibiscusroad::store_path`]).
 
 use super::{
     failure::Failure,
@@ -34,41 +33,41 @@
     time::{sleep, timeout},
 };
 
-/// An answer takes 4 ms as a rule and up to eighty times that in a slow store. A
-/// read whose connection went silent is given up in time for another try before
-/// anybody misses the answer.
-const READ: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(1));
-/// A write takes twice as long, and longer where writes queue; one that is given
-/// up may still be done, and its outcome has to be found out.
-const WRITE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(1_800));
-/// Objects take 25 ms as a rule, and are larger.
-const OBJECT: (Duration, Duration) = (Duration::from_millis(700), Duration::from_secs(3));
-/// The table that a probe reads a row of; it has few.
-const PROBED: &str = "duties";
-/// Most peers that one call is offered to: a second for a first that is gone.
-const PEERS: usize = 2;
-/// What an answer to a wait may take beyond it.
-const FEED_SLACK: Duration = Duration::from_millis(700);
+/// Smallest and largest timeout of a read; short enough for a retry if the
+/// connection has gone silent.
+const READ_TIMEOUTS: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(1));
+/// Smallest and largest timeout of a write. A write that times out may still be
+/// executed, so its outcome has to be read back.
+const WRITE_TIMEOUTS: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_millis(1_800));
+/// Smallest and largest timeout of a call for an object.
+const OBJECT_TIMEOUTS: (Duration, Duration) = (Duration::from_millis(700), Duration::from_secs(3));
+/// The table that a probe reads a row of; it has few rows.
+const PROBE_TABLE: &str = "duties";
+/// Maximum number of peers that are asked to relay a call.
+const MAX_RELAY_ATTEMPTS: usize = 2;
+/// Time beyond a feed's wait within which its answer must arrive.
+const FEED_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
-/// The store, as this process reaches it.
+/// The client of the store.
 pub(super) struct Store {
     channels: Channels,
     peers: Peers,
-    reach: RefCell<StorePaths>,
-    /// How many peers are known.
+    paths: RefCell<StorePaths>,
+    /// Number of known peers.
     peer_count: Cell<usize>,
-    /// The straight way began to fail.
-    turned: Notify,
+    /// Notified when the direct path begins to fail.
+    direct_failed: Notify,
     address: Cell<SocketAddr>,
-    /// The store's clock.
+    /// An estimate of the store's clock.
     clock: Cell<ClockEstimate>,
-    /// Since when no call was answered.
-    away: Cell<Option<Instant>>,
+    /// Time of the first failed call since the last answer.
+    down_since: Cell<Option<Instant>>,
     reads: Cell<AdaptiveTimeout>,
     writes: Cell<AdaptiveTimeout>,
     objects: Cell<AdaptiveTimeout>,
     meters: Rc<Meters>,
-    watchers: RefCell<Vec<Box<dyn Fn()>>>,
+    recovery_hooks: RefCell<Vec<Box<dyn Fn()>>>,
 }
 
 impl Store {
@@ -76,21 +75,21 @@
         Self {
             channels: Channels::new(),
             peers: Peers::new(),
-            reach: RefCell::new(StorePaths::new()),
+            paths: RefCell::new(StorePaths::new()),
             peer_count: Cell::new(0),
-            turned: Notify::new(),
+            direct_failed: Notify::new(),
             address: Cell::new(address),
             clock: Cell::new(ClockEstimate::new()),
-            away: Cell::new(None),
-            reads: Cell::new(AdaptiveTimeout::new(READ.0, READ.1)),
-            writes: Cell::new(AdaptiveTimeout::new(WRITE.0, WRITE.1)),
-            objects: Cell::new(AdaptiveTimeout::new(OBJECT.0, OBJECT.1)),
+            down_since: Cell::new(None),
+            reads: Cell::new(AdaptiveTimeout::new(READ_TIMEOUTS.0, READ_TIMEOUTS.1)),
+            writes: Cell::new(AdaptiveTimeout::new(WRITE_TIMEOUTS.0, WRITE_TIMEOUTS.1)),
+            objects: Cell::new(AdaptiveTimeout::new(OBJECT_TIMEOUTS.0, OBJECT_TIMEOUTS.1)),
             meters,
-            watchers: RefCell::default(),
+            recovery_hooks: RefCell::default(),
         }
     }
 
-    /// Goes on at another address.
+    /// Changes the store's address.
     pub(super) fn set_address(&self, address: SocketAddr) {
         self.address.set(address);
     }
@@ -100,41 +99,43 @@
         &self.peers
     }
 
-    /// Sets who may carry calls for this process.
+    /// Sets the peers that may relay calls for this process.
     pub(super) fn set_peers(&self, peers: Vec<SocketAddr>) {
         let count = peers.len();
         self.peer_count.set(count);
-        if self.reach.borrow_mut().set_peers(peers) {
+        if self.paths.borrow_mut().set_peers(peers) {
             log::info!(target: STORE, peers = count; "Peers are known.");
         }
     }
 
-    /// Returns how many peers are known.
+    /// Returns the number of known peers.
     pub(super) const fn peer_count(&self) -> usize {
         self.peer_count.get()
     }
 
-    /// Calls `act` each time the store answers again after it was away.
-    pub(super) fn on_return(&self, act: impl Fn() + 'static) {
-        self.watchers.borrow_mut().push(Box::new(act));
+    /// Calls `hook` each time the store answers again after a failure.
+    pub(super) fn on_recovery(&self, hook: impl Fn() + 'static) {
+        self.recovery_hooks.borrow_mut().push(Box::new(hook));
     }
 
-    /// Returns the store's steady clock, if it has told it.
+    /// Returns the estimated time of the store's monotonic clock, once a call was answered.
     pub(super) fn now(&self) -> Option<Duration> {
         self.clock.get().at(Instant::now())
     }
 
     /// Reads a range of rows.
     pub(super) async fn read(&self, range: &Range<'_>) -> Result<Page, Failure> {
-        let (status, body) = self.paced(wire::read_request(range), &self.reads).await?;
+        let (status, body) = self
+            .call_adaptive(wire::read_request(range), &self.reads)
+            .await?;
         let page = wire::decode_page(status, &body, range)?;
-        self.tell(page.now);
+        self.record_clock(page.now);
         Ok(page)
     }
 
-    /// Reads one row; `None` if the store says that there is none.
+    /// Reads one row; `None` if it doesn't exist.
     pub(super) async fn read_row(&self, id: &RowId) -> Result<Option<Row>, Failure> {
-        // The successor of a key is the key with a zero byte behind it.
+        // The next possible key is this key followed by a zero byte.
         let end = format!("{}\0", id.key);
         let range = Range {
             start: Some(&id.key),
@@ -146,31 +147,31 @@
         Ok(page.rows.into_iter().next())
     }
 
-    /// Reads a range whole, page by page.
+    /// Reads all pages of a range.
     ///
-    /// The version is that of the first page: what changes while the others are
-    /// read comes again with the feed from there.
+    /// The version is that of the first page: a feed from that version repeats the
+    /// changes that were made while the other pages were read.
     pub(super) async fn read_whole(&self, range: &Range<'_>) -> Result<Page, Failure> {
-        let mut whole = self.read(range).await?;
-        while whole.truncated {
-            let Some(last) = whole.rows.last() else {
+        let mut all = self.read(range).await?;
+        while all.truncated {
+            let Some(last) = all.rows.last() else {
                 break;
             };
-            // The successor of a key is the key with a zero byte behind it.
-            let from = format!("{}\0", last.id.key);
+            // The next possible key is this key followed by a zero byte.
+            let start = format!("{}\0", last.id.key);
             let page = self
                 .read(&Range {
-                    start: Some(&from),
+                    start: Some(&start),
                     ..*range
                 })
                 .await?;
-            whole.truncated = page.truncated && !page.rows.is_empty();
-            whole.rows.extend(page.rows);
+            all.truncated = page.truncated && !page.rows.is_empty();
+            all.rows.extend(page.rows);
         }
-        Ok(whole)
+        Ok(all)
     }
 
-    /// Waits for changes of a table; `None` if the history is gone.
+    /// Waits for changes of a table; `None` if the history since `after` was discarded.
     pub(super) async fn feed(
         &self,
         table: &str,
@@ -178,25 +179,25 @@
         wait: Duration,
     ) -> Result<Option<Changes>, Failure> {
         let request = wire::feed_request(table, after, wait);
-        // A wait on a way that turned out to be dead would go on for seconds,
-        // and news be missed that a peer could bring.
+        // Ends the wait when the direct path fails: it would last for seconds, while
+        // a peer could deliver the changes.
         let (status, body) = tokio::select! {
-            answer = self.call(request, wait + FEED_SLACK) => answer?,
-            () = self.turned.notified() => {
+            answer = self.call(request, wait + FEED_TIMEOUT_MARGIN) => answer?,
+            () = self.direct_failed.notified() => {
                 return Err(Failure::Lost("the straight way fails".to_owned()));
             }
         };
         let changes = wire::decode_changes(status, &body, table)?;
         if let Some(changes) = &changes {
-            self.tell(changes.now);
+            self.record_clock(changes.now);
         }
         Ok(changes)
     }
 
-    /// Carries out a transaction, or finds out that its outcome is unknown.
+    /// Executes a transaction; its outcome may be [`Commit::Unknown`].
     pub(super) async fn transact(&self, change: &Change) -> Commit {
         let answer = match self
-            .paced(wire::transaction_request(change), &self.writes)
+            .call_adaptive(wire::transaction_request(change), &self.writes)
             .await
         {
             Ok((status, body)) => wire::decode_commit(status, &body).map_err(Failure::Unexpected),
@@ -205,12 +206,12 @@
         match answer {
             Ok(commit) => {
                 if let Commit::Done { now, .. } = commit {
-                    self.tell(now);
+                    self.record_clock(now);
                 }
                 commit
             }
             Err(Failure::Refused(why)) => {
-                log::debug!(target: STORE, why = why.as_str(); "A write was not sent.");
+                log::debug!(target: STORE, why = why.as_str(); "A write was not executed.");
                 Commit::Refused
             }
             Err(failure) => {
@@ -221,10 +222,11 @@
         }
     }
 
-    /// Keeps an object; one that exists under this name is the same.
+    /// Writes an object; succeeds if an object of this name exists, since names are
+    /// unique to their content.
     pub(super) async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), Failure> {
         match self
-            .paced(wire::put_object_request(name, body), &self.objects)
+            .call_adaptive(wire::put_object_request(name, body), &self.objects)
             .await?
         {
             (200..=299 | 412, _) => Ok(()),
@@ -235,7 +237,7 @@
     /// Reads an object; `None` if there is none.
     pub(super) async fn get_object(&self, name: &str) -> Result<Option<Bytes>, Failure> {
         match self
-            .paced(wire::get_object_request(name), &self.objects)
+            .call_adaptive(wire::get_object_request(name), &self.objects)
             .await?
         {
             (200, body) => Ok(Some(body)),
@@ -244,15 +246,15 @@
         }
     }
 
-    /// Removes an object.
-    pub(super) async fn drop_object(&self, name: &str) -> Result<(), Failure> {
-        self.paced(wire::delete_object_request(name), &self.objects)
+    /// Deletes an object.
+    pub(super) async fn delete_object(&self, name: &str) -> Result<(), Failure> {
+        self.call_adaptive(wire::delete_object_request(name), &self.objects)
             .await
             .map(|_| ())
     }
 
-    /// Sends a call with the time limit of its kind, which learns from it.
-    async fn paced(
+    /// Sends a call with an adaptive timeout and updates the timeout.
+    async fn call_adaptive(
         &self,
         request: Request,
         timeout: &Cell<AdaptiveTimeout>,
@@ -269,6 +271,7 @@
         answer
     }
 
+    /// Sends a call, counts its outcome and records whether the store answers.
     async fn call(&self, request: Request, limit: Duration) -> Result<(u16, Bytes), Failure> {
         let answer = self.send(&request, limit).await;
         let outcome = match &answer {
@@ -279,65 +282,71 @@
         };
         self.meters.store_calls.with_label_values(&[outcome]).inc();
         match &answer {
-            Ok(answer) if is_refusal(answer) => self.is_away(&format!("status {}", answer.0)),
-            Ok(_) => self.is_back(),
-            Err(failure) => self.is_away(&failure.to_string()),
+            Ok(answer) if is_refusal(answer) => {
+                self.record_failure(&format!("status {}", answer.0));
+            }
+            Ok(_) => self.record_answer(),
+            Err(failure) => self.record_failure(&failure.to_string()),
         }
         answer
     }
 
-    /// Sends a call on its way, and on another if it was surely not carried out.
+    /// Sends a call directly or by a peer; tries another path if it was not executed.
     async fn send(&self, request: &Request, limit: Duration) -> Result<(u16, Bytes), Failure> {
         let mut refusal = None;
-        if !self.reach.borrow().is_direct_failing() {
-            let answer = self.straight(request, limit).await;
-            if !is_turned_away(&answer) {
+        if !self.paths.borrow().is_direct_failing() {
+            let answer = self.send_direct(request, limit).await;
+            if !is_not_executed(&answer) {
                 return answer;
             }
             refusal = Some(answer);
         }
-        for _ in 0..PEERS {
-            let way = self.reach.borrow().choose(Instant::now(), rand::random());
-            let StorePath::Peer(peer) = way else {
+        for _ in 0..MAX_RELAY_ATTEMPTS {
+            let path = self.paths.borrow().choose(Instant::now(), rand::random());
+            let StorePath::Peer(peer) = path else {
                 break;
             };
-            let answer = self.by_peer(peer, request, limit).await;
-            if !is_turned_away(&answer) {
+            let answer = self.relay(peer, request, limit).await;
+            if !is_not_executed(&answer) {
                 return answer;
             }
         }
         match refusal {
             Some(answer) => answer,
-            None => self.straight(request, limit).await,
+            None => self.send_direct(request, limit).await,
         }
     }
 
-    /// Sends a call to the store itself.
-    async fn straight(&self, request: &Request, limit: Duration) -> Result<(u16, Bytes), Failure> {
+    /// Sends a call directly to the store.
+    async fn send_direct(
+        &self,
+        request: &Request,
+        limit: Duration,
+    ) -> Result<(u16, Bytes), Failure> {
         let answer = timeout(limit, self.exchange(request)).await;
-        let answer = answer.unwrap_or_else(|_elapsed| Err(Failure::Lost("time is over".into())));
+        let answer = answer.unwrap_or_else(|_elapsed| Err(Failure::Lost("timed out".into())));
         let answered = answer.as_ref().is_ok_and(|answer| !is_refusal(answer));
         let now = Instant::now();
-        let mut reach = self.reach.borrow_mut();
+        let mut paths = self.paths.borrow_mut();
         let changed = match &answer {
-            Ok((429, _)) => reach.record_rate_limit(now),
-            _ => reach.record_direct(now, answered),
+            Ok((429, _)) => paths.record_rate_limit(now),
+            _ => paths.record_direct(now, answered),
         };
-        drop(reach);
+        drop(paths);
         if changed && answered {
             log::info!(target: STORE, address = self.address.get().to_string().as_str();
-                "The store is reached straight again.");
+                "The direct path to the store works again.");
         }
         if changed && !answered {
             log::info!(target: STORE, address = self.address.get().to_string().as_str();
-                "The store is not reached straight; peers are asked.");
-            self.turned.notify_waiters();
+                "The direct path to the store fails; peers relay calls.");
+            self.direct_failed.notify_waiters();
         }
         answer
     }
 
-    /// Has a peer carry a call.
-    async fn by_peer(
+    /// Asks a peer to relay a call.
+    async fn relay(
         &self,
         peer: SocketAddr,
         request: &Request,
@@ -346,9 +355,9 @@
         let answer = self.peers.carry(peer, request, limit).await;
         if let Err(error) = &answer {
             log::info!(target: STORE, peer = peer.to_string().as_str(),
-                error = error.to_string().as_str(); "A peer did not carry a call.");
+                error = error.to_string().as_str(); "A peer did not relay a call.");
         }
-        let (outcome, carried) = match &answer {
+        let (outcome, relay_outcome) = match &answer {
             Ok(answer) if is_refusal(answer) => ("refused", RelayOutcome::Unreachable),
             Ok(_) => ("answered", RelayOutcome::Answered),
             Err(Uncarried::Away(_)) => ("refused", RelayOutcome::Unreachable),
@@ -356,50 +365,55 @@
             Err(Uncarried::Lost(_)) => ("lost", RelayOutcome::NoAnswer),
         };
         let now = Instant::now();
-        self.reach.borrow_mut().record_relayed(now, peer, carried);
+        self.paths
+            .borrow_mut()
+            .record_relayed(now, peer, relay_outcome);
         self.meters.detours.with_label_values(&[outcome]).inc();
         answer.map_err(Failure::from)
     }
 
-    /// Carries a call of a peer, unless the store turns this process away, too.
-    pub(super) async fn carry_for_peer(
+    /// Relays a call for a peer, unless the direct path fails here too.
+    pub(super) async fn relay_for_peer(
         &self,
         request: &Request,
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
-        if self.reach.borrow().is_direct_failing() {
-            return Err(Failure::Refused("turned away, too".to_owned()));
+        if self.paths.borrow().is_direct_failing() {
+            return Err(Failure::Refused(
+                "the direct path fails here too".to_owned(),
+            ));
         }
-        self.straight(request, limit).await
+        self.send_direct(request, limit).await
     }
 
-    /// Looks for the straight way while it fails.
-    pub(super) async fn probe(&self) {
+    /// Probes the direct path while it fails.
+    pub(super) async fn run_probes(&self) {
         loop {
             let now = Instant::now();
-            let (away, pause) = {
-                let reach = self.reach.borrow();
-                (reach.is_direct_failing(), reach.probe_delay(now))
+            let (is_failing, delay) = {
+                let paths = self.paths.borrow();
+                (paths.is_direct_failing(), paths.probe_delay(now))
             };
-            if !away {
-                self.turned.notified().await;
+            if !is_failing {
+                self.direct_failed.notified().await;
                 continue;
             }
-            // Processes that were turned away together don't come together.
-            sleep(pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
+            // Jitter spreads the probes of processes that failed at the same time.
+            sleep(delay.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
             let range = Range {
                 limit: Some(1),
-                ..Range::part(PROBED, "")
+                ..Range::part(PROBE_TABLE, "")
             };
             let limit = self.reads.get().current();
-            let answer = self.straight(&wire::read_request(&range), limit).await;
+            let answer = self.send_direct(&wire::read_request(&range), limit).await;
             if let Err(failure) = answer {
                 log::debug!(target: STORE, error = failure.to_string().as_str();
-                    "The straight way still fails.");
+                    "The direct path to the store still fails.");
             }
         }
     }
 
+    /// Sends a request on a connection to the store and reads the answer.
     async fn exchange(&self, request: &Request) -> Result<(u16, Bytes), Failure> {
         let address = self.address.get();
         let http = encode(request, address).map_err(|error| Failure::Refused(error.to_string()))?;
@@ -418,38 +432,38 @@
         Ok((status, body.to_bytes()))
     }
 
-    /// Takes in the store's clock as an answer tells it.
-    fn tell(&self, now: Duration) {
+    /// Updates the clock estimate with the time in an answer.
+    fn record_clock(&self, now: Duration) {
         let mut clock = self.clock.get();
         clock.record_sample(Instant::now(), now);
         self.clock.set(clock);
     }
 
-    fn is_back(&self) {
-        if let Some(since) = self.away.take() {
+    fn record_answer(&self) {
+        if let Some(since) = self.down_since.take() {
             log::info!(target: STORE, away_ms = millis(since.elapsed()); "The store answers again.");
-            for act in self.watchers.borrow().iter() {
-                act();
+            for hook in self.recovery_hooks.borrow().iter() {
+                hook();
             }
         }
     }
 
-    fn is_away(&self, why: &str) {
-        if self.away.get().is_none() {
-            self.away.set(Some(Instant::now()));
+    fn record_failure(&self, why: &str) {
+        if self.down_since.get().is_none() {
+            self.down_since.set(Some(Instant::now()));
             log::warn!(target: STORE, error = why; "The store does not answer.");
         }
     }
 }
 
-/// Says whether the store refused a call: it was not carried out.
+/// Returns whether the store refused a call and did not execute it.
 const fn is_refusal(answer: &(u16, Bytes)) -> bool {
     matches!(answer.0, 429 | 503)
 }
 
-/// Says whether a call was surely not carried out, because the store, or a peer
-/// in its place, turned this process away.
-const fn is_turned_away(answer: &Result<(u16, Bytes), Failure>) -> bool {
+/// Returns whether a call was not executed because the store or a peer refused it
+/// or could not be reached.
+const fn is_not_executed(answer: &Result<(u16, Bytes), Failure>) -> bool {
     match answer {
         Ok(answer) => is_refusal(answer),
         Err(failure) => matches!(failure, Failure::Refused(_)),
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -1,11 +1,10 @@
-//! Keeps this process up to date from the store.
+//! Follows tables of the store.
 //!
-//! One task a table: it reads the table whole, then waits for changes from the
-//! version of that read on. A wait that isn't answered within its time limit is
-//! given up together with its connection, which is how a connection that went
-//! silent shows; the next wait goes on from the same version, so nothing is
-//! missed. A history that is gone, or a table that was read while the store was
-//! away, is read whole again.
+//! One task per table reads the whole table and then waits for changes since the
+//! version of that read. A wait that times out is abandoned with its connection,
+//! which may have gone silent; the next wait starts at the same version, so no
+//! change is missed. If the store no longer has the history since that version, the
+//! whole table is read again.
 
 use super::{calls::Calls, failure::Failure, known::Known, meters::Meters, store::Store};
 use crate::{
@@ -28,35 +27,34 @@
     time::{sleep, sleep_until},
 };
 
-/// How long the store may keep a wait: a connection that went silent shows
-/// before a change on it would be late beyond what the operator allows for.
-const WAIT: Duration = Duration::from_secs(2);
-/// First and longest pause after a failed call: a store that is back is noticed
-/// well within the second, and 360 processes make 900 calls a second at most.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
+/// How long the store may hold a wait open without changes; bounds how long a
+/// silent connection delays a change.
+const FEED_WAIT: Duration = Duration::from_secs(2);
+/// First and longest delay of the backoff after a failed call.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(400));
 
-/// What a table's rows go to.
+/// Receives the rows and changes of a table.
 pub(super) struct Sink {
-    /// The table.
+    /// Name of the table.
     pub(super) table: &'static str,
-    /// Its parts, all of which are read.
+    /// Parts of the table to read.
     pub(super) parts: Vec<String>,
-    /// Takes all rows there are.
+    /// Called with all rows after a full read.
     pub(super) replace: Box<dyn Fn(Vec<Row>)>,
-    /// Takes changes.
+    /// Called with changes since the last call.
     pub(super) change: Box<dyn Fn(Changes)>,
-    /// Called with each answer of the store.
+    /// Called after each answer of the store.
     pub(super) confirm: Box<dyn Fn()>,
 }
 
-/// Follows a table for as long as the process runs.
+/// Follows a table until the process ends.
 pub(super) async fn follow(store: Rc<Store>, sink: Sink) {
-    let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
+    let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
     let mut version = None;
     loop {
         let step = match version {
-            None => read(&store, &sink).await.map(Some),
-            Some(after) => wait(&store, &sink, after).await,
+            None => read_table(&store, &sink).await.map(Some),
+            Some(after) => wait_for_changes(&store, &sink, after).await,
         };
         match step {
             Ok(next) => {
@@ -65,14 +63,14 @@
             }
             Err(failure) => {
                 log::debug!(target: STORE, table = sink.table, error = failure.to_string().as_str();
-                    "A table could not be followed.");
+                    "Reading the changes of a table failed.");
                 sleep(backoff.next_wait(&mut rand::rng())).await;
             }
         }
     }
 }
 
-async fn read(store: &Store, sink: &Sink) -> Result<u64, Failure> {
+async fn read_table(store: &Store, sink: &Sink) -> Result<u64, Failure> {
     let mut rows = Vec::new();
     let mut version = u64::MAX;
     for part in &sink.parts {
@@ -85,10 +83,10 @@
     Ok(version)
 }
 
-async fn wait(store: &Store, sink: &Sink, after: u64) -> Result<Option<u64>, Failure> {
-    let Some(changes) = store.feed(sink.table, after, WAIT).await? else {
+async fn wait_for_changes(store: &Store, sink: &Sink, after: u64) -> Result<Option<u64>, Failure> {
+    let Some(changes) = store.feed(sink.table, after, FEED_WAIT).await? else {
         log::info!(target: STORE, table = sink.table, after = after;
-            "The history is gone; the table is read again.");
+            "The history of a table was discarded; the whole table is read again.");
         return Ok(None);
     };
     let version = changes.version.max(after);
@@ -99,38 +97,42 @@
     Ok(Some(version))
 }
 
-/// Builds the sink of the operator's rows.
-pub(super) fn operator(known: Rc<Known>, calls: Rc<Calls>, act: impl Fn() + 'static) -> Sink {
-    let take = Rc::new({
+/// Builds the sink of the operator's table; `on_change` is called after each change.
+pub(super) fn operator_sink(
+    known: Rc<Known>,
+    calls: Rc<Calls>,
+    on_change: impl Fn() + 'static,
+) -> Sink {
+    let apply = Rc::new({
         let known = Rc::clone(&known);
         move |rows: Vec<Row>| {
             for row in rows {
-                operator_row(&known, &calls, &row);
+                apply_operator_row(&known, &calls, &row);
             }
-            act();
+            on_change();
         }
     });
-    let all = Rc::clone(&take);
+    let replace = Rc::clone(&apply);
     Sink {
         table: table::OPERATOR_TABLE,
         parts: vec![String::new()],
-        replace: Box::new(move |rows| all(rows)),
-        change: Box::new(move |changes| take(changes.rows)),
+        replace: Box::new(move |rows| replace(rows)),
+        change: Box::new(move |changes| apply(changes.rows)),
         confirm: Box::new(move || known.confirm(Instant::now())),
     }
 }
 
-/// Takes in a row of the operator's.
-pub(super) fn operator_row(known: &Known, calls: &Calls, row: &Row) {
+/// Applies a row of the operator's table.
+pub(super) fn apply_operator_row(known: &Known, calls: &Calls, row: &Row) {
     let key = row.id.key.as_str();
     if key == table::CONFIG_KEY {
         match catalog::decode_catalog(&row.value) {
             Ok(catalog) => {
                 calls.configure(&catalog);
                 let (version, shared) = (catalog.version, catalog.shared_key_count());
-                let before = known.catalog().map_or(0, |known| known.version);
-                if known.offer(catalog) {
-                    log::info!(target: CONFIG, version = version, from = before, row = row.version;
+                let previous = known.catalog().map_or(0, |catalog| catalog.version);
+                if known.update_catalog(catalog) {
+                    log::info!(target: CONFIG, version = version, from = previous, row = row.version;
                         "A configuration is in force.");
                     if shared > 0 {
                         log::warn!(target: CONFIG, version = version, keys = shared;
@@ -140,12 +142,12 @@
             }
             Err(error) => log::error!(target: CONFIG, row = row.version,
                 error = error.to_string().as_str();
-                "A configuration is broken; the one before stays in force."),
+                "A configuration is broken; the previous one stays in force."),
         }
     } else if key.starts_with(table::VERSION_PREFIX) {
         match catalog::decode_version(&row.value) {
             Ok(named) => {
-                if known.name(&named.model, named.version) {
+                if known.name_version(&named.model, named.version) {
                     log::info!(target: CONFIG, model = named.model.as_str(),
                         version = named.version; "A weight version was named.");
                 }
@@ -156,36 +158,37 @@
     }
 }
 
-/// Takes in changes of the roster.
-type Hearer = Box<dyn Fn(&[EndpointChange])>;
+/// Called with changes of the roster.
+type RosterListener = Box<dyn Fn(&[EndpointChange])>;
 
-/// The roster and those who hear of its changes.
+/// The roster of endpoints and the listener for its changes.
 pub(super) struct Members {
     roster: RefCell<Roster>,
-    /// Entries that could not be understood, and the versions of their rows.
+    /// Keys of entries that could not be decoded, with the versions of their rows.
     broken: RefCell<HashMap<String, u64>>,
     meters: Rc<Meters>,
-    lapsing: Notify,
-    hear: Hearer,
+    /// Notified when the time of the next expiry may have changed.
+    expiry_changed: Notify,
+    on_change: RosterListener,
 }
 
 impl Members {
-    pub(super) fn new(meters: Rc<Meters>, hear: impl Fn(&[EndpointChange]) + 'static) -> Self {
+    pub(super) fn new(meters: Rc<Meters>, on_change: impl Fn(&[EndpointChange]) + 'static) -> Self {
         Self {
             roster: RefCell::new(Roster::new()),
             broken: RefCell::default(),
             meters,
-            lapsing: Notify::new(),
-            hear: Box::new(hear),
+            expiry_changed: Notify::new(),
+            on_change: Box::new(on_change),
         }
     }
 
-    /// Notes that the store answers again.
-    pub(super) fn store_back(&self) {
+    /// Records that the store answers again.
+    pub(super) fn record_recovery(&self) {
         self.roster.borrow_mut().record_recovery(Instant::now());
     }
 
-    /// Returns the endpoint of an id.
+    /// Returns the endpoint with an id.
     pub(super) fn get(&self, id: &str) -> Option<Endpoint> {
         self.roster.borrow().get(id).cloned()
     }
@@ -197,71 +200,71 @@
         found.cloned().collect()
     }
 
-    /// Drops entries that were missing for too long, when it is time.
-    pub(super) async fn run(&self) {
+    /// Expires entries that have been missing for too long.
+    pub(super) async fn run_expiry(&self) {
         loop {
             let due = self.roster.borrow().next_due();
             match due {
                 Some(due) => sleep_until(due.into()).await,
-                None => self.lapsing.notified().await,
+                None => self.expiry_changed.notified().await,
             }
-            let news = self.roster.borrow_mut().expire(Instant::now());
-            self.tell(&news);
+            let changes = self.roster.borrow_mut().expire(Instant::now());
+            self.publish(&changes);
         }
     }
 
-    fn tell(&self, news: &[EndpointChange]) {
-        for news in news {
-            match news {
+    /// Logs changes and passes them to the listener.
+    fn publish(&self, changes: &[EndpointChange]) {
+        for change in changes {
+            match change {
                 EndpointChange::Updated(e) => log::info!(target: HOSTS, endpoint = e.id.as_str(),
                     service = e.service.as_str(), leaving = e.leaving; "An endpoint is known."),
                 EndpointChange::Removed(id) => log::info!(target: HOSTS, endpoint = id.as_str();
                     "An endpoint is gone."),
             }
         }
-        if !news.is_empty() {
-            (self.hear)(news);
+        if !changes.is_empty() {
+            (self.on_change)(changes);
         }
     }
 }
 
-/// Builds the sink of the endpoints' own entries; `confirm` is called with each answer.
-pub(super) fn endpoints(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
+/// Builds the sink of the table of endpoints; `confirm` is called after each answer.
+pub(super) fn endpoints_sink(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
     let all = Rc::clone(&members);
     Sink {
         table: table::ENDPOINTS_TABLE,
         parts: vec![String::new()],
         replace: Box::new(move |rows| {
-            let found = rows.iter().filter_map(|row| all.understood(row)).collect();
-            let news = all.roster.borrow_mut().replace(Instant::now(), found);
-            all.tell(&news);
-            all.lapsing.notify_one();
+            let endpoints = rows.iter().filter_map(|row| all.decode(row)).collect();
+            let changes = all.roster.borrow_mut().replace(Instant::now(), endpoints);
+            all.publish(&changes);
+            all.expiry_changed.notify_one();
         }),
         change: Box::new(move |changes| {
             let now = Instant::now();
-            let mut news = Vec::new();
+            let mut published = Vec::new();
             for id in &changes.removed {
-                news.extend(members.roster.borrow_mut().remove(now, &id.key));
+                published.extend(members.roster.borrow_mut().remove(now, &id.key));
             }
             for row in &changes.rows {
                 let mut roster = members.roster.borrow_mut();
-                match members.understood(row) {
-                    Some(endpoint) => news.extend(roster.update(endpoint)),
-                    // It names no endpoint any more, as if it were not there.
-                    None => news.extend(roster.remove(now, &row.id.key)),
+                match members.decode(row) {
+                    Some(endpoint) => published.extend(roster.update(endpoint)),
+                    // A broken entry counts as removed.
+                    None => published.extend(roster.remove(now, &row.id.key)),
                 }
             }
-            members.tell(&news);
-            members.lapsing.notify_one();
+            members.publish(&published);
+            members.expiry_changed.notify_one();
         }),
         confirm: Box::new(confirm),
     }
 }
 
 impl Members {
-    /// Understands an entry. One that no endpoint has written is told once for each
-    /// time that it changes, and counted.
-    fn understood(&self, row: &Row) -> Option<Endpoint> {
+    /// Decodes an entry. A broken one is logged and counted once per version.
+    fn decode(&self, row: &Row) -> Option<Endpoint> {
         let key = row.id.key.as_str();
         let error = match roster::decode_endpoint(key, &row.value) {
             Ok(endpoint) => {
@@ -270,11 +273,11 @@
             }
             Err(error) => error.to_string(),
         };
-        let told = self.broken.borrow_mut().insert(key.to_owned(), row.version);
-        if told != Some(row.version) {
+        let previous = self.broken.borrow_mut().insert(key.to_owned(), row.version);
+        if previous != Some(row.version) {
             self.meters.broken_entries.inc();
             log::warn!(target: HOSTS, endpoint = key, row = row.version, error = error.as_str();
-                "An endpoint's entry is broken; it names none.");
+                "An endpoint's entry is broken; it is ignored.");
         }
         None
     }
--- a/hibiscusroad-daemon/src/gateway/times.rs
+++ b/hibiscusroad-daemon/src/gateway/times.rs
@@ -1,4 +1,4 @@
-//! The time of day by which usage is counted.
+//! The time of day that usage windows are based on.
 
 use super::store::Store;
 use hibiscusroad::usage::{Offset, agreed_time};
@@ -8,7 +8,7 @@
     time::{Duration, SystemTime},
 };
 
-/// This host's time of day beside what other gateways tell of theirs.
+/// This host's time of day, corrected by the offsets that other gateways report.
 #[derive(Clone)]
 pub(super) struct Times {
     store: Rc<Store>,
@@ -23,21 +23,21 @@
         }
     }
 
-    /// Returns the time of day, counted from the start of 1970.
+    /// Returns the agreed time of day since the Unix epoch.
     pub(super) fn now(&self) -> Duration {
         let own = host_time();
         let store = self.store.now();
         store.map_or(own, |store| agreed_time(own, store, &self.others.borrow()))
     }
 
-    /// Returns how far this host's time of day is from the store's clock, if that is
-    /// known.
+    /// Returns the offset of this host's time of day from the store's clock, if the
+    /// latter is known.
     pub(super) fn offset(&self) -> Option<Offset> {
         let store = self.store.now()?;
         Some(Offset::between(host_time(), store))
     }
 
-    /// Takes in what the other gateways tell.
+    /// Sets the offsets that other gateways report.
     pub(super) fn hear(&self, others: Vec<Offset>) {
         self.others.replace(others);
     }
