--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Calls through a gateway, to endpoints that answer well and badly.
+//! Calls through a gateway to sound and faulty endpoints.
 
 mod gateway_world;
 
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn call_gets_its_endpoints_whole_answer() {
+fn call_returns_the_endpoints_complete_answer() {
     let (world, desk, _engine) = World::ready("calls", 1);
     let answer = world.gateways[0].call("POST", "/desk/4/a?b=c", "id-1", b"two nights");
     assert_eq!(answer.status, 200);
@@ -19,11 +19,10 @@
     assert_eq!(ran.path, "/desk/4/a");
 }
 
-// The caller sees one answer, its own. An endpoint sends an answer that belongs
-// to another request, or none with a signature, or stops in the middle of it;
-// the gateway must not pass any of these on, and has another endpoint to ask.
+// A gateway must not pass on an answer that belongs to another request, lacks the
+// signature or is truncated, but ask another endpoint.
 #[test]
-fn answers_of_faulty_endpoints_reach_nobody() {
+fn invalid_answers_are_retried_at_another_endpoint() {
     let (world, desk, _engine) = World::ready("faulty", 1);
     let sound = world.endpoint("hut-desk", "i-sound", &[]);
     until("the second endpoint is known", || {
@@ -47,10 +46,10 @@
     assert!(!sound.ran().is_empty());
 }
 
-// The caller of a request that must not run twice gets "unknown", not another
-// run: its endpoint began to work and the answer broke off.
+// A non-idempotent request whose answer was truncated may have run: it must end as
+// "unknown" and not run again.
 #[test]
-fn once_only_request_is_not_repeated_after_a_torn_answer() {
+fn non_idempotent_request_is_not_repeated_after_a_truncated_answer() {
     let (world, desk, _engine) = World::ready("once", 1);
     let other = world.endpoint("hut-desk", "i-other", &[]);
     desk.behave(Manner::Torn);
@@ -61,26 +60,24 @@
     assert_eq!(ran.filter(|ran| ran.id == "once-1").count(), 1);
 }
 
-// The caller is told "not run" with a time to come back, and nothing ran: every
-// endpoint says that it is full.
+// If all endpoints are saturated, the answer says that nothing ran and when to retry.
 #[test]
-fn refusal_by_full_endpoints_names_a_time_to_return() {
+fn refusal_by_saturated_endpoints_has_retry_after() {
     let (world, desk, _engine) = World::ready("full", 1);
     desk.behave(Manner::Refusing);
     let start = Instant::now();
     let answer = world.gateways[0].call("POST", "/once/book", "full-1", b"");
     assert_eq!(answer.status, 503, "{}", answer.text());
-    let after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-    assert!(after > 0.0);
+    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after > 0.0);
     assert!(start.elapsed() < Duration::from_secs(4));
     assert!(desk.ran().iter().all(|ran| ran.id != "full-1"));
 }
 
-// A parent puts the phone away while the answer is awaited: the connection
-// closes. The endpoint must see its own connection close, or it would go on
-// working for nobody.
+// When a caller closes its connection, the connection to the endpoint must close too,
+// or the endpoint would keep working on the request.
 #[test]
-fn work_of_a_caller_that_left_is_cancelled() {
+fn request_is_cancelled_when_its_caller_disconnects() {
     let (world, desk, _engine) = World::ready("left", 1);
     desk.work(Duration::from_secs(8));
     let head = format!(
@@ -100,14 +97,14 @@
     let answer = world.gateways[0].call("POST", "/desk/next", "next-1", b"");
     assert_eq!(answer.status, 200);
     let ran = desk.ran();
-    let left = ran.iter().find(|ran| ran.id == "left-1").unwrap();
-    assert!(!left.whole, "the endpoint worked on");
+    let abandoned = ran.iter().find(|ran| ran.id == "left-1").unwrap();
+    assert!(!abandoned.whole, "the endpoint worked on");
 }
 
-// The caller gets its answer at its route's time limit, not at its own far
-// deadline: the endpoint says nothing at all.
+// A request to a silent endpoint ends at the route's timeout if the caller's deadline
+// is later.
 #[test]
-fn silent_endpoint_is_given_up_at_the_routes_time_limit() {
+fn silent_endpoint_times_out_at_the_routes_timeout() {
     let (world, desk, _engine) = World::ready("silent", 1);
     desk.behave(Manner::Silent);
     let start = Instant::now();
@@ -123,16 +120,15 @@
     );
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 504, "{}", answer.text());
-    let took = start.elapsed();
-    assert!(took > Duration::from_millis(2_500), "{took:?}");
-    assert!(took < Duration::from_millis(3_500), "{took:?}");
+    let elapsed = start.elapsed();
+    assert!(elapsed > Duration::from_millis(2_500), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(3_500), "{elapsed:?}");
 }
 
-// Callers are served while the store is away: what is known stays in force, and
-// the process stays ready. Only a path without a route is not denied then,
-// since a route may have been added that this process can't have heard of.
+// While the store is down the known configuration stays in force and the process stays
+// ready. An unknown path gets 503 in place of 404, since its route may be new.
 #[test]
-fn outage_of_the_store_stops_no_call() {
+fn calls_are_served_while_the_store_is_down() {
     let (world, _desk, _engine) = World::ready("outage", 1);
     let gateway = &world.gateways[0];
     assert_eq!(gateway.call("POST", "/nowhere/x", "n-1", b"").status, 404);
@@ -140,23 +136,22 @@
         silent: true,
         ..Faults::default()
     });
-    until("the configuration is no longer sure", || {
+    until("the configuration is no longer current", || {
         let answer = gateway.call("POST", "/nowhere/x", "n-2", b"");
         (answer.status == 503).then_some(())
     });
     assert_eq!(gateway.call("POST", "/desk/x", "o-1", b"").status, 200);
     world.wait_ready(0);
     world.store.fail(Faults::default());
-    until("the configuration is sure again", || {
+    until("the configuration is current again", || {
         let answer = gateway.call("POST", "/nowhere/x", "n-3", b"");
         (answer.status == 404).then_some(())
     });
 }
 
-// An endpoint that says that it leaves gets no new work, though it still
-// answers; one whose entry is removed neither.
+// An endpoint that is registered as draining gets no new requests, though it answers.
 #[test]
-fn leaving_endpoint_gets_no_new_work() {
+fn draining_endpoint_gets_no_new_requests() {
     let (world, desk, _engine) = World::ready("leaving", 1);
     let other = world.endpoint("hut-desk", "i-other", &[]);
     until("the second endpoint is known", || {
@@ -165,18 +160,18 @@
     });
     desk.register("draining");
     std::thread::sleep(Duration::from_millis(300));
-    let before = desk.ran().len();
+    let run_count = desk.ran().len();
     for n in 0..10 {
         let answer = world.gateways[0].call("POST", "/desk/x", &format!("l-{n}"), b"");
         assert!(answer.text().starts_with("i-other"));
     }
-    assert_eq!(desk.ran().len(), before);
+    assert_eq!(desk.ran().len(), run_count);
     drop(other);
 }
 
-// The caller sees each event as the engine makes it, not all at the end.
+// Each event is passed on when the engine sends it, not at the end of the stream.
 #[test]
-fn stream_is_passed_on_as_it_comes() {
+fn stream_is_passed_on_as_it_arrives() {
     let (world, _desk, engine) = World::ready("stream", 1);
     let route = serde_json::json!({ "name": "stream", "hostname": HOST, "prefix": "/stream/",
         "type": "streaming", "timeoutMs": 9000, "service": "guide-lm", "maxAttempts": 1 });
@@ -193,7 +188,7 @@
     let start = Instant::now();
     let mut stream = raw(world.gateways[0].callers, head.as_bytes());
     let mut text = String::new();
-    let mut first = None;
+    let mut first_event = None;
     let mut buffer = [0; 1024];
     while let Ok(n) = std::io::Read::read(&mut stream, &mut buffer) {
         if n == 0 {
@@ -201,18 +196,21 @@
         }
         text.push_str(&String::from_utf8_lossy(&buffer[..n]));
         if text.contains("s-1-1") {
-            first.get_or_insert(start.elapsed());
+            first_event.get_or_insert(start.elapsed());
         }
     }
     assert!(text.contains("s-1-8"), "{text}");
     assert!(text.ends_with("0\r\n\r\n"), "the end is missing: {text}");
-    assert!(first.unwrap() < Duration::from_millis(700), "{first:?}");
+    assert!(
+        first_event.unwrap() < Duration::from_millis(700),
+        "{first_event:?}"
+    );
     assert!(start.elapsed() > Duration::from_secs(1));
 }
 
-// Bodies larger than what is kept for a second attempt pass as they come.
+// A body that is too large to be buffered is streamed to the endpoint.
 #[test]
-fn large_body_reaches_its_endpoint_whole() {
+fn large_body_reaches_its_endpoint_complete() {
     let (world, _desk, _engine) = World::ready("body", 1);
     let body = vec![b'x'; 900_000];
     let answer = world.gateways[0].call("POST", "/desk/x", "large-1", &body);
@@ -220,34 +218,33 @@
     assert_eq!(answer.body.len(), "i-desk answers ".len() + body.len());
 }
 
-/// Reads a stream of events of the request `id`, and calls `act` once, when event 3
-/// has come. Returns all that came.
-fn read_stream(world: &World, path: &str, id: &str, mut act: impl FnMut()) -> String {
+/// Sends the request `id` and reads its event stream to the end. Calls `on_third` once
+/// event 3 has arrived. Returns everything that was read.
+fn read_stream(world: &World, path: &str, id: &str, mut on_third: impl FnMut()) -> String {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {id}\r\nX-Model: guide\r\n\
          X-Deadline-Ms: 9000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
     let mut stream = raw(world.gateways[0].callers, head.as_bytes());
-    let (mut text, mut acted) = (String::new(), false);
+    let (mut text, mut is_called) = (String::new(), false);
     let mut buffer = [0; 1024];
     while let Ok(n) = std::io::Read::read(&mut stream, &mut buffer) {
         if n == 0 {
             break;
         }
         text.push_str(&String::from_utf8_lossy(&buffer[..n]));
-        if !acted && text.contains(&format!("{id}-3")) {
-            acted = true;
-            act();
+        if !is_called && text.contains(&format!("{id}-3")) {
+            is_called = true;
+            on_third();
         }
     }
     text
 }
 
-// An engine breaks off two streams after their third event. Where the route allows
-// it, the caller gets the events from the fourth on from another run, each once and
-// in one answer; where it doesn't, the answer must not look complete.
+// A broken stream of a resumable route continues in the same answer with each event
+// exactly once; that of another route must not look complete.
 #[test]
-fn broken_stream_goes_on_where_it_may() {
+fn broken_stream_is_resumed_only_on_resumable_routes() {
     let (world, _desk, engine) = World::ready("resume", 1);
     let route = |name: &str, resumable: bool| {
         serde_json::json!({ "name": name, "hostname": HOST, "prefix": format!("/{name}/"),
@@ -262,23 +259,26 @@
             (answer.status != 404).then_some(())
         });
     }
-    let whole = read_stream(&world, "/again/x", "s-1", || engine.relay().cut_all());
-    let places: Vec<usize> = (1..=8)
+    let resumed = read_stream(&world, "/again/x", "s-1", || engine.relay().cut_all());
+    let positions: Vec<usize> = (1..=8)
         .map(|n| {
             let event = format!("data: s-1-{n}\n");
-            assert_eq!(whole.matches(&event).count(), 1, "event {n}: {whole}");
-            whole.find(&event).unwrap()
+            assert_eq!(resumed.matches(&event).count(), 1, "event {n}: {resumed}");
+            resumed.find(&event).unwrap()
         })
         .collect();
-    assert!(places.is_sorted(), "{whole}");
-    assert!(whole.ends_with("0\r\n\r\n"), "the end is missing: {whole}");
+    assert!(positions.is_sorted(), "{resumed}");
+    assert!(
+        resumed.ends_with("0\r\n\r\n"),
+        "the end is missing: {resumed}"
+    );
     let ran = engine.ran().into_iter().filter(|ran| ran.id == "s-1");
     let after: Vec<Option<u64>> = ran.map(|ran| ran.after).collect();
     assert!(after.len() == 2 && after[1] >= Some(3), "{after:?}");
-    let torn = read_stream(&world, "/single/x", "s-2", || engine.relay().cut_all());
+    let truncated = read_stream(&world, "/single/x", "s-2", || engine.relay().cut_all());
     assert!(
-        !torn.contains("s-2-8") && !torn.ends_with("0\r\n\r\n"),
-        "{torn}"
+        !truncated.contains("s-2-8") && !truncated.ends_with("0\r\n\r\n"),
+        "{truncated}"
     );
     assert_eq!(engine.ran().iter().filter(|ran| ran.id == "s-2").count(), 1);
 }
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -1,5 +1,4 @@
-//! From the id of a failed request to its cause, by logs and metrics alone, in
-//! the steps of the operations page.
+//! Tracing a failed request to its cause by its id, with only logs and metrics.
 
 mod gateway_world;
 
@@ -9,38 +8,37 @@
 use hibiscusroad_standins::direct::Manner;
 use std::{collections::BTreeSet, fs, path::Path, time::Duration};
 
-/// Tells the story of an id once it has this sentence.
-fn story(world: &World, id: &str, sentence: &str) -> String {
-    until(sentence, || {
+/// Waits until the trace of an id contains a text, and returns the trace.
+fn trace(world: &World, id: &str, text: &str) -> String {
+    until(text, || {
         let mut logs = Logs::new();
         for gateway in &world.gateways {
             logs.add(&gateway.name, &fs::read_to_string(&gateway.output).unwrap());
         }
-        logs.story(id).filter(|story| story.contains(sentence))
+        logs.story(id).filter(|trace| trace.contains(text))
     })
 }
 
-// The caller got a refusal. Its story names the endpoint that turned it away,
-// as often as it was tried, and why the router gave up.
+// The trace of a refused request names the endpoint that refused it, and the cause.
 #[test]
-fn refused_request_leads_to_its_endpoint() {
+fn trace_of_a_refused_request_names_its_endpoint() {
     let (world, desk, _engine) = World::ready("explain-refused", 1);
     desk.behave(Manner::Refusing);
     let answer = world.gateways[0].call("POST", "/once/book", "refused-1", b"");
     assert_eq!(answer.status, 503);
-    let story = story(&world, "refused-1", "A request is refused.");
+    let trace = trace(&world, "refused-1", "A request is refused.");
     assert!(
-        story.contains("An attempt failed: Too much work"),
-        "{story}"
+        trace.contains("An attempt failed: Too much work"),
+        "{trace}"
     );
-    assert!(story.contains("endpoint=i-desk"), "{story}");
-    assert!(story.contains("kind=saturated"), "{story}");
+    assert!(trace.contains("endpoint=i-desk"), "{trace}");
+    assert!(trace.contains("kind=saturated"), "{trace}");
 }
 
-// The trainer got an errored item. Its story has the three runs that its engine
-// failed, and who ran the batch.
+// The trace of an errored item has its three failed runs, their engine, and the gateway
+// that ran the batch.
 #[test]
-fn errored_item_leads_to_its_engine() {
+fn trace_of_an_errored_item_names_its_engine() {
     let (world, _desk, engine) = World::ready("explain-errored", 1);
     engine.behave(Manner::Failing);
     let body = submission(1, 1, 1, 1).to_string();
@@ -50,21 +48,21 @@
         let answer = world.gateways[0].call("GET", "/lots/b1?after=0", "reader", b"");
         answer.text().contains("errored").then_some(())
     });
-    let story = until("all runs are told", || {
-        let story = story(&world, "item-1-0-0", "A run of an item broke off.");
-        (story.matches("cause=Failed").count() == 3).then_some(story)
+    let trace = until("all runs are logged", || {
+        let trace = trace(&world, "item-1-0-0", "A run of an item broke off.");
+        (trace.matches("cause=Failed").count() == 3).then_some(trace)
     });
-    assert!(story.contains("endpoint=i-lm"), "{story}");
+    assert!(trace.contains("endpoint=i-lm"), "{trace}");
     assert!(
-        story.contains("gateway-1        batches  A batch is accepted."),
-        "{story}"
+        trace.contains("gateway-1        batches  A batch is accepted."),
+        "{trace}"
     );
 }
 
-// The step was late. Its story names the owner that fell silent, the one that
-// took over, and the engine of the item that ended it.
+// The trace of a batch that was taken over names both owners, the reason, and the engine
+// of its last item.
 #[test]
-fn late_step_leads_to_its_lost_owner() {
+fn trace_of_a_late_step_names_its_failed_owner() {
     let (mut world, _desk, engine) = World::ready("explain-late", 2);
     engine.work(Duration::from_millis(60));
     engine.events(30);
@@ -72,29 +70,28 @@
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
     // The first lines are written before the owner dies.
-    story(&world, "b1", "A batch is accepted.");
+    trace(&world, "b1", "A batch is accepted.");
     world.gateways[0].kill();
     until("all is listed", || {
         let answer = world.gateways[1].call("GET", "/lots/b1?after=1", "reader", b"");
         answer.text().contains("completed").then_some(())
     });
-    let story = story(&world, "b1", "The text of an item is whole.");
-    let lines: Vec<&str> = story.lines().collect();
+    let trace = trace(&world, "b1", "The text of an item is whole.");
+    let lines: Vec<&str> = trace.lines().collect();
     let find = |text: &str| lines.iter().position(|line| line.contains(text)).unwrap();
     let accepted = find("A batch is accepted.");
-    let taken = find("A batch is taken over.");
-    let whole = find("The text of an item is whole.");
-    assert!(accepted < taken && taken < whole, "{story}");
-    assert!(lines[accepted].contains("gateway-1"), "{story}");
-    assert!(lines[taken].contains("gateway-2"), "{story}");
-    assert!(lines[taken].contains("why=Silent"), "{story}");
-    assert!(lines[whole].contains("endpoint=i-lm"), "{story}");
+    let takeover = find("A batch is taken over.");
+    let completed = find("The text of an item is whole.");
+    assert!(accepted < takeover && takeover < completed, "{trace}");
+    assert!(lines[accepted].contains("gateway-1"), "{trace}");
+    assert!(lines[takeover].contains("gateway-2"), "{trace}");
+    assert!(lines[takeover].contains("why=Silent"), "{trace}");
+    assert!(lines[completed].contains("endpoint=i-lm"), "{trace}");
 }
 
-// Every metric that is served is on the operations page and in the list, and
-// the metrics tell of what has just happened.
+// All metrics are listed in `NAMES` and on the operations page, and they count requests.
 #[test]
-fn metrics_are_served_as_the_page_lists_them() {
+fn served_metrics_match_the_operations_page() {
     let (world, _desk, _engine) = World::ready("metrics", 1);
     let gateway = &world.gateways[0];
     gateway.call("POST", "/desk/x", "m-1", b"");
--- a/hibiscusroad-daemon/tests/gateway_process.rs
+++ b/hibiscusroad-daemon/tests/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process: signals, settings, limits, logs.
+//! A gateway as a process: signals, settings, limits and logs.
 
 mod gateway_world;
 
@@ -13,9 +13,7 @@
     time::{Duration, Instant},
 };
 
-// The balancer sends callers only to a process that knows what to do with them:
-// one that has started and found no configuration isn't ready, and tells its
-// callers to come back.
+// A process without a configuration must not be ready, and tells callers to retry.
 #[test]
 fn gateway_without_configuration_is_not_ready() {
     let mut world = World::start("unready");
@@ -32,10 +30,9 @@
     world.wait_ready(0);
 }
 
-// A hangup means changed settings, and is no reason to end: callers would be
-// cut off by an operator's edit.
+// SIGHUP reloads the settings and must not end the process, also if they are broken.
 #[test]
-fn hangup_reads_the_settings_again() {
+fn sighup_reloads_the_settings() {
     let (mut world, _desk, _engine) = World::ready("hangup", 1);
     let other = std::sync::Arc::new(Store::start().unwrap());
     other.put("op", "config", &config(9, &[]));
@@ -64,11 +61,10 @@
     assert_eq!(gateway.call("POST", "/desk/x", "h-1", b"").status, 200);
 }
 
-// The caller's request was read when the process was told to stop: it gets its
-// whole answer, and is told that the connection closes. The balancer is told at
-// once, and the process ends with 0 as soon as nobody waits any more.
+// In a planned stop requests in flight are answered with `Connection: close`, readiness
+// ends at once, and the process exits with 0 when no request is left.
 #[test]
-fn planned_stop_answers_what_was_read() {
+fn planned_stop_answers_requests_in_flight() {
     let (mut world, desk, _engine) = World::ready("stop", 1);
     desk.work(Duration::from_millis(1_200));
     let callers = world.gateways[0].callers;
@@ -92,7 +88,7 @@
     let gateway = &mut world.gateways[0];
     gateway.signal(Signal::TERM);
     let ready = gateway.ready;
-    until("the balancer is told", || {
+    until("the process is not ready", || {
         let answer = ask("GET", ready, "/readyz", &[], b"", Duration::from_secs(1));
         (answer?.status == 503).then_some(())
     });
@@ -102,21 +98,20 @@
     assert_eq!(gateway.wait().code(), Some(0));
 }
 
-// Somebody opens connections and sends half of a request, or nothing: they must
-// not hold descriptors for ever. Whoever keeps a connection for its next
-// request, within the limit, is not cut off.
+// Connections with a partial request or none must time out, or they would exhaust file
+// descriptors. A connection that is reused within the idle timeout stays open.
 #[test]
-fn slow_and_idle_connections_are_closed_at_their_limits() {
+fn slow_and_idle_connections_time_out() {
     let (world, _desk, _engine) = World::ready("limits", 1);
     let callers = world.gateways[0].callers;
     let start = Instant::now();
     let mut slow = raw(callers, b"POST /desk/x HTTP/1.1\r\nHost: huts");
     let mut idle = raw(callers, b"");
     assert_eq!(read_all(&mut slow), "");
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     assert!(
-        took > Duration::from_millis(500) && took < Duration::from_millis(2_500),
-        "{took:?}"
+        elapsed > Duration::from_millis(500) && elapsed < Duration::from_millis(2_500),
+        "{elapsed:?}"
     );
     assert_eq!(read_all(&mut idle), "");
     assert!(start.elapsed() > Duration::from_millis(2_700));
@@ -133,7 +128,7 @@
 }
 
 #[test]
-fn too_large_requests_are_told_so() {
+fn oversized_requests_are_refused() {
     let (world, _desk, _engine) = World::ready("large", 1);
     let gateway = &world.gateways[0];
     let answer = gateway.call("POST", "/desk/x", "b-1", &vec![b'x'; 1_100_000]);
@@ -160,10 +155,9 @@
     assert_eq!(answer.unwrap().status, 400, "a request without an id");
 }
 
-// What is broken in the store is told and leaves what was in force: one row
-// with a slip must not take a whole deployment down.
+// A broken row in the store is logged, and what was in force before it stays so.
 #[test]
-fn broken_rows_leave_what_is_known_in_force() {
+fn broken_rows_are_logged_and_ignored() {
     let (world, _desk, _engine) = World::ready("broken", 1);
     let gateway = &world.gateways[0];
     world
@@ -176,7 +170,7 @@
     gateway.line("A weight version is broken");
     world.store.put_bytes("batches", "odd", b"{}");
     assert_eq!(gateway.call("POST", "/desk/x", "s-1", b"").status, 200);
-    // An older version that comes late changes nothing.
+    // An older version that arrives late is ignored.
     world.configure(5, &[]);
     until("version 5 is in force", || {
         let mut lines = gateway.lines().into_iter();
@@ -191,10 +185,10 @@
     assert_eq!(gateway.call("POST", "/desk/x", "s-2", b"").status, 200);
 }
 
-// The feed's history is gone, as after a compaction while nobody heard: the
-// table is read whole, and what changed meanwhile is in force.
+// If the feed's history was compacted the table is read again, so that no change is
+// missed.
 #[test]
-fn configuration_arrives_though_the_history_is_gone() {
+fn configuration_arrives_after_the_history_was_compacted() {
     let (world, _desk, _engine) = World::ready("history", 1);
     let route = serde_json::json!({ "name": "late", "hostname": HOST, "prefix": "/late/",
         "type": "idempotent", "timeoutMs": 2000, "service": "hut-desk", "maxAttempts": 2 });
@@ -207,15 +201,21 @@
     });
 }
 
-// On-call engineers' log collector hangs: nobody reads standard output any
-// more. Requests must be answered as before.
+// Requests must not be delayed if nothing reads the process's standard output.
 #[test]
-fn unread_output_holds_up_no_request() {
+fn unread_output_delays_no_request() {
     let (world, _desk, _engine) = World::ready("unread", 1);
     let name = "gateway-unread";
     let [callers, ready, metrics] = [(); 3].map(|()| ports::choose().unwrap());
-    let more = "\n[log]\nlevel = \"debug\"\n";
-    let text = settings_text(name, callers, ready, metrics, world.store.addr(), more);
+    let log_settings = "\n[log]\nlevel = \"debug\"\n";
+    let text = settings_text(
+        name,
+        callers,
+        ready,
+        metrics,
+        world.store.addr(),
+        log_settings,
+    );
     let file = world.dir.join("unread.toml");
     fs::write(&file, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscusroadd"));
@@ -235,7 +235,7 @@
     until("the process answers", || {
         call("u-0").filter(|a| a.status == 404).map(|_| ())
     });
-    // Far more lines than a pipe holds.
+    // Enough requests to write more log lines than a pipe holds.
     let desk = |id: &str| {
         let headers = [("X-Request-Id", id), ("X-Deadline-Ms", "3000")];
         ask(
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn faults_of_gateway_settings_are_told_at_once() {
+fn all_errors_in_gateway_settings_are_reported() {
     let world = World::start("faults");
     let file = world.dir.join("faults.toml");
     fs::write(
@@ -279,19 +279,19 @@
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     for line in [
         "gateway.ready: found 127.0.0.1:1",
         "gateway.store: found \"here\"",
         "gateway.lease:",
     ] {
-        assert!(told.contains(line), "{line} is not in {told}");
+        assert!(errors.contains(line), "{line} is not in {errors}");
     }
 }
 
-// The audit trail of a gateway: who changed what, from which version to which.
+// The log is the audit trail: each change names its actor, the old and the new value.
 #[test]
-fn configurations_leases_and_orders_are_told_with_what_was_before() {
+fn changes_are_logged_with_their_previous_values() {
     let (world, _desk, engine) = World::ready("audit", 1);
     let gateway = &world.gateways[0];
     world.configure(5, &[]);
@@ -305,23 +305,22 @@
     assert_eq!((&held["fence"], &held["from"]), (&1.into(), &"".into()));
     assert_eq!(order["holder"], held["holder"]);
     assert_eq!((&order["from"], &order["version"]), (&1.into(), &2.into()));
-    let configured = until("the configuration is told", || {
+    let change = until("the configuration is logged", || {
         let mut lines = gateway.lines().into_iter();
         lines.find(|line| line["part"] == "config" && line["version"] == 5)
     });
-    assert_eq!(configured["from"], 1);
-    let time = configured["time"].as_str();
-    assert!(time.is_some_and(|time| time.ends_with('Z')), "{configured}");
+    assert_eq!(change["from"], 1);
+    let time = change["time"].as_str();
+    assert!(time.is_some_and(|time| time.ends_with('Z')), "{change}");
 }
 
-// A request that went well leaves a line as well: on-call engineers see which
-// endpoint answered it, and how long that took.
+// The log line of an answered request names its endpoint and its latency.
 #[test]
-fn an_answered_request_is_told_with_its_endpoint() {
+fn answered_request_is_logged_with_its_endpoint() {
     let (world, _desk, _engine) = World::ready("answered", 1);
     let gateway = &world.gateways[0];
     assert_eq!(gateway.call("POST", "/desk/x", "good-1", b"").status, 200);
-    let line = until("the answer is told", || {
+    let line = until("the answer is logged", || {
         let mut lines = gateway.lines().into_iter();
         lines.find(|line| line["text"] == "A request is answered." && line["id"] == "good-1")
     });
--- a/hibiscusroad-daemon/tests/gateway_world/mod.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/mod.rs
@@ -1,4 +1,4 @@
-//! Real gateways as processes, before a stand-in of the store and of endpoints.
+//! Gateway processes with stand-ins for the store and the endpoints.
 
 #![allow(dead_code, reason = "each test uses its part")]
 
@@ -21,13 +21,13 @@
 };
 use ureq::Agent;
 
-/// Longer than anything here takes on a busy host.
+/// Timeout of all waits, with a margin for a busy host.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-/// The host that all routes of these tests have.
+/// The hostname of all routes in these tests.
 pub const HOST: &str = "huts.example";
-const LOOK: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// An answer as its caller gets it.
+/// An answer as its caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -50,7 +50,7 @@
     }
 }
 
-/// One gateway; killed when it is dropped.
+/// A gateway process, which is killed on drop.
 pub struct Gateway {
     pub name: String,
     pub callers: SocketAddr,
@@ -61,7 +61,7 @@
     child: Child,
 }
 
-/// A deployment of gateways.
+/// A store and the gateways that use it.
 pub struct World {
     pub store: Arc<Store>,
     pub dir: PathBuf,
@@ -69,7 +69,7 @@
 }
 
 impl World {
-    /// Starts a store; gateways are started one by one.
+    /// Starts a store without gateways.
     pub fn start(test: &str) -> Self {
         let dir = std::env::temp_dir().join(format!("gateway-{test}-{}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Starts a store with a configuration, endpoints and ready gateways.
+    /// Starts a store with a configuration, two endpoints and ready gateways.
     pub fn ready(test: &str, gateways: usize) -> (Self, Endpoint, Endpoint) {
         let mut world = Self::start(test);
         world.configure(1, &[]);
@@ -92,7 +92,7 @@
         for n in 0..gateways {
             world.wait_ready(n);
         }
-        // The endpoints are heard of a moment after the configuration.
+        // Endpoints become known separately from the configuration.
         for gateway in &world.gateways {
             until("the endpoints are known", || {
                 let answer = gateway.call("POST", "/desk/warm", "warm", b"");
@@ -106,9 +106,10 @@
         Endpoint::start(&self.store, service, id, models).unwrap()
     }
 
-    /// Writes a configuration with the routes that all tests have, and more.
-    pub fn configure(&self, version: u64, more: &[Value]) {
-        self.store.put("op", "config", &config(version, more));
+    /// Writes a configuration with the common routes and `extra_routes`.
+    pub fn configure(&self, version: u64, extra_routes: &[Value]) {
+        self.store
+            .put("op", "config", &config(version, extra_routes));
     }
 
     /// Starts another gateway.
@@ -117,9 +118,9 @@
     }
 
     /// Starts another gateway with lines added to its settings.
-    pub fn gateway_with(&mut self, more: &str) -> &Gateway {
+    pub fn gateway_with(&mut self, extra_settings: &str) -> &Gateway {
         let name = format!("gateway-{}", self.gateways.len() + 1);
-        let gateway = Gateway::start(&self.dir, &name, self.store.addr(), more);
+        let gateway = Gateway::start(&self.dir, &name, self.store.addr(), extra_settings);
         self.gateways.push(gateway);
         self.gateways.last().unwrap()
     }
@@ -136,20 +137,25 @@
 impl Drop for World {
     fn drop(&mut self) {
         self.gateways.clear();
-        // What is left is in the system's own temporary folder.
+        // Leftover files are in the system's temporary folder.
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
 impl Gateway {
     /// Starts a gateway with lines added to its settings.
-    pub fn start(dir: &std::path::Path, name: &str, store: SocketAddr, more: &str) -> Self {
+    pub fn start(
+        dir: &std::path::Path,
+        name: &str,
+        store: SocketAddr,
+        extra_settings: &str,
+    ) -> Self {
         let [callers, ready, metrics, peers] = [(); 4].map(|()| ports::choose().unwrap());
-        let more = format!("peers = \"{peers}\"\n{more}");
+        let extra_settings = format!("peers = \"{peers}\"\n{extra_settings}");
         let settings = dir.join(format!("{name}.toml"));
         fs::write(
             &settings,
-            settings_text(name, callers, ready, metrics, store, &more),
+            settings_text(name, callers, ready, metrics, store, &extra_settings),
         )
         .unwrap();
         let output = dir.join(format!("{name}.log"));
@@ -180,7 +186,7 @@
         self.child.id()
     }
 
-    /// Sends the process a signal by its number.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: rustix::process::Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(pid, signal).unwrap();
@@ -199,7 +205,7 @@
         until("the process ends", || self.child.try_wait().unwrap())
     }
 
-    /// Returns the lines that it has written, as JSON.
+    /// Returns its log lines as JSON.
     pub fn lines(&self) -> Vec<Value> {
         let text = fs::read_to_string(&self.output).unwrap();
         let lines = text
@@ -208,7 +214,7 @@
         lines.collect()
     }
 
-    /// Waits for a line with this sentence and returns it.
+    /// Waits for a log line whose text starts with `text`, and returns it.
     pub fn line(&self, text: &str) -> Value {
         until(text, || {
             let mut lines = self.lines().into_iter();
@@ -219,7 +225,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -231,9 +237,9 @@
     ready: SocketAddr,
     metrics: SocketAddr,
     store: SocketAddr,
-    more: &str,
+    extra_settings: &str,
 ) -> String {
-    let lease = if more.contains("lease_ms") {
+    let lease = if extra_settings.contains("lease_ms") {
         ""
     } else {
         "lease_ms = 1500\n"
@@ -241,12 +247,13 @@
     format!(
         "name = \"{name}\"\nhost = \"{name}\"\nplace = \"senec\"\nregion = \"zapad\"\n\n\
          [gateway]\ncallers = \"{callers}\"\nready = \"{ready}\"\nmetrics = \"{metrics}\"\n\
-         store = \"{store}\"\n{lease}fences = true\n{more}\n[stop]\ndeadline_s = 4\n"
+         store = \"{store}\"\n{lease}fences = true\n{extra_settings}\n[stop]\ndeadline_s = 4\n"
     )
 }
 
-/// A configuration with a plain service, an engine and their routes.
-pub fn config(version: u64, more: &[Value]) -> Value {
+/// Returns a configuration with a plain service, an engine, their routes and
+/// `extra_routes`.
+pub fn config(version: u64, extra_routes: &[Value]) -> Value {
     let mut routes = vec![
         json!({ "name": "desk", "hostname": HOST, "prefix": "/desk/", "type": "idempotent",
             "timeoutMs": 3000, "targetLatencyMs": 150, "priority": 2, "service": "hut-desk",
@@ -258,7 +265,7 @@
             "timeoutMs": 10000, "targetLatencyMs": 400, "priority": 0, "service": "guide-lm",
             "maxAttempts": 3, "dueMs": 7500, "itemTtlS": 30 }),
     ];
-    routes.extend_from_slice(more);
+    routes.extend_from_slice(extra_routes);
     json!({ "version": version, "routes": routes,
         "services": [
             { "name": "hut-desk", "healthPath": "/healthz", "maxConns": 110, "protocol": "h1" },
@@ -269,11 +276,12 @@
             "headerTimeoutMs": 600, "idleTimeoutMs": 3000 } })
 }
 
-/// A submission of groups of items, each scored by the plain service.
-pub fn submission(step: u64, floor: u64, groups: usize, size: usize) -> Value {
+/// Returns a submission of `groups` groups of `group_size` items, each scored by the
+/// plain service.
+pub fn submission(step: u64, min_version: u64, groups: usize, group_size: usize) -> Value {
     let mut items = Vec::new();
     for group in 0..groups {
-        for n in 0..size {
+        for n in 0..group_size {
             let id = format!("item-{step}-{group}-{n}");
             items.push(json!({ "id": id, "path": format!("/lm/{id}"),
                 "headers": { "X-Model": "guide", "X-Token-Counts": "20,400" },
@@ -282,34 +290,34 @@
                     "path": format!("/desk/{id}"), "body": "3q2+" } }));
         }
     }
-    json!({ "step": step, "model": "guide", "minVersion": floor, "targetGroups": groups,
+    json!({ "step": step, "model": "guide", "minVersion": min_version, "targetGroups": groups,
         "requests": items })
 }
 
-/// Waits until `found` finds something.
-pub fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
+/// Polls `check` until it returns a value; panics with `what` after [`PATIENCE`].
+pub fn until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + PATIENCE;
     loop {
-        if let Some(found) = found() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(Instant::now() < end, "not in time: {what}");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < end, "timed out: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Sends a request and waits for the whole answer; `None` if none came.
+/// Sends a request and reads the complete answer; `None` on failure or timeout.
 pub fn ask(
     method: &str,
     addr: SocketAddr,
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Answer> {
     let agent = Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(limit))
+        .timeout_global(Some(timeout))
         .build()
         .new_agent();
     let mut request = ureq::http::Request::builder()
@@ -331,7 +339,7 @@
     })
 }
 
-/// Opens a connection and sends bytes as they are.
+/// Opens a connection and sends raw bytes.
 pub fn raw(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -339,10 +347,10 @@
     stream
 }
 
-/// Reads what comes until the other side closes.
+/// Reads until the connection is closed.
 pub fn read_all(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    // A reset ends what was sent as well.
+    // A reset ends the text too.
     let _ = stream.read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
