--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -132,7 +132,7 @@
     /// Records that the answer was read to its end.
     pub(super) fn complete(&mut self) {
         self.ticket.finish(self.endpoint, Outcome::Answered);
-        self.in_flight.answered();
+        self.in_flight.mark_answered();
         if let Some(channel) = self.channel.take() {
             self.line.channels.give_back(channel, self.keep_alive);
         }
@@ -140,7 +140,7 @@
 
     /// Records the connection error that ended the answer.
     pub(super) fn record_error(&mut self, error: &hyper::Error) {
-        self.in_flight.broke(error);
+        self.in_flight.record_break(error);
     }
 
     /// Ends the attempt because its answer is incomplete.
@@ -228,12 +228,12 @@
         body,
         streams,
     } = request;
-    let mut usage = line.usage.watch(head.account.as_ref());
-    let mut in_flight = line.crashes.watch(&subject, target.life());
+    let mut metered = line.usage.track(head.account.as_ref());
+    let mut in_flight = line.crashes.track(&subject, target.life());
     let request = build_request(&head, &target, body);
     let on_send = || {
-        usage.sent();
-        in_flight.sent();
+        metered.mark_sent();
+        in_flight.mark_sent();
     };
     let answer = line
         .channels
@@ -243,9 +243,9 @@
         Ok(answer) => answer,
         Err(fault) => {
             if fault.is_unsent() {
-                usage.not_run();
+                metered.mark_not_run();
             }
-            in_flight.faulted(&fault);
+            in_flight.record_fault(&fault);
             return unanswered(&head, &subject, &target, &fault);
         }
     };
@@ -262,7 +262,7 @@
     let outcome = match &done {
         Done::Answer(_) => "answered",
         Done::NotRun(_) => {
-            usage.not_run();
+            metered.mark_not_run();
             "not-run"
         }
         Done::Failed(..) => "failed",
@@ -310,13 +310,13 @@
     let echo = text(&parts.headers, header::REQUEST);
     let is_foreign = echo.is_some_and(|echo| echo != head.id);
     if is_foreign {
-        in_flight.dismissed();
+        in_flight.mark_survived();
         // A late answer to an earlier request: the connection can't be reused.
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
     let status = parts.status;
     if parts.headers.contains_key(header::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
-        in_flight.dismissed();
+        in_flight.mark_survived();
         // The body is read only to reuse the connection.
         drain(line, body, channel, &parts.headers).await;
         return Done::NotRun(match status {
@@ -327,7 +327,7 @@
     let signed = parts.headers.contains_key(header::SIGNATURE);
     let is_verified = echo.is_some() && signed && !parts.headers.contains_key(CONTENT_ENCODING);
     if status.is_success() && !is_verified {
-        in_flight.dismissed();
+        in_flight.mark_survived();
         return Done::Failed(ErrorKind::EndpointBroken, None);
     }
     let keep_alive = keep_alive(&parts.headers);
@@ -335,9 +335,9 @@
         Ok((first, None)) => {
             line.channels.give_back(channel, keep_alive);
             if status.is_server_error() {
-                in_flight.dismissed();
+                in_flight.mark_survived();
             } else {
-                in_flight.answered();
+                in_flight.mark_answered();
             }
             Received::Whole(join(first))
         }
@@ -348,7 +348,7 @@
             in_flight,
         })),
         Err(error) => {
-            in_flight.broke(&error);
+            in_flight.record_break(&error);
             log::info!(target: CALLS, id = head.id.as_str(), error = error.to_string().as_str();
                 "Reading the body of an answer failed.");
             return Done::Failed(ErrorKind::AnswerShort, None);
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -81,7 +81,7 @@
     fn unkept_drafts(&self) -> Vec<(usize, Piece)> {
         let drafts = self.drafts.borrow();
         let found = drafts.iter().filter_map(|(n, draft)| {
-            let piece = draft.text.unkept(0)?;
+            let piece = draft.text.unsaved_piece(0)?;
             Some((*n, piece))
         });
         found.collect()
@@ -89,7 +89,8 @@
 
     fn has_open_drafts(&self) -> bool {
         let drafts = self.drafts.borrow();
-        let open = |draft: &Draft| !draft.task.is_finished() || draft.text.unkept(0).is_some();
+        let open =
+            |draft: &Draft| !draft.task.is_finished() || draft.text.unsaved_piece(0).is_some();
         drafts.values().any(open)
     }
 }
@@ -116,7 +117,7 @@
     fn next_floor(&self, owned: &Owned) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
         let named = self.known.named().get(model).copied()?;
-        let began = owned.submission.floor + owned.lag;
+        let began = owned.submission.min_version + owned.lag;
         (named > began).then(|| (named + 1).saturating_sub(owned.lag))
     }
 
@@ -159,7 +160,7 @@
         }
         let mut change = Change::new().expect(row::head(&owned.id), owned.version.get());
         for (n, piece) in &pieces {
-            let id = row::draft(
+            let id = row::draft_piece(
                 &owned.id,
                 &owned.submission.items[*n].id,
                 owned.tenure,
@@ -173,7 +174,7 @@
             let mut drafts = owned.drafts.borrow_mut();
             for (n, piece) in &pieces {
                 if let Some(draft) = drafts.get_mut(n) {
-                    draft.text.keep(piece);
+                    draft.text.mark_saved(piece);
                 }
             }
         }
@@ -212,7 +213,7 @@
         let groups: Vec<u32> = items.map(|item| row::group_hash(&item.group)).collect();
         let later = heads
             .values()
-            .filter(|row| row.head.is_kin(own) && row.head.accepted > own.accepted);
+            .filter(|row| row.head.shares_texts_with(own) && row.head.accepted > own.accepted);
         later
             .flat_map(|row| &row.head.groups)
             .any(|group| groups.contains(group))
@@ -254,7 +255,7 @@
         let heads = self.heads.borrow();
         let with = heads.iter().filter(|(known, row)| {
             known.as_str() != id
-                && row.head.is_kin(head)
+                && row.head.shares_texts_with(head)
                 && row.head.accepted <= head.accepted
                 && row.head.groups.contains(&group)
         });
@@ -275,7 +276,7 @@
         };
         let rows = self.store.read_whole(&range).await?.rows;
         let parts = rows.iter().filter_map(|row| {
-            let name = row::piece_item(&batch, &row.id.key);
+            let name = row::parse_piece_key(&batch, &row.id.key);
             let piece = serde_json::from_slice::<Piece>(&row.value).ok();
             let part = name.zip(piece).map(|((_, tenure), piece)| (tenure, piece));
             if part.is_none() {
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -40,7 +40,7 @@
         Submission,
         batch::Batch,
         engines::{EngineKey, Engines},
-        presence::{Loss, Presences},
+        presence::{FailureDetector, Loss},
         row::Head,
     },
     roster::EndpointChange,
@@ -101,7 +101,7 @@
     /// When it had a batch or a duty last.
     owned_at: Cell<Option<Instant>>,
     /// What this process saw of the others.
-    seen: RefCell<Presences>,
+    seen: RefCell<FailureDetector>,
     /// The others were looked at.
     looked: Notify,
     /// No batch is accepted or taken over any more.
@@ -187,7 +187,7 @@
             owning: Notify::new(),
             duty: Cell::new(false),
             owned_at: Cell::new(None),
-            seen: RefCell::new(Presences::new()),
+            seen: RefCell::new(FailureDetector::new()),
             looked: Notify::new(),
             leaving: Cell::new(false),
         }
@@ -199,7 +199,7 @@
         for news in news {
             match news {
                 EndpointChange::Updated(e) if !e.weights.is_empty() => {
-                    engines.set(e);
+                    engines.update(e);
                 }
                 EndpointChange::Updated(_) => {}
                 EndpointChange::Removed(id) => engines.remove(id),
@@ -242,7 +242,7 @@
     /// are. It is known here since `since`.
     pub(super) fn lost(&self, life: &str, since: Instant) -> Option<(Loss, usize)> {
         let seen = self.seen.borrow();
-        let why = seen.lost(life, since)?;
+        let why = seen.loss(life, since)?;
         Some((why, seen.count()))
     }
 
@@ -258,7 +258,7 @@
 
     /// Returns how many items of this process run at an engine.
     pub(super) fn running_at(&self, endpoint: &str) -> u32 {
-        self.engines.borrow().mine(endpoint)
+        self.engines.borrow().own_items(endpoint)
     }
 
     /// Says whether an engine is known to be much slower than its peers.
@@ -270,7 +270,7 @@
     pub(super) fn saw(&self, endpoint: &str, model: &str, version: u64) {
         let mut engines = self.engines.borrow_mut();
         if let Some(key) = engines.key(endpoint) {
-            engines.weights(key, model, version);
+            engines.record_version(key, model, version);
         }
         drop(engines);
         self.work.notify_one();
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -70,7 +70,7 @@
         wait: Duration,
     ) -> Result<Response<Out>, Failure> {
         let found = self.find(call.batch()).await?;
-        if !found.is_some_and(|row| row.head.is_of(account)) {
+        if !found.is_some_and(|row| row.head.is_accessible_to(account)) {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
         }
         match call {
@@ -184,7 +184,7 @@
         if let Some((_, submission)) = known {
             return Ok(submission);
         }
-        let object = self.store.get_object(&row::object(id)).await?;
+        let object = self.store.get_object(&row::submission_object(id)).await?;
         let object = object.ok_or_else(|| Failure::Refused("no submission is there".into()))?;
         let submission = Rc::new(batch::decode_submission(&object)?);
         let mut bodies = self.bodies.borrow_mut();
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -158,7 +158,7 @@
         self.targets.borrow_mut().insert(key, Target::of(endpoint));
         self.router
             .borrow_mut()
-            .set_open(now, key, !endpoint.leaving);
+            .set_accepting(now, key, !endpoint.leaving);
     }
 
     fn ensure_service(&self, now: Instant, name: &str) -> ServiceKey {
@@ -185,7 +185,7 @@
         let (sender, steps) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let call = configure(Call::new(id, key, class, deadline));
-        self.router.borrow_mut().arrive(now, call);
+        self.router.borrow_mut().submit(now, call);
         self.flush();
         Ticket {
             calls: Rc::clone(self),
@@ -205,7 +205,7 @@
         };
         self.router
             .borrow_mut()
-            .report(Instant::now(), endpoint, report);
+            .record_load(Instant::now(), endpoint, report);
         self.flush();
     }
 
@@ -255,12 +255,15 @@
         let refused = Step::Refuse {
             id: self.id,
             kind: ErrorKind::Internal,
-            after: Duration::ZERO,
+            retry_after: Duration::ZERO,
         };
         let step = self.steps.recv().await.unwrap_or(refused);
-        if let Step::Refuse { kind, after, .. } = step {
+        if let Step::Refuse {
+            kind, retry_after, ..
+        } = step
+        {
             self.is_ended = true;
-            log::debug!(target: CALLS, after_ms = millis(after); "The router refuses a call: {kind}.");
+            log::debug!(target: CALLS, after_ms = millis(retry_after); "The router refuses a call: {kind}.");
         }
         step
     }
--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -6,7 +6,7 @@
 //!
 //! Because every call is recorded first, the lease can be taken over from a holder that
 //! is only suspected to have failed, before the lease expires. Suspicion follows the
-//! rules for owners of batches. [`hibiscusroad::rollout::turns`] defines which calls a
+//! rules for owners of batches. [`hibiscusroad::rollout::order_records`] defines which calls a
 //! new holder must leave alone, and for how long.
 
 use super::{batches::Batches, boot::BootClock, store::Store};
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -81,17 +81,20 @@
         Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
     };
-    let runs_alone = match line.crashes.verdict(&request.subject) {
+    let no_hedge = match line.crashes.verdict(&request.subject) {
         Verdict::Clear => false,
         Verdict::Suspect => true,
         Verdict::Quarantined(left) => return end_quarantined(&request, None, false, left),
     };
     let streams = matches!(request.kind, Kind::Stream { .. });
-    let max_tries = u8::try_from(request.max_attempts).unwrap_or(u8::MAX);
+    let max_attempts = u8::try_from(request.max_attempts).unwrap_or(u8::MAX);
     let deadline = request.head.deadline;
     let configure = |call: hibiscusroad::route::Call| {
-        let call = call.repeat(repeat).tries(max_tries).tokens(request.tokens);
-        call.alone(runs_alone)
+        let call = call
+            .repeat(repeat)
+            .max_attempts(max_attempts)
+            .tokens(request.tokens);
+        call.no_hedge(no_hedge)
     };
     let mut ticket = line
         .calls
@@ -124,10 +127,10 @@
                     may_run += 1;
                 }
                 Step::Cancel { endpoint, .. } => running.retain(|(key, _)| *key != endpoint),
-                Step::Refuse { kind, after, .. } => {
+                Step::Refuse { kind, retry_after, .. } => {
                     return match error_answer {
                         Some(answer) => Ended::Answer(Box::new(answer), None),
-                        None => Ended::Refused(kind, after),
+                        None => Ended::Refused(kind, retry_after),
                     };
                 }
             },
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -74,7 +74,7 @@
     sync::Members,
     times::Times,
     usage::{Reporter, Usage},
-    weights::{Parts, Weights},
+    weights::{Dependencies, Weights},
 };
 use crate::{
     logs::{self, PROCESS},
@@ -160,7 +160,10 @@
         let take_batch = move |batch| batches.take(batch);
         spawn_local(peers::serve(peers, Rc::clone(&gateway.store), take_batch));
         let store = Rc::clone(&gateway.store);
-        spawn_local(peers::meet(store, gateway.batches.directory().clone()));
+        spawn_local(peers::poll_peers(
+            store,
+            gateway.batches.directory().clone(),
+        ));
     }
     if let Some(metrics) = metrics {
         let gateway = Rc::clone(&gateway);
@@ -182,7 +185,7 @@
     let grace = Duration::from_secs(settings.stop.deadline_s);
     gateway.stop.run_phases(grace).await;
     accepting.abort();
-    gateway.usage.leave().await;
+    gateway.usage.flush().await;
     logs::flush_now();
     Ok(())
 }
@@ -223,9 +226,9 @@
         let members = Rc::new(Members::new(Rc::clone(&meters), move |changes| {
             if let Some(gateway) = listener.upgrade() {
                 gateway.line.calls.apply_roster(changes);
-                gateway.line.crashes.roster(changes);
+                gateway.line.crashes.apply_roster(changes);
                 gateway.batches.roster(changes);
-                gateway.weights.roster(changes);
+                gateway.weights.apply_roster(changes);
             }
         }));
         let directory = Directory {
@@ -260,7 +263,7 @@
                 Rc::clone(&meters),
             ))
         });
-        let parts = Parts {
+        let dependencies = Dependencies {
             duty: Rc::clone(&duty),
             store: Rc::clone(&store),
             known: Rc::clone(&known),
@@ -269,7 +272,7 @@
             channels,
             meters: Rc::clone(&meters),
         };
-        let weights = Rc::new(Weights::new(own.fences, parts));
+        let weights = Rc::new(Weights::new(own.fences, dependencies));
         let refresher = CatalogRefresher::new(Rc::clone(&store), Rc::clone(&known), calls);
         Gateway {
             known,
@@ -314,7 +317,7 @@
         sync::operator_sink(Rc::clone(known), Rc::clone(&line.calls), wake),
         sync::endpoints_sink(Rc::clone(members), {
             let crashes = Rc::clone(&line.crashes);
-            move || crashes.confirm()
+            move || crashes.confirm_roster()
         }),
         batches::sink(Rc::clone(batches)),
         crashes::sink(Rc::clone(&line.crashes)),
@@ -333,12 +336,12 @@
     spawn_local(Rc::clone(batches).sweep());
     spawn_local(Rc::clone(batches).share_paces());
     spawn_local(Rc::clone(weights).run());
-    spawn_local(Rc::clone(usage).keep());
-    spawn_local(Rc::clone(&line.crashes).keep());
-    spawn_local(Rc::clone(&line.crashes).sweep());
+    spawn_local(Rc::clone(usage).run_writer());
+    spawn_local(Rc::clone(&line.crashes).run_writer());
+    spawn_local(Rc::clone(&line.crashes).run_expiry());
     if let Some(reporter) = reporter {
         let recovered = Rc::clone(reporter);
-        store.on_recovery(move || recovered.store_back());
+        store.on_recovery(move || recovered.record_store_return());
         spawn_local(Rc::clone(reporter).run());
     }
     let (weights, reporter) = (Rc::clone(weights), reporter.clone());
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -15,7 +15,7 @@
         for gateway in &world.gateways {
             logs.add(&gateway.name, &fs::read_to_string(&gateway.output).unwrap());
         }
-        logs.story(id).filter(|trace| trace.contains(text))
+        logs.timeline(id).filter(|trace| trace.contains(text))
     })
 }
 
--- a/hibiscusroad-measure/src/policy/balance.rs
+++ b/hibiscusroad-measure/src/policy/balance.rs
@@ -62,7 +62,7 @@
 pub(super) enum Order {
     Start { seq: u64, endpoint: usize },
     Cancel { seq: u64, endpoint: usize },
-    Refuse { seq: u64, after: Duration },
+    Refuse { seq: u64, retry_after: Duration },
 }
 
 /// An entry under one of the policies.
@@ -112,7 +112,7 @@
             });
         }
         let mut router = Router::new(PLACES[place], seed);
-        let spec = ServiceSpec::new().depth(DEPTH);
+        let spec = ServiceSpec::new().max_queued(DEPTH);
         let service = router.set_service(now, "service", spec);
         let spec = |n: usize| {
             EndpointSpec::new(&format!("endpoint-{n}"), PLACES[n / scenario.endpoints])
@@ -137,7 +137,7 @@
 
     pub(super) fn arrive(&mut self, now: Instant, make: impl FnOnce(ServiceKey) -> Call) {
         match self {
-            Self::Ours(ours) => ours.router.arrive(now, make(ours.service)),
+            Self::Ours(ours) => ours.router.submit(now, make(ours.service)),
             Self::Plain(plain) => {
                 let call = make(ServiceKey::default());
                 let row = (call.prefix, 0, call.deadline);
@@ -161,7 +161,7 @@
 
     pub(super) fn report(&mut self, now: Instant, endpoint: usize, report: LoadReport) {
         match self {
-            Self::Ours(ours) => ours.router.report(now, ours.keys[endpoint], report),
+            Self::Ours(ours) => ours.router.record_load(now, ours.keys[endpoint], report),
             Self::Plain(plain) => plain.loads[endpoint] = report.running + report.queued,
         }
     }
@@ -191,7 +191,12 @@
                     seq: id.seq,
                     endpoint: ours.numbers[&endpoint],
                 },
-                Step::Refuse { id, after, .. } => Order::Refuse { seq: id.seq, after },
+                Step::Refuse {
+                    id, retry_after, ..
+                } => Order::Refuse {
+                    seq: id.seq,
+                    retry_after,
+                },
             }),
         }
     }
@@ -205,8 +210,8 @@
         *tries += 1;
         if *tries > PLAIN_TRIES {
             self.calls.remove(&seq);
-            let after = Duration::from_secs(1);
-            self.orders.push_back(Order::Refuse { seq, after });
+            let retry_after = Duration::from_secs(1);
+            self.orders.push_back(Order::Refuse { seq, retry_after });
             return;
         }
         let (prefix, tries) = (*prefix, *tries);
