--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -229,7 +229,7 @@
         streams,
     } = request;
     let mut metered = line.usage.track(head.account.as_ref());
-    let mut in_flight = line.crashes.track(&subject, target.life());
+    let mut in_flight = line.crashes.track(&subject, target.incarnation());
     let request = build_request(&head, &target, body);
     let on_send = || {
         metered.mark_sent();
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -291,7 +291,7 @@
         let head = &request.head;
         let target = Target::of(endpoint);
         let crashes = &self.batches.line.crashes;
-        let mut flight = crashes.track(&request.subject, target.life());
+        let mut flight = crashes.track(&request.subject, target.incarnation());
         let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
         let channels = &self.batches.line.channels;
         let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -36,7 +36,7 @@
     pub(super) id: Rc<str>,
     pub(super) address: SocketAddr,
     /// Start time of this incarnation, if the endpoint reports it.
-    pub(super) born: Option<u64>,
+    pub(super) started_ms: Option<u64>,
 }
 
 impl Target {
@@ -44,15 +44,15 @@
         Self {
             id: endpoint.id.as_str().into(),
             address: endpoint.address,
-            born: endpoint.started_ms,
+            started_ms: endpoint.started_ms,
         }
     }
 
     /// Returns this incarnation of the endpoint.
-    pub(super) fn life(&self) -> EndpointIncarnation {
+    pub(super) fn incarnation(&self) -> EndpointIncarnation {
         EndpointIncarnation {
             endpoint: self.id.to_string(),
-            started_ms: self.born,
+            started_ms: self.started_ms,
         }
     }
 }
