--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the name by which this incarnation of the process holds the lease.
-    pub(super) fn life(&self) -> &str {
+    pub(super) fn holder(&self) -> &str {
         &self.holder
     }
 
@@ -91,12 +91,12 @@
     }
 
     /// Returns the minimum time between calls of two holders to the same receiver.
-    pub(super) const fn apart(&self) -> Duration {
+    pub(super) const fn call_gap(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
     /// Returns the fencing token while this process holds the lease.
-    pub(super) fn fence(&self) -> Option<u64> {
+    pub(super) fn fencing_token(&self) -> Option<u64> {
         self.lease.borrow().fencing_token(self.clock.now())
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Records that another holder has a higher fencing token.
-    pub(super) fn beaten(&self) {
+    pub(super) fn record_conflict(&self) {
         self.lease.borrow_mut().record_conflict();
         self.wake();
     }
@@ -174,7 +174,7 @@
 
     /// Waits for the next step of the lease, and watches the holder if it is another.
     async fn wait(&self, time: Duration) {
-        let held = self.fence().is_some();
+        let held = self.fencing_token().is_some();
         self.batches.set_duty(held);
         if held {
             self.renewed.notify_waiters();
@@ -240,7 +240,7 @@
     }
 
     async fn write(&self, version: u64, row: &LeaseRow) {
-        let held = self.fence();
+        let held = self.fencing_token();
         let value = serde_json::to_vec(row).unwrap_or_default();
         let change = Change::new()
             .expect(lease_row_id(), version)
@@ -250,7 +250,7 @@
         match done {
             Commit::Done { version, .. } => {
                 self.lease.borrow_mut().record_write(version);
-                if let (None, Some(fence)) = (held, self.fence()) {
+                if let (None, Some(fence)) = (held, self.fencing_token()) {
                     log::info!(target: TARGET, holder = self.holder.as_str(), fence = fence,
                         from = self.last_holder.borrow().as_str(); "The lease of the duties is held.");
                 }
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -77,7 +77,7 @@
         let terms = ReportTiming {
             windows: Windows::new(Duration::from_secs(settings.window_s)),
             deadline: Duration::from_secs(settings.late_s),
-            call_gap: duty.apart(),
+            call_gap: duty.call_gap(),
         };
         Self {
             name: name.to_owned(),
@@ -108,7 +108,7 @@
     /// Reports usage until the process ends.
     pub(in crate::gateway) async fn run(self: Rc<Self>) {
         loop {
-            let Some(fence) = self.duty.fence().filter(|_| self.is_needed()) else {
+            let Some(fence) = self.duty.fencing_token().filter(|_| self.is_needed()) else {
                 self.duty.next_renewal().await;
                 continue;
             };
@@ -205,8 +205,11 @@
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let report =
-            StoredReport::new(duty::encode_usage(window.0, &counts), self.duty.life(), now);
+        let report = StoredReport::new(
+            duty::encode_usage(window.0, &counts),
+            self.duty.holder(),
+            now,
+        );
         let row = usage::report_row(window);
         let change = Change::new()
             .expect(row.clone(), 0)
@@ -240,7 +243,7 @@
         let Some((report, now)) = report.zip(self.store.now()) else {
             return false;
         };
-        let blocked_until = self.with_reports(|reports| reports.blocked_until(self.duty.life()));
+        let blocked_until = self.with_reports(|reports| reports.blocked_until(self.duty.holder()));
         let delay = blocked_until
             .flatten()
             .map(|until| until.saturating_sub(now));
@@ -256,7 +259,7 @@
         }
         // Checked last: there is no await between this and the call.
         let in_time = self.duty.now() < valid_until;
-        if !in_time || self.duty.fence() != Some(fence) {
+        if !in_time || self.duty.fencing_token() != Some(fence) {
             return false;
         }
         let start = Instant::now();
@@ -269,7 +272,7 @@
             ReportOutcome::Done => self.close_report(window, "accepted").await,
             ReportOutcome::Fenced => {
                 self.count_outcome("fenced");
-                self.duty.beaten();
+                self.duty.record_conflict();
                 false
             }
             ReportOutcome::Refused | ReportOutcome::Unknown => {
@@ -285,10 +288,10 @@
             return false;
         };
         let is_recent = now.saturating_sub(Duration::from_millis(report.written_at)) < ORDER_TTL;
-        if is_recent && report.holder == self.duty.life() {
+        if is_recent && report.holder == self.duty.holder() {
             return true;
         }
-        let report = StoredReport::new(report.body, self.duty.life(), now);
+        let report = StoredReport::new(report.body, self.duty.holder(), now);
         self.store_report(window, report).await
     }
 
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -73,7 +73,7 @@
         };
         // Checked last: there is no await between this and the order.
         let in_time = self.duty.now() < valid_until;
-        let Some(fence) = self.duty.fence().filter(|_| in_time) else {
+        let Some(fence) = self.duty.fencing_token().filter(|_| in_time) else {
             self.order_counts
                 .borrow_mut()
                 .insert(load.endpoint.clone(), order_count);
@@ -83,7 +83,7 @@
             endpoint: load.endpoint.clone(),
             model: load.model.clone(),
             version: load.version,
-            holder: self.duty.life().to_owned(),
+            holder: self.duty.holder().to_owned(),
             fencing_token: fence,
             expected_orders: order_count,
         };
@@ -95,7 +95,7 @@
             engine::order_outcome(status)
         });
         log::info!(target: WEIGHTS, endpoint = load.endpoint.as_str(), model = load.model.as_str(),
-            version = load.version, from = previous, holder = self.duty.life(), fence = fence,
+            version = load.version, from = previous, holder = self.duty.holder(), fence = fence,
             orders = order_count, answer:? = answer; "An order was given.");
         match answer {
             OrderAnswer::Accepted => {
@@ -111,7 +111,7 @@
                 true
             }
             OrderAnswer::Fenced => {
-                self.duty.beaten();
+                self.duty.record_conflict();
                 false
             }
             OrderAnswer::Busy | OrderAnswer::Gone | OrderAnswer::Refused | OrderAnswer::Unknown => {
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -147,7 +147,7 @@
     /// Starts loads while this process holds the lease, until the process ends.
     pub(super) async fn run(self: Rc<Self>) {
         loop {
-            if let Some(fence) = self.duty.fence() {
+            if let Some(fence) = self.duty.fencing_token() {
                 if self.prepared_token.replace(Some(fence)) != Some(fence) {
                     self.prepare(fence).await;
                 }
@@ -167,7 +167,7 @@
         self.reserved.borrow_mut().clear();
         self.order_counts.borrow_mut().clear();
         let orders_known = self.read_orders().await;
-        let quiet_until = self.duty.now() + self.duty.apart() + ORDER_TTL;
+        let quiet_until = self.duty.now() + self.duty.call_gap() + ORDER_TTL;
         // Engines that check fencing tokens refuse orders of the previous holder themselves.
         let must_wait = !orders_known && !self.engines_fence && fence > 1;
         self.quiet_until.set(must_wait.then_some(quiet_until));
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -58,9 +58,9 @@
             return false;
         };
         let mut records = self.order_records.borrow().clone();
-        records.expire(now, self.duty.apart());
+        records.expire(now, self.duty.call_gap());
         for load in loads {
-            records.record(&load.endpoint, self.duty.life(), now);
+            records.record(&load.endpoint, self.duty.holder(), now);
         }
         let value = serde_json::to_vec(&records).unwrap_or_default();
         let change = Change::new().put(orders_row(), value);
@@ -136,7 +136,7 @@
         let reserved_until = self.reserved.borrow().get(&endpoint.id).copied();
         let records = self.order_records.borrow();
         let blocked_until =
-            records.blocked_until(&endpoint.id, self.duty.life(), self.duty.apart());
+            records.blocked_until(&endpoint.id, self.duty.holder(), self.duty.call_gap());
         let store_now = self.store.now().unwrap_or_default();
         EngineStatus {
             weights,
