--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -27,7 +27,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The table that holds the lease.
-pub(super) const DUTIES: &str = "duties";
+pub(super) const DUTIES_TABLE: &str = "duties";
 /// The key of the lease's row.
 pub(super) const LEASE_KEY: &str = "weights";
 /// Delay after a failed call to the store.
@@ -266,7 +266,7 @@
 
 /// Returns the id of the lease's row.
 fn lease_row_id() -> RowId {
-    RowId::new(DUTIES, "", LEASE_KEY)
+    RowId::new(DUTIES_TABLE, "", LEASE_KEY)
 }
 
 /// Decodes the lease's row.
--- a/hibiscusroad-daemon/src/gateway/weights/handover.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/handover.rs
@@ -1,6 +1,6 @@
 //! State that one holder of the lease passes to the next: the pace of loads and the orders.
 
-use super::{DUTIES, Weights, orders_row};
+use super::{DUTIES_TABLE, Weights, orders_row};
 use crate::logs::WEIGHTS;
 use hibiscusroad::{
     rollout::order_records::OrderRecords,
@@ -27,7 +27,7 @@
         }
         self.pace_written.set(Some(Instant::now()));
         let value = serde_json::to_vec(&*self.pace.borrow()).unwrap_or_default();
-        let change = Change::new().put(RowId::new(DUTIES, PACE_PART, PACE_KEY), value);
+        let change = Change::new().put(RowId::new(DUTIES_TABLE, PACE_PART, PACE_KEY), value);
         let commit = self.store.transact(&change).await;
         if !matches!(commit, Commit::Done { .. }) {
             log::debug!(target: WEIGHTS, done:? = commit;
@@ -37,7 +37,7 @@
 
     /// Reads the pace of loads that the previous holder stored.
     pub(super) async fn read_pace(&self) {
-        match self.store.read(&Range::part(DUTIES, PACE_PART)).await {
+        match self.store.read(&Range::part(DUTIES_TABLE, PACE_PART)).await {
             Ok(page) => {
                 let row = page.rows.first();
                 let stored = row.and_then(|row| serde_json::from_slice(&row.value).ok());
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -15,7 +15,7 @@
 
 use super::{
     batches::Batches,
-    duty::{DUTIES, Duty},
+    duty::{DUTIES_TABLE, Duty},
     http::Channels,
     known::Known,
     meters::Meters,
@@ -177,5 +177,5 @@
 
 /// Returns the ID of the row of recorded orders.
 fn orders_row() -> RowId {
-    RowId::new(DUTIES, "", ORDERS_KEY)
+    RowId::new(DUTIES_TABLE, "", ORDERS_KEY)
 }
