--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -251,7 +251,7 @@
     };
     let load = text(response.headers(), header::LOAD).and_then(header::parse_load);
     if let Some((running, queued, slots)) = load {
-        line.calls.told(endpoint, running, queued, slots);
+        line.calls.record_load(endpoint, running, queued, slots);
     }
     let exchange = Exchange {
         response,
--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -8,7 +8,7 @@
     Batches, Owned,
     seat::{Seat, Start},
 };
-use crate::{gateway::calls::drawn_service, logs::BATCHES};
+use crate::{gateway::calls::pick_service, logs::BATCHES};
 use hibiscusroad::{
     catalog::{Kind, Route},
     quarantine::Verdict,
@@ -275,7 +275,7 @@
     let submission = &owned.submission;
     let group = submission.items[n].group.as_str();
     Some(Requirements {
-        service: drawn_service(route)?,
+        service: pick_service(route)?,
         model: submission.model.as_deref(),
         min_version: submission.min_version,
         exact_version: owned.batch.borrow().required_version(n),
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -7,7 +7,7 @@
 use crate::{
     gateway::{
         attempt::{Answer, Received, text},
-        calls::drawn_service,
+        calls::pick_service,
         forward::{Content, Ended, Forward, run_to_end},
         request::own_head,
         subject::Subject,
@@ -88,7 +88,7 @@
                 return Called::Rejected;
             }
         };
-        let Some(service) = drawn_service(route) else {
+        let Some(service) = pick_service(route) else {
             return Called::Failed;
         };
         let content = Content::Whole(scorer.body.clone().into());
--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -79,7 +79,7 @@
 }
 
 /// Picks one of a route's services at random, by weight.
-pub(super) fn drawn_service(route: &Route) -> Option<&str> {
+pub(super) fn pick_service(route: &Route) -> Option<&str> {
     let draw = f64::from(rand::random::<u32>()) / f64::from(u32::MAX);
     route.service(draw)
 }
@@ -196,7 +196,7 @@
     }
 
     /// Passes the load that an endpoint reported to the router.
-    pub(super) fn told(&self, endpoint: EndpointKey, running: u32, queued: u32, slots: u32) {
+    pub(super) fn record_load(&self, endpoint: EndpointKey, running: u32, queued: u32, slots: u32) {
         let report = LoadReport {
             running,
             queued,
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -4,7 +4,7 @@
     Gateway,
     answer::{Out, problem, whole},
     attempt::{Head, set, strip_hop_by_hop, text},
-    calls::drawn_service,
+    calls::pick_service,
     forward::{Content, Forward},
     http::PartialBody,
     respond::run_for_caller,
@@ -104,7 +104,7 @@
             Ok(content) => content,
             Err(kind) => return problem(kind, Duration::ZERO),
         };
-        let Some(service) = drawn_service(route) else {
+        let Some(service) = pick_service(route) else {
             return problem(ErrorKind::NoEndpoint, UNAVAILABLE_RETRY_DELAY);
         };
         let tokens = text(&parts.headers, header::TOKENS).and_then(header::parse_tokens);
