--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -116,7 +116,7 @@
     /// once such weights are named: at least one version more is named before it.
     fn next_floor(&self, owned: &Owned) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
-        let named = self.known.named().get(model).copied()?;
+        let named = self.known.named_versions().get(model).copied()?;
         let began = owned.submission.min_version + owned.lag;
         (named > began).then(|| (named + 1).saturating_sub(owned.lag))
     }
--- a/hibiscusroad-daemon/src/gateway/batches/give.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/give.rs
@@ -69,7 +69,7 @@
             }
         };
         if self.leaving.get() || !self.set(&given.id, head.clone(), given.version) {
-            // Known already, or left to the next owner by what the store tells.
+            // KnownConfig already, or left to the next owner by what the store tells.
             self.note(&Row {
                 id: row::head(&given.id),
                 value: given.head,
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -33,7 +33,7 @@
 mod submit;
 mod sweep;
 
-use super::{attempt::Line, known::Known, peers::Directory, store::Store, sync::Members};
+use super::{attempt::Line, known::KnownConfig, peers::Directory, store::Store, sync::Members};
 use crate::settings::Gateway as GatewaySettings;
 use hibiscusroad::{
     rollout::{
@@ -82,7 +82,7 @@
     store: Rc<Store>,
     line: Line,
     members: Rc<Members>,
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     engines: RefCell<Engines>,
     heads: RefCell<HashMap<String, HeadRow>>,
     mine: RefCell<HashMap<String, Rc<Owned>>>,
@@ -165,7 +165,7 @@
         store: Rc<Store>,
         line: Line,
         members: Rc<Members>,
-        known: Rc<Known>,
+        known: Rc<KnownConfig>,
     ) -> Self {
         Self {
             life: holder.to_owned(),
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -295,7 +295,7 @@
         let model = submission.model.clone();
         let named = model
             .as_ref()
-            .and_then(|model| self.known.named().get(model).copied());
+            .and_then(|model| self.known.named_versions().get(model).copied());
         let groups = groups(submission);
         let name = account.map(|account| account.name.clone());
         let accepted = millis(self.store.now().unwrap_or_default());
--- a/hibiscusroad-daemon/src/gateway/known.rs
+++ b/hibiscusroad-daemon/src/gateway/known.rs
@@ -18,7 +18,7 @@
 
 /// The configuration and the named weight versions.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct KnownConfig {
     catalog: RefCell<Option<Rc<Catalog>>>,
     confirmed_at: Cell<Option<Instant>>,
     /// Maximum age of the confirmation with which keys are accepted, if limited.
@@ -26,7 +26,7 @@
     named_versions: RefCell<BTreeMap<String, u64>>,
 }
 
-impl Known {
+impl KnownConfig {
     pub(super) fn new(max_age: Option<Duration>) -> Self {
         Self {
             max_age,
@@ -85,7 +85,7 @@
     }
 
     /// Returns the named weight version of each model.
-    pub(super) fn named(&self) -> BTreeMap<String, u64> {
+    pub(super) fn named_versions(&self) -> BTreeMap<String, u64> {
         self.named_versions.borrow().clone()
     }
 }
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -65,7 +65,7 @@
     crashes::Crashes,
     duty::Duty,
     http::Channels,
-    known::Known,
+    known::KnownConfig,
     meters::Meters,
     peers::Directory,
     refresh::CatalogRefresher,
@@ -102,7 +102,7 @@
 
 /// The parts of a gateway.
 struct Gateway {
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     refresher: CatalogRefresher,
     line: Line,
     store: Rc<Store>,
@@ -193,7 +193,7 @@
 fn assemble(settings: &Settings, own: &GatewaySettings, meters: Rc<Meters>) -> Rc<Gateway> {
     let incarnation = Incarnation::draw();
     let holder = format!("{}/{incarnation}", settings.name);
-    let known = Rc::new(Known::new(own.trust_ms.map(Duration::from_millis)));
+    let known = Rc::new(KnownConfig::new(own.trust_ms.map(Duration::from_millis)));
     let store = Rc::new(Store::new(own.store, Rc::clone(&meters)));
     let calls = Rc::new(Calls::new(&settings.data_centre, incarnation));
     let channels = Rc::new(Channels::new());
--- a/hibiscusroad-daemon/src/gateway/refresh.rs
+++ b/hibiscusroad-daemon/src/gateway/refresh.rs
@@ -6,7 +6,7 @@
 //! Invalid requests can't overload the store: waiting requests share one read at a
 //! time, and reads are at least [`MIN_REFRESH_INTERVAL`] apart.
 
-use super::{calls::Calls, known::Known, store::Store, sync};
+use super::{calls::Calls, known::KnownConfig, store::Store, sync};
 use hibiscusroad::table::RowId;
 use hibiscusroad_platform::table;
 use std::{
@@ -34,13 +34,13 @@
 /// Refreshes the known configuration on demand.
 pub(super) struct CatalogRefresher {
     store: Rc<Store>,
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     calls: Rc<Calls>,
     last: Mutex<Option<Refresh>>,
 }
 
 impl CatalogRefresher {
-    pub(super) fn new(store: Rc<Store>, known: Rc<Known>, calls: Rc<Calls>) -> Self {
+    pub(super) fn new(store: Rc<Store>, known: Rc<KnownConfig>, calls: Rc<Calls>) -> Self {
         Self {
             store,
             known,
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -6,7 +6,7 @@
 //! change is missed. If the store no longer has the history since that version, the
 //! whole table is read again.
 
-use super::{calls::Calls, failure::Failure, known::Known, meters::Meters, store::Store};
+use super::{calls::Calls, failure::Failure, known::KnownConfig, meters::Meters, store::Store};
 use crate::{
     logs::{CONFIG, HOSTS, STORE},
     platform::Backoff,
@@ -99,7 +99,7 @@
 
 /// Builds the sink of the operator's table; `on_change` is called after each change.
 pub(super) fn operator_sink(
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     calls: Rc<Calls>,
     on_change: impl Fn() + 'static,
 ) -> Sink {
@@ -123,7 +123,7 @@
 }
 
 /// Applies a row of the operator's table.
-pub(super) fn apply_operator_row(known: &Known, calls: &Calls, row: &Row) {
+pub(super) fn apply_operator_row(known: &KnownConfig, calls: &Calls, row: &Row) {
     let key = row.id.key.as_str();
     if key == table::CONFIG_KEY {
         match catalog::decode_catalog(&row.value) {
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -9,7 +9,7 @@
     gateway::{
         duty::Duty,
         http::{Channels, encode},
-        known::Known,
+        known::KnownConfig,
         meters::Meters,
         store::Store,
         times::Times,
@@ -55,7 +55,7 @@
     duty: Rc<Duty>,
     store: Rc<Store>,
     times: Times,
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     meters: Rc<Meters>,
     channels: Channels,
     /// The time of day at which the store last answered again after an outage.
@@ -71,7 +71,7 @@
         duty: Rc<Duty>,
         store: Rc<Store>,
         times: Times,
-        known: Rc<Known>,
+        known: Rc<KnownConfig>,
         meters: Rc<Meters>,
     ) -> Self {
         let terms = ReportTiming {
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -17,7 +17,7 @@
     batches::Batches,
     duty::{DUTIES_TABLE, Duty},
     http::Channels,
-    known::Known,
+    known::KnownConfig,
     meters::Meters,
     store::Store,
     sync::Members,
@@ -51,7 +51,7 @@
     /// Engines check the fencing token of orders.
     engines_fence: bool,
     store: Rc<Store>,
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     members: Rc<Members>,
     batches: Rc<Batches>,
     channels: Rc<Channels>,
@@ -85,7 +85,7 @@
 pub(super) struct Dependencies {
     pub(super) duty: Rc<Duty>,
     pub(super) store: Rc<Store>,
-    pub(super) known: Rc<Known>,
+    pub(super) known: Rc<KnownConfig>,
     pub(super) members: Rc<Members>,
     pub(super) batches: Rc<Batches>,
     pub(super) channels: Rc<Channels>,
@@ -141,7 +141,7 @@
 
     /// Returns whether there are versions that engines may have to load.
     pub(super) fn is_needed(&self) -> bool {
-        !self.known.named().is_empty()
+        !self.known.named_versions().is_empty()
     }
 
     /// Starts loads while this process holds the lease, until the process ends.
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -97,16 +97,20 @@
     /// Returns the versions that engines should run, and how urgently.
     fn goals(&self) -> Vec<ModelGoal> {
         let needs = self.batches.needs();
-        let goals = self.known.named().into_iter().map(|(model, named)| {
-            let need = needs.get(&model);
-            ModelGoal {
-                newest: named,
-                lag: need.map_or(0, |head| head.lag),
-                work: need.map_or(0, |head| head.work) as f64,
-                priority: need.map_or(0, |head| head.priority),
-                model,
-            }
-        });
+        let goals = self
+            .known
+            .named_versions()
+            .into_iter()
+            .map(|(model, named)| {
+                let need = needs.get(&model);
+                ModelGoal {
+                    newest: named,
+                    lag: need.map_or(0, |head| head.lag),
+                    work: need.map_or(0, |head| head.work) as f64,
+                    priority: need.map_or(0, |head| head.priority),
+                    model,
+                }
+            });
         goals.collect()
     }
 
