--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -33,7 +33,9 @@
 mod submit;
 mod sweep;
 
-use super::{attempt::Line, known::KnownConfig, peers::Directory, store::Store, sync::Members};
+use super::{
+    attempt::Line, known::KnownConfig, peers::Directory, store::Store, sync::EndpointRoster,
+};
 use crate::settings::Gateway as GatewaySettings;
 use hibiscusroad::{
     rollout::{
@@ -81,7 +83,7 @@
     keep: Duration,
     store: Rc<Store>,
     line: Line,
-    members: Rc<Members>,
+    members: Rc<EndpointRoster>,
     known: Rc<KnownConfig>,
     engines: RefCell<Engines>,
     heads: RefCell<HashMap<String, HeadRow>>,
@@ -164,7 +166,7 @@
         own: &GatewaySettings,
         store: Rc<Store>,
         line: Line,
-        members: Rc<Members>,
+        members: Rc<EndpointRoster>,
         known: Rc<KnownConfig>,
     ) -> Self {
         Self {
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -71,7 +71,7 @@
     refresh::CatalogRefresher,
     stopping::Stop,
     store::Store,
-    sync::Members,
+    sync::EndpointRoster,
     times::Times,
     usage::{Reporter, Usage},
     weights::{Dependencies, Weights},
@@ -111,7 +111,7 @@
     duty: Rc<Duty>,
     usage: Rc<Usage>,
     reporter: Option<Rc<Reporter>>,
-    members: Rc<Members>,
+    members: Rc<EndpointRoster>,
     meters: Rc<Meters>,
     stop: Stop,
 }
@@ -223,7 +223,7 @@
     };
     Rc::new_cyclic(|gateway: &Weak<Gateway>| {
         let listener = Weak::clone(gateway);
-        let members = Rc::new(Members::new(Rc::clone(&meters), move |changes| {
+        let members = Rc::new(EndpointRoster::new(Rc::clone(&meters), move |changes| {
             if let Some(gateway) = listener.upgrade() {
                 gateway.line.calls.apply_roster(changes);
                 gateway.line.crashes.apply_roster(changes);
--- a/hibiscusroad-daemon/src/gateway/peers/directory.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/directory.rs
@@ -41,7 +41,7 @@
         let peers = addresses.filter(|address| Some(*address) != self.address);
         store.set_peers(peers.collect());
         let offsets = presences.iter().filter_map(|presence| presence.offset);
-        self.times.hear(offsets.collect());
+        self.times.set_offsets(offsets.collect());
     }
 }
 
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -162,7 +162,7 @@
 type RosterListener = Box<dyn Fn(&[EndpointChange])>;
 
 /// The roster of endpoints and the listener for its changes.
-pub(super) struct Members {
+pub(super) struct EndpointRoster {
     roster: RefCell<Roster>,
     /// Keys of entries that could not be decoded, with the versions of their rows.
     broken: RefCell<HashMap<String, u64>>,
@@ -172,7 +172,7 @@
     on_change: RosterListener,
 }
 
-impl Members {
+impl EndpointRoster {
     pub(super) fn new(meters: Rc<Meters>, on_change: impl Fn(&[EndpointChange]) + 'static) -> Self {
         Self {
             roster: RefCell::new(Roster::new()),
@@ -194,7 +194,7 @@
     }
 
     /// Returns all endpoints of a service.
-    pub(super) fn of(&self, service: &str) -> Vec<Endpoint> {
+    pub(super) fn in_service(&self, service: &str) -> Vec<Endpoint> {
         let roster = self.roster.borrow();
         let found = roster.iter().filter(|e| e.service == service);
         found.cloned().collect()
@@ -230,7 +230,7 @@
 }
 
 /// Builds the sink of the table of endpoints; `confirm` is called after each answer.
-pub(super) fn endpoints_sink(members: Rc<Members>, confirm: impl Fn() + 'static) -> Sink {
+pub(super) fn endpoints_sink(members: Rc<EndpointRoster>, confirm: impl Fn() + 'static) -> Sink {
     let all = Rc::clone(&members);
     Sink {
         table: table::ENDPOINTS_TABLE,
@@ -262,7 +262,7 @@
     }
 }
 
-impl Members {
+impl EndpointRoster {
     /// Decodes an entry. A broken one is logged and counted once per version.
     fn decode(&self, row: &Row) -> Option<Endpoint> {
         let key = row.id.key.as_str();
--- a/hibiscusroad-daemon/src/gateway/times.rs
+++ b/hibiscusroad-daemon/src/gateway/times.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sets the offsets that other gateways report.
-    pub(super) fn hear(&self, others: Vec<Offset>) {
+    pub(super) fn set_offsets(&self, others: Vec<Offset>) {
         self.others.replace(others);
     }
 }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -20,7 +20,7 @@
     known::KnownConfig,
     meters::Meters,
     store::Store,
-    sync::Members,
+    sync::EndpointRoster,
 };
 use hibiscusroad::{
     rollout::{
@@ -52,7 +52,7 @@
     engines_fence: bool,
     store: Rc<Store>,
     known: Rc<KnownConfig>,
-    members: Rc<Members>,
+    members: Rc<EndpointRoster>,
     batches: Rc<Batches>,
     channels: Rc<Channels>,
     meters: Rc<Meters>,
@@ -86,7 +86,7 @@
     pub(super) duty: Rc<Duty>,
     pub(super) store: Rc<Store>,
     pub(super) known: Rc<KnownConfig>,
-    pub(super) members: Rc<Members>,
+    pub(super) members: Rc<EndpointRoster>,
     pub(super) batches: Rc<Batches>,
     pub(super) channels: Rc<Channels>,
     pub(super) meters: Rc<Meters>,
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -124,7 +124,7 @@
             let engine = service.engine.as_ref();
             engine.is_some_and(|engine| has_goal(&engine.models))
         });
-        let endpoints = services.flat_map(|service| self.members.of(&service.name));
+        let endpoints = services.flat_map(|service| self.members.in_service(&service.name));
         let staying = endpoints.filter(|endpoint| !endpoint.leaving);
         staying.map(|endpoint| self.loader(now, endpoint)).collect()
     }
