--- a/hibiscusroad-daemon/src/gateway/answer.rs
+++ b/hibiscusroad-daemon/src/gateway/answer.rs
@@ -18,7 +18,7 @@
 };
 
 /// The body of a response to a caller.
-pub(super) enum Out {
+pub(super) enum ResponseBody {
     /// A complete body.
     Whole(Full<Bytes>),
     /// An endpoint's body that is passed on as it arrives.
@@ -43,7 +43,7 @@
 #[error("the answer ended early")]
 pub(super) struct Broken;
 
-impl Body for Out {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Broken;
 
@@ -119,12 +119,12 @@
 }
 
 /// Builds a response with a complete body; an empty `content_type` sets no header.
-pub(super) fn whole(
+pub(super) fn full_response(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
-) -> Response<Out> {
-    let mut response = Response::new(Out::Whole(Full::new(body.into())));
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Whole(Full::new(body.into())));
     *response.status_mut() = status;
     if !content_type.is_empty() {
         let value = HeaderValue::from_static(content_type);
@@ -144,7 +144,7 @@
 ///
 /// `retry_after` is sent with status 429 and 503, which say that the request did
 /// not run.
-pub(super) fn problem(kind: ErrorKind, retry_after: Duration) -> Response<Out> {
+pub(super) fn problem(kind: ErrorKind, retry_after: Duration) -> Response<ResponseBody> {
     let answer = kind.answer();
     let body = serde_json::to_vec(&Problem {
         r#type: answer.problem,
@@ -152,7 +152,7 @@
         status: answer.status,
     });
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = whole(status, "application/problem+json", body.unwrap_or_default());
+    let mut response = full_response(status, "application/problem+json", body.unwrap_or_default());
     response.extensions_mut().insert(kind);
     if status == StatusCode::UNAUTHORIZED {
         let scheme = HeaderValue::from_static("Bearer");
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -8,7 +8,7 @@
 use super::{Batches, HeadRow, Owned, list::REFERENCE};
 use crate::{
     gateway::{
-        answer::{Out, problem, whole},
+        answer::{ResponseBody, full_response, problem},
         failure::Failure,
     },
     logs::BATCHES,
@@ -54,7 +54,7 @@
         call: BatchRequest,
         account: Option<&str>,
         wait: Duration,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         let answer = self.answer_account(&call, account, wait).await;
         answer.unwrap_or_else(|failure| {
             log::info!(target: BATCHES, call:? = call, error = failure.to_string().as_str();
@@ -68,7 +68,7 @@
         call: &BatchRequest,
         account: Option<&str>,
         wait: Duration,
-    ) -> Result<Response<Out>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let found = self.find(call.batch()).await?;
         if !found.is_some_and(|row| row.head.is_accessible_to(account)) {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
@@ -98,7 +98,7 @@
         id: &str,
         after: usize,
         wait: Duration,
-    ) -> Result<Response<Out>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let end = Instant::now() + wait;
         let Some(row) = self.find(id).await? else {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
@@ -113,7 +113,7 @@
             let ended = self.head(id).is_some_and(|row| row.head.ended);
             if !found.is_empty() || after >= total || ended || Instant::now() >= end {
                 let body = batch::encode_page(total, after, &some(found));
-                return Ok(whole(StatusCode::OK, "application/json", body));
+                return Ok(full_response(StatusCode::OK, "application/json", body));
             }
             match mine {
                 Some(owned) => {
@@ -155,7 +155,11 @@
         Ok(object.to_vec())
     }
 
-    async fn body(self: &Rc<Self>, id: &str, item: &str) -> Result<Response<Out>, Failure> {
+    async fn body(
+        self: &Rc<Self>,
+        id: &str,
+        item: &str,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let unknown = || problem(ErrorKind::UnknownBatch, Duration::ZERO);
         let Some(row) = self.find(id).await? else {
             return Ok(unknown());
@@ -169,7 +173,7 @@
             None => item_body(&*self.submission(id).await?, item),
         };
         Ok(body.map_or_else(unknown, |body| {
-            whole(StatusCode::OK, "application/octet-stream", body)
+            full_response(StatusCode::OK, "application/octet-stream", body)
         }))
     }
 
@@ -196,13 +200,13 @@
     }
 
     /// Ends a batch, which a repeated call finds done.
-    async fn end(self: &Rc<Self>, id: &str) -> Result<Response<Out>, Failure> {
+    async fn end(self: &Rc<Self>, id: &str) -> Result<Response<ResponseBody>, Failure> {
         for _ in 0..ENDS {
             let Some(row) = self.find(id).await? else {
                 return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
             };
             if row.head.ended {
-                return Ok(whole(StatusCode::OK, "", ""));
+                return Ok(full_response(StatusCode::OK, "", ""));
             }
             let head = Head {
                 ended: true,
@@ -221,7 +225,7 @@
                         value: head.encode(),
                         version,
                     });
-                    return Ok(whole(StatusCode::OK, "", ""));
+                    return Ok(full_response(StatusCode::OK, "", ""));
                 }
                 Commit::Conflict(rows) => rows.iter().for_each(|row| self.note(row)),
                 Commit::Refused => sleep(LOOK).await,
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -10,7 +10,7 @@
 use super::{Batches, HeadRow, give::Owner, owner::Loaded};
 use crate::{
     gateway::{
-        answer::{Out, problem, whole},
+        answer::{ResponseBody, full_response, problem},
         peers::decode_presence,
     },
     logs::BATCHES,
@@ -84,7 +84,7 @@
         route: &Route,
         account: Option<&Account>,
         body: Bytes,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         if let Some(row) = self.head(id) {
             return repeated(&row.head, account.map(|account| account.name.as_str()));
         }
@@ -186,7 +186,12 @@
     }
 
     /// Writes the head.
-    async fn enter(self: &Rc<Self>, id: &str, new: Pending, end: Instant) -> Response<Out> {
+    async fn enter(
+        self: &Rc<Self>,
+        id: &str,
+        new: Pending,
+        end: Instant,
+    ) -> Response<ResponseBody> {
         let mut backoff = Backoff::new(PAUSE.0, PAUSE.1);
         // Whether a write may be done although no answer said so.
         let mut open = false;
@@ -334,7 +339,7 @@
 }
 
 /// Answers when the head exists already: it was accepted before.
-fn found(id: &str, rows: &[Row], account: Option<&str>) -> Response<Out> {
+fn found(id: &str, rows: &[Row], account: Option<&str>) -> Response<ResponseBody> {
     if let Some(row) = rows.iter().find(|row| row.id.key == id) {
         return match Head::decode(&row.value) {
             Some(head) => repeated(&head, account),
@@ -367,7 +372,7 @@
 
 /// Answers a submission of a batch that is known: to its own account it was accepted,
 /// to any other its id says nothing, as in all calls about batches.
-fn repeated(head: &Head, account: Option<&str>) -> Response<Out> {
+fn repeated(head: &Head, account: Option<&str>) -> Response<ResponseBody> {
     if head.is_accessible_to(account) {
         accepted()
     } else {
@@ -375,6 +380,6 @@
     }
 }
 
-fn accepted() -> Response<Out> {
-    whole(StatusCode::ACCEPTED, "", Bytes::new())
+fn accepted() -> Response<ResponseBody> {
+    full_response(StatusCode::ACCEPTED, "", Bytes::new())
 }
--- a/hibiscusroad-daemon/src/gateway/exposition.rs
+++ b/hibiscusroad-daemon/src/gateway/exposition.rs
@@ -2,14 +2,14 @@
 
 use super::{
     Gateway,
-    answer::{Out, whole},
+    answer::{ResponseBody, full_response},
 };
 use crate::logs::{PROCESS, dropped_lines};
 use hyper::{Response, StatusCode};
 
 impl Gateway {
     /// Updates the gauges and returns all metrics as text.
-    pub(super) fn exposition(&self) -> Response<Out> {
+    pub(super) fn exposition(&self) -> Response<ResponseBody> {
         let meters = &self.meters;
         let gauge_value = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
         meters
@@ -22,11 +22,11 @@
             .running
             .set(gauge_value(self.batches.running() as u64));
         match meters.text() {
-            Ok(text) => whole(StatusCode::OK, "text/plain; version=0.0.4", text),
+            Ok(text) => full_response(StatusCode::OK, "text/plain; version=0.0.4", text),
             Err(error) => {
                 log::error!(target: PROCESS, error = error.to_string().as_str();
                     "Encoding the metrics failed.");
-                whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
+                full_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
             }
         }
     }
--- a/hibiscusroad-daemon/src/gateway/front.rs
+++ b/hibiscusroad-daemon/src/gateway/front.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Gateway,
-    answer::{Broken, Out},
+    answer::{Broken, ResponseBody},
 };
 use crate::logs::CALLERS;
 use hibiscusroad::catalog::Limits;
@@ -234,7 +234,7 @@
 
 /// An answer's body; its request is in progress until the body is dropped.
 struct GuardedBody {
-    body: Out,
+    body: ResponseBody,
     _guard: RequestGuard,
 }
 
--- a/hibiscusroad-daemon/src/gateway/ready.rs
+++ b/hibiscusroad-daemon/src/gateway/ready.rs
@@ -1,6 +1,6 @@
 //! Serves readiness checks and metrics.
 
-use super::answer::Out;
+use super::answer::ResponseBody;
 use crate::logs::CALLERS;
 use hyper::{Response, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
@@ -19,7 +19,7 @@
 /// Answers all requests with `answer` until the process ends.
 pub(super) async fn serve(
     listener: TcpListener,
-    answer: impl Fn() -> Response<Out> + Clone + 'static,
+    answer: impl Fn() -> Response<ResponseBody> + Clone + 'static,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway,
-    answer::{Out, problem, whole},
+    answer::{ResponseBody, full_response, problem},
     attempt::{Head, set, strip_hop_by_hop, text},
     calls::pick_service,
     forward::{Content, Forward},
@@ -60,7 +60,10 @@
 
 impl Gateway {
     /// Answers a caller's request and records it in the metrics.
-    pub(super) async fn answer(self: &Rc<Self>, request: Request<Incoming>) -> Response<Out> {
+    pub(super) async fn answer(
+        self: &Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let now = Instant::now();
         let response = self.respond(now, request).await;
         let problem = response.extensions().get::<ErrorKind>();
@@ -70,7 +73,11 @@
         response
     }
 
-    async fn respond(self: &Rc<Self>, now: Instant, request: Request<Incoming>) -> Response<Out> {
+    async fn respond(
+        self: &Rc<Self>,
+        now: Instant,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let (parts, body) = request.into_parts();
         let catalog = match self.authorizing_catalog(now, &parts).await {
             Ok(catalog) => catalog,
@@ -191,7 +198,7 @@
         id: &str,
         account: Option<&Account>,
         limits: Limits,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         if parts.method != hyper::Method::POST {
             return problem(ErrorKind::BadMethod, Duration::ZERO);
         }
@@ -362,12 +369,12 @@
 }
 
 /// Answers the load balancer's readiness check.
-pub(super) fn readiness(gateway: &Gateway) -> Response<Out> {
+pub(super) fn readiness(gateway: &Gateway) -> Response<ResponseBody> {
     let ready = gateway.known.catalog().is_some() && !gateway.stop.is_stopping();
     let status = if ready {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    whole(status, "text/plain", status.as_str().to_owned())
+    full_response(status, "text/plain", status.as_str().to_owned())
 }
--- a/hibiscusroad-daemon/src/gateway/respond.rs
+++ b/hibiscusroad-daemon/src/gateway/respond.rs
@@ -1,7 +1,7 @@
 //! Runs a request and builds the response for its caller.
 
 use super::{
-    answer::{Flow, Out, problem, whole},
+    answer::{Flow, ResponseBody, full_response, problem},
     attempt::{Answer, Head, Line, Received, text},
     calls::Ticket,
     forward::{Ended, Forward, run_to_end},
@@ -16,7 +16,7 @@
 };
 
 /// Runs a request and returns the response for its caller.
-pub(super) async fn run_for_caller(line: &Line, request: Forward) -> Response<Out> {
+pub(super) async fn run_for_caller(line: &Line, request: Forward) -> Response<ResponseBody> {
     let head = Rc::clone(&request.head);
     let resumable = ResumableRequest::of(&request);
     let (start, service) = (Instant::now(), request.service.clone());
@@ -44,16 +44,16 @@
     answer: Answer,
     run: Option<(Ticket, EndpointKey)>,
     resumable: Option<ResumableRequest>,
-) -> Response<Out> {
+) -> Response<ResponseBody> {
     let mut response = match (answer.body, run) {
-        (Received::Whole(body), _) => whole(answer.status, "", body),
+        (Received::Whole(body), _) => full_response(answer.status, "", body),
         (Received::Flow(flowing), Some(run)) => {
             let (first, rest, guard) = flowing.split(line, run, head, &answer.headers);
             let is_event_stream = text(&answer.headers, CONTENT_TYPE.as_str())
                 .is_some_and(|value| value.starts_with("text/event-stream"));
             let body = match resumable.filter(|_| is_event_stream && first.is_empty()) {
-                Some(request) => Out::Resumed(resumed(line, request, rest, guard)),
-                None => Out::Flow(Box::new(Flow { first, rest, guard })),
+                Some(request) => ResponseBody::Resumed(resumed(line, request, rest, guard)),
+                None => ResponseBody::Flow(Box::new(Flow { first, rest, guard })),
             };
             let mut response = Response::new(body);
             *response.status_mut() = answer.status;
