--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -87,7 +87,7 @@
 
 /// The parts of the process that attempts use.
 #[derive(Clone)]
-pub(super) struct Line {
+pub(super) struct AttemptContext {
     pub(super) calls: Rc<Calls>,
     pub(super) channels: Rc<Channels>,
     pub(super) meters: Rc<Meters>,
@@ -97,7 +97,7 @@
 
 /// Reports the end of an attempt whose answer is passed on as it arrives.
 pub(super) struct Guard {
-    line: Line,
+    line: AttemptContext,
     ticket: Ticket,
     endpoint: EndpointKey,
     channel: Option<Channel>,
@@ -110,7 +110,7 @@
     /// Splits into the parts read so far, the unread rest, and the attempt's guard.
     pub(super) fn split(
         self,
-        line: &Line,
+        line: &AttemptContext,
         (ticket, endpoint): (Ticket, EndpointKey),
         head: &Head,
         headers: &HeaderMap,
@@ -217,7 +217,7 @@
 
 /// Runs one attempt.
 pub(super) async fn run(
-    line: Line,
+    line: AttemptContext,
     request: AttemptRequest,
     endpoint: EndpointKey,
     target: Target,
@@ -295,7 +295,7 @@
 
 /// Validates an answer and reads its body.
 async fn read_answer(
-    line: &Line,
+    line: &AttemptContext,
     head: &Head,
     target: &Target,
     exchange: Exchange,
@@ -400,7 +400,7 @@
     parts.into_iter().flatten().collect()
 }
 
-async fn drain(line: &Line, body: Incoming, channel: Channel, headers: &HeaderMap) {
+async fn drain(line: &AttemptContext, body: Incoming, channel: Channel, headers: &HeaderMap) {
     let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
         line.channels.give_back(channel, keep_alive);
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -34,7 +34,8 @@
 mod sweep;
 
 use super::{
-    attempt::Line, known::KnownConfig, peers::Directory, store::Store, sync::EndpointRoster,
+    attempt::AttemptContext, known::KnownConfig, peers::Directory, store::Store,
+    sync::EndpointRoster,
 };
 use crate::settings::Gateway as GatewaySettings;
 use hibiscusroad::{
@@ -82,7 +83,7 @@
     /// How long a batch stays readable after its submission.
     keep: Duration,
     store: Rc<Store>,
-    line: Line,
+    line: AttemptContext,
     members: Rc<EndpointRoster>,
     known: Rc<KnownConfig>,
     engines: RefCell<Engines>,
@@ -165,7 +166,7 @@
         holder: &str,
         own: &GatewaySettings,
         store: Rc<Store>,
-        line: Line,
+        line: AttemptContext,
         members: Rc<EndpointRoster>,
         known: Rc<KnownConfig>,
     ) -> Self {
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -6,7 +6,7 @@
 //! connections, which cancels the work of a caller that has disconnected.
 
 use super::{
-    attempt::{Answer, AttemptRequest, Done, Head, Line, Received, run},
+    attempt::{Answer, AttemptContext, AttemptRequest, Done, Head, Received, run},
     calls::Ticket,
     http::{PartialBody, RequestBody, full_body},
     subject::Subject,
@@ -76,7 +76,7 @@
 type Running = (EndpointKey, Pin<Box<dyn Future<Output = Done>>>);
 
 /// Runs a request until it is answered or refused.
-pub(super) async fn run_to_end(line: &Line, mut request: Forward) -> Ended {
+pub(super) async fn run_to_end(line: &AttemptContext, mut request: Forward) -> Ended {
     let repeat = match request.kind {
         Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -59,7 +59,7 @@
 mod weights;
 
 use self::{
-    attempt::Line,
+    attempt::AttemptContext,
     batches::Batches,
     calls::Calls,
     crashes::Crashes,
@@ -104,7 +104,7 @@
 struct Gateway {
     known: Rc<KnownConfig>,
     refresher: CatalogRefresher,
-    line: Line,
+    line: AttemptContext,
     store: Rc<Store>,
     batches: Rc<Batches>,
     weights: Rc<Weights>,
@@ -214,7 +214,7 @@
         Rc::clone(&store),
         Rc::clone(&meters),
     ));
-    let line = Line {
+    let line = AttemptContext {
         crashes,
         calls: Rc::clone(&calls),
         channels: Rc::clone(&channels),
--- a/hibiscusroad-daemon/src/gateway/respond.rs
+++ b/hibiscusroad-daemon/src/gateway/respond.rs
@@ -2,7 +2,7 @@
 
 use super::{
     answer::{Flow, ResponseBody, full_response, problem},
-    attempt::{Answer, Head, Line, Received, text},
+    attempt::{Answer, AttemptContext, Head, Received, text},
     calls::Ticket,
     forward::{Ended, Forward, run_to_end},
     resume::{ResumableRequest, resumed},
@@ -16,7 +16,10 @@
 };
 
 /// Runs a request and returns the response for its caller.
-pub(super) async fn run_for_caller(line: &Line, request: Forward) -> Response<ResponseBody> {
+pub(super) async fn run_for_caller(
+    line: &AttemptContext,
+    request: Forward,
+) -> Response<ResponseBody> {
     let head = Rc::clone(&request.head);
     let resumable = ResumableRequest::of(&request);
     let (start, service) = (Instant::now(), request.service.clone());
@@ -39,7 +42,7 @@
 /// Builds the response from an endpoint's answer; `run` is set if its body is still
 /// arriving.
 fn build_response(
-    line: &Line,
+    line: &AttemptContext,
     head: &Head,
     answer: Answer,
     run: Option<(Ticket, EndpointKey)>,
--- a/hibiscusroad-daemon/src/gateway/resume.rs
+++ b/hibiscusroad-daemon/src/gateway/resume.rs
@@ -10,7 +10,7 @@
 
 use super::{
     answer::{Broken, Resumed},
-    attempt::{Answer, Guard, Head, Line, Received, set},
+    attempt::{Answer, AttemptContext, Guard, Head, Received, set},
     forward::{Content, Ended, Forward, run_to_end},
     subject::Subject,
 };
@@ -78,7 +78,7 @@
 
 /// The state of a stream that is being passed on.
 struct State {
-    line: Line,
+    line: AttemptContext,
     request: ResumableRequest,
     events: EventDecoder,
     /// Number of the last event that was passed on.
@@ -90,7 +90,7 @@
 
 /// Passes a stream on and resumes it at another endpoint when it breaks.
 pub(super) fn resumed(
-    line: &Line,
+    line: &AttemptContext,
     request: ResumableRequest,
     rest: Incoming,
     guard: Guard,
