--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -9,7 +9,7 @@
 use super::{
     calls::{Calls, Target, Ticket},
     crashes::{Crashes, InFlight},
-    http::{Channel, Channels, Fault, RequestBody},
+    http::{Connection, ConnectionPool, Fault, RequestBody},
     meters::Meters,
     subject::Subject,
     usage::Usage,
@@ -71,7 +71,7 @@
 pub(super) struct Flowing {
     first: VecDeque<Bytes>,
     rest: Incoming,
-    channel: Channel,
+    channel: Connection,
     in_flight: InFlight,
 }
 
@@ -89,7 +89,7 @@
 #[derive(Clone)]
 pub(super) struct AttemptContext {
     pub(super) calls: Rc<Calls>,
-    pub(super) channels: Rc<Channels>,
+    pub(super) channels: Rc<ConnectionPool>,
     pub(super) meters: Rc<Meters>,
     pub(super) usage: Rc<Usage>,
     pub(super) crashes: Rc<Crashes>,
@@ -100,7 +100,7 @@
     line: AttemptContext,
     ticket: Ticket,
     endpoint: EndpointKey,
-    channel: Option<Channel>,
+    channel: Option<Connection>,
     keep_alive: Option<Duration>,
     id: String,
     in_flight: InFlight,
@@ -289,7 +289,7 @@
 /// An answer's head and the connection that its body arrives on.
 struct Exchange {
     response: Response<Incoming>,
-    channel: Channel,
+    channel: Connection,
     in_flight: InFlight,
 }
 
@@ -400,7 +400,7 @@
     parts.into_iter().flatten().collect()
 }
 
-async fn drain(line: &AttemptContext, body: Incoming, channel: Channel, headers: &HeaderMap) {
+async fn drain(line: &AttemptContext, body: Incoming, channel: Connection, headers: &HeaderMap) {
     let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
         line.channels.give_back(channel, keep_alive);
--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -157,26 +157,26 @@
 
 /// A connection that carries one request at a time.
 #[derive(Debug)]
-pub(super) struct Channel {
+pub(super) struct Connection {
     sender: SendRequest<RequestBody>,
     _driver: Driver,
     address: SocketAddr,
 }
 
 #[derive(Debug)]
-struct IdleChannel {
-    channel: Channel,
+struct IdleConnection {
+    channel: Connection,
     expires_at: Instant,
 }
 
 /// A pool of connections to many addresses.
 #[derive(Debug, Default)]
-pub(super) struct Channels {
-    idle: RefCell<HashMap<SocketAddr, Vec<IdleChannel>>>,
+pub(super) struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     opened: Cell<u64>,
 }
 
-impl Channels {
+impl ConnectionPool {
     pub(super) fn new() -> Self {
         Self::default()
     }
@@ -191,7 +191,7 @@
         &self,
         address: SocketAddr,
         request: Request<RequestBody>,
-    ) -> Result<(Response<Incoming>, Channel), Fault> {
+    ) -> Result<(Response<Incoming>, Connection), Fault> {
         self.send_noting(address, request, || {}).await
     }
 
@@ -204,7 +204,7 @@
         address: SocketAddr,
         mut request: Request<RequestBody>,
         mut on_send: impl FnMut(),
-    ) -> Result<(Response<Incoming>, Channel), Fault> {
+    ) -> Result<(Response<Incoming>, Connection), Fault> {
         loop {
             let (mut channel, pooled) = match self.take_idle(address) {
                 Some(channel) => (channel, true),
@@ -227,7 +227,7 @@
     }
 
     /// Returns a connection to the pool after its answer was read to the end.
-    pub(super) fn give_back(&self, channel: Channel, keep_alive: Option<Duration>) {
+    pub(super) fn give_back(&self, channel: Connection, keep_alive: Option<Duration>) {
         if channel.sender.is_closed() {
             return;
         }
@@ -237,14 +237,14 @@
         let kept = idle.entry(channel.address).or_default();
         kept.retain(|idle| !idle.channel.sender.is_closed());
         if kept.len() < MAX_IDLE_CONNECTIONS {
-            kept.push(IdleChannel {
+            kept.push(IdleConnection {
                 channel,
                 expires_at,
             });
         }
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<Channel> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
@@ -257,7 +257,7 @@
         None
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<Channel, Fault> {
+    async fn open(&self, address: SocketAddr) -> Result<Connection, Fault> {
         self.opened.set(self.opened.get() + 1);
         let connect_error = |error: io::Error| Fault::Unreached(Unreached::Connect(error));
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
@@ -274,7 +274,7 @@
                 log::debug!(target: crate::logs::CALLS, "A connection to {address} failed: {error}.");
             }
         }));
-        Ok(Channel {
+        Ok(Connection {
             sender,
             _driver: driver,
             address,
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -64,7 +64,7 @@
     calls::Calls,
     crashes::Crashes,
     duty::Duty,
-    http::Channels,
+    http::ConnectionPool,
     known::KnownConfig,
     meters::Meters,
     peers::Directory,
@@ -196,7 +196,7 @@
     let known = Rc::new(KnownConfig::new(own.trust_ms.map(Duration::from_millis)));
     let store = Rc::new(Store::new(own.store, Rc::clone(&meters)));
     let calls = Rc::new(Calls::new(&settings.data_centre, incarnation));
-    let channels = Rc::new(Channels::new());
+    let channels = Rc::new(ConnectionPool::new());
     let windows = own.usage.as_ref().map(|usage| {
         let length = Duration::from_secs(usage.window_s);
         Windows::new(length)
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -7,7 +7,7 @@
 
 use super::{
     failure::Failure,
-    http::{Channels, Fault, encode},
+    http::{ConnectionPool, Fault, encode},
     meters::Meters,
     peers::{Peers, RelayError},
 };
@@ -51,7 +51,7 @@
 
 /// The client of the store.
 pub(super) struct Store {
-    channels: Channels,
+    channels: ConnectionPool,
     peers: Peers,
     paths: RefCell<StorePaths>,
     /// Number of known peers.
@@ -73,7 +73,7 @@
 impl Store {
     pub(super) fn new(address: SocketAddr, meters: Rc<Meters>) -> Self {
         Self {
-            channels: Channels::new(),
+            channels: ConnectionPool::new(),
             peers: Peers::new(),
             paths: RefCell::new(StorePaths::new()),
             peer_count: Cell::new(0),
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -8,7 +8,7 @@
 use crate::{
     gateway::{
         duty::Duty,
-        http::{Channels, encode},
+        http::{ConnectionPool, encode},
         known::KnownConfig,
         meters::Meters,
         store::Store,
@@ -57,7 +57,7 @@
     times: Times,
     known: Rc<KnownConfig>,
     meters: Rc<Meters>,
-    channels: Channels,
+    channels: ConnectionPool,
     /// The time of day at which the store last answered again after an outage.
     store_returned: Cell<Option<Duration>>,
     /// The reports, and the fencing token under which they were read.
@@ -88,7 +88,7 @@
             times,
             known,
             meters,
-            channels: Channels::new(),
+            channels: ConnectionPool::new(),
             store_returned: Cell::new(None),
             reports: RefCell::default(),
         }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -16,7 +16,7 @@
 use super::{
     batches::Batches,
     duty::{DUTIES_TABLE, Duty},
-    http::Channels,
+    http::ConnectionPool,
     known::KnownConfig,
     meters::Meters,
     store::Store,
@@ -54,7 +54,7 @@
     known: Rc<KnownConfig>,
     members: Rc<EndpointRoster>,
     batches: Rc<Batches>,
-    channels: Rc<Channels>,
+    channels: Rc<ConnectionPool>,
     meters: Rc<Meters>,
     /// Engines that get no other order until this time, since they load or a load failed.
     reserved: RefCell<HashMap<String, Instant>>,
@@ -88,7 +88,7 @@
     pub(super) known: Rc<KnownConfig>,
     pub(super) members: Rc<EndpointRoster>,
     pub(super) batches: Rc<Batches>,
-    pub(super) channels: Rc<Channels>,
+    pub(super) channels: Rc<ConnectionPool>,
     pub(super) meters: Rc<Meters>,
 }
 
