--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -134,7 +134,7 @@
         self.ticket.finish(self.endpoint, Outcome::Answered);
         self.in_flight.mark_answered();
         if let Some(channel) = self.channel.take() {
-            self.line.channels.give_back(channel, self.keep_alive);
+            self.line.channels.return_to_pool(channel, self.keep_alive);
         }
     }
 
@@ -237,7 +237,7 @@
     };
     let answer = line
         .channels
-        .send_noting(target.address, request, on_send)
+        .send_with_hook(target.address, request, on_send)
         .await;
     let (response, channel) = match answer {
         Ok(answer) => answer,
@@ -333,7 +333,7 @@
     let keep_alive = keep_alive(&parts.headers);
     let received = match read(body, streams && status.is_success()).await {
         Ok((first, None)) => {
-            line.channels.give_back(channel, keep_alive);
+            line.channels.return_to_pool(channel, keep_alive);
             if status.is_server_error() {
                 in_flight.mark_survived();
             } else {
@@ -403,7 +403,7 @@
 async fn drain(line: &AttemptContext, body: Incoming, channel: Connection, headers: &HeaderMap) {
     let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
-        line.channels.give_back(channel, keep_alive);
+        line.channels.return_to_pool(channel, keep_alive);
     }
 }
 
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -294,7 +294,7 @@
         let mut flight = crashes.track(&request.subject, target.incarnation());
         let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
         let channels = &self.batches.line.channels;
-        let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
+        let sending = channels.send_with_hook(target.address, sent, || flight.mark_sent());
         let sent = self.queue(sending, head.id.as_str()).await?;
         let (response, channel) = sent.map_err(|fault| {
             flight.record_fault(&fault);
@@ -311,7 +311,7 @@
         let keep = attempt::keep_alive(response.headers());
         self.read(response.into_body(), &mut flight).await?;
         flight.mark_answered();
-        channels.give_back(channel, keep);
+        channels.return_to_pool(channel, keep);
         Ok(())
     }
 
--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -192,14 +192,14 @@
         address: SocketAddr,
         request: Request<RequestBody>,
     ) -> Result<(Response<Incoming>, Connection), Fault> {
-        self.send_noting(address, request, || {}).await
+        self.send_with_hook(address, request, || {}).await
     }
 
     /// Sends a request and waits for the head of its answer.
     ///
     /// Calls `on_send` before each send on an open connection. There is a second
     /// send if a pooled connection turns out to be closed.
-    pub(super) async fn send_noting(
+    pub(super) async fn send_with_hook(
         &self,
         address: SocketAddr,
         mut request: Request<RequestBody>,
@@ -227,7 +227,7 @@
     }
 
     /// Returns a connection to the pool after its answer was read to the end.
-    pub(super) fn give_back(&self, channel: Connection, keep_alive: Option<Duration>) {
+    pub(super) fn return_to_pool(&self, channel: Connection, keep_alive: Option<Duration>) {
         if channel.sender.is_closed() {
             return;
         }
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -376,7 +376,7 @@
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         body.map_err(|error| error.to_string())?;
-        self.channels.give_back(channel, None);
+        self.channels.return_to_pool(channel, None);
         Ok(status)
     }
 }
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -218,7 +218,7 @@
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         let body = body.map_err(|error| error.to_string())?;
-        self.channels.give_back(channel, None);
+        self.channels.return_to_pool(channel, None);
         Ok((status, body.to_bytes()))
     }
 }
