--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -108,7 +108,7 @@
 
 /// Why no connection is available.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum Unreached {
+pub(super) enum ConnectError {
     /// Connecting timed out.
     #[error("connecting timed out")]
     Timeout,
@@ -120,7 +120,7 @@
     Closed(hyper::Error),
 }
 
-impl Unreached {
+impl ConnectError {
     /// Returns whether the connection was refused, as after the end of a process.
     pub(super) fn is_refusal(&self) -> bool {
         matches!(self, Self::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused)
@@ -132,7 +132,7 @@
 pub(super) enum Fault {
     /// There was no connection, or it closed before anything was sent.
     #[error("connection failed: {0}")]
-    Unreached(Unreached),
+    ConnectError(ConnectError),
     /// The connection broke after at least part of the request was sent.
     #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
@@ -141,7 +141,7 @@
 impl Fault {
     /// Returns whether no part of the request was sent.
     pub(super) const fn is_unsent(&self) -> bool {
-        matches!(self, Self::Unreached(_))
+        matches!(self, Self::ConnectError(_))
     }
 }
 
@@ -217,8 +217,8 @@
                     // A pooled connection had been closed: nothing was sent.
                     Some(unsent) if pooled => request = unsent,
                     Some(_) => {
-                        let closed = Unreached::Closed(error.into_error());
-                        return Err(Fault::Unreached(closed));
+                        let closed = ConnectError::Closed(error.into_error());
+                        return Err(Fault::ConnectError(closed));
                     }
                     None => return Err(Fault::Broken(error.into_error())),
                 },
@@ -259,10 +259,10 @@
 
     async fn open(&self, address: SocketAddr) -> Result<Connection, Fault> {
         self.opened.set(self.opened.get() + 1);
-        let connect_error = |error: io::Error| Fault::Unreached(Unreached::Connect(error));
+        let connect_error = |error: io::Error| Fault::ConnectError(ConnectError::Connect(error));
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_elapsed| Fault::Unreached(Unreached::Timeout))?
+            .map_err(|_elapsed| Fault::ConnectError(ConnectError::Timeout))?
             .map_err(connect_error)?;
         stream.set_nodelay(true).map_err(connect_error)?;
         SockRef::from(&stream)
