--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -54,21 +54,21 @@
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) body: Received,
+    pub(super) body: AnswerBody,
     /// The id of the endpoint.
     pub(super) endpoint: Rc<str>,
 }
 
 /// The body of an answer.
-pub(super) enum Received {
+pub(super) enum AnswerBody {
     /// The complete body.
     Whole(Bytes),
     /// A body that is passed on as it arrives.
-    Flow(Box<Flowing>),
+    Partial(Box<PartialAnswer>),
 }
 
 /// The body of an answer that is still arriving.
-pub(super) struct Flowing {
+pub(super) struct PartialAnswer {
     first: VecDeque<Bytes>,
     rest: Incoming,
     channel: Connection,
@@ -106,7 +106,7 @@
     in_flight: InFlight,
 }
 
-impl Flowing {
+impl PartialAnswer {
     /// Splits into the parts read so far, the unread rest, and the attempt's guard.
     pub(super) fn split(
         self,
@@ -339,9 +339,9 @@
             } else {
                 in_flight.mark_answered();
             }
-            Received::Whole(join(first))
+            AnswerBody::Whole(join(first))
         }
-        Ok((first, Some(rest))) => Received::Flow(Box::new(Flowing {
+        Ok((first, Some(rest))) => AnswerBody::Partial(Box::new(PartialAnswer {
             first,
             rest,
             channel,
@@ -355,7 +355,7 @@
         }
     };
     strip_hop_by_hop(&mut parts.headers);
-    if matches!(received, Received::Whole(_)) {
+    if matches!(received, AnswerBody::Whole(_)) {
         parts.headers.remove(CONTENT_LENGTH);
     }
     let answer = Answer {
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -6,7 +6,7 @@
 use super::{Batches, Owned};
 use crate::{
     gateway::{
-        attempt::{Answer, Received, text},
+        attempt::{Answer, AnswerBody, text},
         calls::pick_service,
         forward::{Content, Ended, Forward, run_to_end},
         request::own_head,
@@ -121,7 +121,7 @@
 fn judge(answer: &Answer) -> Called {
     let score = text(&answer.headers, header::SIGNATURE);
     match (answer.status.as_u16(), &answer.body, score) {
-        (200..=299, Received::Whole(_), Some(score)) => Called::Score(score.to_owned()),
+        (200..=299, AnswerBody::Whole(_), Some(score)) => Called::Score(score.to_owned()),
         (500, _, Some(_)) => Called::Rejected,
         _ => Called::Failed,
     }
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -6,7 +6,7 @@
 //! connections, which cancels the work of a caller that has disconnected.
 
 use super::{
-    attempt::{Answer, AttemptContext, AttemptRequest, Done, Head, Received, run},
+    attempt::{Answer, AnswerBody, AttemptContext, AttemptRequest, Done, Head, run},
     calls::Ticket,
     http::{PartialBody, RequestBody, full_body},
     subject::Subject,
@@ -135,7 +135,7 @@
                 }
             },
             (endpoint, done) = next_done(&mut running) => match done {
-                Done::Answer(answer) if matches!(answer.body, Received::Whole(_)) => {
+                Done::Answer(answer) if matches!(answer.body, AnswerBody::Whole(_)) => {
                     ticket.finish(endpoint, Outcome::Answered);
                     return Ended::Answer(Box::new(answer), None);
                 }
@@ -148,7 +148,7 @@
                     ticket.finish(endpoint, Outcome::NotRun(kind));
                 }
                 Done::Failed(kind, answer) => {
-                    let answer = answer.filter(|a| matches!(a.body, Received::Whole(_)));
+                    let answer = answer.filter(|a| matches!(a.body, AnswerBody::Whole(_)));
                     error_answer = answer.or(error_answer);
                     ticket.finish(endpoint, Outcome::Failed(kind));
                 }
--- a/hibiscusroad-daemon/src/gateway/respond.rs
+++ b/hibiscusroad-daemon/src/gateway/respond.rs
@@ -2,7 +2,7 @@
 
 use super::{
     answer::{Flow, ResponseBody, full_response, problem},
-    attempt::{Answer, AttemptContext, Head, Received, text},
+    attempt::{Answer, AnswerBody, AttemptContext, Head, text},
     calls::Ticket,
     forward::{Ended, Forward, run_to_end},
     resume::{ResumableRequest, resumed},
@@ -49,9 +49,9 @@
     resumable: Option<ResumableRequest>,
 ) -> Response<ResponseBody> {
     let mut response = match (answer.body, run) {
-        (Received::Whole(body), _) => full_response(answer.status, "", body),
-        (Received::Flow(flowing), Some(run)) => {
-            let (first, rest, guard) = flowing.split(line, run, head, &answer.headers);
+        (AnswerBody::Whole(body), _) => full_response(answer.status, "", body),
+        (AnswerBody::Partial(partial), Some(run)) => {
+            let (first, rest, guard) = partial.split(line, run, head, &answer.headers);
             let is_event_stream = text(&answer.headers, CONTENT_TYPE.as_str())
                 .is_some_and(|value| value.starts_with("text/event-stream"));
             let body = match resumable.filter(|_| is_event_stream && first.is_empty()) {
@@ -62,7 +62,7 @@
             *response.status_mut() = answer.status;
             response
         }
-        (Received::Flow(..), None) => return problem(ErrorKind::Internal, Duration::ZERO),
+        (AnswerBody::Partial(..), None) => return problem(ErrorKind::Internal, Duration::ZERO),
     };
     *response.headers_mut() = answer.headers;
     response
--- a/hibiscusroad-daemon/src/gateway/resume.rs
+++ b/hibiscusroad-daemon/src/gateway/resume.rs
@@ -10,7 +10,7 @@
 
 use super::{
     answer::{Broken, Resumed},
-    attempt::{Answer, AttemptContext, Guard, Head, Received, set},
+    attempt::{Answer, AnswerBody, AttemptContext, Guard, Head, set},
     forward::{Content, Ended, Forward, run_to_end},
     subject::Subject,
 };
@@ -175,10 +175,10 @@
             match run_to_end(&self.line, forward).await {
                 Ended::Answer(answer, Some(run)) if answer.status.is_success() => {
                     let Answer { headers, body, .. } = *answer;
-                    let Received::Flow(flowing) = body else {
+                    let AnswerBody::Partial(partial) = body else {
                         break;
                     };
-                    let (first, rest, guard) = flowing.split(&self.line, run, &head, &headers);
+                    let (first, rest, guard) = partial.split(&self.line, run, &head, &headers);
                     for part in first {
                         self.events.push(&part);
                     }
