--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -15,7 +15,7 @@
         calls::Target,
         crashes::InFlight,
         http::full_body,
-        request::{name_account, own_head},
+        request::{internal_head, set_account},
         subject::Subject,
     },
     logs::BATCHES,
@@ -199,14 +199,14 @@
     before: Option<u64>,
     exact: Option<u64>,
 ) -> Result<Request, hyper::http::Error> {
-    let mut head = own_head(&owned.host, &item.path, &item.id, deadline)?;
+    let mut head = internal_head(&owned.host, &item.path, &item.id, deadline)?;
     for (name, value) in &item.headers {
         let name = HeaderName::try_from(name.as_str())?;
         let value = hyper::header::HeaderValue::try_from(value.as_str())?;
         head.headers.insert(name, value);
     }
     if let Some(account) = &owned.account {
-        name_account(&mut head.headers, Some(account));
+        set_account(&mut head.headers, Some(account));
     }
     if let Some(last) = before {
         set(&mut head.headers, header::LAST_EVENT, &last.to_string());
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -9,7 +9,7 @@
         attempt::{Answer, AnswerBody, text},
         calls::pick_service,
         forward::{Content, Ended, Forward, run_to_end},
-        request::own_head,
+        request::internal_head,
         subject::Subject,
     },
     logs::BATCHES,
@@ -80,7 +80,7 @@
 
     async fn call(&self, scorer: &Scorer, route: &Route) -> Called {
         let deadline = Instant::now() + route.timeout.unwrap_or(CALL);
-        let head = match own_head(&scorer.host, &scorer.path, &scorer.id, deadline) {
+        let head = match internal_head(&scorer.host, &scorer.path, &scorer.id, deadline) {
             Ok(head) => head,
             Err(error) => {
                 log::error!(target: BATCHES, scorer = scorer.id.as_str(),
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -257,7 +257,7 @@
     strip_hop_by_hop(&mut parts.headers);
     if catalog.has_accounts() {
         let name = account.map(|account| account.name.as_str());
-        name_account(&mut parts.headers, name);
+        set_account(&mut parts.headers, name);
     }
     Head {
         method: parts.method,
@@ -271,7 +271,7 @@
 
 /// Sets the account header, replacing any value from the caller, and removes the
 /// credential: an endpoint that had it could act for the account.
-pub(super) fn name_account(headers: &mut HeaderMap, account: Option<&str>) {
+pub(super) fn set_account(headers: &mut HeaderMap, account: Option<&str>) {
     headers.remove(AUTHORIZATION);
     headers.remove(header::ACCOUNT);
     if let Some(account) = account {
@@ -280,7 +280,7 @@
 }
 
 /// Builds the head of a request that this process originates.
-pub(super) fn own_head(
+pub(super) fn internal_head(
     host: &str,
     path: &str,
     id: &str,
