--- a/hibiscusroad-daemon/src/gateway/crashes/flight.rs
+++ b/hibiscusroad-daemon/src/gateway/crashes/flight.rs
@@ -83,7 +83,7 @@
     pub(in crate::gateway) fn record_fault(&mut self, fault: &Fault) {
         match fault {
             Fault::Broken(error) => self.record_break(error),
-            Fault::ConnectError(cause) => {
+            Fault::Connect(cause) => {
                 self.unresolved = false;
                 if cause.is_refusal() {
                     self.crashes.record_end(&self.incarnation);
--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -114,7 +114,7 @@
     Timeout,
     /// The system reported an error.
     #[error("{0}")]
-    Connect(#[from] io::Error),
+    Io(#[from] io::Error),
     /// The connection closed before anything was sent.
     #[error("{0}")]
     Closed(hyper::Error),
@@ -123,7 +123,7 @@
 impl ConnectError {
     /// Returns whether the connection was refused, as after the end of a process.
     pub(super) fn is_refusal(&self) -> bool {
-        matches!(self, Self::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused)
+        matches!(self, Self::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
@@ -132,7 +132,7 @@
 pub(super) enum Fault {
     /// There was no connection, or it closed before anything was sent.
     #[error("connection failed: {0}")]
-    ConnectError(ConnectError),
+    Connect(ConnectError),
     /// The connection broke after at least part of the request was sent.
     #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
@@ -141,7 +141,7 @@
 impl Fault {
     /// Returns whether no part of the request was sent.
     pub(super) const fn is_unsent(&self) -> bool {
-        matches!(self, Self::ConnectError(_))
+        matches!(self, Self::Connect(_))
     }
 }
 
@@ -218,7 +218,7 @@
                     Some(unsent) if pooled => request = unsent,
                     Some(_) => {
                         let closed = ConnectError::Closed(error.into_error());
-                        return Err(Fault::ConnectError(closed));
+                        return Err(Fault::Connect(closed));
                     }
                     None => return Err(Fault::Broken(error.into_error())),
                 },
@@ -259,10 +259,10 @@
 
     async fn open(&self, address: SocketAddr) -> Result<Connection, Fault> {
         self.opened.set(self.opened.get() + 1);
-        let connect_error = |error: io::Error| Fault::ConnectError(ConnectError::Connect(error));
+        let connect_error = |error: io::Error| Fault::Connect(ConnectError::Io(error));
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_elapsed| Fault::ConnectError(ConnectError::Timeout))?
+            .map_err(|_elapsed| Fault::Connect(ConnectError::Timeout))?
             .map_err(connect_error)?;
         stream.set_nodelay(true).map_err(connect_error)?;
         SockRef::from(&stream)
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -422,7 +422,7 @@
                 .send(address, http)
                 .await
                 .map_err(|fault| match fault {
-                    Fault::ConnectError(why) => Failure::Refused(why.to_string()),
+                    Fault::Connect(why) => Failure::Refused(why.to_string()),
                     Fault::Broken(error) => Failure::Lost(error.to_string()),
                 })?;
         let status = response.status().as_u16();
