--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{
-    Answer, Gateway, HOST, PATIENCE, World, ask,
+    Answer, Gateway, HOST, WAIT_TIMEOUT, World, ask,
     batches::{read, submit},
     config, submission, until,
 };
@@ -73,7 +73,7 @@
         ("X-Tenant", "somebody"),
     ];
     headers.extend(keys.iter().map(|key| ("Authorization", *key)));
-    ask(method, gateway.callers, path, &headers, body, PATIENCE).expect("an answer")
+    ask(method, gateway.callers, path, &headers, body, WAIT_TIMEOUT).expect("an answer")
 }
 
 fn find_run(endpoint: &Endpoint, id: &str) -> Option<Ran> {
@@ -129,7 +129,7 @@
         "/desk/a",
         &[("X-Request-Id", "huge"), ("Authorization", &huge)],
         b"",
-        PATIENCE,
+        WAIT_TIMEOUT,
     );
     assert!(answer.is_none_or(|answer| answer.status == 431));
     // The log has the cause under the request's ID, and no key.
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -2,7 +2,7 @@
 
 mod gateway_world;
 
-use gateway_world::{PATIENCE, World, ask, submission, until};
+use gateway_world::{WAIT_TIMEOUT, World, ask, submission, until};
 use hibiscusroad_cli::trace::Logs;
 use hibiscusroad_daemon::gateway::meters;
 use hibiscusroad_standins::direct::Manner;
@@ -103,7 +103,7 @@
         202
     );
     let text = until("a result is counted", || {
-        let answer = ask("GET", gateway.metrics, "/metrics", &[], b"", PATIENCE)?;
+        let answer = ask("GET", gateway.metrics, "/metrics", &[], b"", WAIT_TIMEOUT)?;
         let text = answer.text();
         text.contains("gateway_results_total 1").then_some(text)
     });
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -2,7 +2,7 @@
 
 mod gateway_world;
 
-use gateway_world::{Answer, Gateway, PATIENCE, World, ask, config, until};
+use gateway_world::{Answer, Gateway, WAIT_TIMEOUT, World, ask, config, until};
 use hibiscusroad_standins::direct::{Billing, Endpoint, Faults, Manner, Reply};
 use serde_json::json;
 use std::{
@@ -76,7 +76,7 @@
     /// Checks that the reports come to add up to the requests that the endpoint started.
     fn check_totals(&self) {
         let started = self.started_requests();
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.billing.totals() != started && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(50));
         }
@@ -101,7 +101,14 @@
         ("X-Deadline-Ms", "1500"),
         ("Authorization", key.as_str()),
     ];
-    ask("POST", gateway.callers, "/desk/x", &headers, b"", PATIENCE)
+    ask(
+        "POST",
+        gateway.callers,
+        "/desk/x",
+        &headers,
+        b"",
+        WAIT_TIMEOUT,
+    )
 }
 
 #[test]
--- a/hibiscusroad-daemon/tests/gateway_world/mod.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/mod.rs
@@ -22,7 +22,7 @@
 use ureq::Agent;
 
 /// Timeout of all waits, with a margin for a busy host.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// The hostname of all routes in these tests.
 pub const HOST: &str = "huts.example";
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
@@ -179,7 +179,7 @@
     /// Sends a request with an id, and a deadline of five seconds.
     pub fn call(&self, method: &str, path: &str, id: &str, body: &[u8]) -> Answer {
         let headers = [("X-Request-Id", id), ("X-Deadline-Ms", "5000")];
-        ask(method, self.callers, path, &headers, body, PATIENCE).expect("an answer")
+        ask(method, self.callers, path, &headers, body, WAIT_TIMEOUT).expect("an answer")
     }
 
     pub fn process(&self) -> u32 {
@@ -294,9 +294,9 @@
         "requests": items })
 }
 
-/// Polls `check` until it returns a value; panics with `what` after [`PATIENCE`].
+/// Polls `check` until it returns a value; panics with `what` after [`WAIT_TIMEOUT`].
 pub fn until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = check() {
             return found;
@@ -342,7 +342,7 @@
 /// Opens a connection and sends raw bytes.
 pub fn raw(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     stream
 }
