--- a/hibiscusroad-daemon/src/gateway/duty.rs
+++ b/hibiscusroad-daemon/src/gateway/duty.rs
@@ -184,7 +184,7 @@
         tokio::select! {
             () = sleep(time) => {}
             () = self.changed.notified() => {}
-            () = self.batches.next_look(), if !held => {}
+            () = self.batches.next_poll(), if !held => {}
         }
     }
 
@@ -203,7 +203,7 @@
                 now
             }
         };
-        let Some((why, count)) = self.batches.lost(&holding.holder, since) else {
+        let Some((why, count)) = self.batches.loss(&holding.holder, since) else {
             return false;
         };
         let jitter_ms = xxh3_64(self.holder.as_bytes()) % TAKEOVER_JITTER_MS;
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -4,7 +4,7 @@
 
 use gateway_world::{
     Answer, Gateway, HOST, World, ask,
-    batches::{check_whole, results, run_by, submit},
+    batches::{batches_run_by, check_whole, results, submit},
     submission, until,
 };
 use hibiscusroad_standins::{
@@ -400,7 +400,7 @@
     thread::sleep(PROPAGATION_TIME);
     let (before, ends) = (count_sends(&replicas, "item-1-1-1"), replicas.ends());
     assert!((CRASH_LIMIT..=MAX_ENDS).contains(&ends), "{ends} ends");
-    let owner = usize::from(run_by(&world, 0).is_empty());
+    let owner = usize::from(batches_run_by(&world, 0).is_empty());
     world.gateways[owner].kill();
     world.gateways[1 - owner].line("A batch is taken over.");
     thread::sleep(PROPAGATION_TIME);
