--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -148,8 +148,9 @@
                     ticket.finish(endpoint, Outcome::NotRun(kind));
                 }
                 Done::Failed(kind, answer) => {
-                    let answer = answer.filter(|a| matches!(a.body, AnswerBody::Whole(_)));
-                    error_answer = answer.or(error_answer);
+                    error_answer = answer
+                        .filter(|a| matches!(a.body, AnswerBody::Whole(_)))
+                        .or(error_answer);
                     ticket.finish(endpoint, Outcome::Failed(kind));
                 }
             },
