--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -71,7 +71,7 @@
 pub(super) struct PartialAnswer {
     first: VecDeque<Bytes>,
     rest: Incoming,
-    channel: Connection,
+    connection: Connection,
     in_flight: InFlight,
 }
 
@@ -89,7 +89,7 @@
 #[derive(Clone)]
 pub(super) struct AttemptContext {
     pub(super) calls: Rc<Calls>,
-    pub(super) channels: Rc<ConnectionPool>,
+    pub(super) pool: Rc<ConnectionPool>,
     pub(super) meters: Rc<Meters>,
     pub(super) usage: Rc<Usage>,
     pub(super) crashes: Rc<Crashes>,
@@ -100,7 +100,7 @@
     line: AttemptContext,
     ticket: Ticket,
     endpoint: EndpointKey,
-    channel: Option<Connection>,
+    connection: Option<Connection>,
     keep_alive: Option<Duration>,
     id: String,
     in_flight: InFlight,
@@ -119,7 +119,7 @@
             line: line.clone(),
             ticket,
             endpoint,
-            channel: Some(self.channel),
+            connection: Some(self.connection),
             keep_alive: keep_alive(headers),
             id: head.id.clone(),
             in_flight: self.in_flight,
@@ -133,8 +133,8 @@
     pub(super) fn complete(&mut self) {
         self.ticket.finish(self.endpoint, Outcome::Answered);
         self.in_flight.mark_answered();
-        if let Some(channel) = self.channel.take() {
-            self.line.channels.return_to_pool(channel, self.keep_alive);
+        if let Some(connection) = self.connection.take() {
+            self.line.pool.return_to_pool(connection, self.keep_alive);
         }
     }
 
@@ -149,7 +149,7 @@
             "An answer broke off before its end.");
         let outcome = Outcome::Failed(ErrorKind::AnswerShort);
         self.ticket.finish(self.endpoint, outcome);
-        self.channel = None;
+        self.connection = None;
     }
 }
 
@@ -236,10 +236,10 @@
         in_flight.mark_sent();
     };
     let answer = line
-        .channels
+        .pool
         .send_with_hook(target.address, request, on_send)
         .await;
-    let (response, channel) = match answer {
+    let (response, connection) = match answer {
         Ok(answer) => answer,
         Err(fault) => {
             if fault.is_unsent() {
@@ -255,7 +255,7 @@
     }
     let exchange = Exchange {
         response,
-        channel,
+        connection,
         in_flight,
     };
     let done = read_answer(&line, &head, &target, exchange, streams).await;
@@ -289,7 +289,7 @@
 /// An answer's head and the connection that its body arrives on.
 struct Exchange {
     response: Response<Incoming>,
-    channel: Connection,
+    connection: Connection,
     in_flight: InFlight,
 }
 
@@ -303,7 +303,7 @@
 ) -> Done {
     let Exchange {
         response,
-        channel,
+        connection,
         mut in_flight,
     } = exchange;
     let (mut parts, body) = response.into_parts();
@@ -318,7 +318,7 @@
     if parts.headers.contains_key(header::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
         in_flight.mark_survived();
         // The body is read only to reuse the connection.
-        drain(line, body, channel, &parts.headers).await;
+        drain(line, body, connection, &parts.headers).await;
         return Done::NotRun(match status {
             StatusCode::MISDIRECTED_REQUEST => ErrorKind::Stopping,
             _ => ErrorKind::Saturated,
@@ -333,7 +333,7 @@
     let keep_alive = keep_alive(&parts.headers);
     let received = match read(body, streams && status.is_success()).await {
         Ok((first, None)) => {
-            line.channels.return_to_pool(channel, keep_alive);
+            line.pool.return_to_pool(connection, keep_alive);
             if status.is_server_error() {
                 in_flight.mark_survived();
             } else {
@@ -344,7 +344,7 @@
         Ok((first, Some(rest))) => AnswerBody::Partial(Box::new(PartialAnswer {
             first,
             rest,
-            channel,
+            connection,
             in_flight,
         })),
         Err(error) => {
@@ -400,10 +400,10 @@
     parts.into_iter().flatten().collect()
 }
 
-async fn drain(line: &AttemptContext, body: Incoming, channel: Connection, headers: &HeaderMap) {
+async fn drain(line: &AttemptContext, body: Incoming, connection: Connection, headers: &HeaderMap) {
     let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
-        line.channels.return_to_pool(channel, keep_alive);
+        line.pool.return_to_pool(connection, keep_alive);
     }
 }
 
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -305,10 +305,10 @@
         let crashes = &self.batches.line.crashes;
         let mut flight = crashes.track(&request.subject, target.incarnation());
         let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
-        let channels = &self.batches.line.channels;
-        let sending = channels.send_with_hook(target.address, sent, || flight.mark_sent());
+        let pool = &self.batches.line.pool;
+        let sending = pool.send_with_hook(target.address, sent, || flight.mark_sent());
         let sent = self.await_response(sending, head.id.as_str()).await?;
-        let (response, channel) = sent.map_err(|fault| {
+        let (response, connection) = sent.map_err(|fault| {
             flight.record_fault(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
                 endpoint = endpoint.id.as_str(),
@@ -323,7 +323,7 @@
         let is_kept = attempt::keep_alive(response.headers());
         self.read_events(response.into_body(), &mut flight).await?;
         flight.mark_answered();
-        channels.return_to_pool(channel, is_kept);
+        pool.return_to_pool(connection, is_kept);
         Ok(())
     }
 
--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -165,7 +165,7 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    channel: Connection,
+    connection: Connection,
     expires_at: Instant,
 }
 
@@ -206,13 +206,13 @@
         mut on_send: impl FnMut(),
     ) -> Result<(Response<Incoming>, Connection), Fault> {
         loop {
-            let (mut channel, pooled) = match self.take_idle(address) {
-                Some(channel) => (channel, true),
+            let (mut connection, pooled) = match self.take_idle(address) {
+                Some(connection) => (connection, true),
                 None => (self.open(address).await?, false),
             };
             on_send();
-            match channel.sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, channel)),
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok((response, connection)),
                 Err(mut error) => match error.take_message() {
                     // A pooled connection had been closed: nothing was sent.
                     Some(unsent) if pooled => request = unsent,
@@ -227,18 +227,18 @@
     }
 
     /// Returns a connection to the pool after its answer was read to the end.
-    pub(super) fn return_to_pool(&self, channel: Connection, keep_alive: Option<Duration>) {
-        if channel.sender.is_closed() {
+    pub(super) fn return_to_pool(&self, connection: Connection, keep_alive: Option<Duration>) {
+        if connection.sender.is_closed() {
             return;
         }
         let idle_ttl = keep_alive.map_or(DEFAULT_IDLE_TTL, |timeout| timeout.mul_f64(0.8));
         let expires_at = Instant::now() + idle_ttl;
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(channel.address).or_default();
-        kept.retain(|idle| !idle.channel.sender.is_closed());
+        let kept = idle.entry(connection.address).or_default();
+        kept.retain(|idle| !idle.connection.sender.is_closed());
         if kept.len() < MAX_IDLE_CONNECTIONS {
             kept.push(IdleConnection {
-                channel,
+                connection,
                 expires_at,
             });
         }
@@ -250,8 +250,8 @@
         let kept = idle.get_mut(&address)?;
         // The most recently used one is the least likely to have been closed.
         while let Some(found) = kept.pop() {
-            if now < found.expires_at && found.channel.sender.is_ready() {
-                return Some(found.channel);
+            if now < found.expires_at && found.connection.sender.is_ready() {
+                return Some(found.connection);
             }
         }
         None
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -196,7 +196,7 @@
     let known = Rc::new(KnownConfig::new(own.trust_ms.map(Duration::from_millis)));
     let store = Rc::new(Store::new(own.store, Rc::clone(&meters)));
     let calls = Rc::new(Calls::new(&settings.data_centre, incarnation));
-    let channels = Rc::new(ConnectionPool::new());
+    let pool = Rc::new(ConnectionPool::new());
     let windows = own.usage.as_ref().map(|usage| {
         let length = Duration::from_secs(usage.window_s);
         Windows::new(length)
@@ -217,7 +217,7 @@
     let line = AttemptContext {
         crashes,
         calls: Rc::clone(&calls),
-        channels: Rc::clone(&channels),
+        pool: Rc::clone(&pool),
         meters: Rc::clone(&meters),
         usage: Rc::clone(&usage),
     };
@@ -269,7 +269,7 @@
             known: Rc::clone(&known),
             members: Rc::clone(&members),
             batches: Rc::clone(&batches),
-            channels,
+            pool,
             meters: Rc::clone(&meters),
         };
         let weights = Rc::new(Weights::new(own.fences, dependencies));
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -51,7 +51,7 @@
 
 /// The client of the store.
 pub(super) struct Store {
-    channels: ConnectionPool,
+    pool: ConnectionPool,
     peers: Peers,
     paths: RefCell<StorePaths>,
     /// Number of known peers.
@@ -73,7 +73,7 @@
 impl Store {
     pub(super) fn new(address: SocketAddr, meters: Rc<Meters>) -> Self {
         Self {
-            channels: ConnectionPool::new(),
+            pool: ConnectionPool::new(),
             peers: Peers::new(),
             paths: RefCell::new(StorePaths::new()),
             peer_count: Cell::new(0),
@@ -417,8 +417,8 @@
     async fn exchange(&self, request: &Request) -> Result<(u16, Bytes), Failure> {
         let address = self.address.get();
         let http = encode(request, address).map_err(|error| Failure::Refused(error.to_string()))?;
-        let (response, channel) =
-            self.channels
+        let (response, connection) =
+            self.pool
                 .send(address, http)
                 .await
                 .map_err(|fault| match fault {
@@ -428,7 +428,7 @@
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         let body = body.map_err(|error| Failure::Lost(error.to_string()))?;
-        self.channels.return_to_pool(channel, None);
+        self.pool.return_to_pool(connection, None);
         Ok((status, body.to_bytes()))
     }
 
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -57,7 +57,7 @@
     times: Times,
     known: Rc<KnownConfig>,
     meters: Rc<Meters>,
-    channels: ConnectionPool,
+    pool: ConnectionPool,
     /// The time of day at which the store last answered again after an outage.
     store_returned: Cell<Option<Duration>>,
     /// The reports, and the fencing token under which they were read.
@@ -88,7 +88,7 @@
             times,
             known,
             meters,
-            channels: ConnectionPool::new(),
+            pool: ConnectionPool::new(),
             store_returned: Cell::new(None),
             reports: RefCell::default(),
         }
@@ -371,12 +371,12 @@
     async fn exchange(&self, fence: u64, report: &str) -> Result<u16, String> {
         let wire = duty::report_request(&self.name, fence, report);
         let request = encode(&wire, self.address).map_err(|error| error.to_string())?;
-        let sent = self.channels.send(self.address, request).await;
-        let (response, channel) = sent.map_err(|fault| fault.to_string())?;
+        let sent = self.pool.send(self.address, request).await;
+        let (response, connection) = sent.map_err(|fault| fault.to_string())?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         body.map_err(|error| error.to_string())?;
-        self.channels.return_to_pool(channel, None);
+        self.pool.return_to_pool(connection, None);
         Ok(status)
     }
 }
--- a/hibiscusroad-daemon/src/gateway/weights/load.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/load.rs
@@ -213,12 +213,12 @@
 
     async fn exchange(&self, endpoint: &Endpoint, wire: Wire) -> Result<(u16, Bytes), String> {
         let request = encode(&wire, endpoint.address).map_err(|error| error.to_string())?;
-        let sent = self.channels.send(endpoint.address, request).await;
-        let (response, channel) = sent.map_err(|fault| fault.to_string())?;
+        let sent = self.pool.send(endpoint.address, request).await;
+        let (response, connection) = sent.map_err(|fault| fault.to_string())?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         let body = body.map_err(|error| error.to_string())?;
-        self.channels.return_to_pool(channel, None);
+        self.pool.return_to_pool(connection, None);
         Ok((status, body.to_bytes()))
     }
 }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -54,7 +54,7 @@
     known: Rc<KnownConfig>,
     members: Rc<EndpointRoster>,
     batches: Rc<Batches>,
-    channels: Rc<ConnectionPool>,
+    pool: Rc<ConnectionPool>,
     meters: Rc<Meters>,
     /// Engines that get no other order until this time, since they load or a load failed.
     reserved: RefCell<HashMap<String, Instant>>,
@@ -88,7 +88,7 @@
     pub(super) known: Rc<KnownConfig>,
     pub(super) members: Rc<EndpointRoster>,
     pub(super) batches: Rc<Batches>,
-    pub(super) channels: Rc<ConnectionPool>,
+    pub(super) pool: Rc<ConnectionPool>,
     pub(super) meters: Rc<Meters>,
 }
 
@@ -101,7 +101,7 @@
             known: dependencies.known,
             members: dependencies.members,
             batches: dependencies.batches,
-            channels: dependencies.channels,
+            pool: dependencies.pool,
             meters: dependencies.meters,
             reserved: RefCell::default(),
             reported: RefCell::default(),
