--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -234,10 +234,10 @@
         let idle_ttl = keep_alive.map_or(DEFAULT_IDLE_TTL, |timeout| timeout.mul_f64(0.8));
         let expires_at = Instant::now() + idle_ttl;
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(connection.address).or_default();
-        kept.retain(|idle| !idle.connection.sender.is_closed());
-        if kept.len() < MAX_IDLE_CONNECTIONS {
-            kept.push(IdleConnection {
+        let connections = idle.entry(connection.address).or_default();
+        connections.retain(|idle| !idle.connection.sender.is_closed());
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection {
                 connection,
                 expires_at,
             });
@@ -247,9 +247,9 @@
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
+        let connections = idle.get_mut(&address)?;
         // The most recently used one is the least likely to have been closed.
-        while let Some(found) = kept.pop() {
+        while let Some(found) = connections.pop() {
             if now < found.expires_at && found.connection.sender.is_ready() {
                 return Some(found.connection);
             }
