--- a/hibiscusroad-daemon/src/gateway/calls.rs
+++ b/hibiscusroad-daemon/src/gateway/calls.rs
@@ -1,7 +1,7 @@
 //! The router of this process and the requests that wait for its steps.
 //!
 //! A request submits a call and receives the router's steps for it through a
-//! connection of its own. Dropping its [`Ticket`] cancels the call, so the slot of a
+//! channel of its own. Dropping its [`Ticket`] cancels the call, so the slot of a
 //! caller that disconnects is free at once.
 
 use crate::logs::CALLS;
