--- a/hibiscusroad-daemon/src/gateway/attempt.rs
+++ b/hibiscusroad-daemon/src/gateway/attempt.rs
@@ -97,7 +97,7 @@
 
 /// Reports the end of an attempt whose answer is passed on as it arrives.
 pub(super) struct Guard {
-    line: AttemptContext,
+    context: AttemptContext,
     ticket: Ticket,
     endpoint: EndpointKey,
     connection: Option<Connection>,
@@ -110,13 +110,13 @@
     /// Splits into the parts read so far, the unread rest, and the attempt's guard.
     pub(super) fn split(
         self,
-        line: &AttemptContext,
+        context: &AttemptContext,
         (ticket, endpoint): (Ticket, EndpointKey),
         head: &Head,
         headers: &HeaderMap,
     ) -> (VecDeque<Bytes>, Incoming, Guard) {
         let guard = Guard {
-            line: line.clone(),
+            context: context.clone(),
             ticket,
             endpoint,
             connection: Some(self.connection),
@@ -134,7 +134,9 @@
         self.ticket.finish(self.endpoint, Outcome::Answered);
         self.in_flight.mark_answered();
         if let Some(connection) = self.connection.take() {
-            self.line.pool.return_to_pool(connection, self.keep_alive);
+            self.context
+                .pool
+                .return_to_pool(connection, self.keep_alive);
         }
     }
 
@@ -217,7 +219,7 @@
 
 /// Runs one attempt.
 pub(super) async fn run(
-    line: AttemptContext,
+    context: AttemptContext,
     request: AttemptRequest,
     endpoint: EndpointKey,
     target: Target,
@@ -228,14 +230,14 @@
         body,
         streams,
     } = request;
-    let mut metered = line.usage.track(head.account.as_ref());
-    let mut in_flight = line.crashes.track(&subject, target.incarnation());
+    let mut metered = context.usage.track(head.account.as_ref());
+    let mut in_flight = context.crashes.track(&subject, target.incarnation());
     let request = build_request(&head, &target, body);
     let on_send = || {
         metered.mark_sent();
         in_flight.mark_sent();
     };
-    let answer = line
+    let answer = context
         .pool
         .send_with_hook(target.address, request, on_send)
         .await;
@@ -251,14 +253,14 @@
     };
     let load = text(response.headers(), header::LOAD).and_then(header::parse_load);
     if let Some((running, queued, slots)) = load {
-        line.calls.record_load(endpoint, running, queued, slots);
+        context.calls.record_load(endpoint, running, queued, slots);
     }
     let exchange = Exchange {
         response,
         connection,
         in_flight,
     };
-    let done = read_answer(&line, &head, &target, exchange, streams).await;
+    let done = read_answer(&context, &head, &target, exchange, streams).await;
     let outcome = match &done {
         Done::Answer(_) => "answered",
         Done::NotRun(_) => {
@@ -267,7 +269,7 @@
         }
         Done::Failed(..) => "failed",
     };
-    line.meters.attempts.with_label_values(&[outcome]).inc();
+    context.meters.attempts.with_label_values(&[outcome]).inc();
     if let Done::NotRun(kind) | Done::Failed(kind, _) = &done {
         log::info!(target: CALLS, id = head.id.as_str(), endpoint = &*target.id,
             path = subject.path(), fingerprint:% = subject.fingerprint();
@@ -295,7 +297,7 @@
 
 /// Validates an answer and reads its body.
 async fn read_answer(
-    line: &AttemptContext,
+    context: &AttemptContext,
     head: &Head,
     target: &Target,
     exchange: Exchange,
@@ -318,7 +320,7 @@
     if parts.headers.contains_key(header::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
         in_flight.mark_survived();
         // The body is read only to reuse the connection.
-        drain(line, body, connection, &parts.headers).await;
+        drain(context, body, connection, &parts.headers).await;
         return Done::NotRun(match status {
             StatusCode::MISDIRECTED_REQUEST => ErrorKind::Stopping,
             _ => ErrorKind::Saturated,
@@ -333,7 +335,7 @@
     let keep_alive = keep_alive(&parts.headers);
     let received = match read(body, streams && status.is_success()).await {
         Ok((first, None)) => {
-            line.pool.return_to_pool(connection, keep_alive);
+            context.pool.return_to_pool(connection, keep_alive);
             if status.is_server_error() {
                 in_flight.mark_survived();
             } else {
@@ -400,10 +402,15 @@
     parts.into_iter().flatten().collect()
 }
 
-async fn drain(line: &AttemptContext, body: Incoming, connection: Connection, headers: &HeaderMap) {
+async fn drain(
+    context: &AttemptContext,
+    body: Incoming,
+    connection: Connection,
+    headers: &HeaderMap,
+) {
     let keep_alive = keep_alive(headers);
     if let Ok((_, None)) = read(body, false).await {
-        line.pool.return_to_pool(connection, keep_alive);
+        context.pool.return_to_pool(connection, keep_alive);
     }
 }
 
--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -116,7 +116,7 @@
     ///
     /// The item is held and not errored: it may run again when its quarantine ends.
     pub(super) fn is_quarantined(&self, owned: &OwnedBatch, index: usize) -> bool {
-        let crashes = &self.line.crashes;
+        let crashes = &self.context.crashes;
         if !crashes.has_evidence() {
             return false;
         }
@@ -269,7 +269,7 @@
             Interruption::Failed => "failed",
             Interruption::Never => "never",
         };
-        self.line.meters.runs.with_label_values(&[outcome]).inc();
+        self.context.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
             Interruption::NotRun => engines.record_refusal(now, key),
             Interruption::Lost => engines.record_failure(now, key),
--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -146,7 +146,7 @@
             waited_ms = millis(waited), weights_ms = millis(waits.weights),
             room_ms = millis(waits.capacity), group = item.group.as_str();
             "The text of an item is whole.");
-        let meters = &self.line.meters;
+        let meters = &self.context.meters;
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(slot);
@@ -302,10 +302,10 @@
     ) -> Result<(), Interruption> {
         let head = &request.head;
         let target = Target::of(endpoint);
-        let crashes = &self.batches.line.crashes;
+        let crashes = &self.batches.context.crashes;
         let mut flight = crashes.track(&request.subject, target.incarnation());
         let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
-        let pool = &self.batches.line.pool;
+        let pool = &self.batches.context.pool;
         let sending = pool.send_with_hook(target.address, sent, || flight.mark_sent());
         let sent = self.await_response(sending, head.id.as_str()).await?;
         let (response, connection) = sent.map_err(|fault| {
@@ -320,10 +320,10 @@
             flight.mark_survived();
             return Err(cause);
         }
-        let is_kept = attempt::keep_alive(response.headers());
+        let keep_alive = attempt::keep_alive(response.headers());
         self.read_events(response.into_body(), &mut flight).await?;
         flight.mark_answered();
-        pool.return_to_pool(connection, is_kept);
+        pool.return_to_pool(connection, keep_alive);
         Ok(())
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/list.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/list.rs
@@ -108,7 +108,7 @@
         log::info!(target: BATCHES, batch = owned.id.as_str(), first = first,
             results = results.len(), took_ms = millis(start.elapsed()),
             items = items.join(" ").as_str(); "Results are listed.");
-        self.line.meters.results.inc_by(results.len() as u64);
+        self.context.meters.results.inc_by(results.len() as u64);
         owned
             .batch
             .borrow_mut()
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -68,7 +68,7 @@
     /// How long a batch stays readable after its submission.
     retention: Duration,
     store: Rc<Store>,
-    line: AttemptContext,
+    context: AttemptContext,
     members: Rc<EndpointRoster>,
     known: Rc<KnownConfig>,
     engines: RefCell<Engines>,
@@ -152,7 +152,7 @@
         holder: &str,
         settings: &GatewaySettings,
         store: Rc<Store>,
-        line: AttemptContext,
+        context: AttemptContext,
         members: Rc<EndpointRoster>,
         known: Rc<KnownConfig>,
     ) -> Self {
@@ -163,7 +163,7 @@
             memory_mb: settings.memory_mb,
             retention: Duration::from_secs(settings.keep_s),
             store,
-            line,
+            context,
             members,
             known,
             engines: RefCell::new(Engines::new()),
@@ -242,7 +242,11 @@
 
     /// Counts an event of a batch in the metrics.
     fn count_event(&self, event: &str) {
-        self.line.meters.batches.with_label_values(&[event]).inc();
+        self.context
+            .meters
+            .batches
+            .with_label_values(&[event])
+            .inc();
     }
 
     /// Returns how many items of this process run at an engine.
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -108,7 +108,7 @@
             max_attempts: 1,
             tokens: 0,
         };
-        match run_to_end(&self.line, request).await {
+        match run_to_end(&self.context, request).await {
             Ended::Answer(answer, _) => classify(&answer),
             Ended::Refused(..) => ScorerOutcome::Failed,
         }
--- a/hibiscusroad-daemon/src/gateway/exposition.rs
+++ b/hibiscusroad-daemon/src/gateway/exposition.rs
@@ -14,7 +14,7 @@
         let gauge_value = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
         meters
             .connections
-            .set(gauge_value(self.line.pool.opened_count()));
+            .set(gauge_value(self.context.pool.opened_count()));
         meters.dropped.set(gauge_value(dropped_lines()));
         let version = self.known.catalog().map_or(0, |catalog| catalog.version);
         meters.config.set(gauge_value(version));
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -76,12 +76,12 @@
 type Running = (EndpointKey, Pin<Box<dyn Future<Output = Done>>>);
 
 /// Runs a request until it is answered or refused.
-pub(super) async fn run_to_end(line: &AttemptContext, mut request: Forward) -> Ended {
+pub(super) async fn run_to_end(context: &AttemptContext, mut request: Forward) -> Ended {
     let repeat = match request.kind {
         Kind::Idempotent | Kind::Stream { resumable: true } => Repeat::Idempotent,
         Kind::Once | Kind::Stream { resumable: false } | Kind::Rollout => Repeat::Once,
     };
-    let no_hedge = match line.crashes.verdict(&request.subject) {
+    let no_hedge = match context.crashes.verdict(&request.subject) {
         Verdict::Clear => false,
         Verdict::Suspect => true,
         Verdict::Quarantined(left) => return end_quarantined(&request, None, false, left),
@@ -96,7 +96,7 @@
             .tokens(request.tokens);
         call.no_hedge(no_hedge)
     };
-    let mut ticket = line
+    let mut ticket = context
         .calls
         .submit(&request.service, request.class, deadline, configure);
     let mut running: Vec<Running> = Vec::new();
@@ -108,10 +108,10 @@
         tokio::select! {
             step = ticket.next() => match step {
                 Step::Start { endpoint, .. } => {
-                    if let Verdict::Quarantined(left) = line.crashes.verdict(&request.subject) {
+                    if let Verdict::Quarantined(left) = context.crashes.verdict(&request.subject) {
                         return end_quarantined(&request, error_answer, may_run > 0, left);
                     }
-                    let target = line.calls.target(endpoint);
+                    let target = context.calls.target(endpoint);
                     let (Some(target), Some(body)) = (target, request.content.take()) else {
                         ticket.finish(endpoint, Outcome::NotRun(ErrorKind::NoEndpoint));
                         continue;
@@ -122,7 +122,7 @@
                         body,
                         streams,
                     };
-                    let attempt = run(line.clone(), attempt, endpoint, target);
+                    let attempt = run(context.clone(), attempt, endpoint, target);
                     running.push((endpoint, Box::pin(attempt)));
                     may_run += 1;
                 }
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -104,7 +104,7 @@
 struct Gateway {
     known: Rc<KnownConfig>,
     refresher: CatalogRefresher,
-    line: AttemptContext,
+    context: AttemptContext,
     store: Rc<Store>,
     batches: Rc<Batches>,
     weights: Rc<Weights>,
@@ -214,7 +214,7 @@
         Rc::clone(&store),
         Rc::clone(&meters),
     ));
-    let line = AttemptContext {
+    let context = AttemptContext {
         crashes,
         calls: Rc::clone(&calls),
         pool: Rc::clone(&pool),
@@ -225,8 +225,8 @@
         let listener = Weak::clone(gateway);
         let members = Rc::new(EndpointRoster::new(Rc::clone(&meters), move |changes| {
             if let Some(gateway) = listener.upgrade() {
-                gateway.line.calls.apply_roster(changes);
-                gateway.line.crashes.apply_roster(changes);
+                gateway.context.calls.apply_roster(changes);
+                gateway.context.crashes.apply_roster(changes);
                 gateway.batches.roster(changes);
                 gateway.weights.apply_roster(changes);
             }
@@ -241,7 +241,7 @@
             &holder,
             own,
             Rc::clone(&store),
-            line.clone(),
+            context.clone(),
             Rc::clone(&members),
             Rc::clone(&known),
         ));
@@ -277,7 +277,7 @@
         Gateway {
             known,
             refresher,
-            line,
+            context,
             store,
             batches,
             weights,
@@ -295,7 +295,7 @@
 fn spawn_tasks(gateway: &Rc<Gateway>) {
     let Gateway {
         known,
-        line,
+        context,
         store,
         batches,
         weights,
@@ -314,18 +314,18 @@
         move || weights.wake()
     };
     let sinks = [
-        sync::operator_sink(Rc::clone(known), Rc::clone(&line.calls), wake),
+        sync::operator_sink(Rc::clone(known), Rc::clone(&context.calls), wake),
         sync::endpoints_sink(Rc::clone(members), {
-            let crashes = Rc::clone(&line.crashes);
+            let crashes = Rc::clone(&context.crashes);
             move || crashes.confirm_roster()
         }),
         batches::sink(Rc::clone(batches)),
-        crashes::sink(Rc::clone(&line.crashes)),
+        crashes::sink(Rc::clone(&context.crashes)),
     ];
     for sink in sinks {
         spawn_local(sync::follow(Rc::clone(store), sink));
     }
-    let (calls, expiring) = (Rc::clone(&line.calls), Rc::clone(members));
+    let (calls, expiring) = (Rc::clone(&context.calls), Rc::clone(members));
     let prober = Rc::clone(store);
     spawn_local(async move { prober.run_probes().await });
     spawn_local(async move { calls.run().await });
@@ -337,8 +337,8 @@
     spawn_local(Rc::clone(batches).share_paces());
     spawn_local(Rc::clone(weights).run());
     spawn_local(Rc::clone(usage).run_writer());
-    spawn_local(Rc::clone(&line.crashes).run_writer());
-    spawn_local(Rc::clone(&line.crashes).run_expiry());
+    spawn_local(Rc::clone(&context.crashes).run_writer());
+    spawn_local(Rc::clone(&context.crashes).run_expiry());
     if let Some(reporter) = reporter {
         let recovered = Rc::clone(reporter);
         store.on_recovery(move || recovered.record_store_return());
--- a/hibiscusroad-daemon/src/gateway/request.rs
+++ b/hibiscusroad-daemon/src/gateway/request.rs
@@ -126,7 +126,7 @@
             content,
             head: Rc::new(head),
         };
-        run_for_caller(&self.line, request).await
+        run_for_caller(&self.context, request).await
     }
 
     /// Returns a configuration that allows the request: the known one, or else the
--- a/hibiscusroad-daemon/src/gateway/respond.rs
+++ b/hibiscusroad-daemon/src/gateway/respond.rs
@@ -17,19 +17,19 @@
 
 /// Runs a request and returns the response for its caller.
 pub(super) async fn run_for_caller(
-    line: &AttemptContext,
+    context: &AttemptContext,
     request: Forward,
 ) -> Response<ResponseBody> {
     let head = Rc::clone(&request.head);
     let resumable = ResumableRequest::of(&request);
     let (start, service) = (Instant::now(), request.service.clone());
-    match run_to_end(line, request).await {
+    match run_to_end(context, request).await {
         Ended::Answer(answer, run) => {
             log::info!(target: CALLS, id = head.id.as_str(), service = service.as_str(),
                 endpoint = &*answer.endpoint, status = answer.status.as_u16(),
                 streams = run.is_some(), took_ms = millis(start.elapsed());
                 "A request is answered.");
-            build_response(line, &head, *answer, run, resumable)
+            build_response(context, &head, *answer, run, resumable)
         }
         Ended::Refused(kind, after) => {
             log::info!(target: CALLS, id = head.id.as_str(), kind = kind.answer().problem,
@@ -42,7 +42,7 @@
 /// Builds the response from an endpoint's answer; `run` is set if its body is still
 /// arriving.
 fn build_response(
-    line: &AttemptContext,
+    context: &AttemptContext,
     head: &Head,
     answer: Answer,
     run: Option<(Ticket, EndpointKey)>,
@@ -51,11 +51,11 @@
     let mut response = match (answer.body, run) {
         (AnswerBody::Whole(body), _) => full_response(answer.status, "", body),
         (AnswerBody::Partial(partial), Some(run)) => {
-            let (first, rest, guard) = partial.split(line, run, head, &answer.headers);
+            let (first, rest, guard) = partial.split(context, run, head, &answer.headers);
             let is_event_stream = text(&answer.headers, CONTENT_TYPE.as_str())
                 .is_some_and(|value| value.starts_with("text/event-stream"));
             let body = match resumable.filter(|_| is_event_stream && first.is_empty()) {
-                Some(request) => ResponseBody::Resumed(resumed(line, request, rest, guard)),
+                Some(request) => ResponseBody::Resumed(resumed(context, request, rest, guard)),
                 None => ResponseBody::Flow(Box::new(Flow { first, rest, guard })),
             };
             let mut response = Response::new(body);
--- a/hibiscusroad-daemon/src/gateway/resume.rs
+++ b/hibiscusroad-daemon/src/gateway/resume.rs
@@ -78,7 +78,7 @@
 
 /// The state of a stream that is being passed on.
 struct State {
-    line: AttemptContext,
+    context: AttemptContext,
     request: ResumableRequest,
     events: EventDecoder,
     /// Number of the last event that was passed on.
@@ -90,13 +90,13 @@
 
 /// Passes a stream on and resumes it at another endpoint when it breaks.
 pub(super) fn resumed(
-    line: &AttemptContext,
+    context: &AttemptContext,
     request: ResumableRequest,
     rest: Incoming,
     guard: Guard,
 ) -> Resumed {
     let state = State {
-        line: line.clone(),
+        context: context.clone(),
         request,
         events: EventDecoder::new(),
         last: None,
@@ -172,13 +172,13 @@
                 break;
             };
             let head = Rc::clone(&forward.head);
-            match run_to_end(&self.line, forward).await {
+            match run_to_end(&self.context, forward).await {
                 Ended::Answer(answer, Some(run)) if answer.status.is_success() => {
                     let Answer { headers, body, .. } = *answer;
                     let AnswerBody::Partial(partial) = body else {
                         break;
                     };
-                    let (first, rest, guard) = partial.split(&self.line, run, &head, &headers);
+                    let (first, rest, guard) = partial.split(&self.context, run, &head, &headers);
                     for part in first {
                         self.events.push(&part);
                     }
