--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -20,7 +20,7 @@
 mod transfer;
 
 use super::{
-    attempt::AttemptContext, known::KnownConfig, peers::Directory, store::Store,
+    attempt::AttemptContext, known_config::KnownConfig, peers::Directory, store::Store,
     sync::EndpointRoster,
 };
 use crate::settings::Gateway as GatewaySettings;
--- a/hibiscusroad-daemon/src/gateway/forward.rs
+++ b/hibiscusroad-daemon/src/gateway/forward.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the body for the next attempt; `None` if it can't be sent again.
-    fn take(&mut self) -> Option<RequestBody> {
+    fn take_body(&mut self) -> Option<RequestBody> {
         match self {
             Self::Whole(body) => Some(full_body(body.clone())),
             Self::Once(rest) => rest.take().map(|rest| Either::Right(*rest)),
@@ -112,7 +112,7 @@
                         return end_quarantined(&request, error_answer, may_run > 0, left);
                     }
                     let target = context.calls.target(endpoint);
-                    let (Some(target), Some(body)) = (target, request.content.take()) else {
+                    let (Some(target), Some(body)) = (target, request.content.take_body()) else {
                         ticket.finish(endpoint, Outcome::NotRun(ErrorKind::NoEndpoint));
                         continue;
                     };
--- a/hibiscusroad-daemon/src/gateway/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/mod.rs
@@ -23,7 +23,7 @@
 //! * [`batches`]: batches of trainers. [`weights`]: the weights that engines load.
 //! * [`usage`]: the usage of client accounts and its reports.
 //! * [`duty`]: the lease of the gateway that acts for all.
-//! * [`store`], [`failure`], [`sync`], [`known`], [`refresh`]: the store's client and the
+//! * [`store`], [`failure`], [`sync`], [`known_config`], [`refresh`]: the store's client and the
 //!   state that follows its tables.
 //! * [`peers`]: calls to the store that gateways relay for each other.
 //! * [`http`]: connections to endpoints and to the store.
@@ -42,7 +42,7 @@
 mod forward;
 mod front;
 mod http;
-mod known;
+mod known_config;
 pub mod meters;
 mod peers;
 mod ready;
@@ -65,7 +65,7 @@
     crashes::Crashes,
     duty::Duty,
     http::ConnectionPool,
-    known::KnownConfig,
+    known_config::KnownConfig,
     meters::Meters,
     peers::Directory,
     refresh::CatalogRefresher,
--- a/hibiscusroad-daemon/src/gateway/refresh.rs
+++ b/hibiscusroad-daemon/src/gateway/refresh.rs
@@ -6,7 +6,7 @@
 //! Invalid requests can't overload the store: waiting requests share one read at a
 //! time, and reads are at least [`MIN_REFRESH_INTERVAL`] apart.
 
-use super::{calls::Calls, known::KnownConfig, store::Store, sync};
+use super::{calls::Calls, known_config::KnownConfig, store::Store, sync};
 use hibiscusroad::table::RowId;
 use hibiscusroad_platform::table;
 use std::{
--- a/hibiscusroad-daemon/src/gateway/sync.rs
+++ b/hibiscusroad-daemon/src/gateway/sync.rs
@@ -6,7 +6,9 @@
 //! change is missed. If the store no longer has the history since that version, the
 //! whole table is read again.
 
-use super::{calls::Calls, failure::Failure, known::KnownConfig, meters::Meters, store::Store};
+use super::{
+    calls::Calls, failure::Failure, known_config::KnownConfig, meters::Meters, store::Store,
+};
 use crate::{
     logs::{CONFIG, HOSTS, STORE},
     platform::Backoff,
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -9,7 +9,7 @@
     gateway::{
         duty::Duty,
         http::{ConnectionPool, encode},
-        known::KnownConfig,
+        known_config::KnownConfig,
         meters::Meters,
         store::Store,
         times::Times,
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -17,7 +17,7 @@
     batches::Batches,
     duty::{DUTIES_TABLE, Duty},
     http::ConnectionPool,
-    known::KnownConfig,
+    known_config::KnownConfig,
     meters::Meters,
     store::Store,
     sync::EndpointRoster,
