--- a/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/dispatch.rs
@@ -7,7 +7,7 @@
     Batches, OwnedBatch,
     slot::{ItemStart, Slot},
 };
-use crate::{gateway::calls::drawn_service, logs::BATCHES};
+use crate::{gateway::calls::pick_service, logs::BATCHES};
 use hibiscusroad::{
     catalog::{Kind, Route},
     quarantine::Verdict,
@@ -116,7 +116,7 @@
     ///
     /// The item is held and not errored: it may run again when its quarantine ends.
     pub(super) fn is_quarantined(&self, owned: &OwnedBatch, index: usize) -> bool {
-        let crashes = &self.line.crashes;
+        let crashes = &self.context.crashes;
         if !crashes.has_evidence() {
             return false;
         }
@@ -269,7 +269,7 @@
             Interruption::Failed => "failed",
             Interruption::Never => "never",
         };
-        self.line.meters.runs.with_label_values(&[outcome]).inc();
+        self.context.meters.runs.with_label_values(&[outcome]).inc();
         match cause {
             Interruption::NotRun => engines.record_refusal(now, key),
             Interruption::Lost => engines.record_failure(now, key),
@@ -295,7 +295,7 @@
     let submission = &owned.submission;
     let group = submission.items[index].group.as_str();
     Some(Requirements {
-        service: drawn_service(route)?,
+        service: pick_service(route)?,
         model: submission.model.as_deref(),
         min_version: submission.min_version,
         exact_version: owned.batch.borrow().required_version(index),
--- a/hibiscusroad-daemon/src/gateway/batches/draft.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/draft.rs
@@ -110,7 +110,7 @@
     /// named before the later batch.
     fn next_min_version(&self, owned: &OwnedBatch) -> Option<u64> {
         let model = owned.submission.model.as_deref()?;
-        let newest = self.known.named().get(model).copied()?;
+        let newest = self.known.named_versions().get(model).copied()?;
         let initial_version = owned.submission.min_version + owned.version_lag;
         (newest > initial_version).then(|| (newest + 1).saturating_sub(owned.version_lag))
     }
--- a/hibiscusroad-daemon/src/gateway/batches/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/mod.rs
@@ -19,7 +19,10 @@
 mod sweep;
 mod transfer;
 
-use super::{attempt::Line, known::Known, peers::Directory, store::Store, sync::Members};
+use super::{
+    attempt::AttemptContext, known_config::KnownConfig, peers::Directory, store::Store,
+    sync::EndpointRoster,
+};
 use crate::settings::Gateway as GatewaySettings;
 use hibiscusroad::{
     rollout::{
@@ -65,9 +68,9 @@
     /// How long a batch stays readable after its submission.
     retention: Duration,
     store: Rc<Store>,
-    line: Line,
-    members: Rc<Members>,
-    known: Rc<Known>,
+    context: AttemptContext,
+    members: Rc<EndpointRoster>,
+    known: Rc<KnownConfig>,
     engines: RefCell<Engines>,
     heads: RefCell<HashMap<String, HeadRow>>,
     /// The batches that this process runs.
@@ -149,9 +152,9 @@
         holder: &str,
         settings: &GatewaySettings,
         store: Rc<Store>,
-        line: Line,
-        members: Rc<Members>,
-        known: Rc<Known>,
+        context: AttemptContext,
+        members: Rc<EndpointRoster>,
+        known: Rc<KnownConfig>,
     ) -> Self {
         Self {
             incarnation: holder.to_owned(),
@@ -160,7 +163,7 @@
             memory_mb: settings.memory_mb,
             retention: Duration::from_secs(settings.keep_s),
             store,
-            line,
+            context,
             members,
             known,
             engines: RefCell::new(Engines::new()),
@@ -239,7 +242,11 @@
 
     /// Counts an event of a batch in the metrics.
     fn count_event(&self, event: &str) {
-        self.line.meters.batches.with_label_values(&[event]).inc();
+        self.context
+            .meters
+            .batches
+            .with_label_values(&[event])
+            .inc();
     }
 
     /// Returns how many items of this process run at an engine.
--- a/hibiscusroad-daemon/src/gateway/batches/score.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/score.rs
@@ -6,10 +6,10 @@
 use super::{Batches, OwnedBatch};
 use crate::{
     gateway::{
-        attempt::{Answer, Received, text},
-        calls::drawn_service,
-        forward::{Content, Ended, Forward, ended},
-        request::own_head,
+        attempt::{Answer, AnswerBody, text},
+        calls::pick_service,
+        forward::{Content, Ended, Forward, run_to_end},
+        request::internal_head,
         subject::Subject,
     },
     logs::BATCHES,
@@ -84,7 +84,7 @@
     /// Makes one call of a scorer.
     async fn call_scorer(&self, scorer: &Scorer, route: &Route) -> ScorerOutcome {
         let deadline = Instant::now() + route.timeout.unwrap_or(DEFAULT_TIMEOUT);
-        let head = match own_head(&scorer.host, &scorer.path, &scorer.id, deadline) {
+        let head = match internal_head(&scorer.host, &scorer.path, &scorer.id, deadline) {
             Ok(head) => head,
             Err(error) => {
                 log::error!(target: BATCHES, scorer = scorer.id.as_str(),
@@ -93,7 +93,7 @@
                 return ScorerOutcome::Rejected;
             }
         };
-        let Some(service) = drawn_service(route) else {
+        let Some(service) = pick_service(route) else {
             return ScorerOutcome::Failed;
         };
         let content = Content::Whole(scorer.body.clone().into());
@@ -105,10 +105,10 @@
             class: Class::Partner,
             kind: Kind::Idempotent,
             // The caller repeats the call and counts its failures.
-            attempts: 1,
+            max_attempts: 1,
             tokens: 0,
         };
-        match ended(&self.line, request).await {
+        match run_to_end(&self.context, request).await {
             Ended::Answer(answer, _) => classify(&answer),
             Ended::Refused(..) => ScorerOutcome::Failed,
         }
@@ -128,7 +128,7 @@
 fn classify(answer: &Answer) -> ScorerOutcome {
     let score = text(&answer.headers, header::SIGNATURE);
     match (answer.status.as_u16(), &answer.body, score) {
-        (200..=299, Received::Whole(_), Some(score)) => ScorerOutcome::Score(score.to_owned()),
+        (200..=299, AnswerBody::Whole(_), Some(score)) => ScorerOutcome::Score(score.to_owned()),
         (500, _, Some(_)) => ScorerOutcome::Rejected,
         _ => ScorerOutcome::Failed,
     }
--- a/hibiscusroad-daemon/src/gateway/batches/sweep.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/sweep.rs
@@ -78,7 +78,9 @@
                 }
             }
         }
-        self.store.drop_object(&row::submission_object(id)).await?;
+        self.store
+            .delete_object(&row::submission_object(id))
+            .await?;
         let change = Change::new()
             .expect(row::head(id), row.version)
             .remove(row::head(id));
--- a/hibiscusroad-daemon/src/gateway/usage/report.rs
+++ b/hibiscusroad-daemon/src/gateway/usage/report.rs
@@ -8,8 +8,8 @@
 use crate::{
     gateway::{
         duty::Duty,
-        http::{Channels, encode},
-        known::Known,
+        http::{ConnectionPool, encode},
+        known_config::KnownConfig,
         meters::Meters,
         store::Store,
         times::Times,
@@ -55,9 +55,9 @@
     duty: Rc<Duty>,
     store: Rc<Store>,
     times: Times,
-    known: Rc<Known>,
+    known: Rc<KnownConfig>,
     meters: Rc<Meters>,
-    channels: Channels,
+    pool: ConnectionPool,
     /// The time of day at which the store last answered again after an outage.
     store_returned: Cell<Option<Duration>>,
     /// The reports, and the fencing token under which they were read.
@@ -71,13 +71,13 @@
         duty: Rc<Duty>,
         store: Rc<Store>,
         times: Times,
-        known: Rc<Known>,
+        known: Rc<KnownConfig>,
         meters: Rc<Meters>,
     ) -> Self {
         let terms = ReportTiming {
             windows: Windows::new(Duration::from_secs(settings.window_s)),
             deadline: Duration::from_secs(settings.late_s),
-            call_gap: duty.apart(),
+            call_gap: duty.call_gap(),
         };
         Self {
             name: name.to_owned(),
@@ -88,7 +88,7 @@
             times,
             known,
             meters,
-            channels: Channels::new(),
+            pool: ConnectionPool::new(),
             store_returned: Cell::new(None),
             reports: RefCell::default(),
         }
@@ -108,7 +108,7 @@
     /// Reports usage until the process ends.
     pub(in crate::gateway) async fn run(self: Rc<Self>) {
         loop {
-            let Some(fence) = self.duty.fence().filter(|_| self.is_needed()) else {
+            let Some(fence) = self.duty.fencing_token().filter(|_| self.is_needed()) else {
                 self.duty.next_renewal().await;
                 continue;
             };
@@ -205,8 +205,11 @@
             log::info!(target: USAGE, window = window.0; "The store's clock is not known yet.");
             return false;
         };
-        let report =
-            StoredReport::new(duty::encode_usage(window.0, &counts), self.duty.life(), now);
+        let report = StoredReport::new(
+            duty::encode_usage(window.0, &counts),
+            self.duty.holder(),
+            now,
+        );
         let row = usage::report_row(window);
         let change = Change::new()
             .expect(row.clone(), 0)
@@ -240,7 +243,7 @@
         let Some((report, now)) = report.zip(self.store.now()) else {
             return false;
         };
-        let blocked_until = self.with_reports(|reports| reports.blocked_until(self.duty.life()));
+        let blocked_until = self.with_reports(|reports| reports.blocked_until(self.duty.holder()));
         let delay = blocked_until
             .flatten()
             .map(|until| until.saturating_sub(now));
@@ -256,7 +259,7 @@
         }
         // Checked last: there is no await between this and the call.
         let in_time = self.duty.now() < valid_until;
-        if !in_time || self.duty.fence() != Some(fence) {
+        if !in_time || self.duty.fencing_token() != Some(fence) {
             return false;
         }
         let start = Instant::now();
@@ -269,7 +272,7 @@
             ReportOutcome::Done => self.close_report(window, "accepted").await,
             ReportOutcome::Fenced => {
                 self.count_outcome("fenced");
-                self.duty.beaten();
+                self.duty.record_conflict();
                 false
             }
             ReportOutcome::Refused | ReportOutcome::Unknown => {
@@ -285,10 +288,10 @@
             return false;
         };
         let is_recent = now.saturating_sub(Duration::from_millis(report.written_at)) < ORDER_TTL;
-        if is_recent && report.holder == self.duty.life() {
+        if is_recent && report.holder == self.duty.holder() {
             return true;
         }
-        let report = StoredReport::new(report.body, self.duty.life(), now);
+        let report = StoredReport::new(report.body, self.duty.holder(), now);
         self.store_report(window, report).await
     }
 
@@ -368,12 +371,12 @@
     async fn exchange(&self, fence: u64, report: &str) -> Result<u16, String> {
         let wire = duty::report_request(&self.name, fence, report);
         let request = encode(&wire, self.address).map_err(|error| error.to_string())?;
-        let sent = self.channels.send(self.address, request).await;
-        let (response, channel) = sent.map_err(|fault| fault.to_string())?;
+        let sent = self.pool.send(self.address, request).await;
+        let (response, connection) = sent.map_err(|fault| fault.to_string())?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         body.map_err(|error| error.to_string())?;
-        self.channels.give_back(channel, None);
+        self.pool.return_to_pool(connection, None);
         Ok(status)
     }
 }
