--- a/hibiscusroad-daemon/src/gateway/batches/generate.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/generate.rs
@@ -13,8 +13,8 @@
         attempt::{self, Head, set, text},
         calls::Target,
         crashes::InFlight,
-        http::whole,
-        request::{name_account, own_head},
+        http::full_body,
+        request::{internal_head, set_account},
         subject::Subject,
     },
     logs::BATCHES,
@@ -146,7 +146,7 @@
             waited_ms = millis(waited), weights_ms = millis(waits.weights),
             room_ms = millis(waits.capacity), group = item.group.as_str();
             "The text of an item is whole.");
-        let meters = &self.line.meters;
+        let meters = &self.context.meters;
         meters.runs.with_label_values(&["whole"]).inc();
         meters.run_seconds.observe(start.elapsed().as_secs_f64());
         drop(slot);
@@ -210,14 +210,14 @@
     last_event: Option<u64>,
     exact_version: Option<u64>,
 ) -> Result<Request, hyper::http::Error> {
-    let mut head = own_head(&owned.host, &item.path, &item.id, deadline)?;
+    let mut head = internal_head(&owned.host, &item.path, &item.id, deadline)?;
     for (name, value) in &item.headers {
         let name = HeaderName::try_from(name.as_str())?;
         let value = hyper::header::HeaderValue::try_from(value.as_str())?;
         head.headers.insert(name, value);
     }
     if let Some(account) = &owned.account {
-        name_account(&mut head.headers, Some(account));
+        set_account(&mut head.headers, Some(account));
     }
     if let Some(last) = last_event {
         set(&mut head.headers, header::LAST_EVENT, &last.to_string());
@@ -302,13 +302,13 @@
     ) -> Result<(), Interruption> {
         let head = &request.head;
         let target = Target::of(endpoint);
-        let crashes = &self.batches.line.crashes;
-        let mut flight = crashes.track(&request.subject, target.life());
-        let sent = attempt::request(head, &target, whole(request.body.clone()));
-        let channels = &self.batches.line.channels;
-        let sending = channels.send_noting(target.address, sent, || flight.mark_sent());
+        let crashes = &self.batches.context.crashes;
+        let mut flight = crashes.track(&request.subject, target.incarnation());
+        let sent = attempt::build_request(head, &target, full_body(request.body.clone()));
+        let pool = &self.batches.context.pool;
+        let sending = pool.send_with_hook(target.address, sent, || flight.mark_sent());
         let sent = self.await_response(sending, head.id.as_str()).await?;
-        let (response, channel) = sent.map_err(|fault| {
+        let (response, connection) = sent.map_err(|fault| {
             flight.record_fault(&fault);
             log::debug!(target: BATCHES, item = head.id.as_str(),
                 endpoint = endpoint.id.as_str(),
@@ -320,10 +320,10 @@
             flight.mark_survived();
             return Err(cause);
         }
-        let is_kept = attempt::kept(response.headers());
+        let keep_alive = attempt::keep_alive(response.headers());
         self.read_events(response.into_body(), &mut flight).await?;
         flight.mark_answered();
-        channels.give_back(channel, is_kept);
+        pool.return_to_pool(connection, keep_alive);
         Ok(())
     }
 
--- a/hibiscusroad-daemon/src/gateway/batches/read.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/read.rs
@@ -7,7 +7,7 @@
 use super::{Batches, HeadRow, OwnedBatch, list::OBJECT_PREFIX};
 use crate::{
     gateway::{
-        answer::{Out, problem, whole},
+        answer::{ResponseBody, full_response, problem},
         failure::Failure,
     },
     logs::BATCHES,
@@ -52,7 +52,7 @@
         call: BatchRequest,
         account: Option<&str>,
         wait: Duration,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         let answer = self.answer_account(&call, account, wait).await;
         answer.unwrap_or_else(|failure| {
             log::info!(target: BATCHES, call:? = call, error = failure.to_string().as_str();
@@ -66,7 +66,7 @@
         call: &BatchRequest,
         account: Option<&str>,
         wait: Duration,
-    ) -> Result<Response<Out>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let found = self.find_head(call.batch()).await?;
         if !found.is_some_and(|row| row.head.is_accessible_to(account)) {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
@@ -97,7 +97,7 @@
         id: &str,
         after: usize,
         wait: Duration,
-    ) -> Result<Response<Out>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let deadline = Instant::now() + wait;
         let Some(row) = self.find_head(id).await? else {
             return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
@@ -112,7 +112,7 @@
             let ended = self.head(id).is_some_and(|row| row.head.ended);
             if !found.is_empty() || after >= total || ended || Instant::now() >= deadline {
                 let body = batch::encode_page(total, after, &limit_page(found));
-                return Ok(whole(StatusCode::OK, "application/json", body));
+                return Ok(full_response(StatusCode::OK, "application/json", body));
             }
             match running {
                 Some(owned) => {
@@ -159,7 +159,11 @@
     }
 
     /// Answers with the body of an item.
-    async fn answer_body(self: &Rc<Self>, id: &str, item: &str) -> Result<Response<Out>, Failure> {
+    async fn answer_body(
+        self: &Rc<Self>,
+        id: &str,
+        item: &str,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let unknown = || problem(ErrorKind::UnknownBatch, Duration::ZERO);
         let Some(row) = self.find_head(id).await? else {
             return Ok(unknown());
@@ -173,7 +177,7 @@
             None => item_body(&*self.load_submission(id).await?, item),
         };
         Ok(body.map_or_else(unknown, |body| {
-            whole(StatusCode::OK, "application/octet-stream", body)
+            full_response(StatusCode::OK, "application/octet-stream", body)
         }))
     }
 
@@ -201,13 +205,13 @@
     }
 
     /// Ends a batch; a repeated call succeeds too.
-    async fn end_batch(self: &Rc<Self>, id: &str) -> Result<Response<Out>, Failure> {
+    async fn end_batch(self: &Rc<Self>, id: &str) -> Result<Response<ResponseBody>, Failure> {
         for _ in 0..MAX_END_ATTEMPTS {
             let Some(row) = self.find_head(id).await? else {
                 return Ok(problem(ErrorKind::UnknownBatch, Duration::ZERO));
             };
             if row.head.ended {
-                return Ok(whole(StatusCode::OK, "", ""));
+                return Ok(full_response(StatusCode::OK, "", ""));
             }
             let head = Head {
                 ended: true,
@@ -226,7 +230,7 @@
                         value: head.encode(),
                         version,
                     });
-                    return Ok(whole(StatusCode::OK, "", ""));
+                    return Ok(full_response(StatusCode::OK, "", ""));
                 }
                 Commit::Conflict(rows) => rows.iter().for_each(|row| self.record_head(row)),
                 Commit::Refused => sleep(POLL_INTERVAL).await,
--- a/hibiscusroad-daemon/src/gateway/batches/submit.rs
+++ b/hibiscusroad-daemon/src/gateway/batches/submit.rs
@@ -9,7 +9,7 @@
 use super::{Batches, HeadRow, owner::BatchState, transfer::Owner};
 use crate::{
     gateway::{
-        answer::{Out, problem, whole},
+        answer::{ResponseBody, full_response, problem},
         peers::decode_presence,
     },
     logs::BATCHES,
@@ -80,7 +80,7 @@
         route: &Route,
         account: Option<&Account>,
         body: Bytes,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         if let Some(row) = self.head(id) {
             return answer_repeated(&row.head, account.map(|account| account.name.as_str()));
         }
@@ -193,7 +193,7 @@
         id: &str,
         new: NewBatch,
         deadline: Instant,
-    ) -> Response<Out> {
+    ) -> Response<ResponseBody> {
         let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1);
         // Whether an unanswered write may have been carried out.
         let mut is_unknown = false;
@@ -306,7 +306,7 @@
         let model = submission.model.clone();
         let newest = model
             .as_ref()
-            .and_then(|model| self.known.named().get(model).copied());
+            .and_then(|model| self.known.named_versions().get(model).copied());
         let groups = group_hashes(submission);
         let name = account.map(|account| account.name.clone());
         let accepted = millis(self.store.now().unwrap_or_default());
@@ -346,7 +346,7 @@
 }
 
 /// Answers a submission whose head exists already.
-fn answer_conflict(id: &str, rows: &[Row], account: Option<&str>) -> Response<Out> {
+fn answer_conflict(id: &str, rows: &[Row], account: Option<&str>) -> Response<ResponseBody> {
     if let Some(row) = rows.iter().find(|row| row.id.key == id) {
         return match Head::decode(&row.value) {
             Some(head) => answer_repeated(&head, account),
@@ -381,7 +381,7 @@
 
 /// Answers a repeated submission: accepted for the client account of the batch, unknown for
 /// all others, as in all calls about batches.
-fn answer_repeated(head: &Head, account: Option<&str>) -> Response<Out> {
+fn answer_repeated(head: &Head, account: Option<&str>) -> Response<ResponseBody> {
     if head.is_accessible_to(account) {
         accepted()
     } else {
@@ -389,6 +389,6 @@
     }
 }
 
-fn accepted() -> Response<Out> {
-    whole(StatusCode::ACCEPTED, "", Bytes::new())
+fn accepted() -> Response<ResponseBody> {
+    full_response(StatusCode::ACCEPTED, "", Bytes::new())
 }
--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -15,12 +15,12 @@
 
 use super::{
     batches::Batches,
-    duty::{DUTIES, Duty},
-    http::Channels,
-    known::Known,
+    duty::{DUTIES_TABLE, Duty},
+    http::ConnectionPool,
+    known_config::KnownConfig,
     meters::Meters,
     store::Store,
-    sync::Members,
+    sync::EndpointRoster,
 };
 use hibiscusroad::{
     rollout::{
@@ -51,10 +51,10 @@
     /// Engines check the fencing token of orders.
     engines_fence: bool,
     store: Rc<Store>,
-    known: Rc<Known>,
-    members: Rc<Members>,
+    known: Rc<KnownConfig>,
+    members: Rc<EndpointRoster>,
     batches: Rc<Batches>,
-    channels: Rc<Channels>,
+    pool: Rc<ConnectionPool>,
     meters: Rc<Meters>,
     /// Engines that get no other order until this time, since they load or a load failed.
     reserved: RefCell<HashMap<String, Instant>>,
@@ -85,10 +85,10 @@
 pub(super) struct Dependencies {
     pub(super) duty: Rc<Duty>,
     pub(super) store: Rc<Store>,
-    pub(super) known: Rc<Known>,
-    pub(super) members: Rc<Members>,
+    pub(super) known: Rc<KnownConfig>,
+    pub(super) members: Rc<EndpointRoster>,
     pub(super) batches: Rc<Batches>,
-    pub(super) channels: Rc<Channels>,
+    pub(super) pool: Rc<ConnectionPool>,
     pub(super) meters: Rc<Meters>,
 }
 
@@ -101,7 +101,7 @@
             known: dependencies.known,
             members: dependencies.members,
             batches: dependencies.batches,
-            channels: dependencies.channels,
+            pool: dependencies.pool,
             meters: dependencies.meters,
             reserved: RefCell::default(),
             reported: RefCell::default(),
@@ -141,13 +141,13 @@
 
     /// Returns whether there are versions that engines may have to load.
     pub(super) fn is_needed(&self) -> bool {
-        !self.known.named().is_empty()
+        !self.known.named_versions().is_empty()
     }
 
     /// Starts loads while this process holds the lease, until the process ends.
     pub(super) async fn run(self: Rc<Self>) {
         loop {
-            if let Some(fence) = self.duty.fence() {
+            if let Some(fence) = self.duty.fencing_token() {
                 if self.prepared_token.replace(Some(fence)) != Some(fence) {
                     self.prepare(fence).await;
                 }
@@ -167,7 +167,7 @@
         self.reserved.borrow_mut().clear();
         self.order_counts.borrow_mut().clear();
         let orders_known = self.read_orders().await;
-        let quiet_until = self.duty.now() + self.duty.apart() + ORDER_TTL;
+        let quiet_until = self.duty.now() + self.duty.call_gap() + ORDER_TTL;
         // Engines that check fencing tokens refuse orders of the previous holder themselves.
         let must_wait = !orders_known && !self.engines_fence && fence > 1;
         self.quiet_until.set(must_wait.then_some(quiet_until));
@@ -177,5 +177,5 @@
 
 /// Returns the ID of the row of recorded orders.
 fn orders_row() -> RowId {
-    RowId::new(DUTIES, "", ORDERS_KEY)
+    RowId::new(DUTIES_TABLE, "", ORDERS_KEY)
 }
--- a/hibiscusroad-daemon/src/gateway/weights/order.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/order.rs
@@ -58,9 +58,9 @@
             return false;
         };
         let mut records = self.order_records.borrow().clone();
-        records.expire(now, self.duty.apart());
+        records.expire(now, self.duty.call_gap());
         for load in loads {
-            records.record(&load.endpoint, self.duty.life(), now);
+            records.record(&load.endpoint, self.duty.holder(), now);
         }
         let value = serde_json::to_vec(&records).unwrap_or_default();
         let change = Change::new().put(orders_row(), value);
@@ -97,16 +97,20 @@
     /// Returns the versions that engines should run, and how urgently.
     fn goals(&self) -> Vec<ModelGoal> {
         let needs = self.batches.newest_heads();
-        let goals = self.known.named().into_iter().map(|(model, named)| {
-            let need = needs.get(&model);
-            ModelGoal {
-                newest: named,
-                lag: need.map_or(0, |head| head.lag),
-                work: need.map_or(0, |head| head.work) as f64,
-                priority: need.map_or(0, |head| head.priority),
-                model,
-            }
-        });
+        let goals = self
+            .known
+            .named_versions()
+            .into_iter()
+            .map(|(model, named)| {
+                let need = needs.get(&model);
+                ModelGoal {
+                    newest: named,
+                    lag: need.map_or(0, |head| head.lag),
+                    work: need.map_or(0, |head| head.work) as f64,
+                    priority: need.map_or(0, |head| head.priority),
+                    model,
+                }
+            });
         goals.collect()
     }
 
@@ -120,7 +124,7 @@
             let engine = service.engine.as_ref();
             engine.is_some_and(|engine| has_goal(&engine.models))
         });
-        let endpoints = services.flat_map(|service| self.members.of(&service.name));
+        let endpoints = services.flat_map(|service| self.members.in_service(&service.name));
         let staying = endpoints.filter(|endpoint| !endpoint.leaving);
         staying.map(|endpoint| self.loader(now, endpoint)).collect()
     }
@@ -136,7 +140,7 @@
         let reserved_until = self.reserved.borrow().get(&endpoint.id).copied();
         let records = self.order_records.borrow();
         let blocked_until =
-            records.blocked_until(&endpoint.id, self.duty.life(), self.duty.apart());
+            records.blocked_until(&endpoint.id, self.duty.holder(), self.duty.call_gap());
         let store_now = self.store.now().unwrap_or_default();
         EngineStatus {
             weights,
