--- a/hibiscusroad-daemon/tests/gateway_accounts.rs
+++ b/hibiscusroad-daemon/tests/gateway_accounts.rs
@@ -8,7 +8,7 @@
     config, submission, until,
 };
 use hibiscusroad_standins::{
-    direct::{Endpoint, Faults, Ran},
+    direct::{Endpoint, ExecutedRequest, Faults},
     relay::Relay,
 };
 use serde_json::{Value, json};
@@ -38,7 +38,9 @@
 /// Starts a deployment with client accounts.
 fn start_world(test: &str, gateways: usize) -> (World, Endpoint, Endpoint) {
     let mut world = World::start(test);
-    world.store.put("op", "config", &account_config(1, &[1, 2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(1, &[1, 2]));
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     for _ in 0..gateways {
@@ -76,8 +78,8 @@
     ask(method, gateway.callers, path, &headers, body, WAIT_TIMEOUT).expect("an answer")
 }
 
-fn find_run(endpoint: &Endpoint, id: &str) -> Option<Ran> {
-    endpoint.ran().into_iter().find(|ran| ran.id == id)
+fn find_run(endpoint: &Endpoint, id: &str) -> Option<ExecutedRequest> {
+    endpoint.runs().into_iter().find(|ran| ran.id == id)
 }
 
 #[test]
@@ -95,7 +97,10 @@
         assert_eq!(call(gateway, path, id, keys).status, 200, "{id}");
         let ran = find_run(&endpoint, id).unwrap();
         assert_eq!(ran.account.as_deref(), account, "{id}");
-        assert!(!ran.keyed, "the endpoint received the key of {id}");
+        assert!(
+            !ran.has_authorization,
+            "the endpoint received the key of {id}"
+        );
     }
 }
 
@@ -147,7 +152,9 @@
 #[test]
 fn revoked_key_is_refused() {
     let (world, endpoint, _engine) = start_world("revoked", 2);
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     for gateway in &world.gateways {
         until("the new key is known", || {
             let answer = call(gateway, "/desk/a", "new", &["Bearer charity-key-3"]);
@@ -169,7 +176,7 @@
 #[test]
 fn batches_are_accessible_to_all_keys_of_their_account_only() {
     let (world, _endpoint, engine) = start_world("owned", 2);
-    engine.work(Duration::from_millis(60));
+    engine.set_work_duration(Duration::from_millis(60));
     let body = submission(1, 1, 1, 2).to_string();
     let submit = |n: usize, key: &str| {
         let gateway = &world.gateways[n];
@@ -179,7 +186,9 @@
         call_with_keys(&world.gateways[n], method, path, "reader", b"", keys).status
     };
     assert_eq!(submit(0, CHARITY_KEY_1).status, 202);
-    world.store.put("op", "config", &account_config(2, &[2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2]));
     until("the first key is revoked", || {
         (0..2)
             .all(|n| status_of(n, "GET", "/lots/b1?after=0", &[CHARITY_KEY_1]) == 401)
@@ -222,11 +231,11 @@
         );
         (answer.json()["results"].as_array()?.len() == 2).then_some(())
     });
-    let ran = engine.ran();
+    let ran = engine.runs();
     assert!(!ran.is_empty());
     for ran in ran {
         assert_eq!(ran.account.as_deref(), Some("charity"));
-        assert!(!ran.keyed);
+        assert!(!ran.has_authorization);
     }
     assert_eq!(status_of(1, "DELETE", "/lots/b1", &[CHARITY_KEY_2]), 200);
 }
@@ -236,7 +245,7 @@
 #[test]
 fn batch_keeps_its_account_after_a_takeover() {
     let (mut world, endpoint, engine) = start_world("moved", 2);
-    engine.work(Duration::from_millis(120));
+    engine.set_work_duration(Duration::from_millis(120));
     let body = submission(1, 1, 1, 2).to_string();
     let answer = call_with_keys(
         &world.gateways[0],
@@ -247,7 +256,7 @@
         &[CHARITY_KEY_1],
     );
     assert_eq!(answer.status, 202);
-    until("items run", || (engine.ran().len() == 2).then_some(()));
+    until("items run", || (engine.runs().len() == 2).then_some(()));
     world.gateways[0].kill();
     until("all results are read", || {
         let answer = call_with_keys(
@@ -260,14 +269,18 @@
         );
         (answer.json()["results"].as_array()?.len() == 2).then_some(())
     });
-    let ran = engine.ran();
+    let ran = engine.runs();
     assert!(ran.len() > 2, "nothing was taken over");
     assert!(ran.iter().all(|r| r.account.as_deref() == Some("charity")));
     let scored = endpoint
-        .ran()
+        .runs()
         .into_iter()
         .filter(|r| r.id.starts_with("score-"));
-    assert!(scored.into_iter().all(|r| r.account.is_none() && !r.keyed));
+    assert!(
+        scored
+            .into_iter()
+            .all(|r| r.account.is_none() && !r.has_authorization)
+    );
 }
 
 // Guards against changed headers in a deployment without client accounts.
@@ -280,7 +293,7 @@
         200
     );
     let ran = find_run(&endpoint, "n1").unwrap();
-    assert!(ran.keyed);
+    assert!(ran.has_authorization);
     assert_eq!(ran.account.as_deref(), Some("somebody"));
     assert_eq!(submit(&world, 0, "b1", &submission(1, 1, 1, 1)).status, 202);
     assert_eq!(read(&world, 0, "b1", 0).status, 200);
@@ -294,7 +307,9 @@
     relay.set_delay(Duration::from_millis(70));
     // Longer than a long poll, since one that began earlier is not delayed.
     thread::sleep(Duration::from_millis(2_500));
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     let answer = call(
         &world.gateways[0],
         "/desk/a",
@@ -341,7 +356,9 @@
 fn revocation_arrives_through_a_peer() {
     let (world, relay, endpoint) = start_relayed_world("cut-store", "");
     relay.stop();
-    world.store.put("op", "config", &account_config(2, &[2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2]));
     let start = Instant::now();
     let first = &world.gateways[0];
     until("the old key is refused", || {
@@ -352,9 +369,9 @@
         "{:?}",
         start.elapsed()
     );
-    let before = endpoint.ran().len();
+    let before = endpoint.runs().len();
     assert_eq!(call(first, "/desk/a", "late", &[CHARITY_KEY_1]).status, 401);
-    assert_eq!(endpoint.ran().len(), before);
+    assert_eq!(endpoint.runs().len(), before);
 }
 
 // Guards against final refusals by a gateway that can reach neither the store nor a peer: a key
@@ -365,7 +382,9 @@
     let (mut world, relay, endpoint) = start_relayed_world("cut-all", "trust_ms = 4500\n");
     world.gateways[1].kill();
     relay.stop();
-    world.store.put("op", "config", &account_config(2, &[2, 3]));
+    world
+        .store
+        .put_json("op", "config", &account_config(2, &[2, 3]));
     let first = &world.gateways[0];
     assert_eq!(
         call(first, "/desk/a", "still", &[CHARITY_KEY_2]).status,
@@ -377,12 +396,12 @@
     until("no key is accepted any more", || {
         (call(first, "/desk/a", "expired", &[CHARITY_KEY_2]).status == 503).then_some(())
     });
-    let before = endpoint.ran().len();
+    let before = endpoint.runs().len();
     assert_eq!(
         call(first, "/desk/a", "after", &[CHARITY_KEY_1]).status,
         503
     );
-    assert_eq!(endpoint.ran().len(), before);
+    assert_eq!(endpoint.runs().len(), before);
     assert_eq!(call(first, "/open/a", "public", &[]).status, 200);
 }
 
@@ -391,7 +410,7 @@
 #[test]
 fn known_keys_are_accepted_during_an_outage_of_the_store() {
     let (world, _endpoint, _engine) = start_world("away", 1);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         silent: true,
         ..Faults::default()
     });
@@ -408,7 +427,9 @@
 /// returned relay.
 fn start_relayed_world(test: &str, settings: &str) -> (World, Relay, Endpoint) {
     let mut world = World::start(test);
-    world.store.put("op", "config", &account_config(1, &[1, 2]));
+    world
+        .store
+        .put_json("op", "config", &account_config(1, &[1, 2]));
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let any_port = "127.0.0.1:0".parse().unwrap();
     let relay = Relay::start(any_port, world.store.addr()).unwrap();
--- a/hibiscusroad-daemon/tests/gateway_calls.rs
+++ b/hibiscusroad-daemon/tests/gateway_calls.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{HOST, World, ask, raw, until};
-use hibiscusroad_standins::direct::{Faults, Manner};
+use hibiscusroad_standins::direct::{Behaviour, Faults};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -14,7 +14,7 @@
     assert_eq!(answer.text(), "i-desk answers two nights");
     assert_eq!(answer.header("x-server-stamp"), Some("stamp-id-1"));
     assert_eq!(answer.header("x-request-id"), Some("id-1"));
-    let ran = desk.ran();
+    let ran = desk.runs();
     let ran = ran.iter().find(|ran| ran.id == "id-1").unwrap();
     assert_eq!(ran.path, "/desk/4/a");
 }
@@ -29,8 +29,8 @@
         let answer = world.gateways[0].call("POST", "/desk/x", "warm", b"");
         answer.text().starts_with("i-sound").then_some(())
     });
-    for manner in [Manner::Foreign, Manner::Unsigned, Manner::Torn] {
-        desk.behave(manner);
+    for manner in [Behaviour::Foreign, Behaviour::Unsigned, Behaviour::Torn] {
+        desk.set_behaviour(manner);
         for n in 0..6 {
             let id = format!("{manner:?}-{n}");
             let answer = world.gateways[0].call("POST", "/desk/x", &id, b"");
@@ -43,7 +43,7 @@
             );
         }
     }
-    assert!(!sound.ran().is_empty());
+    assert!(!sound.runs().is_empty());
 }
 
 // A non-idempotent request whose answer was truncated may have run: it must end as
@@ -52,11 +52,11 @@
 fn non_idempotent_request_is_not_repeated_after_a_truncated_answer() {
     let (world, desk, _engine) = World::ready("once", 1);
     let other = world.endpoint("hut-desk", "i-other", &[]);
-    desk.behave(Manner::Torn);
-    other.behave(Manner::Torn);
+    desk.set_behaviour(Behaviour::Torn);
+    other.set_behaviour(Behaviour::Torn);
     let answer = world.gateways[0].call("POST", "/once/book", "once-1", b"");
     assert_eq!(answer.status, 502, "{}", answer.text());
-    let ran = desk.ran().into_iter().chain(other.ran());
+    let ran = desk.runs().into_iter().chain(other.runs());
     assert_eq!(ran.filter(|ran| ran.id == "once-1").count(), 1);
 }
 
@@ -64,14 +64,14 @@
 #[test]
 fn refusal_by_saturated_endpoints_has_retry_after() {
     let (world, desk, _engine) = World::ready("full", 1);
-    desk.behave(Manner::Refusing);
+    desk.set_behaviour(Behaviour::Refusing);
     let start = Instant::now();
     let answer = world.gateways[0].call("POST", "/once/book", "full-1", b"");
     assert_eq!(answer.status, 503, "{}", answer.text());
     let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(retry_after > 0.0);
     assert!(start.elapsed() < Duration::from_secs(4));
-    assert!(desk.ran().iter().all(|ran| ran.id != "full-1"));
+    assert!(desk.runs().iter().all(|ran| ran.id != "full-1"));
 }
 
 // When a caller closes its connection, the connection to the endpoint must close too,
@@ -79,26 +79,26 @@
 #[test]
 fn request_is_cancelled_when_its_caller_disconnects() {
     let (world, desk, _engine) = World::ready("left", 1);
-    desk.work(Duration::from_secs(8));
+    desk.set_work_duration(Duration::from_secs(8));
     let head = format!(
         "POST /desk/slow HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: left-1\r\n\
          X-Deadline-Ms: 9000\r\nContent-Length: 0\r\n\r\n"
     );
     let stream = raw(world.gateways[0].callers, head.as_bytes());
     until("the endpoint has it", || {
-        desk.ran()
+        desk.runs()
             .iter()
             .any(|ran| ran.id == "left-1")
             .then_some(())
     });
     drop(stream);
     std::thread::sleep(Duration::from_millis(600));
-    desk.work(Duration::from_millis(5));
+    desk.set_work_duration(Duration::from_millis(5));
     let answer = world.gateways[0].call("POST", "/desk/next", "next-1", b"");
     assert_eq!(answer.status, 200);
-    let ran = desk.ran();
+    let ran = desk.runs();
     let abandoned = ran.iter().find(|ran| ran.id == "left-1").unwrap();
-    assert!(!abandoned.whole, "the endpoint worked on");
+    assert!(!abandoned.is_complete, "the endpoint worked on");
 }
 
 // A request to a silent endpoint ends at the route's timeout if the caller's deadline
@@ -106,7 +106,7 @@
 #[test]
 fn silent_endpoint_times_out_at_the_routes_timeout() {
     let (world, desk, _engine) = World::ready("silent", 1);
-    desk.behave(Manner::Silent);
+    desk.set_behaviour(Behaviour::Silent);
     let start = Instant::now();
     let headers = [("X-Request-Id", "silent-1"), ("X-Deadline-Ms", "60000")];
     let callers = world.gateways[0].callers;
@@ -132,7 +132,7 @@
     let (world, _desk, _engine) = World::ready("outage", 1);
     let gateway = &world.gateways[0];
     assert_eq!(gateway.call("POST", "/nowhere/x", "n-1", b"").status, 404);
-    world.store.fail(Faults {
+    world.store.set_faults(Faults {
         silent: true,
         ..Faults::default()
     });
@@ -142,7 +142,7 @@
     });
     assert_eq!(gateway.call("POST", "/desk/x", "o-1", b"").status, 200);
     world.wait_ready(0);
-    world.store.fail(Faults::default());
+    world.store.set_faults(Faults::default());
     until("the configuration is current again", || {
         let answer = gateway.call("POST", "/nowhere/x", "n-3", b"");
         (answer.status == 404).then_some(())
@@ -160,12 +160,12 @@
     });
     desk.register("draining");
     std::thread::sleep(Duration::from_millis(300));
-    let run_count = desk.ran().len();
+    let run_count = desk.runs().len();
     for n in 0..10 {
         let answer = world.gateways[0].call("POST", "/desk/x", &format!("l-{n}"), b"");
         assert!(answer.text().starts_with("i-other"));
     }
-    assert_eq!(desk.ran().len(), run_count);
+    assert_eq!(desk.runs().len(), run_count);
     drop(other);
 }
 
@@ -176,7 +176,7 @@
     let route = serde_json::json!({ "name": "stream", "hostname": HOST, "prefix": "/stream/",
         "type": "streaming", "timeoutMs": 9000, "service": "guide-lm", "maxAttempts": 1 });
     world.configure(2, &[route]);
-    engine.work(Duration::from_millis(150));
+    engine.set_work_duration(Duration::from_millis(150));
     let head = format!(
         "POST /stream/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: s-1\r\nX-Model: guide\r\n\
          X-Deadline-Ms: 9000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -252,7 +252,7 @@
             "resumable": resumable })
     };
     world.configure(2, &[route("again", true), route("single", false)]);
-    engine.work(Duration::from_millis(120));
+    engine.set_work_duration(Duration::from_millis(120));
     for path in ["/again/y", "/single/y"] {
         until("the route is known", || {
             let answer = world.gateways[0].call("GET", path, "warm", b"");
@@ -272,13 +272,16 @@
         resumed.ends_with("0\r\n\r\n"),
         "the end is missing: {resumed}"
     );
-    let ran = engine.ran().into_iter().filter(|ran| ran.id == "s-1");
-    let after: Vec<Option<u64>> = ran.map(|ran| ran.after).collect();
+    let ran = engine.runs().into_iter().filter(|ran| ran.id == "s-1");
+    let after: Vec<Option<u64>> = ran.map(|ran| ran.last_event_id).collect();
     assert!(after.len() == 2 && after[1] >= Some(3), "{after:?}");
     let truncated = read_stream(&world, "/single/x", "s-2", || engine.relay().cut_all());
     assert!(
         !truncated.contains("s-2-8") && !truncated.ends_with("0\r\n\r\n"),
         "{truncated}"
     );
-    assert_eq!(engine.ran().iter().filter(|ran| ran.id == "s-2").count(), 1);
+    assert_eq!(
+        engine.runs().iter().filter(|ran| ran.id == "s-2").count(),
+        1
+    );
 }
--- a/hibiscusroad-daemon/tests/gateway_crashes.rs
+++ b/hibiscusroad-daemon/tests/gateway_crashes.rs
@@ -8,8 +8,8 @@
     submission, until,
 };
 use hibiscusroad_standins::{
-    direct::{Crash, CrashManner, Endpoint, Replicas, Restart},
-    http::FREE,
+    direct::{Crash, CrashMode, Endpoint, Replicas, Restart},
+    http::ANY_LOOPBACK_PORT,
     relay::Relay,
 };
 use serde_json::json;
@@ -32,10 +32,10 @@
 const REPLICA_NAMES: [&str; 6] = ["r0", "r1", "r2", "r3", "r4", "r5"];
 
 /// Starts gateways and crashing replicas of a request-response service.
-fn start_world(test: &str, gateways: usize, manner: CrashManner) -> (World, Replicas) {
+fn start_world(test: &str, gateways: usize, mode: CrashMode) -> (World, Replicas) {
     let mut world = World::start(test);
     world.configure(1, &[]);
-    let replicas = start_replicas(&world, "hut-desk", &[], manner);
+    let replicas = start_replicas(&world, "hut-desk", &[], mode);
     for _ in 0..gateways {
         world.gateway();
     }
@@ -47,10 +47,10 @@
 }
 
 /// Starts six replicas of a service that crash on bodies with the marker.
-fn start_replicas(world: &World, service: &str, models: &[&str], manner: CrashManner) -> Replicas {
+fn start_replicas(world: &World, service: &str, models: &[&str], mode: CrashMode) -> Replicas {
     let crash = Crash {
         marker: CRASH_MARKER.to_vec(),
-        manner,
+        mode,
     };
     let restart = Restart::default();
     Replicas::start(
@@ -80,12 +80,12 @@
 
 /// Returns how often requests with this prefix of their IDs reached an endpoint.
 fn count_sends(replicas: &Replicas, prefix: &str) -> usize {
-    let ran = replicas.ran();
+    let ran = replicas.runs();
     ran.iter().filter(|ran| ran.id.starts_with(prefix)).count()
 }
 
 fn count_sends_to(endpoint: &Endpoint, id: &str) -> usize {
-    let ran = endpoint.ran();
+    let ran = endpoint.runs();
     ran.iter().filter(|ran| ran.id == id).count()
 }
 
@@ -110,7 +110,7 @@
 /// Returns the answers to these further repeats.
 fn check_quarantined(world: &World, replicas: &Replicas, path: &str, prefix: &str) -> Vec<Answer> {
     let start = Instant::now();
-    while replicas.ends() < CRASH_LIMIT {
+    while replicas.crash_count() < CRASH_LIMIT {
         assert!(
             start.elapsed() < PROPAGATION_TIME * 4,
             "too few endpoints have ended"
@@ -124,7 +124,7 @@
     assert!(
         late_sends <= MAX_LATE_SENDS,
         "{late_sends} sends after {} ends",
-        replicas.ends()
+        replicas.crash_count()
     );
     answers
 }
@@ -145,9 +145,13 @@
 // Guards against repeats of a request that crash one endpoint after the other.
 #[test]
 fn request_that_crashes_endpoints_is_quarantined() {
-    let (world, replicas) = start_world("crashes", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("crashes", 3, CrashMode::ProcessExit);
     let answers = check_quarantined(&world, &replicas, "/desk/x", "poison");
-    assert!(replicas.ends() <= MAX_ENDS, "{} ends", replicas.ends());
+    assert!(
+        replicas.crash_count() <= MAX_ENDS,
+        "{} ends",
+        replicas.crash_count()
+    );
     assert!(
         problem_codes(&answers)
             .iter()
@@ -168,7 +172,7 @@
 // Guards against missing crashes in the middle of an answer.
 #[test]
 fn request_that_crashes_endpoints_during_the_answer_is_quarantined() {
-    let (world, replicas) = start_world("tears", 3, CrashManner::Torn);
+    let (world, replicas) = start_world("tears", 3, CrashMode::Truncated);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
 }
 
@@ -176,21 +180,21 @@
 // loses power.
 #[test]
 fn request_that_crashes_hosts_is_quarantined() {
-    let (world, replicas) = start_world("darkens", 3, CrashManner::Dark);
+    let (world, replicas) = start_world("darkens", 3, CrashMode::PowerLoss);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
 }
 
 // Guards against missing crashes of a request that is sent at most once under each ID.
 #[test]
 fn request_that_is_not_retried_is_quarantined() {
-    let (world, replicas) = start_world("once-only", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("once-only", 3, CrashMode::ProcessExit);
     check_quarantined(&world, &replicas, "/once/x", "poison");
 }
 
 // Guards against a gateway that starts after the crashes and lacks their evidence.
 #[test]
 fn gateway_that_starts_later_applies_the_quarantine() {
-    let (mut world, replicas) = start_world("later", 2, CrashManner::Closed);
+    let (mut world, replicas) = start_world("later", 2, CrashMode::ProcessExit);
     check_quarantined(&world, &replicas, "/desk/x", "poison");
     let before = count_sends(&replicas, "poison");
     world.gateway();
@@ -211,7 +215,7 @@
 #[test]
 fn end_of_a_draining_endpoint_is_no_crash() {
     let (world, endpoint, _engine) = World::ready("leaves", 1);
-    endpoint.work(Duration::from_secs(2));
+    endpoint.set_work_duration(Duration::from_secs(2));
     let gateway = &world.gateways[0];
     thread::scope(|scope| {
         let response = scope.spawn(|| gateway.call("POST", "/once/x", "cut", b""));
@@ -240,7 +244,7 @@
 fn expired_evidence_is_removed() {
     let mut world = World::start("removed");
     world.configure(1, &[]);
-    let replicas = start_replicas(&world, "hut-desk", &[], CrashManner::Closed);
+    let replicas = start_replicas(&world, "hut-desk", &[], CrashMode::ProcessExit);
     world.gateway_with("quarantine_s = 2\n");
     world.wait_ready(0);
     wait_for_endpoints(&world.gateways[0]);
@@ -250,7 +254,7 @@
         "poison",
         Instant::now() + PROPAGATION_TIME / 6,
     );
-    assert!(replicas.ends() > 0);
+    assert!(replicas.crash_count() > 0);
     let table_empty = |world: &World| world.store.rows("crashes").is_empty().then_some(());
     until("evidence is written", || {
         table_empty(&world).is_none().then_some(())
@@ -259,8 +263,8 @@
     // An expired row whose writer no longer runs, and a row that can't be decoded.
     let value = json!({ "endpoint": "e0", "born": null, "at_ms": 1, "path": "/desk/x" });
     let key = format!("{}/e0", "0".repeat(32));
-    world.store.put("crashes", &key, &value);
-    world.store.put("crashes", "odd", &value);
+    world.store.put_json("crashes", &key, &value);
+    world.store.put_json("crashes", "odd", &value);
     world.gateways[0].kill();
     world.gateway_with("quarantine_s = 2\n");
     until("a gateway that starts removes them", || table_empty(&world));
@@ -269,15 +273,15 @@
 // Guards against losing evidence that was collected while the store was unreachable.
 #[test]
 fn gateway_writes_evidence_once_the_store_is_reachable_again() {
-    let (mut world, replicas) = start_world("cut-off", 1, CrashManner::Closed);
-    let relay = Relay::start(FREE, world.store.addr()).unwrap();
+    let (mut world, replicas) = start_world("cut-off", 1, CrashMode::ProcessExit);
+    let relay = Relay::start(ANY_LOOPBACK_PORT, world.store.addr()).unwrap();
     let gateway = Gateway::start(&world.dir, "gateway-cut", relay.addr(), "");
     world.gateways.insert(0, gateway);
     world.wait_ready(0);
     wait_for_endpoints(&world.gateways[0]);
-    relay.go_dark();
+    relay.drop_traffic();
     let other = world.gateways.pop().unwrap();
-    while replicas.ends() < CRASH_LIMIT {
+    while replicas.crash_count() < CRASH_LIMIT {
         repeat(
             &world,
             "/desk/x",
@@ -296,7 +300,7 @@
         count_sends(&replicas, "poison") - before <= MAX_ENDS,
         "repeats still reach endpoints"
     );
-    relay.lighten();
+    relay.restore_traffic();
     world.gateways[0].line("The store answers again.");
     thread::sleep(PROPAGATION_TIME);
     world.gateways.push(other);
@@ -323,7 +327,7 @@
 // endpoints, or that share its path.
 #[test]
 fn requests_beside_one_that_crashes_endpoints_are_served() {
-    let (world, replicas) = start_world("neighbours", 3, CrashManner::Closed);
+    let (world, replicas) = start_world("neighbours", 3, CrashMode::ProcessExit);
     let stopped = AtomicBool::new(false);
     let send_until_stopped = |n: usize| {
         let mut answers = Vec::new();
@@ -369,7 +373,7 @@
         "resumable": true });
     world.configure(1, &[route]);
     let scorer = world.endpoint("hut-desk", "i-desk", &[]);
-    let replicas = start_replicas(&world, "guide-lm", &["guide"], CrashManner::Closed);
+    let replicas = start_replicas(&world, "guide-lm", &["guide"], CrashMode::ProcessExit);
     for _ in 0..gateways {
         world.gateway();
     }
@@ -398,7 +402,7 @@
     let read = results(&world, 1, "b1", 5);
     check_whole(&read, 8);
     thread::sleep(PROPAGATION_TIME);
-    let (before, ends) = (count_sends(&replicas, "item-1-1-1"), replicas.ends());
+    let (before, ends) = (count_sends(&replicas, "item-1-1-1"), replicas.crash_count());
     assert!((CRASH_LIMIT..=MAX_ENDS).contains(&ends), "{ends} ends");
     let owner = usize::from(batches_run_by(&world, 0).is_empty());
     world.gateways[owner].kill();
@@ -411,18 +415,22 @@
 // Guards against a reward call that is retried without limit.
 #[test]
 fn reward_call_that_crashes_endpoints_is_quarantined() {
-    let (world, replicas) = start_world("rewards", 2, CrashManner::Closed);
+    let (world, replicas) = start_world("rewards", 2, CrashMode::ProcessExit);
     let _engine = world.endpoint("guide-lm", "i-lm", &["guide"]);
     let mut step = submission(1, 1, 2, 3);
     step["requests"][4]["scorer"]["body"] = "Y3Jhc2g=".into();
     assert_eq!(submit(&world, 0, "b1", &step).status, 202);
     check_whole(&results(&world, 1, "b1", 5), 8);
     until("endpoints have ended", || {
-        (replicas.ends() >= CRASH_LIMIT).then_some(())
+        (replicas.crash_count() >= CRASH_LIMIT).then_some(())
     });
     thread::sleep(PROPAGATION_TIME);
     let before = count_sends(&replicas, "score-item-1-1-1");
     thread::sleep(PROPAGATION_TIME);
     assert_eq!(count_sends(&replicas, "score-item-1-1-1"), before);
-    assert!(replicas.ends() <= MAX_ENDS, "{} ends", replicas.ends());
+    assert!(
+        replicas.crash_count() <= MAX_ENDS,
+        "{} ends",
+        replicas.crash_count()
+    );
 }
--- a/hibiscusroad-daemon/tests/gateway_explain.rs
+++ b/hibiscusroad-daemon/tests/gateway_explain.rs
@@ -5,7 +5,7 @@
 use gateway_world::{WAIT_TIMEOUT, World, ask, submission, until};
 use hibiscusroad_cli::trace::Logs;
 use hibiscusroad_daemon::gateway::meters;
-use hibiscusroad_standins::direct::Manner;
+use hibiscusroad_standins::direct::Behaviour;
 use std::{collections::BTreeSet, fs, path::Path, time::Duration};
 
 /// Waits until the trace of an id contains a text, and returns the trace.
@@ -23,7 +23,7 @@
 #[test]
 fn trace_of_a_refused_request_names_its_endpoint() {
     let (world, desk, _engine) = World::ready("explain-refused", 1);
-    desk.behave(Manner::Refusing);
+    desk.set_behaviour(Behaviour::Refusing);
     let answer = world.gateways[0].call("POST", "/once/book", "refused-1", b"");
     assert_eq!(answer.status, 503);
     let trace = trace(&world, "refused-1", "A request is refused.");
@@ -40,7 +40,7 @@
 #[test]
 fn trace_of_an_errored_item_names_its_engine() {
     let (world, _desk, engine) = World::ready("explain-errored", 1);
-    engine.behave(Manner::Failing);
+    engine.set_behaviour(Behaviour::Failing);
     let body = submission(1, 1, 1, 1).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
@@ -64,8 +64,8 @@
 #[test]
 fn trace_of_a_late_step_names_its_failed_owner() {
     let (mut world, _desk, engine) = World::ready("explain-late", 2);
-    engine.work(Duration::from_millis(60));
-    engine.events(30);
+    engine.set_work_duration(Duration::from_millis(60));
+    engine.set_event_count(30);
     let body = submission(1, 1, 1, 2).to_string();
     let answer = world.gateways[0].call("POST", "/lm/step", "b1", body.as_bytes());
     assert_eq!(answer.status, 202);
--- a/hibiscusroad-daemon/tests/gateway_process.rs
+++ b/hibiscusroad-daemon/tests/gateway_process.rs
@@ -35,7 +35,7 @@
 fn sighup_reloads_the_settings() {
     let (mut world, _desk, _engine) = World::ready("hangup", 1);
     let other = std::sync::Arc::new(Store::start().unwrap());
-    other.put("op", "config", &config(9, &[]));
+    other.put_json("op", "config", &config(9, &[]));
     let gateway = &mut world.gateways[0];
     let text = settings_text(
         &gateway.name,
@@ -66,7 +66,7 @@
 #[test]
 fn planned_stop_answers_requests_in_flight() {
     let (mut world, desk, _engine) = World::ready("stop", 1);
-    desk.work(Duration::from_millis(1_200));
+    desk.set_work_duration(Duration::from_millis(1_200));
     let callers = world.gateways[0].callers;
     let slow = thread::spawn(move || {
         let headers = [("X-Request-Id", "slow-1"), ("X-Deadline-Ms", "5000")];
@@ -80,7 +80,7 @@
         )
     });
     until("the endpoint has it", || {
-        desk.ran()
+        desk.runs()
             .iter()
             .any(|ran| ran.id == "slow-1")
             .then_some(())
@@ -176,7 +176,7 @@
         let mut lines = gateway.lines().into_iter();
         lines.find(|line| line["part"] == "config" && line["version"] == 5)
     });
-    world.store.put(
+    world.store.put_json(
         "op",
         "config",
         &serde_json::json!({ "version": 3, "routes": [] }),
@@ -192,9 +192,9 @@
     let (world, _desk, _engine) = World::ready("history", 1);
     let route = serde_json::json!({ "name": "late", "hostname": HOST, "prefix": "/late/",
         "type": "idempotent", "timeoutMs": 2000, "service": "hut-desk", "maxAttempts": 2 });
-    world.store.forget_history();
+    world.store.compact_log();
     world.configure(2, &[route]);
-    world.store.forget_history();
+    world.store.compact_log();
     until("the new route is served", || {
         let answer = world.gateways[0].call("POST", "/late/x", "late-1", b"");
         (answer.status == 200).then_some(())
@@ -206,7 +206,7 @@
 fn unread_output_delays_no_request() {
     let (world, _desk, _engine) = World::ready("unread", 1);
     let name = "gateway-unread";
-    let [callers, ready, metrics] = [(); 3].map(|()| ports::choose().unwrap());
+    let [callers, ready, metrics] = [(); 3].map(|()| ports::free_port().unwrap());
     let log_settings = "\n[log]\nlevel = \"debug\"\n";
     let text = settings_text(
         name,
@@ -220,7 +220,7 @@
     fs::write(&file, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscusroadd"));
     command.arg(&file).stdout(Stdio::piped());
-    let mut child = ports::apart(|| command.spawn()).unwrap();
+    let mut child = ports::with_spawn_lock(|| command.spawn()).unwrap();
     let call = |id: &str| {
         let headers = [("X-Request-Id", id), ("X-Deadline-Ms", "3000")];
         ask(
@@ -296,7 +296,7 @@
     let gateway = &world.gateways[0];
     world.configure(5, &[]);
     let named = serde_json::json!({ "model": "guide", "version": 2 });
-    world.store.put("op", "version/guide", &named);
+    world.store.put_json("op", "version/guide", &named);
     until("the engine has loaded", || {
         (engine.version("guide") == 2).then_some(())
     });
--- a/hibiscusroad-daemon/tests/gateway_usage.rs
+++ b/hibiscusroad-daemon/tests/gateway_usage.rs
@@ -3,7 +3,7 @@
 mod gateway_world;
 
 use gateway_world::{Answer, Gateway, WAIT_TIMEOUT, World, ask, config, until};
-use hibiscusroad_standins::direct::{Billing, Endpoint, Faults, Manner, Reply};
+use hibiscusroad_standins::direct::{Behaviour, Billing, Endpoint, Faults, ReplyMode};
 use serde_json::json;
 use std::{
     collections::BTreeMap,
@@ -29,7 +29,7 @@
         { "name": "charity", "apiKeys": ["charity-key"] },
         { "name": "school", "apiKeys": ["school-key"] },
     ]);
-    world.store.put("op", "config", &config);
+    world.store.put_json("op", "config", &config);
     let billing = Billing::start(checks_fence).unwrap();
     let endpoint = world.endpoint("hut-desk", "i-desk", &[]);
     let settings = format!(
@@ -54,7 +54,7 @@
         });
     }
     until("a gateway reports", || {
-        (!deployment.billing.taken().is_empty()).then_some(())
+        (!deployment.billing.accepted_reports().is_empty()).then_some(())
     });
     deployment
 }
@@ -67,7 +67,7 @@
     /// Returns how many requests the endpoint started, by account.
     fn started_requests(&self) -> BTreeMap<String, u64> {
         let mut started = BTreeMap::new();
-        for ran in self.endpoint.ran() {
+        for ran in self.endpoint.runs() {
             *started.entry(ran.account.unwrap()).or_default() += 1;
         }
         started
@@ -83,12 +83,12 @@
         // Later reports must not add to the totals.
         thread::sleep(Duration::from_millis(1_500));
         assert_eq!(self.billing.totals(), started);
-        assert_eq!(self.billing.broken(LEASE), Vec::<String>::new());
+        assert_eq!(self.billing.violations(LEASE), Vec::<String>::new());
     }
 
     /// Returns the index of the gateway that sent the last report.
     fn holder(&self) -> usize {
-        let last = self.billing.taken().pop().unwrap();
+        let last = self.billing.accepted_reports().pop().unwrap();
         let gateways = &self.world.gateways;
         gateways.iter().position(|g| g.name == last.holder).unwrap()
     }
@@ -130,13 +130,15 @@
 #[test]
 fn only_requests_that_endpoints_started_count() {
     let deployment = start_deployment("began", 1, true);
-    deployment.endpoint.behave(Manner::Refusing);
+    deployment.endpoint.set_behaviour(Behaviour::Refusing);
     for n in 0..5 {
         assert_eq!(deployment.call(0, "school", &format!("no{n}")).status, 503);
     }
     assert_eq!(deployment.call(0, "nobody", "denied").status, 401);
-    deployment.endpoint.behave(Manner::Sound);
-    deployment.endpoint.work(Duration::from_millis(700));
+    deployment.endpoint.set_behaviour(Behaviour::Sound);
+    deployment
+        .endpoint
+        .set_work_duration(Duration::from_millis(700));
     let key = [
         ("X-Request-Id", "left"),
         ("Authorization", "Bearer school-key"),
@@ -151,7 +153,9 @@
         Duration::from_millis(250),
     );
     assert!(answer.is_none());
-    deployment.endpoint.work(Duration::from_millis(5));
+    deployment
+        .endpoint
+        .set_work_duration(Duration::from_millis(5));
     assert_eq!(deployment.started_requests()["school"], 1);
     deployment.check_totals();
 }
@@ -161,24 +165,24 @@
 #[test]
 fn lost_answers_and_refusals_of_the_platform_change_no_report() {
     let deployment = start_deployment("lost", 2, true);
-    for (n, reply) in [Reply::Lost, Reply::Busy, Reply::Sound]
+    for (n, reply) in [ReplyMode::LostAnswer, ReplyMode::Busy, ReplyMode::Normal]
         .into_iter()
         .enumerate()
     {
-        deployment.billing.reply(reply);
+        deployment.billing.set_reply_mode(reply);
         for m in 0..20 {
             deployment.call(m % 2, "charity", &format!("l{n}-{m}"));
             thread::sleep(Duration::from_millis(60));
         }
-        if reply == Reply::Lost {
-            let before = deployment.billing.taken().len();
+        if reply == ReplyMode::LostAnswer {
+            let before = deployment.billing.accepted_reports().len();
             until("an answer is lost", || {
-                (deployment.billing.taken().len() > before).then_some(())
+                (deployment.billing.accepted_reports().len() > before).then_some(())
             });
         }
     }
     deployment.check_totals();
-    let taken = deployment.billing.taken();
+    let taken = deployment.billing.accepted_reports();
     let repeated = taken
         .iter()
         .any(|report| taken.iter().filter(|r| r.window == report.window).count() > 1);
@@ -202,7 +206,7 @@
             },
             _ => Faults::default(),
         };
-        deployment.world.store.fail(faults);
+        deployment.world.store.set_faults(faults);
         for m in 0..20 {
             deployment.call(m % 2, "school", &format!("s{round}-{m}"));
             thread::sleep(Duration::from_millis(60));
@@ -231,9 +235,9 @@
         thread::sleep(Duration::from_millis(500));
         let holder = deployment.holder();
         deployment.world.gateways.remove(holder).kill();
-        let before = deployment.billing.taken().len();
+        let before = deployment.billing.accepted_reports().len();
         until("another gateway reports", || {
-            (deployment.billing.taken().len() > before + 1).then_some(())
+            (deployment.billing.accepted_reports().len() > before + 1).then_some(())
         });
     }
     deployment.check_totals();
@@ -253,10 +257,10 @@
         thread::sleep(Duration::from_millis(500));
         let holder = &deployment.world.gateways[deployment.holder()];
         holder.signal(Signal::STOP);
-        let before = deployment.billing.taken().len();
+        let before = deployment.billing.accepted_reports().len();
         let start = Instant::now();
         until("another gateway reports", || {
-            let taken = deployment.billing.taken();
+            let taken = deployment.billing.accepted_reports();
             (taken.len() > before + 1).then_some(())
         });
         assert!(start.elapsed() > Duration::from_millis(500));
--- a/hibiscusroad-daemon/tests/gateway_world/mod.rs
+++ b/hibiscusroad-daemon/tests/gateway_world/mod.rs
@@ -109,7 +109,7 @@
     /// Writes a configuration with the common routes and `extra_routes`.
     pub fn configure(&self, version: u64, extra_routes: &[Value]) {
         self.store
-            .put("op", "config", &config(version, extra_routes));
+            .put_json("op", "config", &config(version, extra_routes));
     }
 
     /// Starts another gateway.
@@ -150,7 +150,7 @@
         store: SocketAddr,
         extra_settings: &str,
     ) -> Self {
-        let [callers, ready, metrics, peers] = [(); 4].map(|()| ports::choose().unwrap());
+        let [callers, ready, metrics, peers] = [(); 4].map(|()| ports::free_port().unwrap());
         let extra_settings = format!("peers = \"{peers}\"\n{extra_settings}");
         let settings = dir.join(format!("{name}.toml"));
         fs::write(
@@ -164,7 +164,7 @@
             .arg(&settings)
             .stdout(File::create(&output).unwrap());
         command.stderr(Stdio::inherit());
-        let child = ports::apart(|| command.spawn()).unwrap();
+        let child = ports::with_spawn_lock(|| command.spawn()).unwrap();
         Self {
             name: name.to_owned(),
             callers,
--- a/hibiscusroad-measure/src/deployment/mod.rs
+++ b/hibiscusroad-measure/src/deployment/mod.rs
@@ -13,7 +13,7 @@
 pub use spec::{Kind, Service, Spec};
 
 use crate::interrupt::Interrupt;
-use hibiscusroad_standins::{plain::Ran, platform::hosts::Target, ports};
+use hibiscusroad_standins::{plain::LogEntry, platform::hosts::TargetGroup, ports};
 use process::Process;
 use settings::{Daemon, Generator, endpoint_args};
 use std::{
@@ -169,7 +169,7 @@
                 let folder = &self.folder.path;
                 if self.spec.restarts {
                     // An endpoint that comes back must be found where it was.
-                    args.extend(["--listen".to_owned(), ports::choose()?.to_string()]);
+                    args.extend(["--listen".to_owned(), ports::free_port()?.to_string()]);
                     if service.kind == Kind::Plain {
                         let file = runs_file(folder, &name).display().to_string();
                         args.extend(["--log".to_owned(), file]);
@@ -209,13 +209,13 @@
         };
         let mut daemons = Vec::new();
         for number in 0..self.spec.entries {
-            let ports = [ports::choose()?, ports::choose()?];
+            let ports = [ports::free_port()?, ports::free_port()?];
             daemons.push(generator.entry(number, ports)?);
         }
         let mut addresses = self.addresses().into_iter();
         for service in &self.spec.services {
             for (number, address) in addresses.by_ref().take(service.count).enumerate() {
-                let links = ports::choose()?;
+                let links = ports::free_port()?;
                 daemons.push(generator.side(service, number, links, address)?);
             }
         }
@@ -261,7 +261,7 @@
     /// Returns an error if the platform gives no answer.
     pub fn put_hosts(&self, state: &str) -> Result<(), Error> {
         let members = self.entries.iter().chain(&self.sides);
-        let list: Vec<Target> = members.map(|member| member.daemon.target(state)).collect();
+        let list: Vec<TargetGroup> = members.map(|member| member.daemon.target(state)).collect();
         let url = format!("http://{}/hosts", self.platform);
         let body = serde_json::to_string(&list).map_err(io::Error::other)?;
         put(&url, &body)
@@ -278,7 +278,7 @@
     /// # Errors
     ///
     /// Returns an error if one gives none.
-    pub fn logs(&self) -> Result<Vec<Vec<Ran>>, Error> {
+    pub fn logs(&self) -> Result<Vec<Vec<LogEntry>>, Error> {
         let plain = self.endpoints.iter().filter(|e| e.kind == Kind::Plain);
         plain.map(|endpoint| log(endpoint.address)).collect()
     }
@@ -288,7 +288,7 @@
     /// # Errors
     ///
     /// Returns the system's error if a log can't be read.
-    pub fn runs(&self) -> Result<BTreeMap<String, Vec<Ran>>, Error> {
+    pub fn runs(&self) -> Result<BTreeMap<String, Vec<LogEntry>>, Error> {
         let plain = self.endpoints.iter().filter(|e| e.kind == Kind::Plain);
         let mut runs = BTreeMap::new();
         for endpoint in plain {
@@ -360,7 +360,7 @@
 // More than any log of a test or measurement has.
 const LOG_LIMIT: u64 = 1 << 30;
 
-fn log(address: SocketAddr) -> Result<Vec<Ran>, Error> {
+fn log(address: SocketAddr) -> Result<Vec<LogEntry>, Error> {
     let mut answer = ureq::get(format!("http://{address}/control/log")).call()?;
     let body = answer
         .body_mut()
--- a/hibiscusroad-measure/src/faults/inject.rs
+++ b/hibiscusroad-measure/src/faults/inject.rs
@@ -6,8 +6,8 @@
     interrupt::Interrupt,
 };
 use hibiscusroad_standins::{
-    http::FREE,
-    platform::hosts::Target,
+    http::ANY_LOOPBACK_PORT,
+    platform::hosts::TargetGroup,
     relay::{Direction, Relay},
 };
 use serde_json::json;
@@ -52,7 +52,7 @@
 /// Starts a relay before each side.
 pub(super) fn relays(deployment: &Deployment) -> Result<Vec<Relay>, Error> {
     let sides = deployment.sides.iter();
-    let relays = sides.map(|side| Relay::start(FREE, side.daemon.address));
+    let relays = sides.map(|side| Relay::start(ANY_LOOPBACK_PORT, side.daemon.address));
     Ok(relays.collect::<io::Result<_>>()?)
 }
 
@@ -67,11 +67,11 @@
         .sides
         .iter()
         .zip(relays)
-        .map(|(side, relay)| Target {
+        .map(|(side, relay)| TargetGroup {
             targets: vec![relay.addr().to_string()],
             ..side.daemon.target(state)
         });
-    let list: Vec<Target> = entries.chain(sides).collect();
+    let list: Vec<TargetGroup> = entries.chain(sides).collect();
     let body = serde_json::to_string(&list).map_err(io::Error::other)?;
     put(&format!("http://{}/hosts", deployment.platform), &body)
 }
--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -4,7 +4,7 @@
     keys::CALLERS,
     world::{DESKS, ENDPOINTS, LEASE_MS, World},
 };
-use hibiscusroad_standins::direct::Ran;
+use hibiscusroad_standins::direct::ExecutedRequest;
 use serde_json::Value;
 use std::{
     collections::{BTreeMap, HashSet},
@@ -155,16 +155,16 @@
 
 /// Checks that no window was reported with two contents, nor by holders that mix.
 pub(super) fn reports(check: &Check, world: &World) {
-    for broken in world.billing.broken(Duration::from_millis(LEASE_MS)) {
-        check.broke(&broken);
+    for violation in world.billing.violations(Duration::from_millis(LEASE_MS)) {
+        check.broke(&violation);
     }
-    for _ in world.billing.taken() {
+    for _ in world.billing.accepted_reports() {
         check.count("reports");
     }
 }
 
 /// Checks for which account endpoints ran a request, and that they saw no key.
-fn account(check: &Check, ran: &Ran) {
+fn account(check: &Check, ran: &ExecutedRequest) {
     let expected = match ran.id.split_once('-') {
         Some(("crash" | "desk" | "once", _)) => Some(CALLERS),
         Some(("score", _)) => None,
@@ -174,7 +174,7 @@
     if ran.account.as_deref() != expected {
         check.broke(&format!("{} ran for {:?}", ran.id, ran.account));
     }
-    if ran.keyed {
+    if ran.has_authorization {
         check.broke(&format!("{} was passed on with its key", ran.id));
     }
 }
@@ -201,7 +201,7 @@
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
     for endpoint in &world.endpoints[DESKS..ENDPOINTS] {
         let mut last = 0;
-        for (holder, fence) in endpoint.holders() {
+        for (holder, fence) in endpoint.order_holders() {
             let known = holders.entry(fence).or_insert_with(|| holder.clone());
             if *known != holder {
                 check.broke(&format!(
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -6,8 +6,8 @@
 };
 use crate::deployment::{Bins, Error, process::Process};
 use hibiscusroad_standins::{
-    direct::{Billing, Crash, CrashManner, Endpoint, Faults, Manner, Ran, Store},
-    http::FREE,
+    direct::{Behaviour, Billing, Crash, CrashMode, Endpoint, ExecutedRequest, Faults, Store},
+    http::ANY_LOOPBACK_PORT,
     ports,
     relay::{Direction, Relay},
 };
@@ -65,7 +65,7 @@
     pub(super) store: Arc<Store>,
     pub(super) endpoints: Vec<Endpoint>,
     /// What plain endpoints ran that have crashed, and how many have.
-    past: Vec<Ran>,
+    past: Vec<ExecutedRequest>,
     pub(super) crashes: usize,
     /// Who takes reports of usage.
     pub(super) billing: Billing,
@@ -89,10 +89,10 @@
         fs::create_dir_all(&folder)?;
         let store = Arc::new(Store::start()?);
         let keys = Keys::new();
-        store.put("op", "config", &config(1, &keys));
+        store.put_json("op", "config", &config(1, &keys));
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
-            endpoints.push(endpoint(FREE, &store, n, &format!("e{n}"))?);
+            endpoints.push(endpoint(ANY_LOOPBACK_PORT, &store, n, &format!("e{n}"))?);
         }
         let mut world = Self {
             store,
@@ -117,8 +117,12 @@
 
     fn add(&mut self, n: usize, daemon: &std::path::Path) -> Result<(), Error> {
         let name = format!("gateway-{n}");
-        let relay = Relay::start(FREE, self.store.addr())?;
-        let [callers, ready, peers] = [ports::choose()?, ports::choose()?, ports::choose()?];
+        let relay = Relay::start(ANY_LOOPBACK_PORT, self.store.addr())?;
+        let [callers, ready, peers] = [
+            ports::free_port()?,
+            ports::free_port()?,
+            ports::free_port()?,
+        ];
         let file = self.folder.join(format!("{name}.toml"));
         let text = format!(
             "name = \"{name}\"\nhost = \"{name}\"\nplace = \"senec\"\nregion = \"zapad\"\n\n\
@@ -169,10 +173,10 @@
                 gateway.stopping.get_or_insert(now + GRACE);
             }
             Fault::Store(faults, time) => {
-                self.store.fail(faults);
+                self.store.set_faults(faults);
                 self.undo.push((now + time, Undo::Store));
             }
-            Fault::Forget => self.store.forget_history(),
+            Fault::Forget => self.store.compact_log(),
             Fault::SilenceStore(n, way) => self.gateways[n].relay.silence(way),
             Fault::CutStore(n, time) => {
                 self.gateways[n].relay.cut_all();
@@ -187,7 +191,7 @@
             }
             Fault::ResetStore => self.store.relay().cut_all(),
             Fault::Endpoint(n, manner, time) => {
-                self.endpoints[n].behave(manner);
+                self.endpoints[n].set_behaviour(manner);
                 self.undo.push((now + time, Undo::Manner(n)));
             }
             Fault::SilenceEndpoint(n, way) => self.endpoints[n].relay().silence(way),
@@ -200,7 +204,7 @@
                 self.version += 3;
                 self.keys.turn();
                 let config = config(self.version, &self.keys);
-                self.store.put("op", "config", &config);
+                self.store.put_json("op", "config", &config);
             }
         }
         Ok(())
@@ -247,12 +251,12 @@
     fn undo(&mut self, undo: &Undo) -> Result<(), Error> {
         match undo {
             Undo::Thaw(n) => self.gateways[*n].process.thaw()?,
-            Undo::Store => self.store.fail(Faults::default()),
+            Undo::Store => self.store.set_faults(Faults::default()),
             Undo::Delay(n) => {
                 self.gateways[*n].relay.set_delay(Duration::ZERO);
                 self.gateways[*n].relay.cut_all();
             }
-            Undo::Manner(n) => self.endpoints[*n].behave(Manner::Sound),
+            Undo::Manner(n) => self.endpoints[*n].set_behaviour(Behaviour::Sound),
             Undo::Return(n) if self.endpoints[*n].is_down() => {}
             Undo::Return(n) => self.endpoints[*n].register("ready"),
             Undo::Restart(n) => self.restart(*n)?,
@@ -268,13 +272,13 @@
         let next = endpoint(before.addr(), &self.store, n, &id)?;
         let before = std::mem::replace(&mut self.endpoints[n], next);
         self.store.remove("servers", before.id());
-        self.past.extend(before.ran());
+        self.past.extend(before.runs());
         Ok(())
     }
 
     /// Returns what all endpoints ran, those that have crashed included.
-    pub(super) fn ran(&self) -> Vec<Ran> {
-        let now = self.endpoints.iter().flat_map(Endpoint::ran);
+    pub(super) fn ran(&self) -> Vec<ExecutedRequest> {
+        let now = self.endpoints.iter().flat_map(Endpoint::runs);
         self.past.iter().cloned().chain(now).collect()
     }
 
@@ -332,11 +336,11 @@
         ("lm", &MODELS[..])
     };
     let endpoint = Endpoint::start_at(listen, store, service, id, models)?;
-    endpoint.work(Duration::from_millis(25));
-    endpoint.events(20);
+    endpoint.set_work_duration(Duration::from_millis(25));
+    endpoint.set_event_count(20);
     endpoint.crash_on(Crash {
         marker: CRASHING.to_vec(),
-        manner: CrashManner::Closed,
+        mode: CrashMode::ProcessExit,
     });
     Ok(endpoint)
 }
