--- a/hibiscusroad-daemon/tests/entry_claims.rs
+++ b/hibiscusroad-daemon/tests/entry_claims.rs
@@ -1,4 +1,4 @@
-//! Requests that may not run twice, through real entries and sides.
+//! Non-idempotent requests with a key, through real entries and sidecars.
 
 mod entry_support;
 
@@ -20,58 +20,58 @@
     time::{Duration, Instant},
 };
 
-const PLACES: [&str; 2] = ["senec", "trnava"];
+const DATA_CENTRES: [&str; 2] = ["senec", "trnava"];
 
-/// A platform, a booking service of two endpoints in two places, and an entry
-/// in each place.
+/// A platform, a booking service of two endpoints in two data centres, and an
+/// entry in each.
 struct World {
     platform: Platform,
-    desks: Vec<Plain>,
+    endpoints: Vec<Plain>,
     sides: Vec<Handle>,
     entries: Vec<Running>,
 }
 
 impl World {
-    fn start(more: &str) -> Self {
+    fn start(extra_settings: &str) -> Self {
         let platform = Platform::start(&platform::Settings::default()).unwrap();
         let mut world = Self {
             platform,
-            desks: Vec::new(),
+            endpoints: Vec::new(),
             sides: Vec::new(),
             entries: Vec::new(),
         };
         for i in 0..2 {
-            let desk = Plain::start(plain::Settings::default()).unwrap();
-            let side = world.start_side(i, &desk);
-            world.desks.push(desk);
+            let endpoint = Plain::start(plain::Settings::default()).unwrap();
+            let side = world.start_side(i, &endpoint);
+            world.endpoints.push(endpoint);
             world.sides.push(side);
         }
-        world.list();
+        world.publish_hosts();
         for i in 0..2 {
             let entry = entry::start(&world.settings(
                 i,
-                &format!("[entry]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n{more}"),
+                &format!("[entry]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n{extra_settings}"),
             ));
             world.entries.push(entry.unwrap());
         }
         for entry in &world.entries {
             entry_support::wait_until(|| call(entry, "GET", "/s/desk/x", "", "").contains(" 200 "));
         }
-        // Links to the other sides come up in the same moment.
+        // The links to the other sidecars open at about the same time.
         thread::sleep(Duration::from_millis(100));
         world
     }
 
-    fn settings(&self, i: usize, part: &str) -> Settings {
-        let (url, place) = (self.platform.url(), PLACES[i]);
+    fn settings(&self, i: usize, section: &str) -> Settings {
+        let (url, data_centre) = (self.platform.url(), DATA_CENTRES[i]);
         let text = format!(
-            "name = \"process-{i}\"\nhost = \"host-{i}\"\nplace = \"{place}\"\nregion = \"zapad\"\n[platform]\ntable = \"{url}\"\nhosts = \"{url}\"\n[stop]\ndeadline_s = 5\n{part}"
+            "name = \"process-{i}\"\nhost = \"host-{i}\"\nplace = \"{data_centre}\"\nregion = \"zapad\"\n[platform]\ntable = \"{url}\"\nhosts = \"{url}\"\n[stop]\ndeadline_s = 5\n{section}"
         );
         toml::from_str(&text).unwrap()
     }
 
-    fn start_side(&self, i: usize, desk: &Plain) -> Handle {
-        let address = desk.addr();
+    fn start_side(&self, i: usize, endpoint: &Plain) -> Handle {
+        let address = endpoint.addr();
         let settings = self.settings(i, &format!(
             "[side]\nlinks = \"127.0.0.1:0\"\nservice = \"desk\"\nendpoint = \"desk-{i}\"\naddress = \"{address}\"\nkind = \"plain\""
         ));
@@ -83,12 +83,12 @@
         handles.recv_timeout(Duration::from_secs(5)).unwrap()
     }
 
-    fn list(&self) {
+    fn publish_hosts(&self) {
         let target = |(i, side): (usize, &Handle)| Target {
             targets: vec![side.links.to_string()],
             labels: [
                 ("host", format!("host-{i}")),
-                ("place", PLACES[i].to_owned()),
+                ("place", DATA_CENTRES[i].to_owned()),
                 ("role", "side".to_owned()),
                 ("service", "desk".to_owned()),
                 ("endpoint", format!("desk-{i}")),
@@ -119,8 +119,8 @@
 
     /// Returns how often a reservation with this key was started.
     fn runs(&self, key: &str) -> usize {
-        let logs = self.desks.iter().flat_map(Plain::log);
-        logs.filter(|ran| ran.key.as_deref() == Some(key)).count()
+        let logs = self.endpoints.iter().flat_map(Plain::log);
+        logs.filter(|run| run.key.as_deref() == Some(key)).count()
     }
 }
 
@@ -128,9 +128,8 @@
     answer.split_once("\r\n\r\n").map_or("", |(_, body)| body)
 }
 
-// Both callers get the same answer, and the hut is reserved once. The second
-// copy comes through another entry after the first was answered; that entry
-// finds the claim, asks the side, and the side replays the answer.
+// Guards against a second run when a copy arrives at another entry after the first
+// was answered. The sidecar replays the answer.
 #[test]
 fn a_repeat_through_another_entry_is_answered_from_the_first_run() {
     let world = World::start("");
@@ -141,8 +140,8 @@
     assert_eq!(world.runs("a"), 1);
 }
 
-// As above, but the entry of the second copy has no link to the side that ran
-// the first. It opens one to the address in the claim, only to ask.
+// As above, but the second entry isn't connected to the sidecar of the first run.
+// It connects to the address in the claim.
 #[test]
 fn a_repeat_finds_a_side_that_its_entry_does_not_use() {
     let world = World::start("subset = 1");
@@ -153,10 +152,10 @@
     assert_eq!(world.runs("b"), 1);
 }
 
-// Eight callers send one request at once through two entries. All get the one
-// answer; whoever came late waited for the first run and was attached to it.
+// Guards against a second run when copies arrive concurrently at two entries. All
+// get the answer of the first run.
 #[test]
-fn copies_at_the_same_time_run_once() {
+fn concurrent_copies_run_once() {
     let world = World::start("");
     let answers: Vec<String> = thread::scope(|scope| {
         let world = &world;
@@ -172,10 +171,10 @@
     assert_eq!(world.runs("c"), 1);
 }
 
-// The first caller gives up while its request runs, and is told that it may
-// have run. It comes back, through this entry and another, and gets the answer.
+// A caller times out while its request runs, and gets the answer when it retries
+// through either entry.
 #[test]
-fn a_caller_that_gave_up_gets_the_answer_later() {
+fn caller_that_timed_out_gets_the_answer_later() {
     let world = World::start("");
     let slow = "X-Work-Ms: 700\r\n";
     let first = world.reserve(0, "d", &format!("{slow}Deadline-Ms: 200\r\n"), "hut 3");
@@ -188,8 +187,8 @@
     assert_eq!(world.runs("d"), 1);
 }
 
-// The caller gets its answer though the table's answer to the claim is lost
-// after the write took effect. The entry writes again and finds its own row.
+// Guards against a refusal when the table's answer to a claim is lost after the
+// write. The entry retries and finds its own row.
 #[test]
 fn a_lost_answer_of_the_table_is_read_back() {
     let world = World::start("");
@@ -202,9 +201,8 @@
     assert_eq!(world.runs("e"), 1);
 }
 
-// While the table is down the caller is refused within the time that the table
-// is given, "not run", and told when to come back. Requests that may be
-// repeated, and those without a key, are answered as if nothing had happened.
+// While the table is down, only requests that need a claim are refused, within the
+// table's timeout and as not run.
 #[test]
 fn without_the_table_only_claims_are_refused() {
     let world = World::start("");
@@ -214,11 +212,11 @@
     });
     let begin = Instant::now();
     let refused = world.reserve(0, "f", "", "hut 3");
-    let took = begin.elapsed();
+    let elapsed = begin.elapsed();
     assert!(refused.contains("store-down"), "{refused}");
     assert!(refused.contains(r#""not_run":true"#), "{refused}");
     assert!(refused.contains("Retry-After: "), "{refused}");
-    assert!(took < Duration::from_millis(300), "{took:?}");
+    assert!(elapsed < Duration::from_millis(300), "{elapsed:?}");
     assert!(call(&world.entries[0], "GET", "/s/desk/x", "", "").contains(" 200 "));
     assert!(call(&world.entries[0], "POST", "/s/desk/x", "", "").contains(" 200 "));
     world.faults(Faults::default());
@@ -228,10 +226,9 @@
     assert_eq!(world.runs("f"), 1);
 }
 
-// The caller that uses a key for another request is told so; neither request is
-// mixed up with the other.
+// Guards against answering a request from the run of another with the same key.
 #[test]
-fn a_key_is_not_taken_for_another_request() {
+fn key_of_another_request_is_refused() {
     let world = World::start("");
     let first = world.reserve(0, "g", "", "hut 3");
     let other = world.reserve(1, "g", "", "hut 4");
@@ -240,10 +237,10 @@
     assert_eq!(world.runs("g"), 1);
 }
 
-// The side that ran the reservation is replaced by one that knows nothing. The
-// caller that comes back is told that nobody knows, and it is not run again.
+// Guards against a second run when the sidecar of the first has lost its state. The
+// outcome is reported as unknown.
 #[test]
-fn a_side_that_was_replaced_leaves_the_outcome_unknown() {
+fn new_incarnation_of_a_sidecar_leaves_the_outcome_unknown() {
     let mut world = World::start("");
     let first = world.reserve(0, "h", "", "hut 3");
     assert!(first.contains(" 200 "), "{first}");
@@ -251,9 +248,9 @@
         side.stop();
     }
     world.sides = (0..2)
-        .map(|i| world.start_side(i, &world.desks[i]))
+        .map(|i| world.start_side(i, &world.endpoints[i]))
         .collect();
-    world.list();
+    world.publish_hosts();
     entry_support::wait_until(|| {
         let answer = world.reserve(1, "h", "Deadline-Ms: 3000\r\n", "hut 3");
         assert!(!answer.contains(" 200 "), "{answer}");
@@ -262,9 +259,8 @@
     assert_eq!(world.runs("h"), 1);
 }
 
-// A caller that reads steadily, but more slowly than the endpoint writes, gets
-// all of a large answer. What the entry holds for it stays small, because the
-// side is told only of what the caller took, and reads no further than that.
+// Guards against dropping a caller that reads steadily but more slowly than the
+// endpoint writes.
 #[test]
 fn a_slow_reader_gets_all_of_a_large_answer() {
     const SIZE: usize = 40 << 20;
@@ -273,14 +269,14 @@
     let request =
         format!("GET /s/desk/x HTTP/1.1\r\nHost: x\r\nX-Size: {SIZE}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
-    let mut piece = vec![0; 256 << 10];
-    let mut all = 0;
+    let mut buf = vec![0; 256 << 10];
+    let mut total = 0;
     let mut last = Vec::new();
-    while let Ok(n @ 1..) = stream.read(&mut piece) {
-        all += n;
-        last = piece[n.saturating_sub(8)..n].to_vec();
+    while let Ok(n @ 1..) = stream.read(&mut buf) {
+        total += n;
+        last = buf[n.saturating_sub(8)..n].to_vec();
         thread::sleep(Duration::from_millis(5));
     }
-    assert!(all > SIZE, "{all}");
+    assert!(total > SIZE, "{total}");
     assert!(last.ends_with(b"\r\n0\r\n\r\n") || last.ends_with(b"0\r\n\r\n"));
 }
