--- a/hibiscusroad-daemon/tests/entry_crashes.rs
+++ b/hibiscusroad-daemon/tests/entry_crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints behind sides.
+//! Requests that crash the endpoints behind sidecars.
 
 mod entry_support;
 
@@ -16,11 +16,11 @@
     time::{Duration, Instant},
 };
 
-/// Longer than breaks at one endpoint count as one crash.
+/// Longer than the time in which breaks at one endpoint count as one crash.
 const RESTART: Duration = Duration::from_millis(1_100);
 const CRASHES: usize = 3;
 
-/// A side whose endpoint ends under requests that say so, and is down for a while.
+/// A sidecar whose endpoint crashes on the body "crash" and then restarts.
 fn fragile(crashes: &Arc<AtomicUsize>) -> Side {
     let (crashes, down) = (Arc::clone(crashes), Mutex::new(None));
     Side::start("hut-desk", move |_, out, frame| {
@@ -44,17 +44,17 @@
 }
 
 fn repeat(entry: &Running, method: &str, headers: &str) -> Vec<String> {
-    let ask = |n: usize| {
+    let send = |n: usize| {
         let headers = headers.replace('#', &n.to_string());
         let answer = call(entry, method, "/s/hut-desk/x", &headers, "crash");
         thread::sleep(RESTART / 4);
         answer
     };
-    (0..12).map(ask).collect()
+    (0..12).map(send).collect()
 }
 
-// Guards against a request that crashes endpoints and is repeated without end, where it
-// may run again and where each key runs once.
+// Guards against endless retries of a request that crashes endpoints, whether it is
+// idempotent, not idempotent, or has a key.
 #[test]
 fn request_that_crashes_endpoints_stops_reaching_sides() {
     for (method, headers) in [
