--- a/hibiscusroad-daemon/tests/operators.rs
+++ b/hibiscusroad-daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are told through one entry, of all of them.
+//! Operators' queries and commands through one of several entries.
 
 mod entry_support;
 mod world;
@@ -13,7 +13,7 @@
 };
 use world::{QueryResponse, World, column, text};
 
-/// Rounds of load in which an endpoint is to reach more than its old limit.
+/// Rounds of load in which an endpoint should exceed its old limit.
 const ROUNDS: usize = 4;
 
 const SUBSETS: [&str; 2] = ["subset = 1", ""];
@@ -22,8 +22,8 @@
     shown.rows.len() == 2 && shown.rows.iter().all(|row| text(row, "state") == "open")
 }
 
-// The first entry has a link to one of the two sides only. Both endpoints are
-// shown, once each; the news of the other one comes from the second entry.
+// Guards against missing or duplicate endpoints when the first entry is linked to
+// only one of the two sidecars.
 #[test]
 fn endpoints_outside_of_the_subset_are_shown() {
     let world = World::start(&SUBSETS);
@@ -31,8 +31,8 @@
     assert_eq!(column(&shown, "endpoint"), ["desk-0", "desk-1"]);
     assert!(column(&shown, "source").contains(&"entry-1".to_owned()));
     assert!(shown.missing.is_empty(), "{shown:?}");
-    world.wait(0, "show/endpoints?only=self", |alone| {
-        column(alone, "state") == ["open", "unknown"]
+    world.wait(0, "show/endpoints?only=self", |local| {
+        column(local, "state") == ["open", "unknown"]
     });
     for (subject, place) in [("hosts", "place"), ("places", "place")] {
         let shown = world.query(0, &format!("show/{subject}"));
@@ -42,27 +42,25 @@
     assert_eq!(column(&shown, "host"), ["host-desk-0", "host-desk-1"]);
 }
 
-// The entry that knows the other endpoint dies. The operator still sees that
-// the endpoint is listed, that nobody knows its state, and who is missing.
+// Guards against hiding a listed endpoint whose only linked entry has stopped.
 #[test]
-fn endpoint_that_nobody_knows_is_named() {
+fn endpoint_without_a_link_is_reported_as_missing() {
     let mut world = World::start(&SUBSETS);
     world.wait(0, "show/endpoints", all_open);
     world.entries.pop().unwrap().stopper().stop();
     thread::sleep(Duration::from_secs(1));
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
-    let gone = nobody.local_addr().unwrap();
-    drop(nobody);
-    world.set_hosts(&[("entry-1", gone)]);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let closed = listener.local_addr().unwrap();
+    drop(listener);
+    world.set_hosts(&[("entry-1", closed)]);
     let shown = world.wait(0, "show/endpoints", |shown| shown.missing.len() == 2);
     assert_eq!(column(&shown, "state"), ["open", "unknown"]);
     assert!(shown.missing.contains(&"entry-1".to_owned()), "{shown:?}");
 }
 
-// One entry of three is not there. The rows of the others come at once, and
-// the answer names the one that it lacks.
+// Guards against one unresponsive entry of three that hides the others' rows.
 #[test]
-fn entries_are_all_asked_and_missing_ones_named() {
+fn all_entries_are_queried_and_missing_ones_reported() {
     let world = World::start(&["", ""]);
     // Takes connections and never answers.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -70,29 +68,28 @@
     let shown = world.wait(0, "show/entries", |shown| !shown.missing.is_empty());
     assert_eq!(column(&shown, "entry"), ["entry-0", "entry-1"]);
     assert_eq!(shown.missing, ["entry-2"]);
-    let alone = world.query(0, "show/entries?only=self");
-    assert_eq!(column(&alone, "entry"), ["entry-0"]);
+    let local = world.query(0, "show/entries?only=self");
+    assert_eq!(column(&local, "entry"), ["entry-0"]);
 }
 
-// A question is passed on with the asker's token: the second entry, which knows
-// another one, tells its rows to nobody who couldn't ask it directly.
+// Guards against exposing an entry's rows to an operator without a token for it.
 #[test]
-fn token_of_the_asker_is_passed_on() {
+fn token_of_the_operator_is_forwarded() {
     let tokens = |token: &str| format!("[entry.tokens]\nask = [\"{token}\"]\n");
     let (one, two) = (tokens("0123456789abcdef"), tokens("fedcba9876543210"));
     let same = World::start(&[&one, &one]);
     let other = World::start(&[&one, &two]);
     for (world, rows) in [(&same, 2), (&other, 1)] {
-        let asked = || world.query_with_token(0, "show/entries", "0123456789abcdef");
-        entry_support::wait_until(|| asked().rows.len() + asked().missing.len() == 2);
-        assert_eq!(asked().rows.len(), rows);
+        let query = || world.query_with_token(0, "show/entries", "0123456789abcdef");
+        entry_support::wait_until(|| query().rows.len() + query().missing.len() == 2);
+        assert_eq!(query().rows.len(), rows);
         assert_eq!(world.query(0, "show/entries").status, 401);
     }
 }
 
-// An endpoint dies; its side lives on and its link stands.
+// The endpoint stops while its sidecar stays linked.
 #[test]
-fn dead_endpoint_behind_a_living_side_is_unreachable() {
+fn stopped_endpoint_of_a_linked_sidecar_is_unreachable() {
     let world = World::start(&[""]);
     world.wait(0, "show/endpoints", all_open);
     world.endpoints[1].stop();
@@ -132,30 +129,30 @@
     assert!(world.query(0, "show/leases").rows.is_empty());
 }
 
-/// Returns the name that an answer gives its request.
-fn id(answer: &str) -> &str {
+/// Returns the request id of an answer.
+fn request_id(answer: &str) -> &str {
     let mut lines = answer.lines();
-    let name = lines.find_map(|line| line.strip_prefix("Request-Id: "));
-    name.unwrap().trim()
+    let id = lines.find_map(|line| line.strip_prefix("Request-Id: "));
+    id.unwrap().trim()
 }
 
-/// The most requests that an endpoint had at once, while callers asked for it.
-fn most_at_once(world: &World, callers: usize) -> u64 {
+/// Returns the highest number of concurrent requests seen at an endpoint under load.
+fn max_concurrency(world: &World, callers: usize) -> u64 {
     let busy = AtomicBool::new(true);
     thread::scope(|scope| {
-        let most = scope.spawn(|| {
-            let mut most = 0;
+        let sampler = scope.spawn(|| {
+            let mut max = 0;
             while busy.load(Ordering::SeqCst) {
-                for desk in &world.endpoints {
-                    let url = format!("http://{}/load", desk.addr());
+                for endpoint in &world.endpoints {
+                    let url = format!("http://{}/load", endpoint.addr());
                     let text = ureq::get(url).call().unwrap().body_mut().read_to_string();
                     let load: Value = serde_json::from_str(&text.unwrap()).unwrap();
-                    most = most.max(load["running"].as_u64().unwrap());
+                    max = max.max(load["running"].as_u64().unwrap());
                 }
             }
-            most
+            max
         });
-        let asked: Vec<_> = (0..callers)
+        let calls: Vec<_> = (0..callers)
             .map(|_| {
                 scope.spawn(|| {
                     call(
@@ -168,19 +165,20 @@
                 })
             })
             .collect();
-        let answers: Vec<_> = asked.into_iter().map(ScopedJoinHandle::join).collect();
+        let answers: Vec<_> = calls.into_iter().map(ScopedJoinHandle::join).collect();
         busy.store(false, Ordering::SeqCst);
         for answer in answers {
             let answer = answer.unwrap();
-            let why = || world.query(0, &format!("explain/request/{}", id(&answer)));
-            assert!(answer.contains(" 200 "), "{:#?}", why().rows);
+            let explanation =
+                || world.query(0, &format!("explain/request/{}", request_id(&answer)));
+            assert!(answer.contains(" 200 "), "{:#?}", explanation().rows);
         }
-        most.join().unwrap()
+        sampler.join().unwrap()
     })
 }
 
-// An operator lowers how many requests an endpoint takes at once, and raises it
-// again. Callers wait in the entry's queue meanwhile, and all get their answer.
+// Guards against a rule's limit that isn't applied at the endpoint, when lowered or
+// raised, and against refusing callers meanwhile.
 #[test]
 fn limit_of_the_rule_is_in_force_at_the_endpoint() {
     let world = World::start(&[""]);
@@ -195,29 +193,29 @@
         &json!({ "op": "alter_service", "name": "desk", "set": { "limit": 2 } }),
     );
     world.wait(0, "show/endpoints", |shown| limit(shown, 2));
-    assert_eq!(most_at_once(&world, 12), 2);
+    assert_eq!(max_concurrency(&world, 12), 2);
     world.change(
         2,
         &json!({ "op": "alter_service", "name": "desk", "set": { "limit": 5 } }),
     );
     world.wait(0, "show/endpoints", |shown| limit(shown, 5));
-    // Now and then the router sends a quarter, to measure; so one round
-    // may stay below.
-    let rounds = (0..ROUNDS).map(|_| most_at_once(&world, 10));
-    let most = rounds.max().unwrap();
-    assert!((3..=5).contains(&most), "{most}");
+    // The router sometimes sends only a quarter as a measurement, so a single
+    // round may stay below the limit.
+    let rounds = (0..ROUNDS).map(|_| max_concurrency(&world, 10));
+    let max = rounds.max().unwrap();
+    assert!((3..=5).contains(&max), "{max}");
 }
 
-// One call is answered; another finds its endpoints gone and is refused. An
-// operator asks the other entry why, by the name that the answers had.
+// Another entry explains, by request id, an answered call and one that was refused
+// because its endpoints had stopped.
 #[test]
 fn requests_and_endpoints_are_explained() {
     let world = World::start(&["", ""]);
     world.wait(0, "show/endpoints?only=self", all_open);
-    // The second entry learns of the first from the host list.
+    // Waits until the second entry has the first from the host list.
     world.wait(1, "show/entries", |shown| shown.rows.len() == 2);
     let answer = call(&world.entries[0], "GET", "/s/desk/x", "", "");
-    let answered = id(&answer);
+    let answered = request_id(&answer);
     let shown = world.query(1, &format!("explain/request/{answered}"));
     let events: Vec<_> = shown.rows.iter().map(|row| text(row, "event")).collect();
     assert_eq!(events, ["arrived", "placed", "ended", "answered"]);
@@ -228,11 +226,11 @@
             .iter()
             .all(|row| text(row, "source") == "entry-0")
     );
-    for desk in &world.endpoints {
-        desk.stop();
+    for endpoint in &world.endpoints {
+        endpoint.stop();
     }
     let answer = call(&world.entries[0], "GET", "/s/desk/x", "", "");
-    let refused = id(&answer);
+    let refused = request_id(&answer);
     let shown = world.query(1, &format!("explain/request/{refused}"));
     let last = shown.rows.last().unwrap();
     assert_eq!(text(last, "event"), "refused", "{shown:?}");
