--- a/hibiscusroad-daemon/tests/entry_input.rs
+++ b/hibiscusroad-daemon/tests/entry_input.rs
@@ -1,4 +1,4 @@
-//! What callers see who send something wrong, or nothing more.
+//! Invalid requests and callers that stop sending or reading.
 
 mod entry_support;
 
@@ -28,7 +28,7 @@
         Some((interim, rest)) if interim.starts_with("HTTP/1.1 100 ") => rest.to_owned(),
         _ => answer,
     };
-    let took = begin.elapsed();
+    let elapsed = begin.elapsed();
     let first = format!("HTTP/1.1 {status} ");
     assert!(answer.starts_with(&first), "{name}: {answer}");
     let kind = format!("urn:hibiscusroad:problem:{problem}\"");
@@ -36,11 +36,11 @@
         problem.is_empty() || answer.contains(&kind),
         "{name}: {answer}"
     );
-    assert!(took < Duration::from_secs(3), "{name}: {took:?}");
+    assert!(elapsed < Duration::from_secs(3), "{name}: {elapsed:?}");
 }
 
-/// Name | method | path | headers | status | problem. MANY, LARGE and LONG stand
-/// for what would fill the page.
+/// Name | method | path | headers | status | problem. MANY, LARGE and LONG are
+/// replaced by long values.
 const WRONG: &str = "
 no path | GET | / | | 404 | unknown-path
 no service | GET | /s/nobody/x | | 404 | unknown-service
@@ -67,8 +67,7 @@
 upgrade | GET | /s/hut-desk/x | Connection: upgrade | 400 | bad-request
 ";
 
-// Each caller is told at once what is wrong with its request, and the next
-// caller is served as if nothing had happened.
+// Invalid requests are refused with the matching problem, and later ones are served.
 #[test]
 fn wrong_requests_get_a_clear_answer() {
     let side = echo();
@@ -106,8 +105,7 @@
     assert!(answer.ends_with("\r\n\r\nok"), "{answer}");
 }
 
-// The caller whose body is too large, declared or not, is told so. The entry
-// reads no more of it than it may keep.
+// Bodies that are too large, declared or chunked, and invalid ones are refused.
 #[test]
 fn large_and_broken_bodies_are_refused() {
     let side = echo();
@@ -126,25 +124,23 @@
     assert_eq!(side.starts(), 0);
 }
 
-// A caller that sends half a request and then nothing loses its connection,
-// in each of three halves; nothing has run. The limit is five seconds for each
-// wait: for a body, for skipping the rest of it, and for the next request.
-// Without it each would hold a thread and a socket for good.
+// Guards against threads and sockets held forever by partial requests. Several idle
+// timeouts of five seconds may apply to one connection.
 #[test]
 fn half_open_connections_are_ended() {
     let side = echo();
     let entry = start(&[&side], "");
-    let halves = [
+    let partial_requests = [
         "",
         "GET /s/hut-desk/x HTTP/1.1\r\nHost:",
         "POST /s/hut-desk/x HTTP/1.1\r\nContent-Length: 2000\r\n\r\nhalf",
     ];
     let begin = Instant::now();
-    let connections: Vec<_> = halves
+    let connections: Vec<_> = partial_requests
         .iter()
-        .map(|half| {
+        .map(|partial| {
             let mut stream = TcpStream::connect(entry.callers()).unwrap();
-            stream.write_all(half.as_bytes()).unwrap();
+            stream.write_all(partial.as_bytes()).unwrap();
             thread::spawn(move || {
                 let limit = Some(Duration::from_secs(20));
                 stream.set_read_timeout(limit).unwrap();
@@ -160,10 +156,10 @@
     assert_eq!(side.starts(), 0);
 }
 
-// A caller that closes its sending half after the request still gets its
-// answer; one that goes away altogether harms nobody.
+// A half-closed connection still gets its answer, and disconnected callers don't
+// affect others.
 #[test]
-fn half_closed_and_gone_callers_do_no_harm() {
+fn half_closed_and_disconnected_callers_are_handled() {
     let side = echo();
     let entry = start(&[&side], "");
     let request = b"GET /s/hut-desk/x HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -180,14 +176,13 @@
     assert!(answer.ends_with("\r\n\r\nok"), "{answer}");
 }
 
-// The caller that finds all workers busy is refused at once with "not run" and
-// the time to come back. Two others hold the only two workers.
+// Guards against queueing a request while all workers are busy.
 #[test]
-fn a_full_hand_over_refuses_at_once() {
+fn request_is_refused_at_once_without_an_idle_worker() {
     let side = Side::start("hut-desk", |_, _, _| {});
     let entry = start(&[&side], "workers = 2");
     let request = b"GET /s/hut-desk/x HTTP/1.1\r\nDeadline-Ms: 2000\r\n\r\n";
-    let held: Vec<_> = (0..2)
+    let busy: Vec<_> = (0..2)
         .map(|_| {
             let mut stream = TcpStream::connect(entry.callers()).unwrap();
             stream.write_all(request).unwrap();
@@ -201,25 +196,23 @@
     let after = answer.split("Retry-After: ").nth(1).unwrap_or_default();
     assert!(matches!(&after[..1], "1" | "2" | "3"), "{answer}");
     assert!(begin.elapsed() < Duration::from_millis(200));
-    drop(held);
+    drop(busy);
 }
 
-// The caller waits no longer than it said, and is told that its request may
-// have run.
+// A call ends at its deadline and is reported as possibly run.
 #[test]
 fn a_deadline_is_kept() {
     let side = Side::start("hut-desk", |_, _, _| {});
     let entry = start(&[&side], "");
     let begin = Instant::now();
     let answer = call(&entry, "GET", "/s/hut-desk/x", "Deadline-Ms: 400\r\n", "");
-    let took = begin.elapsed();
+    let elapsed = begin.elapsed();
     assert!(answer.contains("timed-out"), "{answer}");
     assert!(answer.contains(r#""not_run":false"#), "{answer}");
-    assert!(took < Duration::from_millis(500), "{took:?}");
+    assert!(elapsed < Duration::from_millis(500), "{elapsed:?}");
 }
 
-// The caller of a stream sees it break at its deadline, not a moment later,
-// though tokens go on coming.
+// Guards against a stream that continues past its deadline.
 #[test]
 fn a_stream_is_broken_off_at_its_deadline() {
     let side = Side::start("guide-lm", |_, out, frame| {
@@ -240,27 +233,25 @@
     let body = r#"{"prompt":"hi","stream":true}"#;
     let deadline = "Deadline-Ms: 400\r\n";
     let answer = call(&entry, "POST", "/s/guide-lm/v1/completions", deadline, body);
-    let took = begin.elapsed();
+    let elapsed = begin.elapsed();
     assert!(answer.ends_with("broken off\r\n"), "{answer}");
-    assert!(took >= Duration::from_millis(390), "{took:?}");
-    assert!(took < Duration::from_millis(500), "{took:?}");
+    assert!(elapsed >= Duration::from_millis(390), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(500), "{elapsed:?}");
 }
 
-// A caller that takes nothing of its stream any more is cut off, and its
-// endpoint is told to stop, long before its deadline. Otherwise it would hold a
-// worker, memory here and a slot of the engine for ten minutes. The limit of
-// five seconds begins anew with each part of a piece that still fits.
+// Guards against a caller that stops reading and holds a worker, memory and a slot
+// of the engine until its deadline.
 #[test]
-fn a_caller_that_takes_nothing_is_cut_off() {
+fn caller_that_stops_reading_is_dropped() {
     let side = Side::start("guide-lm", |side, out, frame| {
         if let Frame::Start(start) = frame {
             let (side, out) = (side.clone(), out.clone());
             thread::spawn(move || {
                 out.head(start.id, "text/event-stream");
-                let piece = "x".repeat(64 << 10);
+                let chunk = "x".repeat(64 << 10);
                 let cancelled = || side.count(|f| matches!(f, Frame::Cancel(_))) > 0;
                 for i in (0..).take_while(|_| !cancelled()) {
-                    out.chunk(start.id, i * (64 << 10), &piece);
+                    out.chunk(start.id, i * (64 << 10), &chunk);
                     thread::sleep(Duration::from_millis(20));
                 }
             });
--- a/hibiscusroad-daemon/tests/entry_links.rs
+++ b/hibiscusroad-daemon/tests/entry_links.rs
@@ -1,4 +1,4 @@
-//! What callers see when links between an entry and a side fail.
+//! Failures of the links between an entry and its sidecars.
 
 mod entry_support;
 
@@ -22,17 +22,17 @@
 const STREAM: &str = "text/event-stream";
 const PROMPT: &str = r#"{"prompt":"hi","stream":true}"#;
 
-fn stand(out: &Out, id: Option<Id>, state: State) {
+fn send_state(out: &Out, id: Option<Id>, state: State) {
     let state = state.into();
     out.send(to_entry::Frame::Standing(Standing { id, state }));
 }
 
-fn whole(answer: &str) -> bool {
+fn is_complete_stream(answer: &str) -> bool {
     answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n0\r\n\r\n")
 }
 
-/// A side that sends half of a stream, then calls `fail`, and the rest to
-/// whoever attaches.
+/// A sidecar that sends half of a stream, calls `fail`, and sends the rest on
+/// Attach.
 fn half_stream(fail: impl Fn(&Side, &Out) + Send + Sync + 'static) -> Side {
     Side::start("guide-lm", move |side, out, frame| match frame {
         Frame::Start(start) => {
@@ -43,7 +43,7 @@
         }
         Frame::Attach(attach) => {
             assert_eq!(attach.offset, 9);
-            // The side can't know what arrived, so it may send more than asked.
+            // Sends from the start, to check that duplicates are dropped.
             out.chunk(attach.id, 0, "data: a\n\n");
             out.chunk(attach.id, 9, "data: b\n\n");
             out.end(attach.id, 18);
@@ -52,50 +52,46 @@
     })
 }
 
-// The caller sees one whole stream, without a repeated byte. The connection to
-// the side breaks after the first chunk; the entry opens another, attaches at
-// the offset that it has, and drops what comes twice.
+// Guards against lost or duplicate bytes when the connection breaks after the first
+// chunk of a stream.
 #[test]
-fn a_stream_goes_on_after_a_cut() {
+fn stream_resumes_after_a_broken_connection() {
     let side = half_stream(|_, out| {
         let out = out.clone();
         thread::spawn(move || {
             thread::sleep(Duration::from_millis(50));
-            out.cut();
+            out.disconnect();
         });
     });
     let entry = start(&[&side], "");
     let answer = call(&entry, "POST", "/s/guide-lm/v1/completions", "", PROMPT);
-    assert!(whole(&answer), "{answer}");
+    assert!(is_complete_stream(&answer), "{answer}");
     assert_eq!(answer.matches("data: a").count(), 1, "{answer}");
     assert_eq!(answer.matches("data: b").count(), 1, "{answer}");
     assert_eq!(side.starts(), 1);
 }
 
-// The caller sees a pause of less than a second and a whole stream. The
-// connection goes silent without closing, as when a firewall forgets it.
-// Missed heartbeats make the entry open another and attach over it.
+// Guards against a stalled stream when a connection goes silent without closing, as
+// when a firewall drops its state.
 #[test]
-fn a_stream_goes_on_after_a_silence() {
+fn stream_resumes_after_a_silent_connection() {
     let side = half_stream(|side, out| side.silent.store(out.epoch, SeqCst));
     let entry = start(&[&side], "");
     let begin = Instant::now();
     let answer = call(&entry, "POST", "/s/guide-lm/v1/completions", "", PROMPT);
-    let took = begin.elapsed();
-    assert!(whole(&answer), "{answer}");
-    assert!(took < Duration::from_millis(1200), "{took:?}");
+    let elapsed = begin.elapsed();
+    assert!(is_complete_stream(&answer), "{answer}");
+    assert!(elapsed < Duration::from_millis(1200), "{elapsed:?}");
     assert_eq!(side.starts(), 1);
 }
 
-// The caller of a request that may not run twice gets its answer, and it ran
-// once. The connection breaks before the side said anything of it, so the
-// entry can't know whether the Start arrived; it asks to seal, learns that it
-// runs, and attaches.
+// Guards against a second run when the connection breaks after a Start that did
+// arrive. The response to Seal shows that the attempt runs.
 #[test]
 fn a_start_that_arrived_is_found_by_its_seal() {
     let side = Side::start("hut-desk", |_, out, frame| match frame {
-        Frame::Start(_) => out.cut(),
-        Frame::Seal(seal) => stand(out, seal.id, State::Running),
+        Frame::Start(_) => out.disconnect(),
+        Frame::Seal(seal) => send_state(out, seal.id, State::Running),
         Frame::Attach(attach) => out.answer(attach.id, "reserved"),
         _ => {}
     });
@@ -105,15 +101,14 @@
     assert_eq!(side.starts(), 1);
 }
 
-// The caller gets its answer or a true "not run". The Start is lost with its
-// connection; the seal says that it never started and never will, so another
-// attempt is safe even for a request that may not run twice.
+// Guards against an unknown outcome when a Start is lost with its connection. After
+// the Seal, a retry is safe even if the request isn't idempotent.
 #[test]
-fn a_start_that_was_lost_is_sealed_and_tried_again() {
+fn lost_start_is_sealed_and_retried() {
     let side = Side::start("hut-desk", |_, out, frame| match frame {
-        Frame::Start(_) if out.epoch == 1 => out.cut(),
+        Frame::Start(_) if out.epoch == 1 => out.disconnect(),
         Frame::Start(start) => out.answer(start.id, "reserved"),
-        Frame::Seal(seal) => stand(out, seal.id, State::Sealed),
+        Frame::Seal(seal) => send_state(out, seal.id, State::Sealed),
         _ => {}
     });
     let entry = start(&[&side], "");
@@ -122,14 +117,14 @@
     assert!(answer.ends_with("reserved") || refused, "{answer}");
 }
 
-// The caller is told at once that nobody knows whether it ran. The side dies
-// after the Start and comes back as another life that knows nothing of it.
+// Guards against waiting, and against "not run", when the sidecar restarts after a
+// Start and has lost its state.
 #[test]
-fn a_side_that_came_back_without_memory_means_unknown() {
+fn new_incarnation_of_a_sidecar_means_unknown() {
     let side = Side::start("hut-desk", |side, out, frame| {
         if let Frame::Start(_) = frame {
             side.incarnation.store(8, SeqCst);
-            out.cut();
+            out.disconnect();
         }
     });
     let entry = start(&[&side], "");
@@ -141,31 +136,30 @@
     assert_eq!(side.starts(), 1);
 }
 
-// The caller is told "unknown" when its deadline passes, never "not run", and
-// not before. The side is cut off for good after the Start, so that nobody can
-// say what became of it.
+// Guards against "not run", and against an early answer, when the sidecar is
+// unreachable after the Start.
 #[test]
-fn a_side_that_stays_away_means_unknown_at_the_deadline() {
+fn unreachable_sidecar_means_unknown_at_the_deadline() {
     let side = Side::start("hut-desk", |side, out, frame| {
         if let Frame::Start(_) = frame {
-            side.deaf.store(true, SeqCst);
-            out.cut();
+            side.no_welcome.store(true, SeqCst);
+            out.disconnect();
         }
     });
     let entry = start(&[&side], "");
     let begin = Instant::now();
     let deadline = "Deadline-Ms: 1500\r\n";
     let answer = call(&entry, "POST", "/s/hut-desk/reserve", deadline, "hut 3");
-    let took = begin.elapsed();
+    let elapsed = begin.elapsed();
     assert!(answer.contains("outcome-unknown"), "{answer}");
-    assert!(took >= Duration::from_millis(1490), "{took:?}");
-    assert!(took < Duration::from_millis(1700), "{took:?}");
+    assert!(elapsed >= Duration::from_millis(1490), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(1700), "{elapsed:?}");
 }
 
-// The caller sees its own answer, whole. Chunks come late, twice, for other
-// attempts, and with one missing; the entry asks for the missing one again.
+// Guards against a corrupt answer when chunks are late, duplicate, missing, or of
+// another attempt.
 #[test]
-fn late_repeated_and_stray_chunks_change_nothing() {
+fn late_duplicate_and_foreign_chunks_are_ignored() {
     let side = Side::start("hut-desk", |_, out, frame| match frame {
         Frame::Start(start) => {
             let other = start.id.map(|id| Id { seq: 999, ..id });
@@ -190,9 +184,8 @@
     assert!(answer.ends_with("\r\n\r\nabcdefghij"), "{answer}");
 }
 
-// The caller of a plain call sees an error, and the caller of a stream sees it
-// break: the last chunk never comes. The side declares more bytes than it has,
-// and asking again gives no more.
+// Guards against delivering an incomplete answer as complete: the sidecar declares
+// more bytes than it sends.
 #[test]
 fn a_short_answer_is_never_a_success() {
     let plain = Side::start("hut-desk", |_, out, frame| {
@@ -222,11 +215,9 @@
     assert!(answer.ends_with("broken off\r\n"), "{answer}");
 }
 
-// The caller is refused with "not run" and told when to come back. The side
-// speaks a version of the frames that this entry doesn't know, so nothing is
-// sent to it.
+// Guards against sending work to a sidecar with another protocol version.
 #[test]
-fn another_version_of_the_frames_takes_no_work() {
+fn sidecar_with_another_version_gets_no_work() {
     let side = Side::start("hut-desk", |_, _, _| {});
     side.version.store(99, Relaxed);
     let entry = start(&[&side], "");
@@ -237,8 +228,8 @@
     assert_eq!(side.starts(), 0);
 }
 
-// No caller sees anything. A connection goes silent while idle; the entry opens
-// another before it drops it, with a higher epoch, and only one.
+// Guards against keeping a silent idle connection, and against opening more than one
+// replacement.
 #[test]
 fn a_silent_idle_link_is_replaced_within_a_second() {
     let side = Side::start("hut-desk", |_, _, _| {});
@@ -247,7 +238,7 @@
     side.silent.store(1, SeqCst);
     let begin = Instant::now();
     wait_until(|| {
-        let seen = side.seen.lock().unwrap();
+        let seen = side.received.lock().unwrap();
         let hellos = seen.iter().filter_map(|f| match f {
             Frame::Hello(hello) => Some(hello.epoch),
             _ => None,
@@ -260,11 +251,10 @@
     drop(entry);
 }
 
-// The caller sees its whole answer though many pieces with a hole before them
-// come first. The entry asks for the hole once; asking with each piece would
-// use up the tries and end a good answer as a short one.
+// Guards against one Attach per chunk after a gap, which would exhaust the limit and
+// fail a good answer.
 #[test]
-fn many_pieces_after_a_hole_are_one_question() {
+fn chunks_after_a_gap_cause_one_attach() {
     let side = Side::start("hut-desk", |_, out, frame| match frame {
         Frame::Start(start) => {
             out.head(start.id, "text/plain");
@@ -284,17 +274,16 @@
     assert_eq!(side.count(|f| matches!(f, Frame::Attach(_))), 1);
 }
 
-// A caller has the first piece of a stream when the side dies for good. No other
-// side can go on with it. The caller must see the answer broken off soon, and
-// not stand before a silent stream until its deadline of ten seconds.
+// Guards against a stalled stream until the caller's deadline when the sidecar is
+// lost after the first chunk.
 #[test]
-fn a_stream_whose_side_died_is_broken_off_soon() {
+fn stream_of_a_lost_sidecar_is_broken_off_soon() {
     let side = half_stream(|side, out| {
-        side.deaf.store(true, SeqCst);
-        out.cut();
+        side.no_welcome.store(true, SeqCst);
+        out.disconnect();
     });
     let entry = start(&[&side], "");
-    let asked = Instant::now();
+    let start_time = Instant::now();
     let mut stream = TcpStream::connect(entry.callers()).unwrap();
     let length = PROMPT.len();
     let head = "POST /s/guide-lm/v1/completions HTTP/1.1\r\nHost: x\r\nConnection: close";
@@ -306,14 +295,13 @@
     assert!(end.is_ok(), "nothing came for {limit:?} after {answer}");
     assert!(answer.contains("data: "), "{answer}");
     assert!(answer.ends_with("broken off\r\n"), "{answer}");
-    assert!(asked.elapsed() < Duration::from_secs(4));
+    assert!(start_time.elapsed() < Duration::from_secs(4));
 }
 
-// The endpoint dies between the head of a stream and its first byte. The caller
-// has nothing of the answer yet, so it gets a whole one from another endpoint
-// instead of an empty one that breaks off.
+// Guards against an empty, broken stream when the endpoint fails between the head
+// and the first byte. Another endpoint can still answer.
 #[test]
-fn a_stream_that_died_before_its_first_byte_is_answered_elsewhere() {
+fn stream_that_fails_before_its_first_byte_is_retried() {
     let starts = Arc::new(AtomicU32::new(0));
     let side = || {
         let starts = Arc::clone(&starts);
@@ -334,6 +322,6 @@
     let (one, other) = (side(), side());
     let entry = start(&[&one, &other], "");
     let answer = call(&entry, "POST", "/s/guide-lm/v1/completions", "", PROMPT);
-    assert!(whole(&answer), "{answer}");
+    assert!(is_complete_stream(&answer), "{answer}");
     assert_eq!(starts.load(SeqCst), 2);
 }
--- a/hibiscusroad-daemon/tests/entry_path.rs
+++ b/hibiscusroad-daemon/tests/entry_path.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_plain_call_gets_the_whole_answer() {
+fn plain_call_gets_the_complete_answer() {
     let side = echo();
     let entry = start(&[&side], "");
     let answer = call(&entry, "GET", "/s/hut-desk/huts?lake=senec", "", "");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_stream_comes_in_pieces_and_ends() {
+fn stream_is_chunked_and_ends() {
     let side = Side::start("guide-lm", |_, out, frame| {
         if let Frame::Start(start) = frame {
             out.head(start.id, "text/event-stream");
@@ -56,8 +56,7 @@
     assert!(answer.ends_with("\r\n0\r\n\r\n"), "{answer}");
 }
 
-// The caller sees the end of each stream at once, on a connection that it keeps
-// for the next. The last chunk must not stay in a buffer until more comes.
+// Guards against the last chunk staying in a buffer on a reused connection.
 #[test]
 fn streams_end_at_once_on_a_kept_connection() {
     let side = Side::start("guide-lm", |_, out, frame| {
@@ -77,17 +76,16 @@
         stream.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         while !answer.ends_with("\r\n0\r\n\r\n") {
-            let mut piece = [0; 1024];
-            let n = stream.read(&mut piece).unwrap();
-            answer.push_str(std::str::from_utf8(&piece[..n]).unwrap());
+            let mut buf = [0; 1024];
+            let n = stream.read(&mut buf).unwrap();
+            answer.push_str(std::str::from_utf8(&buf[..n]).unwrap());
         }
     }
     assert!(begin.elapsed() < Duration::from_secs(1));
 }
 
-// The caller keeps its connection. The side ends the stream right after its last
-// piece, so nothing follows that would push the end out of a buffer: the caller
-// must see the last chunk at once, not when the idle connection is closed.
+// Guards against the last chunk staying in a buffer until an idle connection is
+// closed.
 #[test]
 fn a_stream_ends_at_once_on_a_connection_that_is_kept() {
     let side = Side::start("guide-lm", |_, out, frame| {
@@ -110,7 +108,7 @@
     assert!(answer.ends_with("\r\n0\r\n\r\n"), "{answer}");
 }
 
-// An operator who watches the metrics sees each request once, and how it ended.
+// Each request is counted once, with its outcome.
 #[test]
 fn requests_are_counted() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -130,11 +128,10 @@
     assert!(lines.contains("hibiscusroad.latency:"));
 }
 
-// The caller names no deadline. The service's rule, which a side hands on, says
-// 300 ms; the side takes the call and then says nothing. The caller gets its
-// final answer when the rule's time is over, not the settings' ten seconds.
+// Without a deadline header, the deadline of the service's rule applies rather than
+// that of the settings.
 #[test]
-fn a_rule_says_how_long_a_caller_waits() {
+fn rule_sets_the_default_deadline() {
     let change = Change::CreateService {
         name: "hut-desk".to_owned(),
         kind: Kind::Plain,
@@ -153,9 +150,9 @@
         }
     });
     let entry = start(&[&side], "");
-    let asked = Instant::now();
+    let start_time = Instant::now();
     let answer = call(&entry, "GET", "/s/hut-desk/huts", "", "");
     assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
     assert!(answer.contains("timed-out"), "{answer}");
-    assert!(asked.elapsed() < Duration::from_secs(2));
+    assert!(start_time.elapsed() < Duration::from_secs(2));
 }
--- a/hibiscusroad-daemon/tests/entry_stop.rs
+++ b/hibiscusroad-daemon/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! What callers see while an entry stops.
+//! Graceful shutdown of an entry.
 
 mod entry_support;
 
@@ -13,7 +13,7 @@
 
 const PROMPT: &str = r#"{"prompt":"hi","stream":true}"#;
 
-/// A side whose streams take 800 ms, in four pieces.
+/// A sidecar whose streams take 800 ms, in four chunks.
 fn slow_stream() -> Side {
     Side::start("guide-lm", |_, out, frame| {
         if let Frame::Start(start) = frame {
@@ -30,12 +30,10 @@
     })
 }
 
-// The caller of a stream gets all of it, though the entry is told to stop in
-// its middle. A caller that comes then is refused with "not run" and its
-// connection closed, so that the balancer takes it elsewhere. The entry ends
-// soon after, when no connection can bring a request any more.
+// Guards against breaking off a stream at shutdown, and against accepting requests
+// after it began.
 #[test]
-fn a_stop_lets_a_stream_end_and_takes_nothing_new() {
+fn stop_completes_streams_and_refuses_new_requests() {
     let side = slow_stream();
     let entry = start(&[&side], "");
     let stopper = entry.stopper();
@@ -56,8 +54,7 @@
     assert!(begin.elapsed() < Duration::from_secs(7));
 }
 
-// The operator's deadline holds: a stream that never ends is broken off, and
-// the entry ends soon after the five seconds of its settings.
+// Guards against an endless stream that keeps an entry from stopping.
 #[test]
 fn a_stop_has_a_deadline() {
     let side = Side::start("guide-lm", |_, out, frame| {
@@ -85,17 +82,15 @@
     stopper.stop();
     let begin = Instant::now();
     entry.join();
-    let took = begin.elapsed();
-    assert!(took >= Duration::from_millis(4900), "{took:?}");
-    assert!(took < Duration::from_millis(5600), "{took:?}");
+    let elapsed = begin.elapsed();
+    assert!(elapsed >= Duration::from_millis(4900), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(5600), "{elapsed:?}");
     let answer = caller.join().unwrap();
     assert!(!answer.contains("\r\n0\r\n"), "{answer}");
 }
 
-// A caller that keeps its connection sends a request well after the stop, and
-// gets an answer instead of a reset: "not run", and the connection is closed. A
-// caller that connects anew then is refused by the system, before it has sent
-// anything, so that its balancer can go elsewhere.
+// Guards against resetting open connections at shutdown, and against accepting new
+// ones.
 #[test]
 fn a_kept_connection_is_answered_until_the_end() {
     let side = Side::start("hut-desk", |_, out, frame| {
--- a/hibiscusroad-daemon/tests/entry_support/mod.rs
+++ b/hibiscusroad-daemon/tests/entry_support/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted side, a host list and a caller for tests of the entry.
+//! A scripted sidecar, a host list and a caller for tests of the entry.
 
 #![allow(dead_code, reason = "each test uses its part")]
 
@@ -26,8 +26,7 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status, Streaming};
 
-/// What a scripted side does with a frame. Welcome and heartbeats come by
-/// themselves.
+/// Handles a frame at a scripted sidecar, which sends Welcome and heartbeats itself.
 pub type Script = dyn Fn(&Side, &Out, to_side::Frame) + Send + Sync;
 
 /// A connection to the entry.
@@ -44,11 +43,11 @@
     }
 
     /// Breaks the connection.
-    pub fn cut(&self) {
+    pub fn disconnect(&self) {
         let _ = self.frames.try_send(Err(Status::aborted("cut")));
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     pub fn answer(&self, id: Option<Id>, body: &str) {
         self.head(id, "text/plain");
         self.chunk(id, 0, body);
@@ -79,21 +78,21 @@
     }
 }
 
-/// A side that follows a script.
+/// A scripted sidecar.
 #[derive(Clone)]
 pub struct Side {
     pub address: SocketAddr,
     pub service: String,
-    /// Told in Welcome; a change is a restart.
+    /// Sent in Welcome; a change simulates a restart.
     pub incarnation: Arc<AtomicU64>,
-    /// Told in Welcome.
+    /// Sent in Welcome.
     pub version: Arc<AtomicU32>,
-    /// Epochs up to this one send nothing more.
+    /// Connections up to this epoch send no more frames.
     pub silent: Arc<AtomicU64>,
     /// Whether new connections get no Welcome.
-    pub deaf: Arc<AtomicBool>,
-    /// All frames that came, but for heartbeats.
-    pub seen: Arc<Mutex<Vec<to_side::Frame>>>,
+    pub no_welcome: Arc<AtomicBool>,
+    /// The frames received, without heartbeats.
+    pub received: Arc<Mutex<Vec<to_side::Frame>>>,
     script: Arc<Script>,
 }
 
@@ -110,8 +109,8 @@
             incarnation: Arc::new(AtomicU64::new(7)),
             version: Arc::new(AtomicU32::new(VERSION)),
             silent: Arc::default(),
-            deaf: Arc::default(),
-            seen: Arc::default(),
+            no_welcome: Arc::default(),
+            received: Arc::default(),
             script: Arc::new(script),
         };
         let server = LinkServer::new(side.clone());
@@ -132,9 +131,14 @@
         side
     }
 
-    /// Returns how many frames came that `is` accepts.
-    pub fn count(&self, is: impl Fn(&to_side::Frame) -> bool) -> usize {
-        self.seen.lock().unwrap().iter().filter(|f| is(f)).count()
+    /// Returns the number of received frames that match `predicate`.
+    pub fn count(&self, predicate: impl Fn(&to_side::Frame) -> bool) -> usize {
+        self.received
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|f| predicate(f))
+            .count()
     }
 
     pub fn starts(&self) -> usize {
@@ -175,7 +179,7 @@
                 let frame = message.frame.unwrap();
                 if let to_side::Frame::Hello(hello) = &frame {
                     out.epoch = hello.epoch;
-                    if !side.deaf.load(Ordering::SeqCst) {
+                    if !side.no_welcome.load(Ordering::SeqCst) {
                         out.send(side.welcome());
                     }
                     tokio::spawn(beat(side.clone(), out.clone()));
@@ -183,7 +187,7 @@
                 if side.is_silent(out.epoch) || matches!(frame, to_side::Frame::Beat(_)) {
                     continue;
                 }
-                side.seen.lock().unwrap().push(frame.clone());
+                side.received.lock().unwrap().push(frame.clone());
                 (side.script)(&side, &out, frame);
             }
         });
@@ -194,13 +198,13 @@
 async fn beat(side: Side, out: Out) {
     while !out.frames.is_closed() {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        if !side.is_silent(out.epoch) && !side.deaf.load(Ordering::SeqCst) {
+        if !side.is_silent(out.epoch) && !side.no_welcome.load(Ordering::SeqCst) {
             out.send(Frame::Beat(Beat::default()));
         }
     }
 }
 
-/// Serves a host list that names these sides.
+/// Serves a host list with these sidecars.
 pub fn host_list(sides: &[&Side]) -> SocketAddr {
     let groups: Vec<String> = sides
         .iter()
@@ -223,13 +227,13 @@
     address
 }
 
-/// Starts an entry without a table before these sides and waits until it serves.
-pub fn start(sides: &[&Side], more: &str) -> Running {
-    start_with("http://127.0.0.1:1", sides, more)
+/// Starts an entry for these sidecars, without a table, and waits until it serves.
+pub fn start(sides: &[&Side], extra_settings: &str) -> Running {
+    start_with("http://127.0.0.1:1", sides, extra_settings)
 }
 
-/// Starts an entry with a table before these sides and waits until it serves.
-pub fn start_with(table: &str, sides: &[&Side], more: &str) -> Running {
+/// Starts an entry for these sidecars, with a table, and waits until it serves.
+pub fn start_with(table: &str, sides: &[&Side], extra_settings: &str) -> Running {
     let hosts = host_list(sides);
     let text = format!(
         r#"
@@ -245,7 +249,7 @@
         [entry]
         callers = "127.0.0.1:0"
         operators = "127.0.0.1:0"
-        {more}
+        {extra_settings}
         "#
     );
     let settings: Settings = toml::from_str(&text).unwrap();
@@ -257,39 +261,39 @@
     entry
 }
 
-/// Waits for at most five seconds.
-pub fn wait_until(mut is: impl FnMut() -> bool) {
+/// Waits for a condition and panics after five seconds.
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..500 {
-        if is() {
+        if condition() {
             return;
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("it did not come about in five seconds");
+    panic!("the condition did not hold within five seconds");
 }
 
-/// Sends bytes over a new connection and returns all that comes until the
-/// other end closes or is silent for two seconds.
+/// Sends bytes over a new connection and returns the bytes received until it is
+/// closed or idle for two seconds.
 pub fn raw(entry: &Running, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry.callers()).unwrap();
     let _ = stream.write_all(bytes);
     rest(&mut stream)
 }
 
-/// Reads until the other end closes or is silent for two seconds.
+/// Reads until the connection is closed or idle for two seconds.
 pub fn rest(stream: &mut TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(2)))
         .unwrap();
     let mut all = Vec::new();
-    let mut piece = [0; 4096];
-    while let Ok(n @ 1..) = stream.read(&mut piece) {
-        all.extend_from_slice(&piece[..n]);
+    let mut buf = [0; 4096];
+    while let Ok(n @ 1..) = stream.read(&mut buf) {
+        all.extend_from_slice(&buf[..n]);
     }
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// Sends one request over a connection of its own.
+/// Sends a request over a new connection and returns the answer.
 pub fn call(entry: &Running, method: &str, path: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     let request = format!(
--- a/hibiscusroad-daemon/tests/metrics.rs
+++ b/hibiscusroad-daemon/tests/metrics.rs
@@ -113,7 +113,7 @@
         if let Frame::Start(start) = frame
             && start.path == "/cut"
         {
-            out.cut();
+            out.disconnect();
         }
     });
     let mut listener = Listener::start();
