--- a/src/rollout/batch.rs
+++ b/src/rollout/batch.rs
@@ -12,7 +12,7 @@
     Item, ItemResult, Outcome, Submission,
     start_order::{groups, start_order},
     text::{Piece, Text},
-    waits::{Lack, WaitTracker, Waited},
+    waits::{WaitReason, WaitTimes, WaitTracker},
 };
 use std::{
     cmp::Reverse,
@@ -27,7 +27,7 @@
 
 /// How a run of an item was interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Break {
+pub enum Interruption {
     /// The engine reported that the item did not run.
     NotRun,
     /// The connection or the stream failed.
@@ -40,8 +40,7 @@
     Never,
 }
 
-/// Items count as stragglers when at most one in this many is left. A trainer usually
-/// goes on without one group in ten, of which only one or two items are long.
+/// Items count as stragglers when at most one in this many is left.
 const STRAGGLER_DIVISOR: usize = 4;
 
 #[derive(Debug)]
@@ -74,7 +73,7 @@
     /// Whether the trainer may go on without its group and ask for it again.
     is_optional: bool,
     /// When the present wait began, and the wait times of the batch at that instant.
-    wait_start: (Instant, Waited),
+    wait_start: (Instant, WaitTimes),
 }
 
 /// The state of one batch at its owner.
@@ -116,7 +115,7 @@
             failures: 0,
             scorer_failures: 0,
             interruptions: 0,
-            wait_start: (now, Waited::default()),
+            wait_start: (now, WaitTimes::default()),
             is_optional: target < groups.len()
                 && groups[item.group.as_str()].position >= carried_groups,
         };
@@ -131,13 +130,13 @@
             waits: WaitTracker::default(),
             listed: 0,
             max_attempts: max_attempts.max(1),
-            min_version: submission.floor,
+            min_version: submission.min_version,
             single_version,
         }
     }
 
     /// Records a result that an earlier owner has listed.
-    pub fn restore(&mut self, id: &str) {
+    pub fn restore_result(&mut self, id: &str) {
         self.listed += 1;
         if let Some(idx) = self.index.get(id) {
             self.items[*idx].phase = Phase::Listed;
@@ -152,13 +151,13 @@
 
     /// Returns how many results are listed.
     #[must_use]
-    pub const fn listed(&self) -> usize {
+    pub const fn listed_count(&self) -> usize {
         self.listed
     }
 
     /// Returns whether the results of all items are listed.
     #[must_use]
-    pub const fn complete(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.listed >= self.items.len()
     }
 
@@ -174,18 +173,18 @@
             Phase::Held { until } => until <= now,
             _ => false,
         };
-        let has_text = |idx: &usize| self.items[*idx].text.last().is_some();
+        let has_text = |idx: &usize| self.items[*idx].text.last_event().is_some();
         let waiting = self.start_order.iter().copied().filter(is_due);
         waiting
             .clone()
             .filter(has_text)
-            .max_by_key(|idx| self.items[*idx].text.last())
+            .max_by_key(|idx| self.items[*idx].text.last_event())
             .or_else(|| waiting.into_iter().next())
     }
 
     /// Returns when the next retry delay ends, if an item has one.
     #[must_use]
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
+    pub fn next_retry(&self, now: Instant) -> Option<Instant> {
         let ends = self.items.iter().filter_map(|item| match item.phase {
             Phase::Waiting { after } if after > now => Some(after),
             _ => None,
@@ -194,7 +193,7 @@
     }
 
     /// Keeps a waiting item from starting before an instant.
-    pub fn hold(&mut self, idx: usize, until: Instant) {
+    pub fn hold_until(&mut self, idx: usize, until: Instant) {
         let item = &mut self.items[idx];
         if matches!(item.phase, Phase::Waiting { .. } | Phase::Held { .. }) {
             item.phase = Phase::Held { until };
@@ -203,21 +202,21 @@
 
     /// Returns whether any item is held.
     #[must_use]
-    pub fn holds_any(&self) -> bool {
+    pub fn has_held_items(&self) -> bool {
         let is_held = |item: &ItemState| matches!(item.phase, Phase::Held { .. });
         self.items.iter().any(is_held)
     }
 
     /// Returns how many items wait for an engine.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let is_waiting = |item: &&ItemState| matches!(item.phase, Phase::Waiting { .. });
         self.items.iter().filter(is_waiting).count()
     }
 
     /// Appends a piece of a text that an earlier owner saved; pieces come in the order in
     /// which they were saved.
-    pub fn resume(&mut self, id: &str, piece: Piece) {
+    pub fn restore_piece(&mut self, id: &str, piece: Piece) {
         let Some(idx) = self.index.get(id).copied() else {
             return;
         };
@@ -230,19 +229,19 @@
             return;
         }
         if !self.has_usable_text(idx) {
-            self.restart(idx);
+            self.discard_text(idx);
         }
     }
 
     /// Starts an item with its text from an earlier batch, if the weight versions are
     /// allowed and the text is longer than the present one; returns whether it was used.
-    pub fn carry(&mut self, id: &str, mut text: Text) -> bool {
+    pub fn carry_over(&mut self, id: &str, mut text: Text) -> bool {
         let Some(idx) = self.index.get(id).copied() else {
             return false;
         };
         let item = &mut self.items[idx];
         let is_waiting = matches!(item.phase, Phase::Waiting { .. });
-        let is_longer = text.last() > item.text.last();
+        let is_longer = text.last_event() > item.text.last_event();
         if !is_waiting || !is_longer || !text.is_usable(self.min_version, self.single_version) {
             return false;
         }
@@ -259,7 +258,7 @@
         let is_unfinished =
             |item: &ItemState| matches!(item.phase, Phase::Running | Phase::Waiting { .. });
         let count = self.items.iter().filter(|item| is_unfinished(item)).count();
-        if self.waiting() > 0 || count * STRAGGLER_DIVISOR > self.items.len() {
+        if self.waiting_count() > 0 || count * STRAGGLER_DIVISOR > self.items.len() {
             return Vec::new();
         }
         let items = self
@@ -273,19 +272,19 @@
             })
             .map(|(idx, _)| idx)
             .collect();
-        found.sort_by_key(|idx| Reverse(self.items[*idx].text.last()));
+        found.sort_by_key(|idx| Reverse(self.items[*idx].text.last_event()));
         found
     }
 
     /// Records what the next item waits for from now on, if it waits.
-    pub fn lacks(&mut self, now: Instant, lack: Option<Lack>) {
-        self.waits.record(now, lack);
+    pub fn record_wait(&mut self, now: Instant, reason: Option<WaitReason>) {
+        self.waits.record(now, reason);
     }
 
     /// Returns how long an item has waited since this owner got the batch or the item was
     /// interrupted, and the known reasons with their shares of that time.
     #[must_use]
-    pub fn waited(&self, now: Instant, idx: usize) -> (Duration, Waited) {
+    pub fn wait_times(&self, now: Instant, idx: usize) -> (Duration, WaitTimes) {
         let (since, before) = self.items[idx].wait_start;
         let elapsed = now.saturating_duration_since(since);
         (elapsed, self.waits.total(now).since(before))
@@ -295,25 +294,31 @@
     pub fn start(&mut self, idx: usize) -> Option<u64> {
         let item = &mut self.items[idx];
         item.phase = Phase::Running;
-        item.text.last()
+        item.text.last_event()
     }
 
     /// Appends an event that `version` generated to an item's text; returns `false` if it
     /// doesn't follow the last one.
-    pub fn extend(&mut self, idx: usize, number: u64, data: &str, version: Option<u64>) -> bool {
-        self.items[idx].text.extend(number, data, version)
+    pub fn append_event(
+        &mut self,
+        idx: usize,
+        number: u64,
+        data: &str,
+        version: Option<u64>,
+    ) -> bool {
+        self.items[idx].text.append_event(number, data, version)
     }
 
     /// Returns the last event of an item's text.
     #[must_use]
-    pub fn last(&self, idx: usize) -> Option<u64> {
-        self.items[idx].text.last()
+    pub fn last_event(&self, idx: usize) -> Option<u64> {
+        self.items[idx].text.last_event()
     }
 
     /// Returns at most `limit` pieces of unfinished texts that are not saved yet, those of
     /// the longest texts first.
     #[must_use]
-    pub fn unkept(&self, limit: usize) -> Vec<(usize, Piece)> {
+    pub fn unsaved_pieces(&self, limit: usize) -> Vec<(usize, Piece)> {
         let is_unfinished = |item: &ItemState| {
             let phase = &item.phase;
             !matches!(phase, Phase::Ready(_) | Phase::Listed)
@@ -324,23 +329,23 @@
             .enumerate()
             .filter(|(_, item)| is_unfinished(item));
         let mut found: Vec<(usize, Piece)> = items
-            .filter_map(|(idx, item)| Some((idx, item.text.unkept(item.round)?)))
+            .filter_map(|(idx, item)| Some((idx, item.text.unsaved_piece(item.round)?)))
             .collect();
-        found.sort_by_key(|(idx, _)| Reverse(self.items[*idx].text.last()));
+        found.sort_by_key(|(idx, _)| Reverse(self.items[*idx].text.last_event()));
         found.truncate(limit);
         found
     }
 
     /// Records that a piece of a text is saved.
-    pub fn keep(&mut self, idx: usize, piece: &Piece) {
+    pub fn mark_saved(&mut self, idx: usize, piece: &Piece) {
         let item = &mut self.items[idx];
         if item.round == piece.round {
-            item.text.keep(piece);
+            item.text.mark_saved(piece);
         }
     }
 
     /// Discards an item's text, because no engine can continue it.
-    pub fn restart(&mut self, idx: usize) {
+    pub fn discard_text(&mut self, idx: usize) {
         let item = &mut self.items[idx];
         item.text = Text::default();
         item.round += 1;
@@ -349,32 +354,38 @@
     /// Returns the only weight version that may continue an item's text, if one
     /// version must generate all of it.
     #[must_use]
-    pub fn pinned(&self, idx: usize) -> Option<u64> {
+    pub fn required_version(&self, idx: usize) -> Option<u64> {
         let last = self.items[idx].text.versions().last().copied();
         last.filter(|_| self.single_version)
     }
 
     /// Records that a run was interrupted; `before` is the last event before the run.
-    pub fn broke(&mut self, now: Instant, idx: usize, before: Option<u64>, cause: Break) {
+    pub fn record_interruption(
+        &mut self,
+        now: Instant,
+        idx: usize,
+        before: Option<u64>,
+        cause: Interruption,
+    ) {
         if !self.has_usable_text(idx) {
-            self.restart(idx);
+            self.discard_text(idx);
         }
         let wait_start = (now, self.waits.total(now));
         let item = &mut self.items[idx];
         item.wait_start = wait_start;
-        let has_grown = item.text.last() > before;
+        let has_grown = item.text.last_event() > before;
         item.interruptions = if has_grown { 1 } else { item.interruptions + 1 };
         match cause {
-            Break::Never => {
+            Interruption::Never => {
                 item.phase = Phase::Ready(Outcome::Errored);
                 return;
             }
-            Break::Failed => item.failures += 1,
-            Break::Moved => {
+            Interruption::Failed => item.failures += 1,
+            Interruption::Moved => {
                 item.phase = Phase::Waiting { after: now };
                 return;
             }
-            Break::NotRun | Break::Lost => {}
+            Interruption::NotRun | Interruption::Lost => {}
         }
         if item.failures >= self.max_attempts {
             item.phase = Phase::Ready(Outcome::Errored);
@@ -387,9 +398,9 @@
 
     /// Records that an item's text is complete; returns `false` if the item has to run
     /// again because the weight versions of its text are not allowed.
-    pub fn generated(&mut self, now: Instant, idx: usize) -> bool {
+    pub fn complete_text(&mut self, now: Instant, idx: usize) -> bool {
         if !self.has_usable_text(idx) {
-            self.broke(now, idx, None, Break::Lost);
+            self.record_interruption(now, idx, None, Interruption::Lost);
             return false;
         }
         self.items[idx].phase = Phase::Scoring;
@@ -397,7 +408,7 @@
     }
 
     /// Records the scorer's signature, or that the item needs none.
-    pub fn scored(&mut self, idx: usize, score: Option<String>) {
+    pub fn complete_scoring(&mut self, idx: usize, score: Option<String>) {
         let item = &mut self.items[idx];
         let (text, versions) = std::mem::take(&mut item.text).into_parts();
         item.phase = Phase::Ready(Outcome::Completed {
@@ -408,7 +419,7 @@
     }
 
     /// Records that a scorer call failed; returns `true` if it was the last attempt.
-    pub fn rejected(&mut self, idx: usize, max_attempts: u32) -> bool {
+    pub fn record_scorer_failure(&mut self, idx: usize, max_attempts: u32) -> bool {
         let item = &mut self.items[idx];
         item.scorer_failures += 1;
         let is_final = item.scorer_failures >= max_attempts.max(self.max_attempts);
@@ -429,7 +440,7 @@
 
     /// Returns at most `limit` results that can be listed next.
     #[must_use]
-    pub fn ready(&self, submission: &Submission, limit: usize) -> Vec<(usize, ItemResult)> {
+    pub fn ready_results(&self, submission: &Submission, limit: usize) -> Vec<(usize, ItemResult)> {
         let ready = self.items.iter().enumerate().filter_map(|(idx, state)| {
             let Phase::Ready(outcome) = &state.phase else {
                 return None;
@@ -442,7 +453,7 @@
     }
 
     /// Records that the results of these items are listed.
-    pub fn list(&mut self, items: impl IntoIterator<Item = usize>) {
+    pub fn mark_listed(&mut self, items: impl IntoIterator<Item = usize>) {
         for idx in items {
             self.items[idx].phase = Phase::Listed;
             self.listed += 1;
--- a/src/rollout/choice.rs
+++ b/src/rollout/choice.rs
@@ -10,7 +10,7 @@
 //! wrong: if the process is gone, its batches are taken over like any others.
 
 use crate::rollout::{
-    presence::{RENEWAL, SILENCE},
+    presence::{HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT},
     row::Presence,
 };
 use std::time::Duration;
@@ -18,13 +18,12 @@
 /// Maximum age of the row of a process that counts as alive. Beyond it, another process
 /// is about to take its batches over; a shorter one would scatter the batches of
 /// trainers over processes again.
-const MAX_ROW_AGE: Duration = SILENCE.saturating_add(RENEWAL);
+const MAX_ROW_AGE: Duration = HEARTBEAT_TIMEOUT.saturating_add(HEARTBEAT_INTERVAL);
 /// A process whose memory is smaller than the accepting one's by more than this factor
 /// is not chosen: hosts with little memory also have slow links and slow processors.
 const MAX_MEMORY_RATIO: u32 = 2;
-/// Maximum number of items in open batches for each megabyte of a process. The text of
-/// a long item takes 64 KB, and its result as much again, so items fill at most half of
-/// the memory.
+/// Maximum number of items in open batches for each megabyte of a process, so that their
+/// texts and results fill at most half of it.
 const MAX_ITEMS_PER_MB: usize = 4;
 
 /// A process that has been given batches recently in its present incarnation.
@@ -33,9 +32,9 @@
     /// The row of the process, as read for this choice.
     pub presence: Presence,
     /// Number of items in its open batches.
-    pub items: usize,
+    pub open_items: usize,
     /// When it was given its last batch, by the store's clock.
-    pub last: Duration,
+    pub last_batch_at: Duration,
 }
 
 /// Chooses the process for a batch of `items` items that a process with `memory` MB
@@ -56,8 +55,8 @@
         let alive = now.saturating_sub(renewed) <= MAX_ROW_AGE;
         let large = candidate_memory.saturating_mul(MAX_MEMORY_RATIO) >= memory;
         let max_items = MAX_ITEMS_PER_MB * usize::try_from(candidate_memory).unwrap_or(usize::MAX);
-        alive && large && candidate.items + items <= max_items
+        alive && large && candidate.open_items + items <= max_items
     };
     let eligible = candidates.iter().filter(eligible);
-    eligible.max_by_key(|candidate| (candidate.presence.memory, candidate.last))
+    eligible.max_by_key(|candidate| (candidate.presence.memory, candidate.last_batch_at))
 }
--- a/tests/rollout_engines.rs
+++ b/tests/rollout_engines.rs
@@ -2,9 +2,9 @@
 
 use hibiscusroad::{
     rollout::{
-        engines::{Engines, Want},
+        engines::{Engines, Requirements},
+        load_plan::{EngineStatus, LoadConcurrency, ModelGoal, plan},
         pace::{Paces, Sample},
-        wave::{Goal, Loader, Pace, plan},
     },
     roster::{Endpoint, Weights},
 };
@@ -13,13 +13,13 @@
     time::{Duration, Instant},
 };
 
-const REQUIREMENTS: Want<'static> = Want {
+const REQUIREMENTS: Requirements<'static> = Requirements {
     service: "lm",
     model: Some("guide"),
-    floor: 3,
-    exact: None,
+    min_version: 3,
+    exact_version: None,
     group: "g",
-    not: None,
+    excluded: None,
 };
 
 fn engines(versions: &[u64]) -> Engines {
@@ -29,7 +29,7 @@
             model: "guide".to_owned(),
             version: *version,
         };
-        engines.set(&engine(&format!("e{n}"), None, vec![weights]));
+        engines.update(&engine(&format!("e{n}"), None, vec![weights]));
     }
     engines
 }
@@ -40,17 +40,17 @@
     let mut engines = engines(&[2, 3, 9]);
     let mut chosen = Vec::new();
     while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-        engines.start(key);
+        engines.add_item(key);
         chosen.push(engines.id(key).unwrap().to_owned());
     }
     chosen.sort();
     assert_eq!(chosen, ["e1", "e1", "e2", "e2"]);
-    let exact = Want {
-        exact: Some(9),
+    let exact = Requirements {
+        exact_version: Some(9),
         ..REQUIREMENTS
     };
     assert_eq!(engines.choose(now, &exact), None);
-    engines.end(engines.key("e2").unwrap());
+    engines.remove_item(engines.key("e2").unwrap());
     assert_eq!(engines.choose(now, &exact), engines.key("e2"));
 }
 
@@ -61,7 +61,7 @@
     let engines = engines(&[3; 12]);
     let chosen = (0..200).filter_map(|n| {
         let group = format!("g{n}");
-        let requirements = Want {
+        let requirements = Requirements {
             group: &group,
             ..REQUIREMENTS
         };
@@ -79,7 +79,7 @@
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
-    engines.told(now, key, 2);
+    engines.record_load(now, key, 2);
     assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     assert_eq!(
         engines.choose(now + Duration::from_secs(1), &REQUIREMENTS),
@@ -96,11 +96,11 @@
     let paces = [0.037, 0.037, 0.037, 0.049, 0.049, 0.13];
     for (n, pace) in paces.iter().enumerate() {
         let key = engines.key(&format!("e{n}")).unwrap();
-        engines.paced(now, key, *pace);
+        engines.record_pace(now, key, *pace);
     }
     let mut order = Vec::new();
     while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-        engines.start(key);
+        engines.add_item(key);
         order.push(engines.id(key).unwrap().to_owned());
     }
     assert!(
@@ -115,12 +115,12 @@
         "one item shows when the slow engine recovers"
     );
     let fast = engines.key("e0").unwrap();
-    assert!(engines.is_better("lm", 0.13, 1, fast));
-    engines.whole(20, None);
-    assert!(!engines.is_better("lm", 0.049, 20, fast));
-    assert!(engines.is_better("lm", 0.049, 60, fast));
-    assert!(!engines.is_better("lm", 0.049, 60, engines.key("e4").unwrap()));
-    assert!(!engines.is_better("lm", 0.037, 60, fast));
+    assert!(engines.is_worth_moving("lm", 0.13, 1, fast));
+    engines.record_text(20, None);
+    assert!(!engines.is_worth_moving("lm", 0.049, 20, fast));
+    assert!(engines.is_worth_moving("lm", 0.049, 60, fast));
+    assert!(!engines.is_worth_moving("lm", 0.049, 60, engines.key("e4").unwrap()));
+    assert!(!engines.is_worth_moving("lm", 0.037, 60, fast));
 }
 
 #[test]
@@ -128,11 +128,11 @@
     let now = Instant::now();
     let mut engines = engines(&[3]);
     let key = engines.key("e0").unwrap();
-    engines.failed(now, key);
+    engines.record_failure(now, key);
     assert_eq!(engines.choose(now, &REQUIREMENTS), None);
     let later = now + Duration::from_millis(300);
     assert_eq!(engines.choose(later, &REQUIREMENTS), Some(key));
-    engines.failed(later, key);
+    engines.record_failure(later, key);
     assert_eq!(
         engines.choose(later + Duration::from_millis(300), &REQUIREMENTS),
         None
@@ -160,22 +160,22 @@
 }
 
 /// Builds engines that all have the same weights.
-fn loaders(count: usize, weights: &[(&str, u64)]) -> Vec<Loader> {
-    let engines = (0..count).map(|n| Loader {
+fn engine_statuses(count: usize, weights: &[(&str, u64)]) -> Vec<EngineStatus> {
+    let engines = (0..count).map(|n| EngineStatus {
         id: format!("e{n}"),
         weights: weights.iter().map(|(m, v)| ((*m).to_owned(), *v)).collect(),
-        busy: false,
-        barred: false,
+        loading: false,
+        blocked: false,
         slow: false,
-        load: 0,
+        running_requests: 0,
     });
     engines.collect()
 }
 
-fn goal(model: &str, named: u64, lag: u64) -> Goal {
-    Goal {
+fn goal(model: &str, named: u64, lag: u64) -> ModelGoal {
+    ModelGoal {
         model: model.to_owned(),
-        named,
+        newest: named,
         lag,
         work: 1.0,
         priority: 0,
@@ -183,7 +183,7 @@
 }
 
 /// Runs the planned loads until there are none; returns how many there were.
-fn run_loads(engines: &mut [Loader], goals: &[Goal]) -> usize {
+fn run_loads(engines: &mut [EngineStatus], goals: &[ModelGoal]) -> usize {
     let mut loads = 0;
     loop {
         let planned = plan(engines, goals, 2);
@@ -203,10 +203,10 @@
 // only every other version.
 #[test]
 fn engines_skip_versions_when_steps_may_lag() {
-    let mut engines = loaders(9, &[("guide", 1)]);
+    let mut engines = engine_statuses(9, &[("guide", 1)]);
     let mut loads = Vec::new();
     for named in 2..12 {
-        let is_usable = |e: &Loader| e.weights["guide"] + 1 >= named;
+        let is_usable = |e: &EngineStatus| e.weights["guide"] + 1 >= named;
         let usable = engines.iter().filter(|e| is_usable(e)).count();
         assert!(usable >= 4, "{usable} usable engines for version {named}");
         loads.push(run_loads(&mut engines, &[goal("guide", named, 1)]));
@@ -216,7 +216,7 @@
 
 #[test]
 fn every_engine_loads_each_version_when_steps_may_not_lag() {
-    let mut engines = loaders(5, &[("guide", 1)]);
+    let mut engines = engine_statuses(5, &[("guide", 1)]);
     assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 5);
     assert_eq!(run_loads(&mut engines, &[goal("guide", 2, 0)]), 0);
 }
@@ -224,7 +224,7 @@
 // Guards against models that exchange engines from version to version.
 #[test]
 fn models_keep_their_engines() {
-    let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
+    let mut engines = engine_statuses(9, &[("a", 1), ("b", 1), ("c", 1)]);
     let goals = |named| {
         [
             goal("a", named, 1),
@@ -245,9 +245,9 @@
 
 #[test]
 fn concurrent_loads_are_limited() {
-    let mut engines = loaders(9, &[("guide", 1)]);
+    let mut engines = engine_statuses(9, &[("guide", 1)]);
     assert_eq!(plan(&engines, &[goal("guide", 9, 1)], 2).len(), 2);
-    engines[0].busy = true;
+    engines[0].loading = true;
     let loads = plan(&engines, &[goal("guide", 9, 1)], 2);
     assert_eq!(loads.len(), 1);
     assert_ne!(loads[0].endpoint, "e0");
@@ -258,16 +258,19 @@
 #[test]
 fn number_of_concurrent_loads_is_learned() {
     for threshold in [2_u32, 5, 8] {
-        let mut pace = Pace::new();
+        let mut concurrency = LoadConcurrency::new();
         for _ in 0..60 {
-            let loads = pace.at_once(9);
+            let loads = concurrency.max_loads(9);
             let factor = (loads as f64 / f64::from(threshold)).max(1.0);
-            pace.loaded(loads, Duration::from_secs_f64(0.9 * factor));
+            concurrency.record_load(loads, Duration::from_secs_f64(0.9 * factor));
         }
         assert!(
-            u32::try_from(pace.at_once(9)).unwrap().abs_diff(threshold) <= 1,
+            u32::try_from(concurrency.max_loads(9))
+                .unwrap()
+                .abs_diff(threshold)
+                <= 1,
             "{threshold}: {}",
-            pace.at_once(9)
+            concurrency.max_loads(9)
         );
     }
 }
@@ -289,23 +292,23 @@
     let mut engines = engines(&[3, 3, 3]);
     let key = engines.key("e0").unwrap();
     let earlier = now.checked_sub(Duration::from_secs(4)).unwrap();
-    engines.paced(earlier, key, 0.037);
+    engines.record_pace(earlier, key, 0.037);
     let mut paces = Paces::new();
     paces.record("e0", sample(900_000, 530_000));
     paces.record("e1", sample(37_000, 530_000));
     paces.record("gone", sample(37_000, 530_000));
-    assert_eq!(engines.hear(now, store, &paces), 1);
-    assert_eq!(engines.hear(now, store, &paces), 0, "already known");
+    assert_eq!(engines.merge_paces(now, store, &paces), 1);
+    assert_eq!(engines.merge_paces(now, store, &paces), 0, "already known");
     paces.record("e0", sample(41_000, 539_000));
-    assert_eq!(engines.hear(now, store, &paces), 1);
+    assert_eq!(engines.merge_paces(now, store, &paces), 1);
     // Only own measurements are shared: received ones would never expire.
-    let own = engines.paces_of(now, store, "lm");
+    let own = engines.own_paces(now, store, "lm");
     let shared: Vec<(&str, u64)> = own
         .iter()
         .map(|(id, sample)| (id, sample.measured_at))
         .collect();
     assert_eq!(shared, [("e0", 536_000)]);
-    assert!(engines.sampled_since(now).is_empty());
+    assert!(engines.services_sampled_since(now).is_empty());
 }
 
 #[test]
@@ -333,12 +336,12 @@
     let mut engines = engines(&[3, 3, 3]);
     for (n, pace) in [0.037, 0.037, 0.4].into_iter().enumerate() {
         let key = engines.key(&format!("e{n}")).unwrap();
-        engines.paced(now, key, pace);
+        engines.record_pace(now, key, pace);
     }
     let start_all = |engines: &mut Engines, now| {
         let mut started = 0;
         while let Some(key) = engines.choose(now, &REQUIREMENTS) {
-            engines.start(key);
+            engines.add_item(key);
             started += 1;
         }
         started
@@ -360,12 +363,12 @@
 // its engines back.
 #[test]
 fn stale_models_are_loaded_in_turn() {
-    let engines = loaders(12, &[("a", 1), ("b", 1)]);
-    let urgent = Goal {
+    let engines = engine_statuses(12, &[("a", 1), ("b", 1)]);
+    let urgent = ModelGoal {
         work: 2.0,
         ..goal("a", 5, 1)
     };
-    let other = Goal {
+    let other = ModelGoal {
         priority: 3,
         ..goal("b", 5, 1)
     };
@@ -378,18 +381,26 @@
 // one learned.
 #[test]
 fn learned_concurrency_survives_encoding() {
-    let mut pace = Pace::new();
-    assert_eq!(pace.at_once(9), 2);
-    assert_eq!(pace.at_once(40), 5, "more engines allow more loads");
+    let mut concurrency = LoadConcurrency::new();
+    assert_eq!(concurrency.max_loads(9), 2);
+    assert_eq!(
+        concurrency.max_loads(40),
+        5,
+        "more engines allow more loads"
+    );
     for n in 2..7_u32 {
         let factor = f64::from(n.max(4)) / 4.0;
-        pace.loaded(n as usize, Duration::from_secs_f64(0.9 * factor));
+        concurrency.record_load(n as usize, Duration::from_secs_f64(0.9 * factor));
     }
-    assert_eq!(pace.at_once(9), 4);
-    assert_eq!(pace.at_once(40), 4, "the initial number was too high");
-    let encoded = serde_json::to_vec(&pace).unwrap();
-    let decoded: Pace = serde_json::from_slice(&encoded).unwrap();
-    assert_eq!(decoded, pace);
+    assert_eq!(concurrency.max_loads(9), 4);
+    assert_eq!(
+        concurrency.max_loads(40),
+        4,
+        "the initial number was too high"
+    );
+    let encoded = serde_json::to_vec(&concurrency).unwrap();
+    let decoded: LoadConcurrency = serde_json::from_slice(&encoded).unwrap();
+    assert_eq!(decoded, concurrency);
 }
 
 // Guards against load and paces of an engine's former incarnation that are attributed to
@@ -405,31 +416,31 @@
         }]
     };
     let mut engines = Engines::new();
-    engines.set(&engine("e0", Some(1), weights()));
+    engines.update(&engine("e0", Some(1), weights()));
     let key = engines.key("e0").unwrap();
-    engines.start(key);
-    engines.start(key);
-    engines.paced(now, key, 0.2);
-    let former = engines.paces_of(now, store, "lm");
+    engines.add_item(key);
+    engines.add_item(key);
+    engines.record_pace(now, key, 0.2);
+    let former = engines.own_paces(now, store, "lm");
     assert_eq!(
         engines.choose(now, &REQUIREMENTS),
         None,
         "the engine is full"
     );
     engines.remove("e0");
-    engines.set(&engine("e0", Some(2), weights()));
-    assert_eq!(engines.hear(now, store, &former), 0);
-    assert_eq!(engines.usual("lm"), None);
+    engines.update(&engine("e0", Some(2), weights()));
+    assert_eq!(engines.merge_paces(now, store, &former), 0);
+    assert_eq!(engines.median_pace("lm"), None);
     assert!(engines.choose(now, &REQUIREMENTS).is_some());
-    engines.end(key);
-    assert_eq!(engines.mine("e0"), 0);
+    engines.remove_item(key);
+    assert_eq!(engines.own_items("e0"), 0);
 }
 
 // Guards against a model whose engines are mostly slow: they load nothing, and the model
 // gets others.
 #[test]
 fn slow_engines_are_excluded_from_the_plan() {
-    let mut engines = loaders(9, &[("a", 1), ("b", 1), ("c", 1)]);
+    let mut engines = engine_statuses(9, &[("a", 1), ("b", 1), ("c", 1)]);
     let goals = |named| {
         [
             goal("a", named, 1),
@@ -438,8 +449,8 @@
         ]
     };
     run_loads(&mut engines, &goals(3));
-    let usable = |engines: &[Loader], named: u64| {
-        let is_usable = |e: &&Loader| !e.slow && e.weights["a"] + 1 >= named;
+    let usable = |engines: &[EngineStatus], named: u64| {
+        let is_usable = |e: &&EngineStatus| !e.slow && e.weights["a"] + 1 >= named;
         engines.iter().filter(is_usable).count()
     };
     let assigned: Vec<usize> = (0..9).filter(|n| engines[*n].weights["a"] > 1).collect();
