--- a/hibiscusroad-daemon/src/entry/claims.rs
+++ b/hibiscusroad-daemon/src/entry/claims.rs
@@ -158,12 +158,12 @@
             Outcome::Conflict(rows) => {
                 TableAnswer::Conflict(rows.into_iter().map(|r| (r.key, r.value)).collect())
             }
-            Outcome::Unknown(fault) => {
-                log::debug!(target: "calls", "It is unknown whether claims were written: {fault}.");
+            Outcome::Unknown(error) => {
+                log::debug!(target: "calls", "It is unknown whether claims were written: {error}.");
                 TableAnswer::Unknown
             }
-            Outcome::NotSent(fault) => {
-                log::warn!(target: "calls", "Claims are refused: {fault}.");
+            Outcome::NotSent(error) => {
+                log::warn!(target: "calls", "Claims are refused: {error}.");
                 TableAnswer::Down
             }
         }
@@ -190,9 +190,9 @@
         let transaction = Transaction::new()
             .when(Condition::Value(key.clone(), bytes))
             .then(Op::Delete(key));
-        if let Outcome::Unknown(fault) | Outcome::NotSent(fault) = self.table.transact(&transaction)
+        if let Outcome::Unknown(error) | Outcome::NotSent(error) = self.table.transact(&transaction)
         {
-            log::debug!(target: "calls", "A claim was not released: {fault}.");
+            log::debug!(target: "calls", "A claim was not released: {error}.");
         }
     }
 }
--- a/hibiscusroad-daemon/src/entry/config.rs
+++ b/hibiscusroad-daemon/src/entry/config.rs
@@ -155,7 +155,7 @@
     let mut backoff = Backoff::new(POLL_INTERVAL, MAX_POLL_INTERVAL);
     let mut revision = 0;
     loop {
-        let wait = match poll(table, revision) {
+        let delay = match poll(table, revision) {
             Ok(found) => {
                 backoff.reset();
                 if let Some((at, document)) = found {
@@ -171,7 +171,7 @@
                 backoff.next_wait(&mut rng)
             }
         };
-        thread::sleep(wait);
+        thread::sleep(delay);
     }
 }
 
--- a/hibiscusroad-daemon/src/entry/event.rs
+++ b/hibiscusroad-daemon/src/entry/event.rs
@@ -2,7 +2,7 @@
 //! sends back.
 
 use crate::{
-    entry::{operators::Shown, side::SideKey},
+    entry::{operators::QueryResponse, side::SideKey},
     platform::Host,
 };
 use flume::Sender;
@@ -152,7 +152,7 @@
     /// A configuration was read or accepted.
     Config(Box<Document>),
     /// An operator queries a subject.
-    Query(String, Sender<Shown>),
+    Query(String, Sender<QueryResponse>),
     /// The process is asked to stop.
     Stop,
 }
--- a/hibiscusroad-daemon/src/entry/front/worker.rs
+++ b/hibiscusroad-daemon/src/entry/front/worker.rs
@@ -47,9 +47,9 @@
     for mut job in jobs {
         let shared = Arc::clone(&job.guard.0);
         let read = request::deadline(&job.request)
-            .and_then(|wait| Ok((request::read(&mut job.request, shared.max_body)?, wait)));
+            .and_then(|timeout| Ok((request::read(&mut job.request, shared.max_body)?, timeout)));
         match read {
-            Ok((inbound, wait)) => serve(job, &shared, inbound, wait),
+            Ok((inbound, timeout)) => serve(job, &shared, inbound, timeout),
             // It is unknown here how much of the body was read.
             Err(kind) if request::has_body(&job.request) => {
                 queue_refusal(refusals, Refusal { job, kind });
--- a/hibiscusroad-daemon/src/entry/mod.rs
+++ b/hibiscusroad-daemon/src/entry/mod.rs
@@ -6,7 +6,6 @@
 //! one bounded channel. A single thread decides for all requests, which avoids
 //! locks; requests are read and written on other threads.
 
-mod ask;
 mod assembly;
 mod attempt;
 mod call;
@@ -23,6 +22,7 @@
 pub mod operators;
 pub mod peers;
 mod quarantine;
+mod query;
 mod show;
 pub mod side;
 pub mod survey;
--- a/hibiscusroad-daemon/src/entry/operators.rs
+++ b/hibiscusroad-daemon/src/entry/operators.rs
@@ -6,9 +6,9 @@
 
 use crate::{
     entry::{
-        ask::{self, Question, Refusal},
         config::{self, Reply},
         peers::{LOCAL_ONLY_QUERY, PeerClient},
+        query::{self, Query, Refusal},
     },
     platform::Table,
     settings::Tokens,
@@ -34,7 +34,7 @@
 
 /// The answer to a query.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct QueryResponse {
     /// The rows.
     pub rows: Vec<Row>,
     /// Endpoints or entries without information in the answer.
@@ -55,7 +55,7 @@
 }
 
 /// Queries the thread that owns the tables; returns `None` if it is overloaded.
-pub type QueryFn = dyn Fn(&str) -> Option<Shown> + Send + Sync;
+pub type QueryFn = dyn Fn(&str) -> Option<QueryResponse> + Send + Sync;
 
 /// Passes a document that was just accepted to the entry.
 pub type AcceptedFn = dyn Fn(Document) + Send + Sync;
@@ -143,8 +143,8 @@
             let token = authorization(request);
             let token = token.as_deref();
             let local_only = query == LOCAL_ONLY_QUERY;
-            show_response(&ask::answer(
-                &Question {
+            show_response(&query::answer(
+                &Query {
                     context,
                     token,
                     local_only,
@@ -162,7 +162,7 @@
     }
 }
 
-fn show_response(answer: &Result<Shown, Refusal>) -> JsonResponse {
+fn show_response(answer: &Result<QueryResponse, Refusal>) -> JsonResponse {
     match answer {
         Ok(shown) => JsonResponse::new(
             200,
--- a/hibiscusroad-daemon/src/entry/peers.rs
+++ b/hibiscusroad-daemon/src/entry/peers.rs
@@ -8,7 +8,7 @@
 //! A few entries are queried at a time, and all of it ends after [`TOTAL_TIMEOUT`]: an operator is
 //! better served by an answer that names whom it lacks than by a wait.
 
-use crate::entry::operators::{Peer, Row, Shown};
+use crate::entry::operators::{Peer, QueryResponse, Row};
 use serde::Deserialize;
 use std::{
     thread,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerAnswers {
     /// The answers, in the order of the entries.
-    pub shown: Vec<Shown>,
+    pub shown: Vec<QueryResponse>,
     /// The entries that gave no answer.
     pub missing: Vec<String>,
 }
@@ -77,7 +77,7 @@
         peers: &[Peer],
         path: &str,
         token: Option<&str>,
-        mut enough: impl FnMut(&[Shown]) -> bool,
+        mut enough: impl FnMut(&[QueryResponse]) -> bool,
     ) -> PeerAnswers {
         let deadline = Instant::now() + TOTAL_TIMEOUT;
         let mut answers = PeerAnswers::default();
@@ -102,7 +102,12 @@
         answers
     }
 
-    fn query_group(&self, peers: &[Peer], path: &str, token: Option<&str>) -> Vec<Option<Shown>> {
+    fn query_group(
+        &self,
+        peers: &[Peer],
+        path: &str,
+        token: Option<&str>,
+    ) -> Vec<Option<QueryResponse>> {
         thread::scope(|scope| {
             let threads: Vec<_> = peers
                 .iter()
@@ -115,7 +120,7 @@
         })
     }
 
-    fn query_peer(&self, peer: &Peer, path: &str, token: Option<&str>) -> Option<Shown> {
+    fn query_peer(&self, peer: &Peer, path: &str, token: Option<&str>) -> Option<QueryResponse> {
         let url = format!("http://{}/v1/{path}?{LOCAL_ONLY_QUERY}", peer.address);
         let mut request = self.agent.get(url);
         if let Some(token) = token {
@@ -131,10 +136,10 @@
                 return None;
             }
         };
-        Some(Shown {
+        Some(QueryResponse {
             rows: body.rows,
             version: body.version,
-            ..Shown::default()
+            ..QueryResponse::default()
         })
     }
 }
--- a/hibiscusroad-daemon/src/entry/ask.rs
+++ b/hibiscusroad-daemon/src/entry/query.rs
@@ -6,7 +6,7 @@
 use crate::{
     entry::{
         config,
-        operators::{OperatorContext, Row, Shown},
+        operators::{OperatorContext, QueryResponse, Row},
         peers::PeerAnswers,
         survey::Survey,
     },
@@ -33,7 +33,7 @@
 
 /// A query and its origin.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct Query<'a> {
     /// Access to the entry.
     pub context: &'a OperatorContext,
     /// The value of the operator's `Authorization` header.
@@ -56,17 +56,17 @@
 /// # Errors
 ///
 /// Returns a [`Refusal`] if there is no answer.
-pub fn answer(question: &Question<'_>, path: &str) -> Result<Shown, Refusal> {
+pub fn answer(query: &Query<'_>, path: &str) -> Result<QueryResponse, Refusal> {
     if let Some(what) = path.strip_prefix("explain/") {
-        return question.explain(what);
+        return query.explain(what);
     }
     let subject = path.strip_prefix("show/").unwrap_or(path);
     match subject {
-        "audit" => question.audit(),
-        "leases" => question.leases(),
-        "endpoints" | "hosts" | "places" | "versions" | "services" => question.survey(subject),
-        "entries" | "callers" => question.query_all(subject),
-        _ if SUBJECTS.contains(&subject) => question.query_local(subject),
+        "audit" => query.audit(),
+        "leases" => query.leases(),
+        "endpoints" | "hosts" | "places" | "versions" | "services" => query.survey(subject),
+        "entries" | "callers" => query.query_all(subject),
+        _ if SUBJECTS.contains(&subject) => query.query_local(subject),
         _ => Err(Refusal::NotFound(format!(
             "nothing to show; known are {}",
             SUBJECTS.join(", ")
@@ -74,9 +74,9 @@
     }
 }
 
-impl Question<'_> {
+impl Query<'_> {
     /// Queries the tables of this entry.
-    fn query_local(&self, subject: &str) -> Result<Shown, Refusal> {
+    fn query_local(&self, subject: &str) -> Result<QueryResponse, Refusal> {
         let shown = (self.context.query)(subject);
         shown.ok_or_else(|| Refusal::Unavailable("the entry is too busy to say".to_owned()))
     }
@@ -84,9 +84,9 @@
     /// Queries the other entries, unless one of them forwarded this query.
     fn query_peers(
         &self,
-        local: &Shown,
+        local: &QueryResponse,
         path: &str,
-        enough: impl FnMut(&[Shown]) -> bool,
+        enough: impl FnMut(&[QueryResponse]) -> bool,
     ) -> PeerAnswers {
         if self.local_only {
             return PeerAnswers::default();
@@ -97,7 +97,7 @@
     }
 
     /// Concatenates the rows of all entries.
-    fn query_all(&self, subject: &str) -> Result<Shown, Refusal> {
+    fn query_all(&self, subject: &str) -> Result<QueryResponse, Refusal> {
         let mut local = self.query_local(subject)?;
         let answers = self.query_peers(&local, &format!("show/{subject}"), |_| false);
         local.missing.extend(answers.missing);
@@ -108,7 +108,7 @@
     }
 
     /// Queries other entries for the endpoints that this one isn't connected to.
-    fn survey(&self, subject: &str) -> Result<Shown, Refusal> {
+    fn survey(&self, subject: &str) -> Result<QueryResponse, Refusal> {
         let mut local = self.query_local("endpoints")?;
         if self.local_only {
             return Ok(local);
@@ -137,7 +137,7 @@
         Ok(local)
     }
 
-    fn audit(&self) -> Result<Shown, Refusal> {
+    fn audit(&self) -> Result<QueryResponse, Refusal> {
         let entries = config::read_audit(&self.context.table)
             .map_err(|e| Refusal::Unavailable(e.to_string()))?;
         let rows = entries
@@ -146,14 +146,14 @@
                 Ok(Value::Object(row)) => from_table(row),
                 _ => Row::new(),
             });
-        Ok(Shown {
+        Ok(QueryResponse {
             rows: rows.collect(),
             version: entries.last().map_or(0, |entry| entry.version),
-            ..Shown::default()
+            ..QueryResponse::default()
         })
     }
 
-    fn leases(&self) -> Result<Shown, Refusal> {
+    fn leases(&self) -> Result<QueryResponse, Refusal> {
         let leases = leases::read_all(&self.context.table)
             .map_err(|e| Refusal::Unavailable(e.to_string()))?;
         let rows = leases.into_iter().map(|(duty, lease)| {
@@ -164,21 +164,22 @@
             row.insert("renewals".to_owned(), json!(lease.renewals));
             from_table(row)
         });
-        Ok(Shown {
+        Ok(QueryResponse {
             rows: rows.collect(),
             version: self.query_local("config")?.version,
-            ..Shown::default()
+            ..QueryResponse::default()
         })
     }
 
     /// Explains the decisions on a request, or the state of an endpoint.
-    fn explain(&self, what: &str) -> Result<Shown, Refusal> {
+    fn explain(&self, what: &str) -> Result<QueryResponse, Refusal> {
         let path = format!("explain/{what}");
         let mut local = self.query_local(&path)?;
         // A request belongs to one entry; each entry has its own view of an endpoint.
         let is_request = what.starts_with("request/");
         if !is_request || local.rows.is_empty() {
-            let found = |shown: &[Shown]| is_request && shown.iter().any(|s| !s.rows.is_empty());
+            let found =
+                |shown: &[QueryResponse]| is_request && shown.iter().any(|s| !s.rows.is_empty());
             let answers = self.query_peers(&local, &path, found);
             let rows = answers.shown.into_iter().flat_map(|shown| shown.rows);
             local.rows.extend(rows);
--- a/hibiscusroad-daemon/src/entry/show.rs
+++ b/hibiscusroad-daemon/src/entry/show.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     entry::{
-        operators::{Peer, Row, Shown},
+        operators::{Peer, QueryResponse, Row},
         side::{Listing, Side},
         survey::{OPEN, UNKNOWN, UNLINKED},
         tables::Tables,
@@ -25,7 +25,7 @@
 impl Tables {
     /// Answers an operator's query about `subject` from the state of this entry.
     #[must_use]
-    pub fn show(&self, now: Instant, subject: &str) -> Shown {
+    pub fn show(&self, now: Instant, subject: &str) -> QueryResponse {
         let rows = match subject {
             _ if subject.starts_with(REQUEST_PREFIX) => {
                 self.explain_request(now, &subject[REQUEST_PREFIX.len()..])
@@ -40,7 +40,7 @@
             "config" => config_rows(&self.config.newest()),
             _ => Vec::new(),
         };
-        Shown {
+        QueryResponse {
             rows,
             missing: Vec::new(),
             version: self.config.version(),
