--- a/hibiscusroad-daemon/src/gateway/http.rs
+++ b/hibiscusroad-daemon/src/gateway/http.rs
@@ -110,7 +110,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// Connecting timed out.
-    #[error("connecting timed out")]
+    #[error("no connection in time")]
     Timeout,
     /// The system reported an error.
     #[error("{0}")]
--- a/hibiscusroad-daemon/src/gateway/peers/server.rs
+++ b/hibiscusroad-daemon/src/gateway/peers/server.rs
@@ -50,10 +50,10 @@
         let (reply, outcome) = oneshot::channel();
         self.jobs
             .try_send(Job::Relay(call, limit, reply))
-            .map_err(|_full| Status::resource_exhausted("too many calls are queued"))?;
+            .map_err(|_full| Status::resource_exhausted("too many calls are carried"))?;
         let outcome = outcome
             .await
-            .map_err(|_ended| Status::unknown("the call was dropped before it was answered"))?;
+            .map_err(|_ended| Status::unknown("the call was dropped under way"))?;
         Ok(Response::new(StoreAnswer {
             outcome: Some(outcome),
         }))
@@ -62,7 +62,7 @@
     async fn give(&self, request: Request<Batch>) -> Result<Response<Given>, Status> {
         self.jobs
             .try_send(Job::AcceptBatch(request.into_inner()))
-            .map_err(|_full| Status::resource_exhausted("too many calls are queued"))?;
+            .map_err(|_full| Status::resource_exhausted("too many calls are carried"))?;
         Ok(Response::new(Given {}))
     }
 }
@@ -116,12 +116,10 @@
         .into_iter()
         .find(|method| *method == call.method);
     let Some(method) = method else {
-        return Err(Status::invalid_argument(
-            "the store doesn't have this method",
-        ));
+        return Err(Status::invalid_argument("another method than the store's"));
     };
     if !call.target.starts_with('/') {
-        return Err(Status::invalid_argument("the target isn't a path"));
+        return Err(Status::invalid_argument("a target that isn't a path"));
     }
     let mut decoded = Call::new(method, call.target);
     for header in call.headers {
--- a/hibiscusroad-daemon/src/gateway/store.rs
+++ b/hibiscusroad-daemon/src/gateway/store.rs
@@ -324,7 +324,7 @@
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
         let answer = timeout(limit, self.exchange(request)).await;
-        let answer = answer.unwrap_or_else(|_elapsed| Err(Failure::Lost("timed out".into())));
+        let answer = answer.unwrap_or_else(|_elapsed| Err(Failure::Lost("time is over".into())));
         let answered = answer.as_ref().is_ok_and(|answer| !is_refusal(answer));
         let now = Instant::now();
         let mut paths = self.paths.borrow_mut();
@@ -379,9 +379,7 @@
         limit: Duration,
     ) -> Result<(u16, Bytes), Failure> {
         if self.paths.borrow().is_direct_failing() {
-            return Err(Failure::Refused(
-                "the direct path fails here too".to_owned(),
-            ));
+            return Err(Failure::Refused("turned away, too".to_owned()));
         }
         self.send_direct(request, limit).await
     }
--- a/hibiscusroad-daemon/src/platform/table.rs
+++ b/hibiscusroad-daemon/src/platform/table.rs
@@ -92,16 +92,16 @@
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 pub enum PlatformError {
     /// The process exceeded its rate limit.
-    #[error("the request budget of the table service is used up")]
+    #[error("the share of the table service is used up")]
     RateLimited,
     /// No connection could be opened; the request wasn't sent.
-    #[error("can't connect to the platform: {0}")]
+    #[error("the table service can't be reached: {0}")]
     Unreachable(String),
     /// The connection failed or the call timed out after the request may have been sent.
-    #[error("no response from the platform: {0}")]
+    #[error("the table service gave no answer: {0}")]
     NoResponse(String),
     /// The response has an unexpected status or an invalid body.
-    #[error("unexpected response from the platform: {0}")]
+    #[error("the table service answered oddly: {0}")]
     InvalidResponse(String),
 }
 
--- a/hibiscusroad-daemon/src/side/link.rs
+++ b/hibiscusroad-daemon/src/side/link.rs
@@ -130,8 +130,7 @@
     ) -> Result<Response<Self::OpenStream>, Status> {
         let mut frames = request.into_inner();
         let first = timeout(HELLO_TIMEOUT, frames.message()).await;
-        let first = first
-            .map_err(|_error| Status::deadline_exceeded("no Hello was received in time"))??;
+        let first = first.map_err(|_error| Status::deadline_exceeded("no Hello came"))??;
         let hello = wire::hello(first).map_err(invalid_frame)?;
         if hello.version != VERSION {
             return Err(version_mismatch(hello.version));
@@ -199,12 +198,12 @@
 }
 
 fn stopping() -> Status {
-    Status::unavailable("the sidecar has stopped")
+    Status::unavailable("the side has stopped")
 }
 
 fn version_mismatch(entry_version: u32) -> Status {
     Status::failed_precondition(format!(
-        "wire-version: this sidecar speaks version {VERSION} and the entry version {entry_version}; \
+        "wire-version: this side speaks version {VERSION} and the entry version {entry_version}; \
          run the same release on both"
     ))
 }
--- a/hibiscusroad-daemon/src/side/wire.rs
+++ b/hibiscusroad-daemon/src/side/wire.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub enum InvalidFrame {
     /// The frame is empty or of an unknown kind.
-    #[error("the frame is empty or of an unknown kind")]
+    #[error("the frame is of no known kind")]
     UnknownKind,
     /// The frame has no attempt id.
-    #[error("the frame has no attempt id")]
+    #[error("the frame names no attempt")]
     MissingId,
     /// The first frame is not Hello, or a later one is.
-    #[error("Hello must be the first frame and must not be repeated")]
+    #[error("Hello is sent first and once")]
     HelloOrder,
 }
 
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Eq, thiserror::Error, PartialEq)]
 pub enum Refusal {
     /// A service of this name exists.
-    #[error("service {0} already exists; use alter service")]
+    #[error("service {0} stands already; use alter service")]
     Exists(String),
     /// No service of this name exists.
     #[error("no service {0}; see show services")]
@@ -179,9 +179,7 @@
     let rule: Rule = serde_json::from_value(rule).map_err(bad_value)?;
     check_rule(&rule)?;
     if rule == service.rule {
-        return Err(Refusal::NoEffect(format!(
-            "service {name} has these values already"
-        )));
+        return Err(Refusal::NoEffect(format!("service {name} is so already")));
     }
     service.rule = rule;
     Ok(())
@@ -190,7 +188,7 @@
 fn remove(next: &mut Document, name: &str, force: bool) -> Result<(), Refusal> {
     find(next, name)?;
     if !force {
-        let text = format!("all requests to service {name} will be refused");
+        let text = format!("dropping service {name} refuses all its callers");
         return Err(Refusal::Dangerous(text));
     }
     next.services.remove(name);
@@ -200,7 +198,7 @@
 fn drain(next: &mut Document, target: Target, name: &str) -> Result<(), Refusal> {
     check_name(name)?;
     if !drained_names(next, target).insert(name.to_owned()) {
-        return Err(Refusal::NoEffect(format!("{name} is already drained")));
+        return Err(Refusal::NoEffect(format!("{name} is drained already")));
     }
     Ok(())
 }
@@ -216,7 +214,7 @@
     check_name(key)?;
     let old = next.settings.insert(key.to_owned(), value.to_owned());
     if old.as_deref() == Some(value) {
-        return Err(Refusal::NoEffect(format!("{key} is already {value}")));
+        return Err(Refusal::NoEffect(format!("{key} is {value} already")));
     }
     Ok(())
 }
@@ -247,18 +245,16 @@
     let floors = rule.floors();
     let sum: f64 = floors.iter().sum();
     if floors.iter().any(|floor| !(0.0..=1.0).contains(floor)) || sum > 1.0 + f64::EPSILON {
-        return Err(bad_value(
-            "floors: each must be in 0 to 1, and their sum at most 1",
-        ));
+        return Err(bad_value("floors: each in 0 to 1, and at most 1 in all"));
     }
     if !(1..=MAX_DEADLINE_MS).contains(&rule.deadline_ms) {
-        return Err(bad_value("deadline_ms: must be in 1 to 600000"));
+        return Err(bad_value("deadline_ms: 1 to 600000 is allowed"));
     }
     if !(1..=MAX_DEPTH).contains(&rule.depth) {
-        return Err(bad_value("depth: must be in 1 to 100000"));
+        return Err(bad_value("depth: 1 to 100000 is allowed"));
     }
     if !(1..=MAX_LIMIT).contains(&rule.limit) {
-        return Err(bad_value("limit: must be in 1 to 4096"));
+        return Err(bad_value("limit: 1 to 4096 is allowed"));
     }
     Ok(())
 }
