--- a/hibiscusroad-daemon/src/platform/wire.rs
+++ b/hibiscusroad-daemon/src/platform/wire.rs
@@ -119,15 +119,16 @@
 
 /// Deserialises a 64-bit number, which the gateway encodes as a string.
 fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    // Errors contain this name, and operators' answers contain the errors.
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum NumberOrText {
+    enum Form {
         Number(u64),
         Text(String),
     }
-    match NumberOrText::deserialize(deserializer)? {
-        NumberOrText::Number(n) => Ok(n),
-        NumberOrText::Text(text) => text.parse().map_err(D::Error::custom),
+    match Form::deserialize(deserializer)? {
+        Form::Number(n) => Ok(n),
+        Form::Text(text) => text.parse().map_err(D::Error::custom),
     }
 }
 
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -6,6 +6,8 @@
 
 /// The table's row of a duty.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+// Operators read this in the error of a malformed row.
+#[serde(expecting = "struct Row")]
 pub struct LeaseRow {
     /// The name of the holding process, with its incarnation; empty if free.
     pub holder: String,
