--- a/hibiscusroad-daemon/src/gateway/weights/mod.rs
+++ b/hibiscusroad-daemon/src/gateway/weights/mod.rs
@@ -1,9 +1,9 @@
 //! Loading of weights: the holder of the lease orders engines to load new versions.
 //!
 //! It records in the store which engines it is about to order before it sends an order, and
-//! [`hibiscusroad::rollout::order_records`] says which of them a new holder may not order yet. An order
-//! carries the number of orders that the engine has accepted as a precondition, so that an
-//! engine refuses a delayed order if it has accepted another since.
+//! [`hibiscusroad::rollout::order_records`] says which of them a new holder may not order
+//! yet. An order carries the number of orders that the engine has accepted as a precondition,
+//! so that an engine refuses a delayed order if it has accepted another since.
 //!
 //! * [`order`]: plans loads, and records their orders.
 //! * [`load`]: one load, from the order until the engine runs the version.
--- a/hibiscusroad-standins/src/direct/billing.rs
+++ b/hibiscusroad-standins/src/direct/billing.rs
@@ -1,4 +1,4 @@
-//! Who takes reports of usage: checks fencing numbers and judges what holders send.
+//! Who takes reports of usage: checks fencing tokens and judges what holders send.
 
 use crate::{
     http::{Exchange, FREE, Server},
@@ -34,7 +34,7 @@
 pub struct Report {
     /// Who sent it.
     pub holder: String,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: u64,
     /// The window.
     pub window: u64,
@@ -66,7 +66,7 @@
 }
 
 impl Billing {
-    /// Starts one that checks fencing numbers, or doesn't.
+    /// Starts one that checks fencing tokens, or doesn't.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         lock(&self.inner).taken.clone()
     }
 
-    /// Returns how many calls were refused for their fencing number.
+    /// Returns how many calls were refused for their fencing token.
     #[must_use]
     pub fn fenced(&self) -> u32 {
         lock(&self.inner).fenced
--- a/hibiscusroad-standins/src/direct/endpoint.rs
+++ b/hibiscusroad-standins/src/direct/endpoint.rs
@@ -236,7 +236,7 @@
         self.shared.lock().ran.clone()
     }
 
-    /// Returns who gave orders that were taken, with their fencing numbers.
+    /// Returns who gave orders that were taken, with their fencing tokens.
     #[must_use]
     pub fn holders(&self) -> Vec<(String, u64)> {
         self.shared.lock().holders.clone()
