--- a/hibiscusroad-measure/src/soak/check.rs
+++ b/hibiscusroad-measure/src/soak/check.rs
@@ -1,8 +1,8 @@
-//! What was promised, and what was seen.
+//! Checks of the guarantees to callers and trainers.
 
 use super::{
-    keys::CALLERS,
-    world::{DESKS, ENDPOINTS, LEASE_MS, World},
+    keys::CALLER_ACCOUNT,
+    world::{ENDPOINT_COUNT, LEASE_MS, PLAIN_ENDPOINTS, World},
 };
 use hibiscusroad_standins::direct::ExecutedRequest;
 use serde_json::Value;
@@ -14,58 +14,58 @@
     time::Duration,
 };
 
-/// Broken promises that are kept; one cause breaks many.
-const MOST: usize = 20;
-/// Events of a text.
-const EVENTS: usize = 20;
+/// Limit on recorded violations; one cause leads to many.
+const MAX_VIOLATIONS: usize = 20;
+/// Number of events in a result's text.
+const EVENT_COUNT: usize = 20;
 
 #[derive(Debug, Default)]
-struct Seen {
-    broken: Vec<String>,
+struct Observations {
+    violations: Vec<String>,
     counts: BTreeMap<&'static str, usize>,
-    /// Once-only requests that were told "not run".
-    refused: HashSet<String>,
-    trace: Vec<(Duration, String)>,
+    /// Non-idempotent requests that were answered as not run.
+    not_run: HashSet<String>,
+    faults: Vec<(Duration, String)>,
 }
 
-/// Gathers what clients see. Clones share it.
+/// Records and checks what clients observe. Clones share the record.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Check {
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observations>>,
 }
 
-/// How a soak ended.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Found {
-    broken: Vec<String>,
+    violations: Vec<String>,
     counts: BTreeMap<&'static str, usize>,
-    trace: Vec<(Duration, String)>,
-    /// Where the logs are, if a promise was broken.
+    faults: Vec<(Duration, String)>,
+    /// Directory of the logs, if there are violations.
     logs: Option<PathBuf>,
 }
 
 impl Found {
-    /// Says whether no promise was broken.
+    /// Returns whether there are no violations.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.broken.is_empty()
+        self.violations.is_empty()
     }
 
-    /// Returns how often something was counted.
+    /// Returns the value of a counter, zero if it was never incremented.
     #[must_use]
-    pub fn count(&self, what: &str) -> usize {
-        self.counts.get(what).copied().unwrap_or(0)
+    pub fn count(&self, counter: &str) -> usize {
+        self.counts.get(counter).copied().unwrap_or(0)
     }
 
-    /// Tells everything, the faults too if a promise was broken.
+    /// Returns the printed form: violations and counters, and the faults if there are violations.
     #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string never fails.
-        for broken in &self.broken {
-            let _ = writeln!(out, "BROKEN: {broken}");
+        for violation in &self.violations {
+            let _ = writeln!(out, "BROKEN: {violation}");
         }
-        for (at, fault) in self.trace.iter().filter(|_| !self.is_clean()) {
+        for (at, fault) in self.faults.iter().filter(|_| !self.is_clean()) {
             let _ = writeln!(out, "# {:.2} s {fault}", at.as_secs_f64());
         }
         if let Some(logs) = &self.logs {
@@ -73,7 +73,7 @@
         }
         let counts = self.counts.iter().map(|(name, n)| format!("{name}={n}"));
         let counts: Vec<String> = counts.collect();
-        let _ = writeln!(out, "broken={} {}", self.broken.len(), counts.join(" "));
+        let _ = writeln!(out, "broken={} {}", self.violations.len(), counts.join(" "));
         out
     }
 }
@@ -83,135 +83,141 @@
         Self::default()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Observations> {
+        self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn broke(&self, what: &str) {
-        let mut seen = self.lock();
-        if seen.broken.len() < MOST {
-            seen.broken.push(what.to_owned());
+    pub(super) fn record_violation(&self, violation: &str) {
+        let mut observed = self.lock();
+        if observed.violations.len() < MAX_VIOLATIONS {
+            observed.violations.push(violation.to_owned());
         }
     }
 
-    pub(super) fn count(&self, what: &'static str) {
-        *self.lock().counts.entry(what).or_default() += 1;
+    pub(super) fn count(&self, counter: &'static str) {
+        *self.lock().counts.entry(counter).or_default() += 1;
     }
 
-    pub(super) fn refused(&self, id: &str) {
+    pub(super) fn record_not_run(&self, id: &str) {
         if id.starts_with("once-") {
-            self.lock().refused.insert(id.to_owned());
+            self.lock().not_run.insert(id.to_owned());
         }
     }
 
-    pub(super) fn note(&self, at: Duration, fault: String) {
-        self.lock().trace.push((at, fault));
+    pub(super) fn record_fault(&self, at: Duration, fault: String) {
+        self.lock().faults.push((at, fault));
     }
 
-    /// Checks one result of a batch whose floor is `floor`.
-    pub(super) fn result(&self, batch: &str, result: &Value, floor: u64) {
+    /// Checks one result of a batch whose lowest allowed model version is `min_version`.
+    pub(super) fn check_result(&self, batch: &str, result: &Value, min_version: u64) {
         let id = result["id"].as_str().unwrap_or_default();
         if !id.starts_with(&format!("{batch}-")) {
-            return self.broke(&format!("{batch} has a result of {id}"));
+            return self.record_violation(&format!("{batch} has a result of {id}"));
         }
         if result["state"] != "completed" {
-            return self.broke(&format!("{id} is errored without a cause"));
+            return self.record_violation(&format!("{id} is errored without a cause"));
         }
-        let lines: Vec<String> = (1..=EVENTS).map(|n| format!("{id}-{n}")).collect();
+        let lines: Vec<String> = (1..=EVENT_COUNT).map(|n| format!("{id}-{n}")).collect();
         if result["text"] != lines.join("\n") {
-            self.broke(&format!("the text of {id} isn't whole"));
+            self.record_violation(&format!("the text of {id} isn't whole"));
         }
         if result["score"] != format!("stamp-score-{id}") {
-            self.broke(&format!("{id} has another's score"));
+            self.record_violation(&format!("{id} has another's score"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
-        let fresh = |version: &Value| version.as_u64().is_some_and(|v| v >= floor);
-        if versions.is_empty() || !versions.iter().all(fresh) {
-            self.broke(&format!(
-                "{id} is of versions {versions:?}, the floor is {floor}"
+        let is_allowed = |version: &Value| version.as_u64().is_some_and(|v| v >= min_version);
+        if versions.is_empty() || !versions.iter().all(is_allowed) {
+            self.record_violation(&format!(
+                "{id} is of versions {versions:?}, the floor is {min_version}"
             ));
         }
     }
 
-    pub(super) fn close(self, world: &mut World) -> Found {
-        if world.ended > 0 {
-            self.broke(&format!("{} processes ended by themselves", world.ended));
+    pub(super) fn finish(self, world: &mut World) -> Found {
+        if world.unexpected_exits > 0 {
+            self.record_violation(&format!(
+                "{} processes ended by themselves",
+                world.unexpected_exits
+            ));
         }
-        let seen = std::mem::take(&mut *self.lock());
-        let logs = (!seen.broken.is_empty()).then(|| world.folder().to_owned());
+        let observed = std::mem::take(&mut *self.lock());
+        let logs = (!observed.violations.is_empty()).then(|| world.directory().to_owned());
         if logs.is_none()
-            && let Err(error) = std::fs::remove_dir_all(world.folder())
+            && let Err(error) = std::fs::remove_dir_all(world.directory())
         {
-            eprintln!("measure: {}: {error}", world.folder().display());
+            eprintln!("measure: {}: {error}", world.directory().display());
         }
         Found {
-            broken: seen.broken,
-            counts: seen.counts,
-            trace: seen.trace,
+            violations: observed.violations,
+            counts: observed.counts,
+            faults: observed.faults,
             logs,
         }
     }
 }
 
-/// Checks that no window was reported with two contents, nor by holders that mix.
-pub(super) fn reports(check: &Check, world: &World) {
+/// Checks the usage reports for violations and counts the accepted ones.
+pub(super) fn check_reports(check: &Check, world: &World) {
     for violation in world.billing.violations(Duration::from_millis(LEASE_MS)) {
-        check.broke(&violation);
+        check.record_violation(&violation);
     }
     for _ in world.billing.accepted_reports() {
         check.count("reports");
     }
 }
 
-/// Checks for which account endpoints ran a request, and that they saw no key.
-fn account(check: &Check, ran: &ExecutedRequest) {
-    let expected = match ran.id.split_once('-') {
-        Some(("crash" | "desk" | "once", _)) => Some(CALLERS),
+/// Checks that an endpoint received the right client account and no key with a request.
+fn check_account(check: &Check, request: &ExecutedRequest) {
+    let expected = match request.id.split_once('-') {
+        Some(("crash" | "desk" | "once", _)) => Some(CALLER_ACCOUNT),
         Some(("score", _)) => None,
         Some((model, _)) => Some(model),
         None => return,
     };
-    if ran.account.as_deref() != expected {
-        check.broke(&format!("{} ran for {:?}", ran.id, ran.account));
+    if request.account.as_deref() != expected {
+        check.record_violation(&format!("{} ran for {:?}", request.id, request.account));
     }
-    if ran.has_authorization {
-        check.broke(&format!("{} was passed on with its key", ran.id));
+    if request.has_authorization {
+        check.record_violation(&format!("{} was passed on with its key", request.id));
     }
 }
 
-/// Checks what endpoints saw: accounts, once-only requests, and who gave orders.
-pub(super) fn endpoints(check: &Check, world: &World) {
-    let all = world.ran();
-    for ran in &all {
-        account(check, ran);
+/// Checks the requests that endpoints ran, and the fencing tokens of the orders they received.
+pub(super) fn check_endpoints(check: &Check, world: &World) {
+    let executed = world.executed();
+    for request in &executed {
+        check_account(check, request);
     }
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-    for ran in all.into_iter().filter(|ran| ran.id.starts_with("once-")) {
-        *runs.entry(ran.id).or_default() += 1;
+    for request in executed
+        .into_iter()
+        .filter(|request| request.id.starts_with("once-"))
+    {
+        *runs.entry(request.id).or_default() += 1;
     }
-    let refused = check.lock().refused.clone();
+    let not_run = check.lock().not_run.clone();
     for (id, n) in &runs {
         if *n > 1 {
-            check.broke(&format!("{id} ran {n} times"));
+            check.record_violation(&format!("{id} ran {n} times"));
         }
-        if refused.contains(id) {
-            check.broke(&format!("{id} ran and was told that it did not"));
+        if not_run.contains(id) {
+            check.record_violation(&format!("{id} ran and was told that it did not"));
         }
     }
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
-    for endpoint in &world.endpoints[DESKS..ENDPOINTS] {
+    for endpoint in &world.endpoints[PLAIN_ENDPOINTS..ENDPOINT_COUNT] {
         let mut last = 0;
-        for (holder, fence) in endpoint.order_holders() {
-            let known = holders.entry(fence).or_insert_with(|| holder.clone());
-            if *known != holder {
-                check.broke(&format!(
-                    "{known} and {holder} gave orders with number {fence}"
+        for (holder, token) in endpoint.order_holders() {
+            let first_holder = holders.entry(token).or_insert_with(|| holder.clone());
+            if *first_holder != holder {
+                check.record_violation(&format!(
+                    "{first_holder} and {holder} gave orders with number {token}"
                 ));
             }
-            if fence < last {
-                check.broke(&format!("number {fence} came after {last}"));
+            if token < last {
+                check.record_violation(&format!("number {token} came after {last}"));
             }
-            last = fence;
+            last = token;
         }
     }
 }
--- a/hibiscusroad-measure/src/soak/clients.rs
+++ b/hibiscusroad-measure/src/soak/clients.rs
@@ -1,9 +1,9 @@
-//! Callers and trainers, who check what they get.
+//! Callers and trainers that check the answers they receive.
 
 use super::{
     check::Check,
     keys::{self, Keys},
-    world::{CRASHING, HOST, MODELS, World},
+    world::{CRASH_MARKER, HOSTNAME, MODELS, World},
 };
 use hibiscusroad_standins::direct::Store;
 use rand::{Rng, SeedableRng};
@@ -21,13 +21,14 @@
 };
 use ureq::Agent;
 
-/// A caller waits so long, and somewhat longer for an answer on its way.
-const DEADLINE: Duration = Duration::from_millis(2_500);
-const PATIENCE: Duration = Duration::from_secs(4);
-/// A step that isn't whole by then after the faults never will be.
-const STEP: Duration = Duration::from_mins(1);
-const GROUPS: usize = 3;
-const SIZE: usize = 3;
+/// Deadline that requests state.
+const REQUEST_DEADLINE: Duration = Duration::from_millis(2_500);
+/// Time after which a client gives up; longer than the deadline, to receive late answers.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Limit on the time for each phase of a step: submission, reading and deletion.
+const STEP_TIMEOUT: Duration = Duration::from_mins(1);
+const GROUP_COUNT: usize = 3;
+const GROUP_SIZE: usize = 3;
 
 struct Answer {
     status: u16,
@@ -42,35 +43,35 @@
     }
 }
 
-/// One who sends requests to gateways at random.
+/// Sends each request to a random gateway.
 struct Client {
     gateways: Vec<SocketAddr>,
     rng: Pcg64,
     check: Check,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     agent: Agent,
 }
 
 impl Client {
-    fn new(world: &World, seed: u64, check: &Check, over: &Arc<AtomicBool>) -> Self {
+    fn new(world: &World, seed: u64, check: &Check, stopped: &Arc<AtomicBool>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(PATIENCE));
+            .timeout_global(Some(CLIENT_TIMEOUT));
         Self {
-            gateways: world.callers.clone(),
+            gateways: world.caller_addrs.clone(),
             rng: Pcg64::seed_from_u64(seed),
             check: check.clone(),
-            over: Arc::clone(over),
+            stopped: Arc::clone(stopped),
             agent: config.build().new_agent(),
         }
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Acquire)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Acquire)
     }
 
-    /// Asks any gateway; `None` if no whole answer came.
-    fn ask(
+    /// Sends a request; returns `None` if no complete answer was received.
+    fn send(
         &mut self,
         method: &str,
         path: &str,
@@ -82,11 +83,11 @@
         let request = ureq::http::Request::builder()
             .method(method)
             .uri(format!("http://{gateway}{path}"))
-            .header("Host", HOST)
+            .header("Host", HOSTNAME)
             .header("X-Request-Id", id)
             .header("Authorization", format!("Bearer {key}"))
             .header("X-Tenant", "somebody")
-            .header("X-Deadline-Ms", DEADLINE.as_millis().to_string())
+            .header("X-Deadline-Ms", REQUEST_DEADLINE.as_millis().to_string())
             .body(body.to_vec())
             .ok()?;
         let mut response = self.agent.run(request).ok()?;
@@ -103,11 +104,11 @@
     }
 }
 
-/// A parent, a vacuum: lookups, and bookings that must not run twice.
+/// An interactive caller of the idempotent and the non-idempotent route.
 pub(super) struct Caller {
     client: Client,
     keys: Keys,
-    n: usize,
+    index: usize,
 }
 
 impl Caller {
@@ -116,109 +117,113 @@
         n: usize,
         seed: u64,
         check: &Check,
-        over: &Arc<AtomicBool>,
+        stopped: &Arc<AtomicBool>,
     ) -> Self {
-        let client = Client::new(world, seed ^ (n as u64 + 1) << 32, check, over);
+        let client = Client::new(world, seed ^ (n as u64 + 1) << 32, check, stopped);
         let keys = world.keys.clone();
-        Self { client, keys, n }
+        Self {
+            client,
+            keys,
+            index: n,
+        }
     }
 
     pub(super) fn run(mut self) {
         let mut seq = 0;
-        while !self.client.is_over() {
+        while !self.client.is_stopped() {
             seq += 1;
-            let once = self.client.rng.random_bool(0.3);
-            let kind = if once { "once" } else { "desk" };
-            let id = format!("{kind}-{}-{seq}", self.n);
+            let is_non_idempotent = self.client.rng.random_bool(0.3);
+            let kind = if is_non_idempotent { "once" } else { "desk" };
+            let id = format!("{kind}-{}-{seq}", self.index);
             let start = Instant::now();
-            let shown = self.keys.shown();
-            // Now and then the key that was taken away last.
-            let old = shown > 0 && self.client.rng.random_bool(0.08);
-            let shown = if old { shown - 1 } else { shown };
-            let answer = self.client.ask(
+            let key = self.keys.presented();
+            // Sometimes presents the key that was removed last.
+            let use_removed = key > 0 && self.client.rng.random_bool(0.08);
+            let key = if use_removed { key - 1 } else { key };
+            let answer = self.client.send(
                 "POST",
                 &format!("/{kind}/x"),
                 &id,
-                &keys::text(shown),
+                &keys::key_value(key),
                 id.as_bytes(),
             );
-            if old {
-                self.judge_old(&id, shown, answer.as_ref());
+            if use_removed {
+                self.check_removed_key(&id, key, answer.as_ref());
             } else {
-                self.judge(&id, shown, answer.as_ref(), start.elapsed());
+                self.check_answer(&id, key, answer.as_ref(), start.elapsed());
             }
             let pause = self.client.rng.random_range(5..60);
             thread::sleep(Duration::from_millis(pause));
         }
     }
 
-    /// Judges the answer to a request with a key that was taken away.
-    fn judge_old(&self, id: &str, key: usize, answer: Option<&Answer>) {
+    /// Checks the answer to a request with a removed key.
+    fn check_removed_key(&self, id: &str, key: usize, answer: Option<&Answer>) {
         let check = &self.client.check;
         let Some(answer) = answer else { return };
-        if (200..300).contains(&answer.status) && self.keys.is_gone(key) {
-            check.broke(&format!("{id} was answered for a key that is long gone"));
+        if (200..300).contains(&answer.status) && self.keys.is_revoked(key) {
+            check.record_violation(&format!("{id} was answered for a key that is long gone"));
         }
         match answer.status {
             401 => check.count("old keys refused"),
-            429 | 503 => check.refused(id),
+            429 | 503 => check.record_not_run(id),
             _ => {}
         }
     }
 
-    fn judge(&self, id: &str, key: usize, answer: Option<&Answer>, took: Duration) {
+    fn check_answer(&self, id: &str, key: usize, answer: Option<&Answer>, elapsed: Duration) {
         let check = &self.client.check;
         let Some(answer) = answer else {
             return check.count("cut or late");
         };
         if (200..300).contains(&answer.status) {
-            let whole = answer.body.ends_with(format!(" answers {id}").as_bytes());
-            if answer.id != id || answer.stamp != format!("stamp-{id}") || !whole {
-                check.broke(&format!("{id} got an answer that isn't its own whole one"));
+            let is_complete = answer.body.ends_with(format!(" answers {id}").as_bytes());
+            if answer.id != id || answer.stamp != format!("stamp-{id}") || !is_complete {
+                check.record_violation(&format!("{id} got an answer that isn't its own whole one"));
             }
             return check.count("answered");
         }
         if answer.is_quarantined() {
-            check.broke(&format!(
+            check.record_violation(&format!(
                 "{id} was refused for crashes that it has no part in"
             ));
         }
         match answer.status {
-            429 | 503 | 408 | 421 => check.refused(id),
-            404 => check.broke(&format!("{id} was denied a route that there is")),
-            401 if self.keys.holds(key) => {
-                check.broke(&format!("{id} was denied with a key that is in force"));
+            429 | 503 | 408 | 421 => check.record_not_run(id),
+            404 => check.record_violation(&format!("{id} was denied a route that there is")),
+            401 if self.keys.is_active(key) => {
+                check.record_violation(&format!("{id} was denied with a key that is in force"));
             }
             _ => {}
         }
-        // Frozen processes answer when they go on; those can't know better.
-        if took > DEADLINE + Duration::from_secs(1) {
+        // Late refusals are counted only: a frozen process answers after it is thawed.
+        if elapsed > REQUEST_DEADLINE + Duration::from_secs(1) {
             check.count("refused late");
         }
         check.count("refused");
     }
 }
 
-/// One whose request crashes each endpoint that runs it, and who repeats it.
+/// Repeats a request that crashes each plain endpoint that runs it.
 pub(super) struct Crasher {
     client: Client,
     keys: Keys,
 }
 
 impl Crasher {
-    pub(super) fn new(world: &World, seed: u64, check: &Check, over: &Arc<AtomicBool>) -> Self {
-        let client = Client::new(world, seed ^ 77 << 32, check, over);
+    pub(super) fn new(world: &World, seed: u64, check: &Check, stopped: &Arc<AtomicBool>) -> Self {
+        let client = Client::new(world, seed ^ 77 << 32, check, stopped);
         let keys = world.keys.clone();
         Self { client, keys }
     }
 
     pub(super) fn run(mut self) {
         let mut seq = 0;
-        while !self.client.is_over() {
+        while !self.client.is_stopped() {
             seq += 1;
             let id = format!("crash-{seq}");
-            let key = keys::text(self.keys.shown());
-            let answer = self.client.ask("POST", "/desk/x", &id, &key, CRASHING);
+            let key = keys::key_value(self.keys.presented());
+            let answer = self.client.send("POST", "/desk/x", &id, &key, CRASH_MARKER);
             if answer.is_some_and(|answer| answer.is_quarantined()) {
                 self.client.check.count("quarantined");
             }
@@ -228,7 +233,7 @@
     }
 }
 
-/// A trainer: one batch after the other, each read to its end.
+/// Submits batches one after the other and reads all results of each.
 pub(super) struct Trainer {
     client: Client,
     store: Arc<Store>,
@@ -242,9 +247,9 @@
         n: usize,
         seed: u64,
         check: &Check,
-        over: &Arc<AtomicBool>,
+        stopped: &Arc<AtomicBool>,
     ) -> Self {
-        let client = Client::new(world, seed ^ (n as u64 + 99) << 32, check, over);
+        let client = Client::new(world, seed ^ (n as u64 + 99) << 32, check, stopped);
         Self {
             client,
             store: Arc::clone(&world.store),
@@ -254,83 +259,88 @@
     }
 
     pub(super) fn run(mut self) {
-        while !self.client.is_over() {
+        while !self.client.is_stopped() {
             let id = format!("{}-{}", self.model, self.step);
             if !self.submit(&id) {
                 return;
             }
-            let whole = self.read(&id);
+            let is_complete = self.read_results(&id);
             self.client
                 .check
-                .count(if whole { "steps" } else { "steps lost" });
-            self.end(&id);
+                .count(if is_complete { "steps" } else { "steps lost" });
+            self.delete(&id);
             self.step += 1;
-            let named = json!({ "model": self.model, "version": self.step });
+            let announcement = json!({ "model": self.model, "version": self.step });
             self.store
-                .put_json("op", &format!("version/{}", self.model), &named);
+                .put_json("op", &format!("version/{}", self.model), &announcement);
         }
     }
 
     fn submission(&self) -> Value {
         let mut items = Vec::new();
-        for group in 0..GROUPS {
-            for n in 0..SIZE {
+        for group in 0..GROUP_COUNT {
+            for n in 0..GROUP_SIZE {
                 let id = format!("{}-{}-{group}-{n}", self.model, self.step);
                 items.push(json!({ "id": id, "path": format!("/lm/{id}"),
                     "headers": { "X-Model": self.model, "X-Token-Counts": "20,400" },
                     "body": "q83v", "tokens": 420, "group": format!("{group}"),
-                    "scorer": { "id": format!("score-{id}"), "hostname": HOST,
+                    "scorer": { "id": format!("score-{id}"), "hostname": HOSTNAME,
                         "path": "/desk/score", "body": "3q2+" } }));
             }
         }
-        json!({ "step": self.step, "model": self.model, "targetGroups": GROUPS,
+        json!({ "step": self.step, "model": self.model, "targetGroups": GROUP_COUNT,
             "minVersion": self.step.saturating_sub(1).max(1), "requests": items })
     }
 
     fn submit(&mut self, id: &str) -> bool {
         let body = self.submission().to_string();
-        let end = Instant::now() + STEP;
-        while Instant::now() < end {
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while Instant::now() < deadline {
             let answer = self
                 .client
-                .ask("POST", "/lm/step", id, self.model, body.as_bytes());
+                .send("POST", "/lm/step", id, self.model, body.as_bytes());
             match answer.map(|answer| answer.status) {
                 Some(202) => return true,
-                Some(400 | 401 | 404) => self.client.check.broke(&format!("{id} was denied")),
+                Some(400 | 401 | 404) => self
+                    .client
+                    .check
+                    .record_violation(&format!("{id} was denied")),
                 _ => {}
             }
             thread::sleep(Duration::from_millis(150));
         }
-        self.client.check.broke(&format!("{id} was never accepted"));
+        self.client
+            .check
+            .record_violation(&format!("{id} was never accepted"));
         false
     }
 
-    /// Reads until every item is listed; positions must never change.
-    fn read(&mut self, id: &str) -> bool {
+    /// Reads until every item is listed, and checks that positions never change.
+    fn read_results(&mut self, id: &str) -> bool {
         let mut listed: BTreeMap<usize, Value> = BTreeMap::new();
-        let end = Instant::now() + STEP;
-        while listed.len() < GROUPS * SIZE {
-            if Instant::now() > end {
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while listed.len() < GROUP_COUNT * GROUP_SIZE {
+            if Instant::now() > deadline {
                 self.client
                     .check
-                    .broke(&format!("{id} has {} results at its end", listed.len()));
+                    .record_violation(&format!("{id} has {} results at its end", listed.len()));
                 return false;
             }
-            // Now and then from an earlier position.
+            // Sometimes reads again from an earlier position.
             let next = listed.len();
             let after = match self.client.rng.random_range(0..4) {
                 0 => self.client.rng.random_range(0..=next),
                 _ => next,
             };
             let path = format!("/lots/{id}?after={after}");
-            let answer = self.client.ask("GET", &path, "reader", self.model, b"");
-            self.take(id, after, answer, &mut listed);
+            let answer = self.client.send("GET", &path, "reader", self.model, b"");
+            self.check_page(id, after, answer, &mut listed);
             thread::sleep(Duration::from_millis(100));
         }
         true
     }
 
-    fn take(
+    fn check_page(
         &self,
         id: &str,
         after: usize,
@@ -340,7 +350,7 @@
         let check = &self.client.check;
         let Some(answer) = answer else { return };
         if matches!(answer.status, 401 | 404 | 410) {
-            return check.broke(&format!("{id} was accepted and is denied"));
+            return check.record_violation(&format!("{id} was accepted and is denied"));
         }
         let body = serde_json::from_slice::<Value>(&answer.body);
         let (200, Ok(body)) = (answer.status, body) else {
@@ -348,10 +358,10 @@
         };
         let results = body["results"].as_array().cloned().unwrap_or_default();
         for (n, result) in results.into_iter().enumerate() {
-            check.result(id, &result, self.step.saturating_sub(1).max(1));
+            check.check_result(id, &result, self.step.saturating_sub(1).max(1));
             match listed.insert(after + n, result.clone()) {
-                Some(before) if before != result => {
-                    check.broke(&format!("{id} has another result at {}", after + n));
+                Some(previous) if previous != result => {
+                    check.record_violation(&format!("{id} has another result at {}", after + n));
                 }
                 _ => {}
             }
@@ -359,20 +369,22 @@
         let mut ids: Vec<&str> = listed.values().filter_map(|r| r["id"].as_str()).collect();
         ids.sort_unstable();
         if ids.windows(2).any(|pair| pair[0] == pair[1]) {
-            check.broke(&format!("{id} has an item at two positions"));
+            check.record_violation(&format!("{id} has an item at two positions"));
         }
     }
 
-    fn end(&mut self, id: &str) {
+    fn delete(&mut self, id: &str) {
         let path = format!("/lots/{id}");
-        let end = Instant::now() + STEP;
-        while Instant::now() < end {
-            let answer = self.client.ask("DELETE", &path, "end", self.model, b"");
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while Instant::now() < deadline {
+            let answer = self.client.send("DELETE", &path, "end", self.model, b"");
             if answer.is_some_and(|answer| answer.status == 200) {
                 return;
             }
             thread::sleep(Duration::from_millis(150));
         }
-        self.client.check.broke(&format!("{id} could not be ended"));
+        self.client
+            .check
+            .record_violation(&format!("{id} could not be ended"));
     }
 }
--- a/hibiscusroad-measure/src/soak/mod.rs
+++ b/hibiscusroad-measure/src/soak/mod.rs
@@ -1,17 +1,11 @@
-//! Callers and trainers on real gateways, under faults from outside.
+//! Soak test of real gateways under injected faults.
 //!
-//! One seed draws a plan of faults that come in series and overlap: processes
-//! that are killed, frozen, stopped and started again; connections that are cut,
-//! delayed or silenced in one direction by a relay; a store that is away, slow,
-//! loses answers, carries writes out late or forgets its history; endpoints that
-//! answer badly, leave and come back; keys that are taken away with each change of the
-//! configuration. One request crashes the plain endpoint that runs it, and is repeated
-//! all the time. What callers and trainers may rely on is
-//! checked while it runs, from what they and the endpoints see. When the faults
-//! are over every batch has to come to its end.
+//! A seed determines a plan of overlapping faults of the gateways, their connections, the
+//! store, the endpoints and the configuration. One request crashes every plain endpoint
+//! that runs it and is sent repeatedly. The guarantees to callers and trainers are checked
+//! during the run, and every batch must end once the faults are over.
 //!
-//! Not among the faults: clocks. The programs take no time from outside, and a
-//! step of the machine's clock would step that of everything else on it.
+//! Clock faults are left out: changing the machine's clock would affect other programs.
 
 mod check;
 mod clients;
@@ -33,25 +27,25 @@
     time::{Duration, Instant},
 };
 
-/// Time after the faults in which everything has to be well again.
-const CALM: Duration = Duration::from_secs(25);
-/// Clients in person, and trainers.
-const CALLERS: usize = 6;
-const TRAINERS: usize = 2;
-/// Crashes after which a request must not go on, and sends that are allowed once news
-/// of them has spread.
-const CRASHES: usize = 3;
-const MOST_SENDS: usize = 3;
-const SPREAD: Duration = Duration::from_secs(3);
+/// Limit on the time that clients take to finish after the faults.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(25);
+const CALLER_COUNT: usize = 6;
+const TRAINER_COUNT: usize = 2;
+/// Number of crashes from which on a request must be in quarantine.
+const QUARANTINE_CRASHES: usize = 3;
+/// Limit on sends of a quarantined request during one `QUARANTINE_DELAY`.
+const MAX_SENDS: usize = 3;
+/// Time in which all gateways learn of a quarantine.
+const QUARANTINE_DELAY: Duration = Duration::from_secs(3);
 
-/// What to play.
+/// Options of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long faults come.
+    /// Duration of fault injection.
     pub time: Duration,
-    /// What everything is drawn from.
+    /// Seed of the fault plan and the clients.
     pub seed: u64,
-    /// How many gateways run.
+    /// Number of gateway processes.
     pub processes: usize,
 }
 
@@ -65,84 +59,91 @@
     }
 }
 
-/// Plays a soak.
+/// Runs a soak and returns its result.
 ///
 /// # Errors
 ///
-/// Returns an error if something can't be started, or a signal ended it.
+/// Returns an error if a component can't be started or controlled, or if the run is
+/// interrupted.
 pub fn run(options: &Options, interrupt: &Interrupt) -> Result<Found, Error> {
-    let found = check::Check::new();
+    let check = check::Check::new();
     let mut world = World::start(options.processes)?;
     world.wait_ready()?;
-    let over = Arc::new(AtomicBool::new(false));
+    let stopped = Arc::new(AtomicBool::new(false));
     let mut clients = Vec::new();
-    for n in 0..CALLERS {
-        let caller = clients::Caller::new(&world, n, options.seed, &found, &over);
+    for n in 0..CALLER_COUNT {
+        let caller = clients::Caller::new(&world, n, options.seed, &check, &stopped);
         clients.push(thread::spawn(move || caller.run()));
     }
-    for n in 0..TRAINERS {
-        let trainer = clients::Trainer::new(&world, n, options.seed, &found, &over);
+    for n in 0..TRAINER_COUNT {
+        let trainer = clients::Trainer::new(&world, n, options.seed, &check, &stopped);
         clients.push(thread::spawn(move || trainer.run()));
     }
-    let crasher = clients::Crasher::new(&world, options.seed, &found, &over);
+    let crasher = clients::Crasher::new(&world, options.seed, &check, &stopped);
     clients.push(thread::spawn(move || crasher.run()));
     let start = Instant::now();
     for planned in plan::draw(options) {
         let at = start + planned.at;
         while Instant::now() < at {
-            go_on(interrupt)?;
-            world.heal()?;
+            check_interrupt(interrupt)?;
+            world.recover_due()?;
             thread::sleep(Duration::from_millis(20));
         }
-        found.note(planned.at, format!("{:?}", planned.fault));
+        check.record_fault(planned.at, format!("{:?}", planned.fault));
         world.inject(planned.fault)?;
     }
-    world.calm()?;
-    crashes(&mut world, &found, interrupt)?;
-    over.store(true, Ordering::Release);
-    let end = Instant::now() + CALM;
-    while clients.iter().any(|client| !client.is_finished()) && Instant::now() < end {
-        go_on(interrupt)?;
+    world.end_faults()?;
+    check_quarantine(&mut world, &check, interrupt)?;
+    stopped.store(true, Ordering::Release);
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
+    while clients.iter().any(|client| !client.is_finished()) && Instant::now() < deadline {
+        check_interrupt(interrupt)?;
         thread::sleep(Duration::from_millis(50));
     }
     for client in clients {
         if !client.is_finished() {
-            found.broke("a client did not come to its end after the faults");
+            check.record_violation("a client did not come to its end after the faults");
         } else if client.join().is_err() {
-            found.broke("a client failed");
+            check.record_violation("a client failed");
         }
     }
-    check::endpoints(&found, &world);
-    check::reports(&found, &world);
-    Ok(found.close(&mut world))
+    check::check_endpoints(&check, &world);
+    check::check_reports(&check, &world);
+    Ok(check.finish(&mut world))
 }
 
-/// Checks that a request which has crashed three endpoints hardly reaches any once all
-/// gateways have had time to hear of it.
-fn crashes(world: &mut World, found: &check::Check, interrupt: &Interrupt) -> Result<(), Error> {
-    let mut sends = || -> Result<usize, Error> {
-        let end = Instant::now() + SPREAD;
-        while Instant::now() < end {
-            go_on(interrupt)?;
-            world.heal()?;
+/// Checks that a quarantined request rarely reaches an endpoint once all gateways have had
+/// time to learn of the quarantine.
+fn check_quarantine(
+    world: &mut World,
+    check: &check::Check,
+    interrupt: &Interrupt,
+) -> Result<(), Error> {
+    let mut count_sends = || -> Result<usize, Error> {
+        let deadline = Instant::now() + QUARANTINE_DELAY;
+        while Instant::now() < deadline {
+            check_interrupt(interrupt)?;
+            world.recover_due()?;
             thread::sleep(Duration::from_millis(20));
         }
-        let ran = world.ran();
-        let sends = ran.iter().filter(|ran| ran.id.starts_with("crash-"));
+        let executed = world.executed();
+        let sends = executed
+            .iter()
+            .filter(|request| request.id.starts_with("crash-"));
         Ok(sends.count())
     };
-    let before = sends()?;
-    let more = sends()? - before;
-    if world.crashes >= CRASHES && more > MOST_SENDS {
-        let crashes = world.crashes;
-        found.broke(&format!(
-            "{more} sends of a request after {crashes} crashes"
+    let before = count_sends()?;
+    let later_sends = count_sends()? - before;
+    if world.crash_count >= QUARANTINE_CRASHES && later_sends > MAX_SENDS {
+        let crashes = world.crash_count;
+        check.record_violation(&format!(
+            "{later_sends} sends of a request after {crashes} crashes"
         ));
     }
     Ok(())
 }
 
-fn go_on(interrupt: &Interrupt) -> Result<(), Error> {
+fn check_interrupt(interrupt: &Interrupt) -> Result<(), Error> {
     if interrupt.is_asked() {
         return Err(Error::Interrupted);
     }
--- a/hibiscusroad-measure/src/soak/world.rs
+++ b/hibiscusroad-measure/src/soak/world.rs
@@ -1,7 +1,7 @@
-//! Gateways as processes, the store, the endpoints, and the relays between.
+//! Gateway processes, the store, the endpoints and the relays that connect them.
 
 use super::{
-    keys::{CALLERS, Keys},
+    keys::{CALLER_ACCOUNT, Keys},
     plan::Fault,
 };
 use crate::deployment::{Bins, Error, process::Process};
@@ -24,98 +24,100 @@
     time::{Duration, Instant},
 };
 
-/// The host that all routes have.
-pub(super) const HOST: &str = "soak.example";
-/// Plain endpoints come first, then engines.
-pub(super) const DESKS: usize = 3;
-pub(super) const ENDPOINTS: usize = 6;
-/// Models, one a trainer.
+/// The host name of all routes.
+pub(super) const HOSTNAME: &str = "soak.example";
+/// Number of plain endpoints; engines follow them in `World::endpoints`.
+pub(super) const PLAIN_ENDPOINTS: usize = 3;
+pub(super) const ENDPOINT_COUNT: usize = 6;
+/// Models, one per trainer.
 pub(super) const MODELS: [&str; 2] = ["alpha", "beta"];
-/// The lease of the duties, by which their holders have to be apart.
+/// Duration of the leases on duties; reports of two holders must be at least this far apart.
 pub(super) const LEASE_MS: u64 = 1_500;
-const READY: Duration = Duration::from_secs(20);
-/// What crashes a plain endpoint, and for how long it is down then.
-pub(super) const CRASHING: &[u8] = b"crashes its endpoint";
-const DOWN: Duration = Duration::from_millis(1_200);
-/// A process that was told to stop and has not ended by then is ended.
-const GRACE: Duration = Duration::from_secs(6);
+/// Limit on the wait for all gateways to accept connections after the faults.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Request body that crashes a plain endpoint.
+pub(super) const CRASH_MARKER: &[u8] = b"crashes its endpoint";
+/// Time from the detection of a crashed endpoint to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(1_200);
+/// Time after which a process that was asked to stop is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Worlds that this process has started.
-static WORLDS: AtomicUsize = AtomicUsize::new(0);
+/// Number of worlds that this process has started; makes directory names unique.
+static WORLD_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 struct Gateway {
     process: Process,
-    /// Its own way to the store.
+    /// Relay of the connections to the store.
     relay: Relay,
-    /// When it has to have stopped, if it was told to.
-    stopping: Option<Instant>,
+    /// When the process is killed if it has not stopped by itself.
+    stop_deadline: Option<Instant>,
 }
 
+/// An action that ends a fault.
 enum Undo {
     Thaw(usize),
     Store,
     Delay(usize),
-    Manner(usize),
-    Return(usize),
+    Behaviour(usize),
+    Reregister(usize),
     Restart(usize),
 }
 
-/// Everything that runs.
+/// All components of a soak.
 pub(super) struct World {
     pub(super) store: Arc<Store>,
     pub(super) endpoints: Vec<Endpoint>,
-    /// What plain endpoints ran that have crashed, and how many have.
-    past: Vec<ExecutedRequest>,
-    pub(super) crashes: usize,
-    /// Who takes reports of usage.
+    /// Requests that were run by endpoints that have crashed.
+    crashed_runs: Vec<ExecutedRequest>,
+    pub(super) crash_count: usize,
+    /// Receiver of usage reports.
     pub(super) billing: Billing,
     pub(super) keys: Keys,
-    /// Where callers of each gateway connect.
-    pub(super) callers: Vec<SocketAddr>,
+    /// Address of each gateway for callers.
+    pub(super) caller_addrs: Vec<SocketAddr>,
     gateways: Vec<Gateway>,
-    folder: PathBuf,
+    directory: PathBuf,
     version: u64,
     undo: Vec<(Instant, Undo)>,
-    /// Processes that ended by themselves.
-    pub(super) ended: usize,
+    /// Number of processes that exited without a request to stop.
+    pub(super) unexpected_exits: usize,
 }
 
 impl World {
     pub(super) fn start(processes: usize) -> Result<Self, Error> {
-        // Several may run in one process.
-        let n = WORLDS.fetch_add(1, Ordering::Relaxed);
+        let n = WORLD_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("hibiscusroad-soak-{}-{n}", std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        fs::create_dir_all(&folder)?;
+        let directory = std::env::temp_dir().join(name);
+        fs::create_dir_all(&directory)?;
         let store = Arc::new(Store::start()?);
         let keys = Keys::new();
         store.put_json("op", "config", &config(1, &keys));
         let mut endpoints = Vec::new();
-        for n in 0..ENDPOINTS {
+        for n in 0..ENDPOINT_COUNT {
             endpoints.push(endpoint(ANY_LOOPBACK_PORT, &store, n, &format!("e{n}"))?);
         }
         let mut world = Self {
             store,
             endpoints,
-            past: Vec::new(),
-            crashes: 0,
+            crashed_runs: Vec::new(),
+            crash_count: 0,
             billing: Billing::start(true)?,
             keys,
-            callers: Vec::new(),
+            caller_addrs: Vec::new(),
             gateways: Vec::new(),
-            folder,
+            directory,
             version: 1,
             undo: Vec::new(),
-            ended: 0,
+            unexpected_exits: 0,
         };
         let daemon = Bins::find()?.daemon;
         for n in 0..processes {
-            world.add(n, &daemon)?;
+            world.add_gateway(n, &daemon)?;
         }
         Ok(world)
     }
 
-    fn add(&mut self, n: usize, daemon: &std::path::Path) -> Result<(), Error> {
+    fn add_gateway(&mut self, n: usize, daemon: &std::path::Path) -> Result<(), Error> {
         let name = format!("gateway-{n}");
         let relay = Relay::start(ANY_LOOPBACK_PORT, self.store.addr())?;
         let [callers, ready, peers] = [
@@ -123,7 +125,7 @@
             ports::free_port()?,
             ports::free_port()?,
         ];
-        let file = self.folder.join(format!("{name}.toml"));
+        let file = self.directory.join(format!("{name}.toml"));
         let text = format!(
             "name = \"{name}\"\nhost = \"{name}\"\nplace = \"senec\"\nregion = \"zapad\"\n\n\
              [gateway]\ncallers = \"{callers}\"\nready = \"{ready}\"\nstore = \"{}\"\n\
@@ -135,21 +137,21 @@
         );
         fs::write(&file, text)?;
         let args = [file.to_string_lossy().into_owned()];
-        let process = Process::start_logged(&name, daemon, &args, &self.folder)?;
-        self.callers.push(callers);
+        let process = Process::start_logged(&name, daemon, &args, &self.directory)?;
+        self.caller_addrs.push(callers);
         self.gateways.push(Gateway {
             process,
             relay,
-            stopping: None,
+            stop_deadline: None,
         });
         Ok(())
     }
 
     pub(super) fn wait_ready(&mut self) -> Result<(), Error> {
-        for (gateway, callers) in self.gateways.iter_mut().zip(&self.callers) {
+        for (gateway, callers) in self.gateways.iter_mut().zip(&self.caller_addrs) {
             gateway.process.wait_for(*callers)?;
         }
-        // Configuration and endpoints are heard of a moment later.
+        // Leaves time for the gateways to receive the configuration and the endpoints.
         thread::sleep(Duration::from_millis(500));
         Ok(())
     }
@@ -163,26 +165,26 @@
                     self.kill(n)?;
                 }
             }
-            Fault::Freeze(n, time) => {
+            Fault::Freeze(n, duration) => {
                 self.gateways[n].process.freeze()?;
-                self.undo.push((now + time, Undo::Thaw(n)));
+                self.undo.push((now + duration, Undo::Thaw(n)));
             }
             Fault::Stop(n) => {
                 let gateway = &mut self.gateways[n];
                 gateway.process.terminate()?;
-                gateway.stopping.get_or_insert(now + GRACE);
+                gateway.stop_deadline.get_or_insert(now + STOP_TIMEOUT);
             }
-            Fault::Store(faults, time) => {
+            Fault::Store(faults, duration) => {
                 self.store.set_faults(faults);
-                self.undo.push((now + time, Undo::Store));
+                self.undo.push((now + duration, Undo::Store));
             }
             Fault::Forget => self.store.compact_log(),
-            Fault::SilenceStore(n, way) => self.gateways[n].relay.silence(way),
-            Fault::CutStore(n, time) => {
+            Fault::SilenceStore(n, direction) => self.gateways[n].relay.silence(direction),
+            Fault::CutStore(n, duration) => {
                 self.gateways[n].relay.cut_all();
-                // Longer than any time limit: as good as no way at all.
+                // Longer than any timeout, so new connections are unusable too.
                 self.gateways[n].relay.set_delay(Duration::from_secs(9));
-                self.undo.push((now + time, Undo::Delay(n)));
+                self.undo.push((now + duration, Undo::Delay(n)));
             }
             Fault::DelayStore(n, delay) => {
                 self.gateways[n].relay.set_delay(delay);
@@ -190,19 +192,19 @@
                     .push((now + Duration::from_secs(2), Undo::Delay(n)));
             }
             Fault::ResetStore => self.store.relay().cut_all(),
-            Fault::Endpoint(n, manner, time) => {
-                self.endpoints[n].set_behaviour(manner);
-                self.undo.push((now + time, Undo::Manner(n)));
+            Fault::Endpoint(n, behaviour, duration) => {
+                self.endpoints[n].set_behaviour(behaviour);
+                self.undo.push((now + duration, Undo::Behaviour(n)));
             }
-            Fault::SilenceEndpoint(n, way) => self.endpoints[n].relay().silence(way),
+            Fault::SilenceEndpoint(n, direction) => self.endpoints[n].relay().silence(direction),
             Fault::Leave(n) => {
                 self.endpoints[n].register("draining");
                 self.undo
-                    .push((now + Duration::from_secs(2), Undo::Return(n)));
+                    .push((now + Duration::from_secs(2), Undo::Reregister(n)));
             }
             Fault::Config => {
                 self.version += 3;
-                self.keys.turn();
+                self.keys.rotate();
                 let config = config(self.version, &self.keys);
                 self.store.put_json("op", "config", &config);
             }
@@ -213,35 +215,36 @@
     fn kill(&mut self, n: usize) -> Result<(), Error> {
         let gateway = &mut self.gateways[n];
         gateway.process.kill()?;
-        gateway.stopping = None;
+        gateway.stop_deadline = None;
         gateway.process.restart()
     }
 
-    /// Ends faults whose time is over, and starts again what has stopped.
-    pub(super) fn heal(&mut self) -> Result<(), Error> {
+    /// Ends the faults that are due, and restarts stopped processes and crashed endpoints.
+    pub(super) fn recover_due(&mut self) -> Result<(), Error> {
         let now = Instant::now();
         let (due, later): (Vec<_>, Vec<_>) = self.undo.drain(..).partition(|(at, _)| *at <= now);
         self.undo = later;
         for (_, undo) in due {
             self.undo(&undo)?;
         }
-        for n in 0..DESKS {
-            let known = |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Restart(m) if *m == n);
-            if self.endpoints[n].is_down() && !self.undo.iter().any(known) {
-                self.crashes += 1;
-                self.undo.push((now + DOWN, Undo::Restart(n)));
+        for n in 0..PLAIN_ENDPOINTS {
+            let is_scheduled =
+                |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Restart(m) if *m == n);
+            if self.endpoints[n].is_down() && !self.undo.iter().any(is_scheduled) {
+                self.crash_count += 1;
+                self.undo.push((now + RESTART_DELAY, Undo::Restart(n)));
             }
         }
         for gateway in &mut self.gateways {
-            let over = gateway.stopping.is_some_and(|end| end <= now);
-            let ended = gateway.process.wait(now).is_ok();
-            if ended {
-                self.ended += usize::from(gateway.stopping.is_none());
-            } else if over {
+            let is_overdue = gateway.stop_deadline.is_some_and(|end| end <= now);
+            let has_exited = gateway.process.wait(now).is_ok();
+            if has_exited {
+                self.unexpected_exits += usize::from(gateway.stop_deadline.is_none());
+            } else if is_overdue {
                 gateway.process.kill()?;
             }
-            if ended || over {
-                gateway.stopping = None;
+            if has_exited || is_overdue {
+                gateway.stop_deadline = None;
                 gateway.process.restart()?;
             }
         }
@@ -256,49 +259,49 @@
                 self.gateways[*n].relay.set_delay(Duration::ZERO);
                 self.gateways[*n].relay.cut_all();
             }
-            Undo::Manner(n) => self.endpoints[*n].set_behaviour(Behaviour::Sound),
-            Undo::Return(n) if self.endpoints[*n].is_down() => {}
-            Undo::Return(n) => self.endpoints[*n].register("ready"),
+            Undo::Behaviour(n) => self.endpoints[*n].set_behaviour(Behaviour::Sound),
+            Undo::Reregister(n) if self.endpoints[*n].is_down() => {}
+            Undo::Reregister(n) => self.endpoints[*n].register("ready"),
             Undo::Restart(n) => self.restart(*n)?,
         }
         Ok(())
     }
 
-    /// Starts an endpoint that has crashed, under another id.
+    /// Replaces a crashed endpoint by one with another id at the same address.
     fn restart(&mut self, n: usize) -> Result<(), Error> {
-        let before = &self.endpoints[n];
-        before.stop();
-        let id = format!("e{n}-{}", self.crashes);
-        let next = endpoint(before.addr(), &self.store, n, &id)?;
-        let before = std::mem::replace(&mut self.endpoints[n], next);
-        self.store.remove("servers", before.id());
-        self.past.extend(before.runs());
+        let crashed = &self.endpoints[n];
+        crashed.stop();
+        let id = format!("e{n}-{}", self.crash_count);
+        let replacement = endpoint(crashed.addr(), &self.store, n, &id)?;
+        let crashed = std::mem::replace(&mut self.endpoints[n], replacement);
+        self.store.remove("servers", crashed.id());
+        self.crashed_runs.extend(crashed.runs());
         Ok(())
     }
 
-    /// Returns what all endpoints ran, those that have crashed included.
-    pub(super) fn ran(&self) -> Vec<ExecutedRequest> {
-        let now = self.endpoints.iter().flat_map(Endpoint::runs);
-        self.past.iter().cloned().chain(now).collect()
+    /// Returns the requests that all endpoints ran, including those that have crashed.
+    pub(super) fn executed(&self) -> Vec<ExecutedRequest> {
+        let current = self.endpoints.iter().flat_map(Endpoint::runs);
+        self.crashed_runs.iter().cloned().chain(current).collect()
     }
 
-    /// Ends all faults.
-    pub(super) fn calm(&mut self) -> Result<(), Error> {
+    /// Ends all faults and waits up to `READY_TIMEOUT` for the gateways to accept connections.
+    pub(super) fn end_faults(&mut self) -> Result<(), Error> {
         for (_, undo) in std::mem::take(&mut self.undo) {
             self.undo(&undo)?;
         }
         for gateway in &mut self.gateways {
-            if let Some(end) = gateway.stopping.take() {
+            if let Some(end) = gateway.stop_deadline.take() {
                 if gateway.process.wait(end).is_err() {
                     gateway.process.kill()?;
                 }
                 gateway.process.restart()?;
             }
         }
-        let end = Instant::now() + READY;
-        while Instant::now() < end {
-            let up = |at: &SocketAddr| std::net::TcpStream::connect(at).is_ok();
-            if self.callers.iter().all(up) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < deadline {
+            let accepts = |at: &SocketAddr| std::net::TcpStream::connect(at).is_ok();
+            if self.caller_addrs.iter().all(accepts) {
                 return Ok(());
             }
             thread::sleep(Duration::from_millis(50));
@@ -306,16 +309,16 @@
         Ok(())
     }
 
-    /// Returns where logs and settings are.
-    pub(super) fn folder(&self) -> &std::path::Path {
-        &self.folder
+    /// Returns the directory of logs and settings.
+    pub(super) fn directory(&self) -> &std::path::Path {
+        &self.directory
     }
 }
 
 impl Drop for World {
     fn drop(&mut self) {
         for gateway in &mut self.gateways {
-            // One that is frozen would not end, and one may have ended.
+            // The process may be frozen, or have exited already.
             let _ = gateway.process.thaw();
             let _ = gateway.process.kill();
             gateway.relay.silence(Direction::Forth);
@@ -330,7 +333,7 @@
     n: usize,
     id: &str,
 ) -> std::io::Result<Endpoint> {
-    let (service, models) = if n < DESKS {
+    let (service, models) = if n < PLAIN_ENDPOINTS {
         ("desk", &[][..])
     } else {
         ("lm", &MODELS[..])
@@ -339,7 +342,7 @@
     endpoint.set_work_duration(Duration::from_millis(25));
     endpoint.set_event_count(20);
     endpoint.crash_on(Crash {
-        marker: CRASHING.to_vec(),
+        marker: CRASH_MARKER.to_vec(),
         mode: CrashMode::ProcessExit,
     });
     Ok(endpoint)
@@ -347,23 +350,23 @@
 
 fn config(version: u64, keys: &Keys) -> Value {
     let mut routes = vec![
-        json!({ "name": "desk", "hostname": HOST, "prefix": "/desk/", "type": "idempotent",
+        json!({ "name": "desk", "hostname": HOSTNAME, "prefix": "/desk/", "type": "idempotent",
             "timeoutMs": 3000, "targetLatencyMs": 150, "priority": 2, "service": "desk",
             "maxAttempts": 3 }),
-        json!({ "name": "once", "hostname": HOST, "prefix": "/once/", "type": "non_idempotent",
+        json!({ "name": "once", "hostname": HOSTNAME, "prefix": "/once/", "type": "non_idempotent",
             "timeoutMs": 3000, "targetLatencyMs": 150, "priority": 2, "service": "desk",
             "maxAttempts": 3 }),
-        json!({ "name": "lm", "hostname": HOST, "prefix": "/lm/", "type": "rollout",
+        json!({ "name": "lm", "hostname": HOSTNAME, "prefix": "/lm/", "type": "rollout",
             "timeoutMs": 10000, "targetLatencyMs": 400, "priority": 0, "service": "lm",
             "maxAttempts": 9, "dueMs": 7500, "itemTtlS": 120 }),
     ];
     for n in 0..version % 5 {
         routes.push(
-            json!({ "name": format!("r{n}"), "hostname": HOST, "type": "idempotent",
+            json!({ "name": format!("r{n}"), "hostname": HOSTNAME, "type": "idempotent",
             "prefix": format!("/more/{n}/"), "timeoutMs": 900, "service": "desk" }),
         );
     }
-    let mut accounts = vec![json!({ "name": CALLERS, "apiKeys": keys.held() })];
+    let mut accounts = vec![json!({ "name": CALLER_ACCOUNT, "apiKeys": keys.active() })];
     accounts.extend(MODELS.map(|name| json!({ "name": name, "apiKeys": [name] })));
     let models = MODELS.map(|name| json!({ "name": name }));
     json!({ "version": version, "routes": routes, "tenants": accounts,
--- a/hibiscusroad-measure/tests/soak.rs
+++ b/hibiscusroad-measure/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short soaks of gateways, and every seed that ever broke a promise.
+//! Short soaks of gateways, and regression tests for seeds with past violations.
 
 use hibiscusroad_measure::{
     interrupt::Interrupt,
@@ -6,9 +6,8 @@
 };
 use std::{thread, time::Duration};
 
-/// Seeds that broke a promise, their seconds, and the cause. They were found at five
-/// gateways, three to five soaks at once.
-const BROKE: &[(u64, u64, &str)] = &[
+/// Seeds with past violations, the duration of fault injection in seconds, and the cause.
+const REGRESSIONS: &[(u64, u64, &str)] = &[
     (
         20,
         15,
@@ -30,7 +29,7 @@
     (604, 20, "as 607"),
 ];
 
-fn play(seed: u64, seconds: u64, processes: usize) -> Found {
+fn run_soak(seed: u64, seconds: u64, processes: usize) -> Found {
     let options = Options {
         time: Duration::from_secs(seconds),
         seed,
@@ -39,33 +38,30 @@
     soak::run(&options, &Interrupt::default()).unwrap()
 }
 
-// Callers see whole answers of their own or true refusals, trainers see every
-// item once at a position that stays, and all batches end once the faults do,
-// whatever fails in between.
+// Callers receive complete answers or correct refusals, trainers find every item once at a
+// fixed position, and all batches end after the faults.
 #[test]
 fn promises_hold_under_drawn_faults() {
-    let found = play(1, 8, 4);
+    let found = run_soak(1, 8, 4);
     assert!(found.is_clean(), "{}", found.text());
     assert!(found.count("answered") > 50, "{}", found.text());
     assert!(found.count("steps") >= 2, "{}", found.text());
     assert!(found.count("reports") >= 2, "{}", found.text());
 }
 
-// The same, for each plan that once showed a fault.
 #[test]
 fn plans_that_broke_a_promise_break_none() {
-    let plays = BROKE.iter().map(|(seed, seconds, cause)| {
-        let play = thread::spawn(move || play(*seed, *seconds, 5));
-        (seed, cause, play)
+    let soaks = REGRESSIONS.iter().map(|(seed, seconds, cause)| {
+        let handle = thread::spawn(move || run_soak(*seed, *seconds, 5));
+        (seed, cause, handle)
     });
-    let plays: Vec<_> = plays.collect();
-    // All come to their end before any is judged: a thread that is left behind
-    // would leave its processes behind.
-    let ended: Vec<_> = plays
+    let soaks: Vec<_> = soaks.collect();
+    // Joins all threads before any assertion: a running thread would leave its processes behind.
+    let results: Vec<_> = soaks
         .into_iter()
-        .map(|(s, c, play)| (s, c, play.join()))
+        .map(|(seed, cause, handle)| (seed, cause, handle.join()))
         .collect();
-    for (seed, cause, found) in ended {
+    for (seed, cause, found) in results {
         let found = found.unwrap();
         assert!(
             found.is_clean(),
