--- a/hibiscusroad-measure/src/soak/clients.rs
+++ b/hibiscusroad-measure/src/soak/clients.rs
@@ -114,17 +114,17 @@
 impl Caller {
     pub(super) fn new(
         world: &World,
-        n: usize,
+        index: usize,
         seed: u64,
         check: &Check,
         stopped: &Arc<AtomicBool>,
     ) -> Self {
-        let client = Client::new(world, seed ^ (n as u64 + 1) << 32, check, stopped);
+        let client = Client::new(world, seed ^ (index as u64 + 1) << 32, check, stopped);
         let keys = world.keys.clone();
         Self {
             client,
             keys,
-            index: n,
+            index,
         }
     }
 
