--- a/hibiscusroad-measure/src/faults/check.rs
+++ b/hibiscusroad-measure/src/faults/check.rs
@@ -1,8 +1,8 @@
-//! The checks: one for each promise, over nothing but the history.
+//! The checks of a history, one for each guarantee.
 
 use super::{
     counts::Counts,
-    inject::{Done, Told},
+    inject::{InjectedFault, OperatorReply},
     plan::Fault,
     watch::Seen,
 };
@@ -18,27 +18,27 @@
     time::Duration,
 };
 
-/// How long after a drain new work may still start.
-const DRAIN: Duration = Duration::from_secs(3);
+/// How long after a drain requests may still start.
+const DRAIN_GRACE: Duration = Duration::from_secs(3);
 
-/// How long a process that comes back may need before its callers count.
-const RECOVERY: Duration = Duration::from_secs(1);
+/// How long a fault may still affect calls after it was undone.
+const RECOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// What recorders wrote down.
+/// The records of a fault run.
 #[derive(Debug)]
 pub struct History {
-    /// Callers.
-    pub made: Vec<Made>,
-    /// Where the entries take callers, in their order.
+    /// Calls and their outcomes.
+    pub calls: Vec<Made>,
+    /// The addresses of the entries for callers.
     pub entries: Vec<String>,
-    /// Watchers of the entries, in their order.
-    pub seen: Vec<Vec<Seen>>,
-    /// Endpoints, by name.
-    pub runs: BTreeMap<String, Vec<LogEntry>>,
+    /// The configuration versions of each entry, in the order of `entries`.
+    pub versions: Vec<Vec<Seen>>,
+    /// The requests that endpoints ran, by name of the endpoint.
+    pub endpoint_logs: BTreeMap<String, Vec<LogEntry>>,
     /// The audit trail.
-    pub trail: Vec<Row>,
-    /// Faults.
-    pub done: Vec<Done>,
+    pub audit_rows: Vec<Row>,
+    /// The injected faults.
+    pub faults: Vec<InjectedFault>,
     /// The start of the load, milliseconds since 1970 UTC.
     pub epoch_ms: u64,
 }
@@ -48,22 +48,22 @@
     #[must_use]
     pub fn check(&self) -> Counts {
         let mut counts = Counts {
-            requests: self.made.len(),
-            faults: self.done.len(),
-            runs: self.runs.values().map(Vec::len).sum(),
+            requests: self.calls.len(),
+            faults: self.faults.len(),
+            runs: self.endpoint_logs.values().map(Vec::len).sum(),
             ..Counts::default()
         };
-        for made in &self.made {
-            self.outcome(made, &mut counts);
+        for record in &self.calls {
+            self.check_outcome(record, &mut counts);
         }
-        self.doubled(&mut counts);
-        self.not_run(&mut counts);
-        self.reverts(&mut counts);
-        self.commands(&mut counts);
-        self.drains(&mut counts);
-        for done in &self.done {
-            if let Some(failed) = &done.failed {
-                counts.remark(format!("fault {:?}: {failed}", done.fault));
+        self.check_duplicates(&mut counts);
+        self.check_not_run(&mut counts);
+        self.check_reverts(&mut counts);
+        self.check_commands(&mut counts);
+        self.check_drains(&mut counts);
+        for injected in &self.faults {
+            if let Some(error) = &injected.error {
+                counts.remark(format!("fault {:?}: {error}", injected.fault));
             }
         }
         counts.trace = self.trace();
@@ -71,88 +71,89 @@
     }
 
     fn trace(&self) -> Vec<(Duration, String)> {
-        let faults = self.done.iter().map(|done| {
-            let (fault, to) = (done.fault, done.to);
-            (done.from, format!("{fault:?} until {to:.2?}"))
+        let faults = self.faults.iter().map(|injected| {
+            let (fault, to) = (injected.fault, injected.to);
+            (injected.from, format!("{fault:?} until {to:.2?}"))
         });
         let calls = self
-            .made
+            .calls
             .iter()
-            .filter(|made| made.outcome.ending != Ending::Answered);
-        let calls = calls.map(|made| {
-            let text = format!("{}: {:?}", name(made), made.outcome.ending);
-            (made.call.at + made.outcome.latency, text)
+            .filter(|record| record.outcome.ending != Ending::Answered);
+        let calls = calls.map(|record| {
+            let text = format!("{}: {:?}", describe(record), record.outcome.ending);
+            (record.call.at + record.outcome.latency, text)
         });
-        let told = self.done.iter().flat_map(|done| &done.told);
-        let told = told.map(|told| (told.at, format!("{}: {}", told.statement, told.answer)));
-        let mut trace: Vec<_> = faults.chain(calls).chain(told).collect();
+        let replies = self.faults.iter().flat_map(|fault| &fault.replies);
+        let replies =
+            replies.map(|reply| (reply.at, format!("{}: {}", reply.statement, reply.answer)));
+        let mut trace: Vec<_> = faults.chain(calls).chain(replies).collect();
         trace.sort();
         trace
     }
 
-    fn outcome(&self, made: &Made, counts: &mut Counts) {
-        let (call, outcome) = (&made.call, &made.outcome);
-        let free = !matches!(call.work, Work::Post { .. });
-        let gone = self.entry_gone(made);
-        counts.repeatable.0 += usize::from(free && !gone);
-        let mut wrong = None;
+    fn check_outcome(&self, record: &Made, counts: &mut Counts) {
+        let (call, outcome) = (&record.call, &record.outcome);
+        let repeatable = !matches!(call.work, Work::Post { .. });
+        let unavailable = self.entry_unavailable(record);
+        counts.repeatable.0 += usize::from(repeatable && !unavailable);
+        let mut failure = None;
         match &outcome.ending {
             Ending::Answered => {
                 counts.answered += 1;
-                counts.repeatable.1 += usize::from(free && !gone);
+                counts.repeatable.1 += usize::from(repeatable && !unavailable);
             }
             Ending::Refused(_, problem) => {
                 counts.refused += 1;
                 *counts.refusals.entry(problem.clone()).or_default() += 1;
                 let unknown = ErrorKind::OutcomeUnknown.answer().problem;
                 counts.unknown += usize::from(problem == unknown);
-                if !gone && self.cut(made, problem) {
-                    counts.cut += 1;
-                    counts.remark(format!("cut by a stop: {}: {problem}", name(made)));
+                if !unavailable && self.cut_by_stop(record, problem) {
+                    counts.cut_off += 1;
+                    counts.remark(format!("cut by a stop: {}: {problem}", describe(record)));
                 }
-                if gone && outcome.wait > call.deadline + GRACE {
+                if unavailable && outcome.wait > call.deadline + GRACE {
                     counts.unserved += 1;
                 }
             }
             Ending::Short(why) => {
-                counts.short += 1;
-                counts.remark(format!("short: {}: {why}", name(made)));
+                counts.incomplete += 1;
+                counts.remark(format!("short: {}: {why}", describe(record)));
             }
-            Ending::Lost(_) if gone => counts.unserved += 1,
-            Ending::Lost(_) if self.broken(made) => counts.broken += 1,
-            Ending::Lost(why) => wrong = Some(why.clone()),
+            Ending::Lost(_) if unavailable => counts.unserved += 1,
+            Ending::Lost(_) if self.stream_broken(record) => counts.broken_streams += 1,
+            Ending::Lost(why) => failure = Some(why.clone()),
         }
-        if !gone {
+        if !unavailable {
             let overdue = outcome.wait.saturating_sub(call.deadline);
-            counts.overdue = counts.overdue.max(overdue);
+            counts.max_overdue = counts.max_overdue.max(overdue);
             if outcome.wait > call.deadline + GRACE {
-                wrong = Some(format!("{overdue:.0?} after its deadline"));
+                failure = Some(format!("{overdue:.0?} after its deadline"));
             }
         }
-        if let Some(why) = wrong {
-            if self.stopping(made) {
-                counts.cut += 1;
-                counts.remark(format!("cut by a stop: {}: {why}", name(made)));
+        if let Some(why) = failure {
+            if self.entry_stopping(record) {
+                counts.cut_off += 1;
+                counts.remark(format!("cut by a stop: {}: {why}", describe(record)));
             } else {
                 counts.late += 1;
-                counts.remark(format!("late: {}: {why}", name(made)));
+                counts.remark(format!("late: {}: {why}", describe(record)));
             }
         }
     }
 
-    /// Says whether a call's entry was killed or stood still at some time
-    /// during the call, or had not come back yet. Nobody can answer for it then.
-    fn entry_gone(&self, made: &Made) -> bool {
-        self.during(made, |fault, n| match fault {
+    /// Returns whether a call's entry was killed or frozen during the call or
+    /// had not recovered yet, or refused the connection while it stopped.
+    fn entry_unavailable(&self, record: &Made) -> bool {
+        self.overlaps_fault(record, |fault, n| match fault {
             Fault::KillEntry(entry) | Fault::FreezeEntry(entry) => entry == n,
             _ => false,
-        }) || (self.stopping(made) && refused_connection(made))
+        }) || (self.entry_stopping(record) && refused_connection(record))
     }
 
-    /// Says whether a stream had begun and broke off, while a crash or a pause
-    /// was at work behind the entry. A planned stop is none.
-    fn broken(&self, made: &Made) -> bool {
-        let behind = |fault| {
+    /// Returns whether a stream had begun and a sidecar or endpoint was killed or
+    /// frozen during the call. Planned stops don't count.
+    fn stream_broken(&self, record: &Made) -> bool {
+        let behind_entry = |fault| {
             matches!(
                 fault,
                 Fault::KillSide(_)
@@ -161,98 +162,102 @@
                     | Fault::FreezeEndpoint(_)
             )
         };
-        made.outcome.tokens > 0 && self.during(made, |fault, _| behind(fault))
+        record.outcome.tokens > 0 && self.overlaps_fault(record, |fault, _| behind_entry(fault))
     }
 
-    /// Says whether a refusal shows that a planned stop cut off a request: it
-    /// may have run, and nothing but planned stops was at work.
-    fn cut(&self, made: &Made, problem: &str) -> bool {
+    /// Returns whether a refusal shows that a planned stop interrupted a request:
+    /// it may have run, and no faults but planned stops were active.
+    fn cut_by_stop(&self, record: &Made, problem: &str) -> bool {
         let may_have_run =
             ErrorKind::from_problem(problem).is_none_or(|kind| !kind.answer().not_run);
         let stop = |fault| matches!(fault, Fault::StopEntry(_) | Fault::StopSide(_));
         let timed_out = ErrorKind::TimedOut.answer().problem;
         may_have_run
             && problem != timed_out
-            // A repeat of a key whose request was answered whole asks for an
-            // answer that went with its side. It is told so, and nothing runs.
-            && !self.was_answered(made)
-            && self.during(made, |fault, _| stop(fault))
-            && !self.during(made, |fault, _| !stop(fault))
+            // The stored answer for a repeated key may be lost with its sidecar.
+            // The repeat is refused then, and the request does not run again.
+            && !self.was_answered(record)
+            && self.overlaps_fault(record, |fault, _| stop(fault))
+            && !self.overlaps_fault(record, |fault, _| !stop(fault))
     }
 
-    /// Says whether a call's entry was asked to stop during the call.
-    fn stopping(&self, made: &Made) -> bool {
-        self.during(made, |fault, n| fault == Fault::StopEntry(n))
+    /// Returns whether a call's entry was asked to stop during the call.
+    fn entry_stopping(&self, record: &Made) -> bool {
+        self.overlaps_fault(record, |fault, n| fault == Fault::StopEntry(n))
     }
 
-    fn during(&self, made: &Made, of: impl Fn(Fault, usize) -> bool) -> bool {
-        let to = made.call.at + made.outcome.latency;
-        let from = to.saturating_sub(made.outcome.wait);
-        let entry = self.entry(made);
-        self.done
+    /// Returns whether a fault that matches was active during a call.
+    fn overlaps_fault(&self, record: &Made, matches: impl Fn(Fault, usize) -> bool) -> bool {
+        let to = record.call.at + record.outcome.latency;
+        let from = to.saturating_sub(record.outcome.wait);
+        let entry = self.entry_index(record);
+        self.faults
             .iter()
-            .filter(|done| of(done.fault, entry))
-            .any(|done| from <= done.to.saturating_add(RECOVERY) && done.from <= to)
+            .filter(|injected| matches(injected.fault, entry))
+            .any(|injected| {
+                from <= injected.to.saturating_add(RECOVERY_TIME) && injected.from <= to
+            })
     }
 
-    /// The number of a call's entry.
-    fn entry(&self, made: &Made) -> usize {
-        let own = address(&made.call.base);
+    /// Returns the index of a call's entry, or the number of entries if unknown.
+    fn entry_index(&self, record: &Made) -> usize {
+        let entry_address = address(&record.call.base);
         let entries = self.entries.iter();
         entries
             .clone()
-            .position(|a| a == own)
+            .position(|a| a == entry_address)
             .unwrap_or(entries.len())
     }
 
-    fn was_answered(&self, made: &Made) -> bool {
+    fn was_answered(&self, record: &Made) -> bool {
         let mut same = self
-            .made
+            .calls
             .iter()
-            .filter(|other| other.call.request == made.call.request);
+            .filter(|other| other.call.request == record.call.request);
         same.any(|other| other.outcome.ending == Ending::Answered)
     }
 
-    fn doubled(&self, counts: &mut Counts) {
+    fn check_duplicates(&self, counts: &mut Counts) {
         let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        for (endpoint, log) in &self.runs {
-            // All calls with one key carry the same request name as well.
+        for (endpoint, log) in &self.endpoint_logs {
+            // Calls with the same key have the same request name.
             let writes = log.iter().filter(|ran| ran.method == "POST");
             for request in writes.filter_map(|ran| ran.request.as_deref()) {
                 runs.entry(request).or_default().push(endpoint);
             }
         }
         for (key, at) in runs.into_iter().filter(|(_, at)| at.len() > 1) {
-            counts.doubled += 1;
+            counts.duplicates += 1;
             counts.remark(format!("doubled: {key} ran at {}", at.join(", ")));
         }
     }
 
-    /// A request that every caller of it was told "not run" of must be in no log.
-    fn not_run(&self, counts: &mut Counts) {
-        let logs = self.runs.values().flatten();
+    /// Checks that a request isn't in any log if all its callers were told that
+    /// it did not run.
+    fn check_not_run(&self, counts: &mut Counts) {
+        let logs = self.endpoint_logs.values().flatten();
         let ran: BTreeSet<&str> = logs.filter_map(|ran| ran.request.as_deref()).collect();
         let mut calls: BTreeMap<&str, Vec<&Made>> = BTreeMap::new();
-        for made in &self.made {
-            calls.entry(&made.call.request).or_default().push(made);
+        for record in &self.calls {
+            calls.entry(&record.call.request).or_default().push(record);
         }
-        for (request, made) in calls {
-            if ran.contains(request) && made.iter().all(|made| says_not_run(made)) {
-                counts.untrue += 1;
-                counts.remark(format!("false not run: {}", name(made[0])));
+        for (request, records) in calls {
+            if ran.contains(request) && records.iter().all(|record| says_not_run(record)) {
+                counts.false_not_run += 1;
+                counts.remark(format!("false not run: {}", describe(records[0])));
             }
         }
     }
 
-    /// Within one life of an entry, the version only rises. A kill or stop ends
-    /// a life; an answer under way across its end belongs to neither.
-    fn reverts(&self, counts: &mut Counts) {
-        for (entry, seen) in self.seen.iter().enumerate() {
+    /// Checks that the version never falls within one incarnation of an entry. A
+    /// pair of answers that overlaps a kill or stop is not compared.
+    fn check_reverts(&self, counts: &mut Counts) {
+        for (entry, seen) in self.versions.iter().enumerate() {
             for pair in seen.windows(2) {
                 let (before, after) = (pair[0], pair[1]);
-                let ended = self.done.iter().any(|done| {
-                    let ends = matches!(done.fault, Fault::KillEntry(n) | Fault::StopEntry(n) if n == entry);
-                    ends && before.asked <= done.to && done.from <= after.told
+                let ended = self.faults.iter().any(|injected| {
+                    let ends = matches!(injected.fault, Fault::KillEntry(n) | Fault::StopEntry(n) if n == entry);
+                    ends && before.asked <= injected.to && injected.from <= after.told
                 });
                 if after.version < before.version && !ended {
                     counts.config_reverts += 1;
@@ -262,17 +267,18 @@
         }
     }
 
-    /// Each command that was told "done" is the one that made that version.
-    fn commands(&self, counts: &mut Counts) {
+    /// Checks that each confirmed command has a version of its own in the audit
+    /// trail.
+    fn check_commands(&self, counts: &mut Counts) {
         let versions: BTreeSet<u64> = self
-            .trail
+            .audit_rows
             .iter()
             .filter_map(|row| row.get("version").and_then(serde_json::Value::as_u64))
             .collect();
-        let mut told = BTreeSet::new();
-        for Told {
+        let mut confirmed = BTreeSet::new();
+        for OperatorReply {
             statement, answer, ..
-        } in self.done.iter().flat_map(|done| &done.told)
+        } in self.faults.iter().flat_map(|fault| &fault.replies)
         {
             let Some((_, version)) = answer.split_once("done: version ") else {
                 continue;
@@ -280,30 +286,31 @@
             let Ok(version) = version.trim().parse::<u64>() else {
                 continue;
             };
-            if !versions.contains(&version) || !told.insert(version) {
+            if !versions.contains(&version) || !confirmed.insert(version) {
                 counts.lost_commands += 1;
                 counts.remark(format!("not in the trail: {statement}: {answer}"));
             }
         }
     }
 
-    fn drains(&self, counts: &mut Counts) {
-        for done in &self.done {
-            let Fault::Drain(plain) = done.fault else {
+    fn check_drains(&self, counts: &mut Counts) {
+        for injected in &self.faults {
+            let Fault::Drain(endpoint_index) = injected.fault else {
                 continue;
             };
-            let drained = |told: &&Told| {
-                told.statement.starts_with("drain ") && told.answer.contains("done: ")
+            let drained = |reply: &&OperatorReply| {
+                reply.statement.starts_with("drain ") && reply.answer.contains("done: ")
             };
-            let accepted = done.told.iter().find(drained);
-            let Some((accepted, (endpoint, log))) = accepted.zip(self.runs.iter().nth(plain))
+            let accepted = injected.replies.iter().find(drained);
+            let Some((accepted, (endpoint, log))) =
+                accepted.zip(self.endpoint_logs.iter().nth(endpoint_index))
             else {
                 continue;
             };
-            let from = accepted.at + DRAIN;
+            let from = accepted.at + DRAIN_GRACE;
             for ran in log {
                 let at = Duration::from_millis(ran.at_ms.saturating_sub(self.epoch_ms));
-                if at > from && at + Duration::from_secs(1) < done.to {
+                if at > from && at + Duration::from_secs(1) < injected.to {
                     counts.after_drain += 1;
                     counts.remark(format!(
                         "after drain: {:?} at {endpoint}, {at:?}",
@@ -315,8 +322,8 @@
     }
 }
 
-fn says_not_run(made: &Made) -> bool {
-    match &made.outcome.ending {
+fn says_not_run(record: &Made) -> bool {
+    match &record.outcome.ending {
         Ending::Refused(_, problem) => {
             ErrorKind::from_problem(problem).is_some_and(|kind| kind.answer().not_run)
         }
@@ -324,8 +331,8 @@
     }
 }
 
-fn refused_connection(made: &Made) -> bool {
-    matches!(&made.outcome.ending, Ending::Lost(why) if why.contains("refused"))
+fn refused_connection(record: &Made) -> bool {
+    matches!(&record.outcome.ending, Ending::Lost(why) if why.contains("refused"))
 }
 
 fn address(base: &str) -> &str {
@@ -335,8 +342,8 @@
         .unwrap_or(base)
 }
 
-fn name(made: &Made) -> String {
-    let (call, outcome) = (&made.call, &made.outcome);
+fn describe(record: &Made) -> String {
+    let (call, outcome) = (&record.call, &record.outcome);
     let kind = match &call.work {
         Work::Get => "GET",
         Work::Post { .. } => "POST",
--- a/hibiscusroad-measure/src/faults/counts.rs
+++ b/hibiscusroad-measure/src/faults/counts.rs
@@ -1,79 +1,83 @@
-//! What the checks of a fault run found.
+//! The results of the checks of a fault run.
 
 use crate::report::Report;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Remarks that are kept: enough to see what is wrong.
-const REMARKS: usize = 40;
+/// Maximum number of remarks that are kept.
+const MAX_REMARKS: usize = 40;
 
-/// What the checks found.
+/// The results of the checks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Calls that were made.
     pub requests: usize,
     /// Requests that plain services started.
     pub runs: usize,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: usize,
-    /// Repeatable calls that were made, and whole answers to them.
+    /// Calls without an idempotency key whose entry was available, and
+    /// the complete answers to them.
     pub repeatable: (usize, usize),
     /// Calls that were refused.
     pub refused: usize,
-    /// Of these, how many of each problem.
+    /// Refused calls by problem code.
     pub refusals: BTreeMap<String, usize>,
-    /// Of these, those that were told that the outcome is unknown.
+    /// Refused calls whose outcome is unknown to the caller.
     pub unknown: usize,
-    /// Calls whose entry was gone: killed, stopped or standing still.
+    /// Calls without a timely answer because their entry was killed, stopped
+    /// or frozen.
     pub unserved: usize,
-    /// Answers that broke off visibly while a side or endpoint was gone: what
-    /// had come of them can't come from elsewhere.
-    pub broken: usize,
-    /// Final answers after the deadline, or none, from an entry that ran.
+    /// Streams that broke off while a sidecar or endpoint was killed or frozen.
+    /// Another endpoint can't continue a stream that has begun.
+    pub broken_streams: usize,
+    /// Calls through an available entry that were answered after the deadline
+    /// or not at all.
     pub late: usize,
-    /// Keys that ran more than once.
-    pub doubled: usize,
-    /// Successes that are not whole or answer another request.
-    pub short: usize,
-    /// Refusals that say "not run" of what ran.
-    pub untrue: usize,
-    /// Times that an entry went back to an older configuration.
+    /// Requests with an idempotency key that ran more than once.
+    pub duplicates: usize,
+    /// Successes that are incomplete or answer another request.
+    pub incomplete: usize,
+    /// Requests that ran although every caller was told that they did not.
+    pub false_not_run: usize,
+    /// Times that an entry reverted to an older configuration.
     pub config_reverts: usize,
-    /// Commands that were told "done" and are not in the trail.
+    /// Commands that were confirmed with "done" but have no own version in the
+    /// audit trail.
     pub lost_commands: usize,
-    /// Requests that started at an endpoint 3 s after its drain or later.
+    /// Requests that started at an endpoint more than 3 s after its drain.
     pub after_drain: usize,
-    /// Calls that a planned stop cut off.
-    pub cut: usize,
+    /// Calls that a planned stop interrupted.
+    pub cut_off: usize,
     /// The longest time that a caller waited past its deadline.
-    pub overdue: Duration,
-    /// Faults that happened.
+    pub max_overdue: Duration,
+    /// Faults that were injected, including attempts that failed.
     pub faults: usize,
-    /// What was found, one line each.
+    /// Descriptions of findings, one line each.
     pub remarks: Vec<String>,
-    /// What happened, in order: faults, and calls that got no answer.
+    /// Faults, unsuccessful calls and operators' replies in order of time.
     pub trace: Vec<(Duration, String)>,
 }
 
 impl Counts {
-    /// Says whether every promise was kept.
+    /// Returns whether no check found a violation.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
         self.late
-            + self.doubled
-            + self.short
-            + self.untrue
+            + self.duplicates
+            + self.incomplete
+            + self.false_not_run
             + self.config_reverts
             + self.lost_commands
             + self.after_drain
-            + self.cut
+            + self.cut_off
             == 0
     }
 
-    /// Returns the figures.
+    /// Returns the counts as a report.
     #[must_use]
     pub fn report(&self) -> Report {
         let mut report = Report::default();
-        let (made, whole) = self.repeatable;
+        let (calls, answers) = self.repeatable;
         let figures = [
             ("requests", self.requests),
             ("runs", self.runs),
@@ -81,16 +85,16 @@
             ("refused", self.refused),
             ("unknown", self.unknown),
             ("unserved", self.unserved),
-            ("broken", self.broken),
+            ("broken", self.broken_streams),
             ("faults", self.faults),
             ("late", self.late),
-            ("doubled", self.doubled),
-            ("short", self.short),
-            ("false_not_run", self.untrue),
+            ("doubled", self.duplicates),
+            ("short", self.incomplete),
+            ("false_not_run", self.false_not_run),
             ("config_reverts", self.config_reverts),
             ("lost_commands", self.lost_commands),
             ("after_drain", self.after_drain),
-            ("cut_by_stop", self.cut),
+            ("cut_by_stop", self.cut_off),
         ];
         for (name, value) in figures {
             report.add(name, value as f64, "");
@@ -102,17 +106,17 @@
                 "",
             );
         }
-        report.add("overdue_max", self.overdue.as_secs_f64() * 1e3, "ms");
+        report.add("overdue_max", self.max_overdue.as_secs_f64() * 1e3, "ms");
         report.add(
             "repeatable_answered",
-            100.0 * whole as f64 / made.max(1) as f64,
+            100.0 * answers as f64 / calls.max(1) as f64,
             "%",
         );
         report
     }
 
     pub(super) fn remark(&mut self, text: String) {
-        if self.remarks.len() < REMARKS {
+        if self.remarks.len() < MAX_REMARKS {
             self.remarks.push(text);
         }
     }
--- a/hibiscusroad-measure/src/faults/inject.rs
+++ b/hibiscusroad-measure/src/faults/inject.rs
@@ -1,6 +1,6 @@
-//! Making faults happen, and undoing them.
+//! Injecting faults and undoing them.
 
-use super::plan::{Fault, Planned};
+use super::plan::{Fault, PlannedFault};
 use crate::{
     deployment::{Deployment, Error, Member, put},
     interrupt::Interrupt,
@@ -18,45 +18,46 @@
 };
 
 /// How long a planned stop may take.
-const STOP: Duration = Duration::from_secs(40);
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Operators who race.
-const OPERATORS: usize = 10;
+/// Number of operators who alter one rule at once.
+const RACING_OPERATORS: usize = 10;
 
-/// A fault that happened.
+/// A fault that was injected.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub struct InjectedFault {
     /// The fault.
     pub fault: Fault,
     /// When it began, counted from the start of the load.
     pub from: Duration,
-    /// When it was undone.
+    /// When it was undone, counted from the start of the load.
     pub to: Duration,
-    /// What operators were told, in the order of their statements.
-    pub told: Vec<Told>,
-    /// What kept the fault from beginning or ending.
-    pub failed: Option<String>,
+    /// The replies to operators, in the order of their statements.
+    pub replies: Vec<OperatorReply>,
+    /// The error that kept the fault from beginning or ending.
+    pub error: Option<String>,
 }
 
-/// What an operator was told.
+/// A reply to an operator's statement.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// When, counted from the start of the load.
+pub struct OperatorReply {
+    /// When the reply was received, counted from the start of the load.
     pub at: Duration,
-    /// What was asked.
+    /// The statement.
     pub statement: String,
-    /// What was printed.
+    /// The text of the reply.
     pub answer: String,
 }
 
-/// Starts a relay before each side.
-pub(super) fn relays(deployment: &Deployment) -> Result<Vec<Relay>, Error> {
+/// Starts a relay in front of each sidecar.
+pub(super) fn start_relays(deployment: &Deployment) -> Result<Vec<Relay>, Error> {
     let sides = deployment.sides.iter();
     let relays = sides.map(|side| Relay::start(ANY_LOOPBACK_PORT, side.daemon.address));
     Ok(relays.collect::<io::Result<_>>()?)
 }
 
-/// Puts the daemons on the host list, the sides behind their relays.
+/// Puts the daemons on the host list, the sidecars with the addresses of their
+/// relays.
 pub(super) fn put_hosts(
     deployment: &Deployment,
     relays: &[Relay],
@@ -76,17 +77,17 @@
     put(&format!("http://{}/hosts", deployment.platform), &body)
 }
 
-/// Makes planned faults happen.
+/// Injects planned faults.
 pub(super) struct Injector<'a> {
     deployment: &'a mut Deployment,
     relays: Vec<Relay>,
     start: Instant,
-    /// Faults at work, with the time when each is to be undone.
+    /// When each active fault is to be undone, and its index in `injected`.
     active: Vec<(Duration, usize)>,
-    done: Vec<Done>,
-    /// Operators who wait for an answer, by the fault that they belong to. They
-    /// may wait long while the platform is down; faults go on meanwhile.
-    operators: Vec<(usize, JoinHandle<Told>)>,
+    injected: Vec<InjectedFault>,
+    /// Threads of operators, with the index of their fault in `injected`. They
+    /// may wait long while the platform is down, so the plan goes on meanwhile.
+    operators: Vec<(usize, JoinHandle<OperatorReply>)>,
 }
 
 impl<'a> Injector<'a> {
@@ -96,13 +97,13 @@
             relays,
             start,
             active: Vec::new(),
-            done: Vec::new(),
+            injected: Vec::new(),
             operators: Vec::new(),
         }
     }
 
-    /// Runs through the plan; returns when all is undone.
-    pub(super) fn run(&mut self, plan: &[Planned], interrupt: &Interrupt) {
+    /// Injects the planned faults and returns when all are undone.
+    pub(super) fn run(&mut self, plan: &[PlannedFault], interrupt: &Interrupt) {
         for planned in plan {
             self.undo_until(planned.at, interrupt);
             if interrupt.is_asked() {
@@ -114,14 +115,14 @@
         self.undo_until(Duration::MAX, interrupt);
     }
 
-    /// Waits for the operators and returns what happened.
-    pub(super) fn finish(mut self) -> Vec<Done> {
+    /// Waits for the operators' replies and returns the injected faults.
+    pub(super) fn finish(mut self) -> Vec<InjectedFault> {
         for (index, operator) in self.operators {
-            if let Ok(told) = operator.join() {
-                self.done[index].told.push(told);
+            if let Ok(reply) = operator.join() {
+                self.injected[index].replies.push(reply);
             }
         }
-        self.done
+        self.injected
     }
 
     fn undo_until(&mut self, until: Duration, interrupt: &Interrupt) {
@@ -130,33 +131,34 @@
                 return;
             }
             interrupt.sleep_until(self.start + at);
-            let due = self.active.iter().position(|(end, _)| *end == at);
-            let (_, index) = self.active.remove(due.unwrap_or(0));
+            let position = self.active.iter().position(|(end, _)| *end == at);
+            let (_, index) = self.active.remove(position.unwrap_or(0));
             if let Err(error) = self.undo(index) {
-                self.done[index].failed = Some(format!("not undone: {error}"));
+                self.injected[index].error = Some(format!("not undone: {error}"));
             }
-            self.done[index].to = self.start.elapsed();
+            self.injected[index].to = self.start.elapsed();
         }
     }
 
-    fn begin(&mut self, planned: &Planned) {
-        // One process can't be killed and frozen at once.
-        let busy = |done: &Done| target(done.fault) == target(planned.fault);
-        let mut active = self.active.iter().map(|(_, index)| &self.done[*index]);
-        if target(planned.fault).is_some() && active.any(busy) {
+    fn begin(&mut self, planned: &PlannedFault) {
+        // A process can't be killed and frozen at once.
+        let same_target =
+            |injected: &InjectedFault| fault_target(injected.fault) == fault_target(planned.fault);
+        let mut active = self.active.iter().map(|(_, index)| &self.injected[*index]);
+        if fault_target(planned.fault).is_some() && active.any(same_target) {
             return;
         }
         let from = self.start.elapsed();
-        let index = self.done.len();
-        let failed = self.inject(planned.fault, index);
-        self.done.push(Done {
+        let index = self.injected.len();
+        let result = self.inject(planned.fault, index);
+        self.injected.push(InjectedFault {
             fault: planned.fault,
             from,
             to: Duration::MAX,
-            told: Vec::new(),
-            failed: failed.err().map(|error| format!("not done: {error}")),
+            replies: Vec::new(),
+            error: result.err().map(|error| format!("not done: {error}")),
         });
-        self.active.push((from + planned.last, index));
+        self.active.push((from + planned.duration, index));
     }
 
     fn inject(&mut self, fault: Fault, index: usize) -> Result<(), Error> {
@@ -175,9 +177,9 @@
             Fault::FreezeEndpoint(n) => endpoints[n].process.freeze()?,
             Fault::StopEntry(n) => entries[n].process.terminate()?,
             Fault::StopSide(n) => sides[n].process.terminate()?,
-            Fault::StoreDown => self.platform(&json!({ "down": true }))?,
-            Fault::StoreSlow(ms) => self.platform(&json!({ "slow_ms": ms }))?,
-            Fault::LoseAnswers => self.platform(&json!({ "lose_answers": "every 2" }))?,
+            Fault::StoreDown => self.control_platform(&json!({ "down": true }))?,
+            Fault::StoreSlow(ms) => self.control_platform(&json!({ "slow_ms": ms }))?,
+            Fault::LoseAnswers => self.control_platform(&json!({ "lose_answers": "every 2" }))?,
             Fault::SilenceLink(n, forth) => self.relays[n].silence(if forth {
                 Direction::Forth
             } else {
@@ -185,38 +187,37 @@
             }),
             Fault::CutLink(n) => self.relays[n].cut_all(),
             Fault::DelayLink(n, ms) => self.relays[n].set_delay(Duration::from_millis(ms)),
-            Fault::Drain(n) => self.operate(index, self.drain_statement("drain", n)),
+            Fault::Drain(n) => self.run_statement(index, self.drain_statement("drain", n)),
             Fault::Race => self.race(index),
         }
         Ok(())
     }
 
     fn undo(&mut self, index: usize) -> Result<(), Error> {
-        match self.done[index].fault {
-            Fault::KillEntry(n) => restarted(&mut self.deployment.entries[n]),
-            Fault::KillSide(n) => restarted(&mut self.deployment.sides[n]),
+        match self.injected[index].fault {
+            Fault::KillEntry(n) => restart(&mut self.deployment.entries[n]),
+            Fault::KillSide(n) => restart(&mut self.deployment.sides[n]),
             Fault::KillEndpoint(n) => self.deployment.endpoints[n].process.restart(),
             Fault::FreezeEntry(n) => self.deployment.entries[n].process.thaw(),
             Fault::FreezeSide(n) => self.deployment.sides[n].process.thaw(),
             Fault::FreezeEndpoint(n) => self.deployment.endpoints[n].process.thaw(),
-            Fault::StopEntry(n) => stopped(&mut self.deployment.entries[n]),
-            Fault::StopSide(n) => stopped(&mut self.deployment.sides[n]),
-            Fault::StoreDown | Fault::StoreSlow(_) | Fault::LoseAnswers => {
-                self.platform(&json!({ "down": false, "slow_ms": 0, "lose_answers": "none" }))
-            }
+            Fault::StopEntry(n) => restart_after_stop(&mut self.deployment.entries[n]),
+            Fault::StopSide(n) => restart_after_stop(&mut self.deployment.sides[n]),
+            Fault::StoreDown | Fault::StoreSlow(_) | Fault::LoseAnswers => self
+                .control_platform(&json!({ "down": false, "slow_ms": 0, "lose_answers": "none" })),
             Fault::DelayLink(n, _) => {
                 self.relays[n].set_delay(Duration::ZERO);
                 Ok(())
             }
             Fault::Drain(n) => {
-                self.operate(index, self.drain_statement("undrain", n));
+                self.run_statement(index, self.drain_statement("undrain", n));
                 Ok(())
             }
             Fault::SilenceLink(..) | Fault::CutLink(_) | Fault::Race => Ok(()),
         }
     }
 
-    fn platform(&self, faults: &serde_json::Value) -> Result<(), Error> {
+    fn control_platform(&self, faults: &serde_json::Value) -> Result<(), Error> {
         let url = format!("http://{}/control", self.deployment.platform);
         ureq::post(url).send(faults.to_string())?;
         Ok(())
@@ -227,25 +228,25 @@
         format!("{verb} endpoint {service}-{}", plain + 1)
     }
 
-    fn operate(&mut self, index: usize, statement: String) {
+    fn run_statement(&mut self, index: usize, statement: String) {
         let (operator, start) = (self.deployment.operator(), self.start);
-        let waits = thread::spawn(move || {
+        let handle = thread::spawn(move || {
             let answer = operator.say(&statement);
-            Told {
+            OperatorReply {
                 at: start.elapsed(),
                 statement,
                 answer,
             }
         });
-        self.operators.push((index, waits));
+        self.operators.push((index, handle));
     }
 
-    /// Ten operators alter one rule at once, through whatever entry answers.
+    /// Lets several operators alter one rule at once.
     fn race(&mut self, index: usize) {
         let service = self.deployment.spec.services[1].name;
-        for n in 0..OPERATORS {
-            let depth = 100 + index * OPERATORS + n;
-            self.operate(
+        for n in 0..RACING_OPERATORS {
+            let depth = 100 + index * RACING_OPERATORS + n;
+            self.run_statement(
                 index,
                 format!("alter service {service} set depth = {depth}"),
             );
@@ -253,17 +254,18 @@
     }
 }
 
-/// Starts a process again and waits until it listens: a signal before that
-/// would end it before it can know of signals.
-fn restarted(member: &mut Member) -> Result<(), Error> {
+/// Starts a process again and waits until it listens. A signal before that
+/// could kill it because its signal handlers may not be installed yet.
+fn restart(member: &mut Member) -> Result<(), Error> {
     member.process.restart()?;
     member.process.wait_for(member.daemon.address)
 }
 
-/// Waits for a planned stop to end, and starts the process again.
-fn stopped(member: &mut Member) -> Result<(), Error> {
-    let status = member.process.wait(Instant::now() + STOP)?;
-    restarted(member)?;
+/// Waits until a process has stopped as planned, and starts it again.
+/// Returns an error if it exited with a failure, too.
+fn restart_after_stop(member: &mut Member) -> Result<(), Error> {
+    let status = member.process.wait(Instant::now() + STOP_TIMEOUT)?;
+    restart(member)?;
     if status.success() {
         return Ok(());
     }
@@ -275,8 +277,9 @@
     ))
 }
 
-/// The process that a fault is about.
-const fn target(fault: Fault) -> Option<(u8, usize)> {
+/// Returns what a fault affects, as a number for the kind and an index. Two
+/// faults with one target must not be active together.
+const fn fault_target(fault: Fault) -> Option<(u8, usize)> {
     match fault {
         Fault::KillEntry(n) | Fault::FreezeEntry(n) | Fault::StopEntry(n) => Some((0, n)),
         Fault::KillSide(n) | Fault::FreezeSide(n) | Fault::StopSide(n) => Some((1, n)),
--- a/hibiscusroad-measure/src/faults/mod.rs
+++ b/hibiscusroad-measure/src/faults/mod.rs
@@ -1,12 +1,11 @@
-//! Mixed load under random faults over real processes, judged by its history.
+//! Mixed load under random faults on real processes, checked by its history.
 //!
-//! Three recorders write the history: callers note how each call ended, plain
-//! services note in files what they ran, and watchers note which configuration
-//! each entry has in force. The checks in [`check`] read only that.
+//! The history holds how each call ended, what the plain services ran by their
+//! log files, which configuration each entry had in force, the audit trail and
+//! the injected faults. The checks in [`check`] read only that.
 //!
-//! Faults are drawn from a seed, so that a run that fails can be repeated. What
-//! a seed fixes is which fault begins when and where; how processes are
-//! scheduled is left to the machine.
+//! Faults are drawn from a seed, so that a failed run can be repeated. The seed
+//! fixes which fault begins when and where, but not how processes are scheduled.
 
 mod calls;
 pub mod check;
@@ -35,22 +34,22 @@
 };
 use watch::Watcher;
 
-const WORKERS: usize = 256;
-const START: Duration = Duration::from_secs(20);
+const CALL_WORKERS: usize = 256;
+const SETUP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after the last fault in which everything must come right.
-const CALM: Duration = Duration::from_secs(5);
+/// How long the load goes on after the time in which faults are drawn.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// What is to be run.
+/// The options of a fault run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// How long faults are drawn for.
+    /// The time in which faults begin.
     pub time: Duration,
-    /// What fixes the draw.
+    /// The seed of load and faults.
     pub seed: u64,
-    /// Which faults may be drawn.
+    /// The kinds of faults that may be drawn.
     pub kinds: Kinds,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
 }
 
@@ -65,54 +64,59 @@
     }
 }
 
-/// Runs load and faults, and judges the history.
+/// Runs load and faults, and checks the history.
 ///
 /// # Errors
 ///
 /// Returns an error if the deployment can't be started or read.
 pub fn run(options: &Options, interrupt: &Interrupt) -> Result<Counts, Error> {
-    let mut deployment = Deployment::start(&spec(), interrupt)?;
-    let relays = inject::relays(&deployment)?;
+    let mut deployment = Deployment::start(&deployment_spec(), interrupt)?;
+    let relays = inject::start_relays(&deployment)?;
     inject::put_hosts(&deployment, &relays, "live")?;
-    deployment.set_up(START)?;
+    deployment.set_up(SETUP_TIMEOUT)?;
 
     let faults = plan(options.time, options.seed, options.kinds, &deployment.spec);
-    let calls = calls::draw(&deployment, options.time + CALM, options.seed, options.rate);
+    let calls = calls::draw_calls(
+        &deployment,
+        options.time + SETTLE_TIME,
+        options.seed,
+        options.rate,
+    );
     let start = Instant::now();
     let epoch_ms = epoch_ms();
-    let over = AtomicBool::new(false);
-    let watchers = Watcher::all(&deployment);
+    let finished = AtomicBool::new(false);
+    let watchers = Watcher::for_entries(&deployment);
     let counters = Arc::new(Counters::default());
     let mut injector = Injector::new(&mut deployment, relays, start);
-    let (made, seen) = thread::scope(|scope| {
-        let load = scope.spawn(|| load::run(calls, WORKERS, &counters, interrupt));
+    let (calls, versions) = thread::scope(|scope| {
+        let load = scope.spawn(|| load::run(calls, CALL_WORKERS, &counters, interrupt));
         let watched: Vec<_> = watchers
             .iter()
-            .map(|watcher| scope.spawn(|| watcher.run(start, &over)))
+            .map(|watcher| scope.spawn(|| watcher.run(start, &finished)))
             .collect();
         injector.run(&faults, interrupt);
-        let made = load.join().unwrap_or_default();
-        over.store(true, Ordering::Relaxed);
-        let seen = watched.into_iter().map(|w| w.join().unwrap_or_default());
-        (made, seen.collect::<Vec<_>>())
+        let calls = load.join().unwrap_or_default();
+        finished.store(true, Ordering::Relaxed);
+        let versions = watched.into_iter().map(|w| w.join().unwrap_or_default());
+        (calls, versions.collect::<Vec<_>>())
     });
-    let done = injector.finish();
+    let faults = injector.finish();
     let entries = deployment.entries.iter();
     let history = History {
         entries: entries.map(|e| e.daemon.address.to_string()).collect(),
-        made,
-        seen,
-        runs: deployment.runs()?,
-        trail: deployment.show(0, "show audit")?,
-        done,
+        calls,
+        versions,
+        endpoint_logs: deployment.runs()?,
+        audit_rows: deployment.show(0, "show audit")?,
+        faults,
         epoch_ms,
     };
     Ok(history.check())
 }
 
-/// The deployment that faults are tried on: small enough for one machine beside
-/// the load, large enough that any one process can be missed.
-fn spec() -> Spec {
+/// Returns the deployment for fault runs: small enough for one host together
+/// with the load, with enough processes that the loss of one can be tolerated.
+fn deployment_spec() -> Spec {
     let mut spec = Spec::pobrezie();
     spec.entries = 3;
     spec.restarts = true;
--- a/hibiscusroad-measure/src/faults/plan.rs
+++ b/hibiscusroad-measure/src/faults/plan.rs
@@ -1,61 +1,62 @@
-//! Drawing faults.
+//! Drawing the faults of a run from a seed.
 
 use crate::deployment::{Kind, Spec};
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Something that goes wrong, or that an operator does.
+/// A fault, or an action of operators that is injected like one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     /// An entry is killed, and started again later.
     KillEntry(usize),
-    /// A side is killed, and started again later.
+    /// A sidecar is killed, and started again later.
     KillSide(usize),
     /// An endpoint is killed, and started again later.
     KillEndpoint(usize),
-    /// An entry stands still.
+    /// An entry is suspended and resumed later.
     FreezeEntry(usize),
-    /// A side stands still.
+    /// A sidecar is suspended and resumed later.
     FreezeSide(usize),
-    /// An endpoint stands still.
+    /// An endpoint is suspended and resumed later.
     FreezeEndpoint(usize),
-    /// The platform gives no answers.
+    /// The platform does not answer.
     StoreDown,
-    /// The platform is slow by this many milliseconds.
+    /// The platform answers with a delay of this many milliseconds.
     StoreSlow(u64),
-    /// One in two writes takes effect without an answer.
+    /// Every second write takes effect without an answer.
     LoseAnswers,
-    /// Open links to a side go silent for good; new ones work.
+    /// Open connections to a sidecar carry no more data in one direction
+    /// (`true`: towards the sidecar); new connections work.
     SilenceLink(usize, bool),
-    /// Open links to a side are cut.
+    /// Open connections to a sidecar are cut.
     CutLink(usize),
-    /// Links to a side are late by this many milliseconds.
+    /// Connections to a sidecar have a delay of this many milliseconds.
     DelayLink(usize, u64),
-    /// An entry is asked to stop, and started again later.
+    /// An entry is asked to terminate, and started again later.
     StopEntry(usize),
-    /// A side is asked to stop, and started again later.
+    /// A sidecar is asked to terminate, and started again later.
     StopSide(usize),
-    /// An operator drains an endpoint, and takes it back later.
+    /// An operator drains an endpoint, and undrains it later.
     Drain(usize),
     /// Ten operators change one service at once.
     Race,
 }
 
-/// Which faults may be drawn.
+/// The kinds of faults that may be drawn.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kinds {
     /// All of them.
     All,
-    /// None: the load alone.
+    /// No faults.
     None,
     /// Crashes of processes.
     Kill,
-    /// Processes that stand still.
+    /// Suspended processes.
     Freeze,
-    /// The platform's outages.
+    /// Outages of the platform.
     Store,
-    /// Connections that break, go silent or are slow.
+    /// Connections that are cut, silent or slow.
     Link,
     /// Planned stops.
     Stop,
@@ -64,7 +65,7 @@
 }
 
 impl Kinds {
-    /// Finds kinds by their name.
+    /// Returns the kinds with a name, if there are any.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         Some(match name {
@@ -83,41 +84,41 @@
 
 /// A fault with its times, counted from the start of the load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
-    pub last: Duration,
-    /// What it is.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Mean time between the beginnings of two faults. Most last longer, so two of
-/// them are often at work together.
-const GAP: f64 = 1.5;
+/// Mean seconds between the beginnings of two faults; most faults last longer,
+/// so they often overlap.
+const MEAN_GAP_SECS: f64 = 1.5;
 
-/// Draws faults for a run of `time`.
+/// Draws the faults of a run of the given time.
 #[must_use]
-pub fn plan(time: Duration, seed: u64, kinds: Kinds, spec: &Spec) -> Vec<Planned> {
+pub fn plan(time: Duration, seed: u64, kinds: Kinds, spec: &Spec) -> Vec<PlannedFault> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut planned = Vec::new();
     let mut at = 1.0;
     while kinds != Kinds::None && at < time.as_secs_f64() {
-        let fault = draw(&mut rng, kinds, spec);
-        let last = Duration::from_secs_f64(rng.random_range(length(fault)));
-        planned.push(Planned {
+        let fault = draw_fault(&mut rng, kinds, spec);
+        let duration = Duration::from_secs_f64(rng.random_range(duration_range(fault)));
+        planned.push(PlannedFault {
             at: Duration::from_secs_f64(at),
-            last,
+            duration,
             fault,
         });
-        at += rng.random_range(0.2..2.0 * GAP - 0.2);
+        at += rng.random_range(0.2..2.0 * MEAN_GAP_SECS - 0.2);
     }
     planned
 }
 
-/// Seconds that a fault may last. Freezes reach past every heartbeat, and some
-/// past a lease.
-fn length(fault: Fault) -> std::ops::Range<f64> {
+/// Returns the range of a fault's duration in seconds. Freezes may outlast
+/// heartbeats and leases.
+fn duration_range(fault: Fault) -> std::ops::Range<f64> {
     match fault {
         Fault::FreezeEntry(_) | Fault::FreezeSide(_) | Fault::FreezeEndpoint(_) => 0.3..10.0,
         Fault::StoreDown | Fault::StoreSlow(_) | Fault::LoseAnswers => 1.0..8.0,
@@ -127,7 +128,7 @@
     }
 }
 
-fn draw(rng: &mut Pcg64Mcg, kinds: Kinds, spec: &Spec) -> Fault {
+fn draw_fault(rng: &mut Pcg64Mcg, kinds: Kinds, spec: &Spec) -> Fault {
     let entry = rng.random_range(0..spec.entries);
     let side = rng.random_range(0..spec.endpoints());
     let plain = rng.random_range(0..spec.service(Kind::Plain).map_or(1, |s| s.count));
@@ -161,7 +162,7 @@
         &stop[..],
         &operate[..],
     ];
-    let set = match kinds {
+    let candidates = match kinds {
         Kinds::Kill => all[0],
         Kinds::Freeze => all[1],
         Kinds::Store => all[2],
@@ -170,5 +171,5 @@
         Kinds::Operate => all[5],
         Kinds::All | Kinds::None => all[rng.random_range(0..all.len())],
     };
-    *set.choose(rng).unwrap_or(&Fault::Race)
+    *candidates.choose(rng).unwrap_or(&Fault::Race)
 }
--- a/hibiscusroad-measure/src/faults/watch.rs
+++ b/hibiscusroad-measure/src/faults/watch.rs
@@ -1,4 +1,4 @@
-//! Watching which configuration each entry has in force.
+//! Polling the version of the configuration that each entry has in force.
 
 use crate::deployment::Deployment;
 use serde_json::Value;
@@ -9,21 +9,21 @@
     time::{Duration, Instant},
 };
 
-const POLL: Duration = Duration::from_millis(50);
-const LIMIT: Duration = Duration::from_millis(800);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The configuration version of one process at one time.
+/// The configuration version that an entry reported.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Seen {
-    /// When the question was sent, counted from the start of the load.
+    /// When the request was sent, counted from the start of the load.
     pub asked: Duration,
-    /// When the answer was there.
+    /// When the answer was received, counted from the start of the load.
     pub told: Duration,
-    /// The version; 0 is none.
+    /// The version, or 0 if no configuration is in force.
     pub version: u64,
 }
 
-/// Asks one entry again and again.
+/// Polls one entry for its configuration version.
 #[derive(Debug)]
 pub(super) struct Watcher {
     address: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 impl Watcher {
-    pub(super) fn all(deployment: &Deployment) -> Vec<Self> {
+    pub(super) fn for_entries(deployment: &Deployment) -> Vec<Self> {
         let entries = deployment.entries.iter();
         entries
             .map(|entry| Self::new(entry.daemon.operators))
@@ -40,7 +40,7 @@
 
     fn new(address: SocketAddr) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(LIMIT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .proxy(None)
             .build();
         Self {
@@ -49,11 +49,11 @@
         }
     }
 
-    pub(super) fn run(&self, start: Instant, over: &AtomicBool) -> Vec<Seen> {
+    pub(super) fn run(&self, start: Instant, finished: &AtomicBool) -> Vec<Seen> {
         let mut seen = Vec::new();
-        while !over.load(Ordering::Relaxed) {
+        while !finished.load(Ordering::Relaxed) {
             let asked = start.elapsed();
-            if let Some(version) = self.ask() {
+            if let Some(version) = self.fetch_version() {
                 let told = start.elapsed();
                 seen.push(Seen {
                     asked,
@@ -61,15 +61,15 @@
                     version,
                 });
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         seen
     }
 
-    fn ask(&self) -> Option<u64> {
+    fn fetch_version(&self) -> Option<u64> {
         let url = format!("http://{}/v1/show/entries", self.address);
-        let mut answer = self.agent.get(url).call().ok()?;
-        let text = answer.body_mut().read_to_string().ok()?;
+        let mut response = self.agent.get(url).call().ok()?;
+        let text = response.body_mut().read_to_string().ok()?;
         let value: Value = serde_json::from_str(&text).ok()?;
         value["version"].as_u64()
     }
