--- a/hibiscusroad-measure/src/policy/driver.rs
+++ b/hibiscusroad-measure/src/policy/driver.rs
@@ -156,7 +156,7 @@
         if let Some((at, _)) = self.scenario.fault {
             self.schedule(at, Event::InjectFault);
         }
-        // Run until every caller has timed out.
+        // Run until the deadlines of all first submissions have passed.
         let timeout = self.scenario.streams.iter().map(|s| s.timeout).max();
         let end = self.scenario.window.1 + timeout.unwrap_or_default() + REMOTE_DELAY * 4;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
